--- a/internal/cwmirror/era.go
+++ b/internal/cwmirror/era.go
@@ -7,37 +7,39 @@
 	"carobward.example/carobward"
 )
 
-// LapseTime is for how long after the store came back entries of servers that live may be
-// missing: about two seconds, in which they write them again, and the way to us.
+// LapseTime is for how long after an outage or a restore of the store the entries of live servers
+// may be missing from it. Servers write their entries again within about two seconds, and the
+// change then has to reach this entry VM.
 const LapseTime = 2200 * time.Millisecond
 
-// origin is how a copy came into its era: from which state, at which index of the new era,
-// and with which keys changed. Copies at that state need only these.
+// origin describes how a replica entered its era: from which state, at which index of the new era,
+// and with which keys changed. A replica at that same state needs only these keys to follow.
 type origin struct {
 	from  State
 	index carobward.StoreIndex
 	keys  map[carobward.Key]struct{}
 }
 
-// isFrom tells whether a copy at a state came into the era in the same way.
-func (o *origin) isFrom(s State) bool {
+// matches reports whether a replica at state s can enter the era with the keys of this origin.
+func (o *origin) matches(s State) bool {
 	return o.index > 0 && o.from.Era == s.Era && o.from.Index == s.Index
 }
 
-// crosses tells whether changes lead from one era into another.
+// crosses reports whether changes lead from one era into another.
 func crosses(c *carobward.Changes) bool { return !c.Whole && c.AfterEra != 0 && c.AfterEra != c.Era }
 
-// leadsOn tells whether changes bring this copy into their era.
-func (m *Mirror) leadsOn(c *carobward.Changes) bool {
+// canEnter reports whether changes bring this replica into their era.
+func (m *Mirror) canEnter(c *carobward.Changes) bool {
 	return c.Whole || c.AfterEra == m.state.Era && c.After == m.state.Index && m.state.Top == m.state.Index
 }
 
-// enter begins another era: the store came back from a copy. Its indexes say nothing of
-// those before, and what it lacks proves nothing for a while.
-func (m *Mirror) enter(c *carobward.Changes, now time.Time) []carobward.Item {
+// enterEra moves the replica into another era after the store was restored from a backup. Indexes
+// of the new era can't be compared with those of earlier ones, and for a while a key that the store
+// lacks doesn't count as removed.
+func (m *Mirror) enterEra(c *carobward.Changes, now time.Time) []carobward.Item {
 	before, old := m.state, m.items
 
-	m.items, m.gone, m.gaps, m.floor = map[carobward.Key]record{}, 0, nil, 0
+	m.items, m.tombstones, m.gaps, m.floor = map[carobward.Key]record{}, 0, nil, 0
 	m.state = State{Era: c.Era, Index: c.Index, Top: c.Index, Version: before.Version}
 	m.holdUntil(now.Add(LapseTime))
 
@@ -66,8 +68,9 @@
 	return m.keepLost(old, now)
 }
 
-// setOrigin notes which keys changed, for copies that are where this one was. One that
-// had changes beyond its index is like no other.
+// setOrigin records which keys changed on entering the era, for replicas that were at the same
+// state. A replica with items beyond its index has no origin, because no other replica is sure to
+// have the same items.
 func (m *Mirror) setOrigin(before State, old map[carobward.Key]record) {
 	m.origin = origin{}
 
@@ -78,7 +81,7 @@
 	m.origin = origin{from: before, index: m.state.Index, keys: map[carobward.Key]struct{}{}}
 
 	for key, it := range old {
-		if !it.Gone && !m.has(it.Item) {
+		if !it.Gone && !m.hasItem(it.Item) {
 			m.origin.keys[key] = struct{}{}
 		}
 	}
@@ -90,15 +93,15 @@
 	}
 }
 
-// has tells whether the copy has an item as it is.
-func (m *Mirror) has(it carobward.Item) bool {
-	now, ok := m.items[it.Key]
+// hasItem reports whether the replica has the item with the same index and value.
+func (m *Mirror) hasItem(it carobward.Item) bool {
+	current, ok := m.items[it.Key]
 
-	return ok && now.Index == it.Index && bytes.Equal(now.Value, it.Value)
+	return ok && current.Index == it.Index && bytes.Equal(current.Value, it.Value)
 }
 
-// keepLost keeps what was in force before and was lost with the era, or came back with it,
-// and returns what comes into force.
+// keepLost keeps items that were effective before the era began and that the store has lost or
+// brought back. It returns the items that take effect.
 func (m *Mirror) keepLost(old map[carobward.Key]record, now time.Time) []carobward.Item {
 	var fresh []carobward.Item
 
@@ -107,7 +110,7 @@
 	}
 
 	for _, was := range old {
-		if it, comes := m.decide(was, now); comes {
+		if it, comes := m.reconcile(was, now); comes {
 			fresh = append(fresh, it)
 		}
 	}
@@ -121,23 +124,23 @@
 	return fresh
 }
 
-// decide keeps what was in force under a key, or returns what the store has now if that
-// comes into force.
-func (m *Mirror) decide(was record, now time.Time) (carobward.Item, bool) {
-	is, there := m.items[was.Key]
+// reconcile keeps the item that was effective under a key, or returns the store's item if that one
+// takes effect.
+func (m *Mirror) reconcile(was record, now time.Time) (carobward.Item, bool) {
+	current, exists := m.items[was.Key]
 	rank := m.rankOf(was)
 
 	switch {
-	case was.Gone && !there:
-		// It may be there again in the next era.
+	case was.Gone && !exists:
+		// The key may exist again in the next era.
 		delete(m.kept, was.Key)
-		m.remember(was.Key, rank)
-	case was.Gone && !rank.Before(m.rankOf(is)), !was.Gone && !there, !was.Gone && m.rankOf(is).Before(rank):
+		m.addTombstone(was.Key, rank)
+	case was.Gone && !rank.Before(m.rankOf(current)), !was.Gone && !exists, !was.Gone && m.rankOf(current).Before(rank):
 		m.keep(was.Item, rank, now.Add(m.Stay(was.Item)))
-	case was.Gone || !bytes.Equal(was.Value, is.Value):
+	case was.Gone || !bytes.Equal(was.Value, current.Value):
 		delete(m.kept, was.Key)
 
-		return is.Item, true
+		return current.Item, true
 	default:
 		delete(m.kept, was.Key)
 	}
--- a/internal/cwmirror/era_test.go
+++ b/internal/cwmirror/era_test.go
@@ -25,11 +25,11 @@
 	return c
 }
 
-// values returns the values that are in force in a copy, sorted.
+// values returns the effective values of a replica, sorted.
 func values(m *Mirror) []string {
 	var list []string
 
-	for _, it := range inForce(m) {
+	for _, it := range effectiveItems(m) {
 		list = append(list, string(it.Value))
 	}
 
@@ -38,8 +38,8 @@
 	return list
 }
 
-// TestEra lets the store come back from a copy and wants what it acknowledged before to
-// stay in force, for as long as nobody writes it again.
+// TestEra restores the store from a backup and checks that items it acknowledged before stay
+// effective until they are written again or their time is over.
 func TestEra(t *testing.T) {
 	before := inEra(1, whole(6, ranked("op/config", 4, 6), ranked("a", 1, 1), ranked("b", 2, 5)))
 	removed := inEra(1, changes(7, gone("b", 7)))
@@ -47,18 +47,18 @@
 
 	for name, c := range map[string]struct {
 		changes []carobward.Changes
-		// want is in force at once, later when the time of what was lost is over.
+		// want is effective at once, later when the time of lost items is over.
 		want, later []string
 	}{
 		"an older configuration": {
 			[]carobward.Changes{before, inEra(2, whole(5, ranked("op/config", 3, 3), ranked("a", 1, 1), ranked("b", 2, 5)))},
 			[]string{"a 1", "b 2", "op/config 4"}, []string{"a 1", "b 2", "op/config 4"},
 		},
-		"a newer one at an index given out twice": {
+		"a newer configuration at a reused index": {
 			[]carobward.Changes{before, inEra(2, whole(5, ranked("op/config", 5, 4), ranked("a", 1, 1), ranked("b", 2, 5)))},
 			[]string{"a 1", "b 2", "op/config 5"}, []string{"a 1", "b 2", "op/config 5"},
 		},
-		"the lost one, then a newer one": {
+		"the lost configuration, then a newer one": {
 			[]carobward.Changes{
 				before, inEra(2, whole(5, ranked("op/config", 3, 3), ranked("a", 1, 1), ranked("b", 2, 5))),
 				inEra(2, changes(6, ranked("op/config", 4, 6))), inEra(2, changes(7, ranked("op/config", 6, 7))),
@@ -91,39 +91,39 @@
 			[]carobward.Changes{before, removed, inEra(2, whole(7, ranked("op/config", 4, 6), ranked("a", 1, 1), ranked("b", 3, 7)))},
 			[]string{"a 1", "b 3", "op/config 4"}, []string{"a 1", "b 3", "op/config 4"},
 		},
-		"a removed entry that is there again in the next but one": {
+		"a removed entry that exists again in the era after the next": {
 			[]carobward.Changes{
 				before, removed, inEra(2, whole(7, ranked("op/config", 4, 6), ranked("a", 1, 1))),
 				inEra(3, whole(6, ranked("op/config", 4, 6), ranked("a", 1, 1), ranked("b", 2, 5))),
 			},
 			[]string{"a 1", "op/config 4"}, []string{"a 1", "b 2", "op/config 4"},
 		},
-		"an answer of the era before": {
+		"an answer of the previous era": {
 			[]carobward.Changes{inEra(2, whole(4, ranked("a", 2, 4))), before},
 			[]string{"a 2"}, []string{"a 2"},
 		},
-		"changes after an index of the era before": {
+		"changes after an index of the previous era": {
 			[]carobward.Changes{before, inEra(2, changes(9, ranked("a", 2, 8)))},
 			[]string{"a 1", "b 2", "op/config 4"}, []string{"a 1", "b 2", "op/config 4"},
 		},
-		"twice in series": {
+		"two restores in a row": {
 			[]carobward.Changes{before, inEra(2, whole(1, ranked("a", 1, 1))), inEra(3, whole(2, ranked("a", 1, 1), ranked("c", 1, 2)))},
 			[]string{"a 1", "b 2", "c 1", "op/config 4"}, []string{"a 1", "c 1", "op/config 4"},
 		},
-		"no era is named": {
+		"changes without an era": {
 			[]carobward.Changes{before, changes(7, ranked("a", 2, 7))},
 			[]string{"a 1", "b 2", "op/config 4"}, []string{"a 1", "b 2", "op/config 4"},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := newMirror()
-			told := map[carobward.Key]string{}
-			tell := func(items []carobward.Item) {
+			delivered := map[carobward.Key]string{}
+			deliver := func(items []carobward.Item) {
 				for _, it := range items {
-					told[it.Key] = string(it.Value)
+					delivered[it.Key] = string(it.Value)
 
 					if it.Gone {
-						delete(told, it.Key)
+						delete(delivered, it.Key)
 					}
 				}
 			}
@@ -135,24 +135,24 @@
 					t.Error(diff)
 				}
 
-				if diff := cmp.Diff(want, slices.Sorted(maps.Values(told))); diff != "" {
-					t.Errorf("those who follow: %s", diff)
+				if diff := cmp.Diff(want, slices.Sorted(maps.Values(delivered))); diff != "" {
+					t.Errorf("items passed on: %s", diff)
 				}
 			}
 
 			for i := range c.changes {
-				m.Take(c.changes[i], start, tell)
+				m.Take(c.changes[i], start, deliver)
 			}
 
 			check(c.want)
-			m.Sweep(start.Add(stayTime), tell)
+			m.Sweep(start.Add(retention), deliver)
 			check(c.later)
 		})
 	}
 }
 
-// TestEntry brings copies into an era by the few keys that changed, where they are at the
-// state from which the first one came, and else by all keys.
+// TestEntry brings a replica into an era by the changed keys alone if it is at the state from which
+// the other replica entered it, and by all keys otherwise.
 func TestEntry(t *testing.T) {
 	list := inEra(1, whole(3, ranked("a", 1, 1), ranked("b", 1, 2), ranked("c", 1, 3)))
 	next := inEra(1, changes(4, ranked("c", 2, 4)))
@@ -163,8 +163,8 @@
 		whole  bool
 	}{
 		"the same state": {[]carobward.Changes{list, next}, false},
-		"an older one":   {[]carobward.Changes{list}, true},
-		"a newcomer":     {nil, true},
+		"an older state": {[]carobward.Changes{list}, true},
+		"a new replica":  {nil, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			from, to := newMirror(), newMirror()
@@ -183,7 +183,7 @@
 
 			got := answerTo(to.State(), from)
 			if got.Whole != c.whole {
-				t.Errorf("whole %v", got.Whole)
+				t.Errorf("all keys sent: %v", got.Whole)
 			}
 
 			to.Apply(got, start)
@@ -193,11 +193,11 @@
 			}
 
 			if from.State() != to.State() {
-				t.Errorf("%v and %v", from.State(), to.State())
+				t.Errorf("states differ: %v and %v", from.State(), to.State())
 			}
 
 			for _, m := range []*Mirror{from, to} {
-				m.Sweep(start.Add(stayTime), func([]carobward.Item) {})
+				m.Sweep(start.Add(retention), func([]carobward.Item) {})
 
 				if diff := cmp.Diff([]string{"a 1", "b 1", "d 1"}, values(m)); diff != "" {
 					t.Error(diff)
@@ -207,8 +207,8 @@
 	}
 }
 
-// TestLateEntry lets changes that lead from one era into another arrive at a copy that has
-// gone on since it asked. They are none for it, whatever its index is.
+// TestLateEntry delivers changes from one era into another to a replica that has moved on since it
+// asked. They must not be applied, whatever its index is.
 func TestLateEntry(t *testing.T) {
 	list := inEra(1, whole(3, ranked("a", 1, 1), ranked("b", 1, 2), ranked("c", 1, 3)))
 	next := inEra(1, changes(4, ranked("c", 2, 4)))
@@ -216,10 +216,10 @@
 	beyond := inEra(1, changes(7, ranked("c", 3, 7)))
 	beyond.After = 6
 
-	for name, since := range map[string]carobward.Changes{
-		"further in its era":    next,
-		"items beyond its copy": beyond,
-		"in the new era":        inEra(2, whole(2, ranked("a", 1, 1), ranked("e", 1, 2))),
+	for name, between := range map[string]carobward.Changes{
+		"further in its era":     next,
+		"items beyond its index": beyond,
+		"in the new era":         inEra(2, whole(2, ranked("a", 1, 1), ranked("e", 1, 2))),
 	} {
 		t.Run(name, func(t *testing.T) {
 			from, to := newMirror(), newMirror()
@@ -228,7 +228,7 @@
 			from.Apply(inEra(2, whole(5, ranked("a", 1, 1), ranked("d", 1, 5))), start)
 
 			late := from.Since(to.State())
-			to.Apply(since, start)
+			to.Apply(between, start)
 
 			state := to.State()
 			to.Apply(late, start)
@@ -240,8 +240,8 @@
 	}
 }
 
-// TestEntryUnlikeOthers wants a copy that had items beyond its index to lead no other copy
-// into an era by few keys: the other one may lack them.
+// TestEntryUnlikeOthers checks that a replica that had items beyond its index doesn't bring another
+// one into an era by the changed keys alone: the other one may lack those items.
 func TestEntryUnlikeOthers(t *testing.T) {
 	list := inEra(1, whole(3, ranked("a", 1, 1), ranked("b", 1, 2), ranked("c", 1, 3)))
 	beyond := inEra(1, changes(7, ranked("c", 3, 7)))
@@ -255,13 +255,13 @@
 	from.Apply(inEra(2, whole(5, ranked("a", 1, 1), ranked("d", 1, 5))), start)
 
 	if !from.Since(at).Whole {
-		t.Error("not all keys")
+		t.Error("not all keys are sent")
 	}
 }
 
-// TestReleasedStaysGone has a peer keep an entry that the store lacks, as one that may have
-// lapsed, and wants it to be gone for good once its time is over here: neither the peer, whose
-// time ends a little later, nor the next era may bring it back.
+// TestReleasedStaysGone guards against entries that reappear: a peer keeps an entry that the store
+// lacks because it may have expired in an outage. Once its time is over here, neither the peer,
+// whose time ends a little later, nor the next era may bring it back.
 func TestReleasedStaysGone(t *testing.T) {
 	m := newMirror()
 	m.Apply(inEra(2, whole(7, ranked("a", 1, 1))), start)
@@ -279,18 +279,17 @@
 	now := start.Add(time.Second)
 	m.Sweep(now, func([]carobward.Item) {})
 
-	// The peer first, then the next era.
 	for _, c := range []carobward.Changes{keeps, inEra(3, whole(6, ranked("a", 1, 1), ranked("b", 2, 5)))} {
 		for _, it := range m.Apply(c, now) {
 			if it.Key == "b" && !it.Gone {
-				t.Errorf("it is back in era %d", c.Era)
+				t.Errorf("the entry is back in era %d", c.Era)
 			}
 		}
 	}
 }
 
-// TestKeptSpreads wants an entry VM that asks the store by itself to have what the store
-// lost from a peer.
+// TestKeptSpreads checks that an entry VM that queries the store itself gets items that the store
+// has lost from a peer.
 func TestKeptSpreads(t *testing.T) {
 	old, newcomer := newMirror(), newMirror()
 	old.Apply(inEra(1, whole(6, ranked("op/config", 4, 6))), start)
@@ -300,7 +299,7 @@
 	newcomer.Apply(list, start)
 
 	if !newcomer.State().Behind(old.State()) {
-		t.Fatal("not behind")
+		t.Fatal("the new replica is not behind")
 	}
 
 	fetch(newcomer, old)
@@ -310,11 +309,11 @@
 	}
 
 	if newcomer.State() != old.State() {
-		t.Errorf("%v and %v", newcomer.State(), old.State())
+		t.Errorf("states differ: %v and %v", newcomer.State(), old.State())
 	}
 }
 
-// eraStore is a store that comes back from copies.
+// eraStore is a store that can be restored from a backup.
 type eraStore struct {
 	modelStore
 
@@ -337,9 +336,9 @@
 	s.items["op/config"] = ranked("op/config", s.version, s.index)
 }
 
-// answer returns what the store answers who has a copy: the changes after its index, or all
-// keys where the store lacks that index. All keys are as of an index some changes ago, since
-// pages are no snapshot.
+// answer returns the store's reply to a replica: the changes after its index, or all keys if the
+// store has no such index. The list of all keys has an index from before the latest changes, since
+// a list read in pages is no snapshot.
 func (s *eraStore) answer(m *Mirror, older int) carobward.Changes {
 	state := m.State()
 	if state.Index == 0 || int(state.Index) > s.index {
@@ -349,8 +348,8 @@
 	return inEra(s.era, s.watch(state.Index))
 }
 
-// tell brings a copy up to date: where the store has another era, by all keys.
-func (s *eraStore) tell(m *Mirror) {
+// update updates a replica, by all keys if the store is in another era.
+func (s *eraStore) update(m *Mirror) {
 	m.Apply(s.answer(m, 0), start)
 
 	if int(m.State().Era) != s.era {
@@ -358,10 +357,10 @@
 	}
 }
 
-// TestEraModel lets copies ask, fetch from each other and start anew in any order, beside
-// a store that is written, comes back from copies of any age, and answers late. No copy may
-// ever go back to an older configuration; in the end all have the keys that the store has,
-// and the newest configuration that any of those still running had seen.
+// TestEraModel lets replicas query the store, fetch from each other and restart in any order, while
+// the store is written, is restored from backups of any age, and answers late. No replica may ever
+// go back to an older configuration. In the end all must have the keys of the store and the newest
+// configuration that any running replica has had.
 func TestEraModel(t *testing.T) {
 	const copies = 4
 
@@ -375,7 +374,7 @@
 		}
 
 		seen := make([]carobward.Version, copies)
-		one := func(name string) *Mirror { return all[rapid.IntRange(0, copies-1).Draw(t, name)] }
+		pick := func(name string) *Mirror { return all[rapid.IntRange(0, copies-1).Draw(t, name)] }
 
 		var late []lateAnswer
 
@@ -391,17 +390,17 @@
 			case 4:
 				s.restore()
 			case 5, 6:
-				s.tell(one("asks"))
+				s.update(pick("asks"))
 			case 7:
-				fetch(one("fetches"), one("from"))
+				fetch(pick("fetches"), pick("from"))
 			case 8:
 				i := rapid.IntRange(0, copies-1).Draw(t, "starts")
 				all[i], seen[i] = newMirror(), 0
 			case 9:
-				m := one("asks")
+				m := pick("asks")
 				late = append(late, lateAnswer{m, s.answer(m, rapid.IntRange(0, 2).Draw(t, "older"))})
 			case 10:
-				m, from := one("fetches"), one("from")
+				m, from := pick("fetches"), pick("from")
 				if m.State().Behind(from.State()) {
 					late = append(late, lateAnswer{m, answerTo(m.State(), from)})
 				}
@@ -414,29 +413,29 @@
 
 			for i, m := range all {
 				if v := m.State().Version; v < seen[i] {
-					t.Fatalf("copy %d has configuration %d after %d", i, v, seen[i])
+					t.Fatalf("replica %d has configuration %d after %d", i, v, seen[i])
 				}
 
 				seen[i] = m.State().Version
 			}
 		}
 
-		agree(t, s, all, slices.Max(seen))
+		requireSync(t, s, all, slices.Max(seen))
 	})
 }
 
-// lateAnswer is what the store or a copy answered, and what arrives later or twice.
+// lateAnswer is a reply of the store or of a replica that arrives late or twice.
 type lateAnswer struct {
 	to      *Mirror
 	changes carobward.Changes
 }
 
-// agree brings all copies up to date and compares them with the store.
-func agree(t *rapid.T, s *eraStore, all []*Mirror, seen carobward.Version) {
+// requireSync updates all replicas and compares them with the store.
+func requireSync(t *rapid.T, s *eraStore, all []*Mirror, seen carobward.Version) {
 	t.Helper()
 
 	for _, m := range all {
-		s.tell(m)
+		s.update(m)
 	}
 
 	for range all {
@@ -450,7 +449,7 @@
 	for i, m := range all {
 		for j, other := range all {
 			if m.State().Behind(other.State()) {
-				t.Errorf("copy %d stays behind copy %d: %v and %v", i, j, m.State(), other.State())
+				t.Errorf("replica %d stays behind replica %d: %v and %v", i, j, m.State(), other.State())
 			}
 		}
 	}
@@ -465,11 +464,11 @@
 		m.Sweep(start.Add(time.Hour), func([]carobward.Item) {})
 
 		if diff := cmp.Diff(want, live(m)); diff != "" {
-			t.Fatalf("copy %d: %s", i, diff)
+			t.Fatalf("replica %d: %s", i, diff)
 		}
 
 		if v := m.State().Version; v < seen {
-			t.Errorf("copy %d has configuration %d, not %d", i, v, seen)
+			t.Errorf("replica %d has configuration %d, not %d", i, v, seen)
 		}
 	}
 }
--- a/internal/cwmirror/kept.go
+++ b/internal/cwmirror/kept.go
@@ -6,17 +6,17 @@
 	"carobward.example/carobward"
 )
 
-// kept is an item that is in force in place of the store's.
+// kept is an item that is effective in place of the store's.
 type kept struct {
 	carobward.Item
 
 	rank carobward.Rank
-	// until is when what the store has counts, unless that is older.
+	// until is when the store's item takes effect, unless the store's value is older.
 	until time.Time
 }
 
-// Hold notes that the store is back after an outage, in which entries of servers that live
-// may have lapsed: removals of servers prove nothing for a while.
+// Hold records that the store is back after an outage in which entries of live servers may have
+// expired: for LapseTime, removals of servers' entries are held back.
 func (m *Mirror) Hold(now time.Time) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -25,8 +25,8 @@
 }
 
 func (m *Mirror) holdUntil(until time.Time) {
-	if until.After(m.hold) {
-		m.hold = until
+	if until.After(m.holdEnd) {
+		m.holdEnd = until
 	}
 }
 
@@ -35,10 +35,10 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
-	return max(0, m.hold.Sub(now))
+	return max(0, m.holdEnd.Sub(now))
 }
 
-// Kept returns the items that are in force in place of the store's.
+// Kept returns the items that are effective in place of the store's.
 func (m *Mirror) Kept(now time.Time) []carobward.Kept {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -52,12 +52,13 @@
 	return list
 }
 
-// Sweep hands on what comes into force since the time of kept items is over.
+// Sweep releases kept items whose time is over, calls changed with the items that take effect, and
+// returns their number.
 func (m *Mirror) Sweep(now time.Time, changed func([]carobward.Item)) int {
-	m.order.Lock()
-	defer m.order.Unlock()
+	m.delivery.Lock()
+	defer m.delivery.Unlock()
 
-	fresh := m.release(now)
+	fresh := m.releaseExpired(now)
 	if len(fresh) > 0 {
 		changed(fresh)
 	}
@@ -65,52 +66,51 @@
 	return len(fresh)
 }
 
-// release gives up kept items whose time is over, but for those of which the store has an
-// older value, and returns what comes into force.
-func (m *Mirror) release(now time.Time) []carobward.Item {
+// releaseExpired drops kept items whose time is over, except where the store has an older value,
+// and returns the items that take effect.
+func (m *Mirror) releaseExpired(now time.Time) []carobward.Item {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
 	var fresh []carobward.Item
 
 	for key, k := range m.kept {
-		is := m.items[key]
-		there := is.Index > 0 && !is.Gone
+		current := m.items[key]
+		exists := current.Index > 0 && !current.Gone
 
-		if now.Before(k.until) || there && m.rankOf(is).Before(k.rank) {
+		if now.Before(k.until) || exists && m.rankOf(current).Before(k.rank) {
 			continue
 		}
 
-		m.drop(k)
+		m.dropKept(k)
 
-		if it := m.inForce(key); it.Gone != k.Gone || there {
+		if it := m.effective(key); it.Gone != k.Gone || exists {
 			fresh = append(fresh, it)
 		}
 	}
 
-	m.noteVersion(fresh)
+	m.updateVersion(fresh)
 
 	return fresh
 }
 
-// drop gives up a kept item. That it was there, and is gone, is remembered as if the store
-// had said so.
-func (m *Mirror) drop(k *kept) {
+// dropKept drops a kept item. If the store lacks its key, the key is recorded as removed.
+func (m *Mirror) dropKept(k *kept) {
 	delete(m.kept, k.Key)
 
-	if is := m.items[k.Key]; is.Index == 0 && !k.Gone {
-		m.remember(k.Key, k.rank)
+	if current := m.items[k.Key]; current.Index == 0 && !k.Gone {
+		m.addTombstone(k.Key, k.rank)
 	}
 }
 
-// remember notes that a key of which the store says nothing was there, and is gone.
-func (m *Mirror) remember(key carobward.Key, rank carobward.Rank) {
+// addTombstone records a key that the store lacks as removed.
+func (m *Mirror) addTombstone(key carobward.Key, rank carobward.Rank) {
 	m.items[key] = record{Item: carobward.Item{Key: key, Index: m.state.Index, Gone: true}, rank: rank}
-	m.gone++
+	m.tombstones++
 }
 
-// inForce returns the item of a key that is in force.
-func (m *Mirror) inForce(key carobward.Key) carobward.Item {
+// effective returns the effective item of a key.
+func (m *Mirror) effective(key carobward.Key) carobward.Item {
 	if k := m.kept[key]; k != nil {
 		return k.Item
 	}
@@ -122,17 +122,17 @@
 	return carobward.Item{Key: key, Index: m.state.Index, Gone: true}
 }
 
-// keepRemoved keeps a server's entry that is removed while that proves nothing.
+// keepRemoved keeps a server's entry that the store removed while removals are held back.
 func (m *Mirror) keepRemoved(it carobward.Item, now time.Time) {
 	if m.mayLapse(it.Key, now) && m.kept[it.Key] == nil {
-		m.keep(it, m.Rank(it.Key, it.Value), m.hold)
+		m.keep(it, m.Rank(it.Key, it.Value), m.holdEnd)
 	}
 }
 
-// mayLapse tells whether a removal proves nothing. Only servers' entries have an end of
-// their own.
+// mayLapse reports whether the removal of a key may be due to an outage of the store. Only servers'
+// entries expire by themselves.
 func (m *Mirror) mayLapse(key carobward.Key, now time.Time) bool {
-	return m.IsBackend(key) && now.Before(m.hold)
+	return m.IsBackend(key) && now.Before(m.holdEnd)
 }
 
 func (m *Mirror) keep(it carobward.Item, rank carobward.Rank, until time.Time) {
@@ -143,9 +143,9 @@
 	m.kept[it.Key] = &kept{Item: it, rank: rank, until: until}
 }
 
-// shade returns those of the items that the store changed which come into force. What is
-// kept gives way to a value that is not older, and to a removal that proves something.
-func (m *Mirror) shade(fresh []carobward.Item, now time.Time) []carobward.Item {
+// filterOverridden returns those of the changed items that take effect. A kept item is replaced by
+// a value that is not older, and by a removal that is not held back.
+func (m *Mirror) filterOverridden(fresh []carobward.Item, now time.Time) []carobward.Item {
 	var list []carobward.Item
 
 	for _, it := range fresh {
@@ -165,15 +165,16 @@
 	return list
 }
 
-// merge takes what a peer keeps where this copy has nothing newer.
-func (m *Mirror) merge(list []carobward.Kept, now time.Time) []carobward.Item {
+// mergeKept takes over the kept items of a peer where this replica has nothing newer, and returns
+// them.
+func (m *Mirror) mergeKept(list []carobward.Kept, now time.Time) []carobward.Item {
 	var fresh []carobward.Item
 
 	for i := range list {
 		theirs := &list[i]
-		ours := m.inForce(theirs.Key)
+		ours := m.effective(theirs.Key)
 
-		if !m.isNews(theirs, ours) {
+		if !m.isNewer(theirs, ours) {
 			continue
 		}
 
@@ -184,17 +185,18 @@
 	return fresh
 }
 
-// isNews tells whether what a peer keeps is newer than what is in force here.
-func (m *Mirror) isNews(theirs *carobward.Kept, ours carobward.Item) bool {
-	rank := m.rankInForce(ours)
+// isNewer reports whether an item that a peer keeps is newer than the effective item here.
+func (m *Mirror) isNewer(theirs *carobward.Kept, ours carobward.Item) bool {
+	rank := m.effectiveRank(ours)
 
 	switch {
 	case theirs.For == 0 && !rank.Before(theirs.Rank):
-		return false // Its time is over; it stays no longer than the next look at it.
+		return false // Its time is over: the next Sweep releases it.
 	case theirs.Gone:
 		return !ours.Gone && !theirs.Rank.Before(rank)
 	case ours.Gone:
-		// What was removed here as well, or is held back no more, must not come back.
+		// An item that was removed here as well, or whose removal is not held back, must not come
+		// back.
 		_, known := m.items[theirs.Key]
 
 		return !known || rank.Before(theirs.Rank)
@@ -203,8 +205,8 @@
 	}
 }
 
-// rankInForce returns the rank of the item of a key that is in force.
-func (m *Mirror) rankInForce(it carobward.Item) carobward.Rank {
+// effectiveRank returns the rank of the effective item of a key.
+func (m *Mirror) effectiveRank(it carobward.Item) carobward.Rank {
 	if k := m.kept[it.Key]; k != nil {
 		return k.rank
 	}
--- a/internal/cwmirror/mirror.go
+++ b/internal/cwmirror/mirror.go
@@ -1,7 +1,7 @@
-// Package cwmirror keeps a copy of the keys of the platform's store that entry
-// VMs follow. Entry VMs bring each other up to date from their copies, so that
-// a few of them have to ask the store. What the store acknowledged stays in force
-// though the store itself comes back without it.
+// Package cwmirror keeps an entry VM's replica of the keys of the platform's store that entry VMs
+// follow. Entry VMs update each other from their replicas, so that only a few of them query the
+// store. Items that the store has acknowledged stay effective if the store is restored from a
+// backup without them.
 package cwmirror
 
 import (
@@ -12,34 +12,32 @@
 	"carobward.example/carobward"
 )
 
-// The bounds of what is remembered for others. A peer that is further behind
-// gets all keys anew.
+// Bounds of the history that is kept for peers. A peer that is further behind gets all keys.
 const (
-	// goneMost bounds the removed keys: those of some minutes in which all
-	// servers are replaced.
-	goneMost = 512
-	// gapsMost bounds the gaps. One comes with each listing and with each fetch
-	// from a copy that has one.
-	gapsMost = 16
+	// maxTombstones bounds the removed keys. It is enough for some minutes in which all servers are
+	// replaced.
+	maxTombstones = 512
+	// maxGaps bounds the gaps. One is added with each list of all keys and with each fetch from a
+	// replica that has gaps.
+	maxGaps = 16
 )
 
-// State tells how far a copy is.
+// State describes how up to date a replica is.
 type State struct {
-	// Era is the store's, and that of the indexes.
+	// Era is the store's era, to which the indexes belong.
 	Era carobward.StoreEra
-	// Index is the store's index up to which the copy is complete.
+	// Index is the store's index up to which the replica is complete.
 	Index carobward.StoreIndex
-	// Top is the index of the newest change in the copy, which may be beyond Index.
+	// Top is the index of the newest change in the replica, which may be beyond Index.
 	Top carobward.StoreIndex
-	// Version is that of the operators' configuration, which may be newer than the
-	// store's.
+	// Version is the version of the operators' configuration, which may be newer than the store's.
 	Version carobward.Version
-	// Kept is how many items are in force in place of the store's. It is no part of how
-	// far a copy is.
+	// Kept is the number of items that are effective in place of the store's. Behind doesn't
+	// consider it.
 	Kept int
 }
 
-// Behind tells whether a copy lacks what another one has.
+// Behind reports whether the replica lacks changes that another one has.
 func (s State) Behind(other State) bool {
 	if s.Era != other.Era {
 		return s.Era < other.Era
@@ -48,55 +46,56 @@
 	return s.Index < other.Index || s.Top < other.Top || s.Version < other.Version
 }
 
-// Options are what a Mirror needs to know of keys.
+// Options describe the keys of the store to a Mirror.
 type Options struct {
 	// Rank returns the rank of a value.
 	Rank func(carobward.Key, []byte) carobward.Rank
-	// Stay returns for how long an item stays in force that a store came back without.
+	// Stay returns for how long an item stays effective after the store was restored without it.
 	Stay func(carobward.Item) time.Duration
-	// IsRouting tells whether a key has the operators' configuration, IsBackend whether
-	// it has a server's entry.
+	// IsRouting reports whether a key holds the operators' configuration, IsBackend whether it
+	// holds a server's entry.
 	IsRouting func(carobward.Key) bool
 	IsBackend func(carobward.Key) bool
 }
 
-// record is one key of the store as the copy has it.
+// record is one key of the store in the replica.
 type record struct {
 	carobward.Item
 
-	// rank is that of the last value of a removed key.
+	// rank is the rank of the last value of a removed key.
 	rank carobward.Rank
 }
 
-// Mirror is the copy. Within an era of the store each key only moves forward.
+// Mirror is a replica of the store. Within an era, the index of each key only grows.
 type Mirror struct {
 	Options
 
-	// order keeps those who follow the copy in the order of its changes.
-	order sync.Mutex
+	// delivery is held from a change until it is passed on, so that changes are passed on in the
+	// order in which they were made.
+	delivery sync.Mutex
 
-	mutex sync.Mutex
-	items map[carobward.Key]record
-	gone  int
-	// floor is the index before which removed keys are not remembered, gaps has
-	// the spans after it in which they may not be known.
+	mutex      sync.Mutex
+	items      map[carobward.Key]record
+	tombstones int
+	// floor is the index before which removed keys are not remembered; gaps are the spans after it
+	// in which removals may be unknown.
 	floor carobward.StoreIndex
 	gaps  []carobward.Gap
 	state State
-	// origin is how the copy came into its era.
+	// origin describes how the replica entered its era.
 	origin origin
-	// kept has the items that are in force in place of the store's.
+	// kept holds the items that are effective in place of the store's.
 	kept map[carobward.Key]*kept
-	// hold is until when removals by the store prove nothing.
-	hold time.Time
+	// holdEnd is until when removals of servers' entries are held back.
+	holdEnd time.Time
 }
 
-// New returns an empty copy.
+// New returns an empty replica.
 func New(o Options) *Mirror {
 	return &Mirror{Options: o, items: map[carobward.Key]record{}, kept: map[carobward.Key]*kept{}}
 }
 
-// State returns how far the copy is.
+// State returns how up to date the replica is.
 func (m *Mirror) State() State {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -107,20 +106,20 @@
 	return s
 }
 
-// Get returns the value of a key that is in force, or nil.
+// Get returns the effective value of a key, or nil.
 func (m *Mirror) Get(key carobward.Key) []byte {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
-	return m.inForce(key).Value
+	return m.effective(key).Value
 }
 
-// Take takes changes as Apply does and hands those that were new on. They are
-// handed on in the order in which they were taken: without that an older entry of
-// a server could replace a newer one that came from elsewhere at the same moment.
+// Take applies changes as Apply does and passes the items that took effect to changed, in the order
+// in which they were applied: otherwise an older entry of a server could replace a newer one that
+// came from elsewhere at the same moment. It returns the number of items.
 func (m *Mirror) Take(c carobward.Changes, now time.Time, changed func([]carobward.Item)) int {
-	m.order.Lock()
-	defer m.order.Unlock()
+	m.delivery.Lock()
+	defer m.delivery.Unlock()
 
 	fresh := m.Apply(c, now)
 	changed(fresh)
@@ -128,8 +127,9 @@
 	return len(fresh)
 }
 
-// Apply takes changes and returns the items that came into force. Those of an earlier era
-// are passed over; a later era begins with all keys, or with changes from just this copy.
+// Apply applies changes and returns the items that took effect. Changes of an earlier era are
+// ignored. A later era has to begin with all keys, or with changes from exactly the state of this
+// replica.
 func (m *Mirror) Apply(c carobward.Changes, now time.Time) []carobward.Item {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -144,11 +144,11 @@
 	case c.Era < m.state.Era:
 		return nil
 	case c.Era > m.state.Era && m.state.Top > 0:
-		if !m.leadsOn(&c) {
+		if !m.canEnter(&c) {
 			return nil
 		}
 
-		fresh = m.enter(&c, now)
+		fresh = m.enterEra(&c, now)
 	case crosses(&c):
 		return nil
 	default:
@@ -156,14 +156,14 @@
 		fresh = m.advance(&c, now)
 	}
 
-	fresh = append(fresh, m.merge(c.Kept, now)...)
-	m.noteVersion(fresh)
+	fresh = append(fresh, m.mergeKept(c.Kept, now)...)
+	m.updateVersion(fresh)
 
 	return fresh
 }
 
-// noteVersion notes the version of a configuration that came into force.
-func (m *Mirror) noteVersion(fresh []carobward.Item) {
+// updateVersion records the version of a configuration that took effect.
+func (m *Mirror) updateVersion(fresh []carobward.Item) {
 	for i := range fresh {
 		if it := &fresh[i]; m.IsRouting(it.Key) && !it.Gone {
 			m.state.Version = max(m.state.Version, carobward.Version(m.Rank(it.Key, it.Value).Write))
@@ -171,28 +171,28 @@
 	}
 }
 
-// advance takes changes of the copy's era.
+// advance applies changes of the replica's era.
 func (m *Mirror) advance(c *carobward.Changes, now time.Time) []carobward.Item {
 	var fresh []carobward.Item
 
 	for _, it := range c.Items {
-		// Up to Index the copy is complete: what it lacks was removed.
+		// The replica is complete up to Index: a key that it lacks was removed.
 		if it.Index > m.state.Index && m.put(it, now) {
 			fresh = append(fresh, it)
 		}
 	}
 
-	// A list that is complete up to an older index says nothing of keys that it
-	// lacks, and changes that begin after ours leave some out.
+	// A list that is complete up to an older index doesn't show that the keys it lacks were
+	// removed, and changes that begin after this replica's index are incomplete for it.
 	if c.Index < m.state.Index || !c.Whole && c.After > m.state.Index {
-		return m.shade(fresh, now)
+		return m.filterOverridden(fresh, now)
 	}
 
 	fresh = append(fresh, m.removeUnlisted(c, now)...)
 
 	if c.Whole {
-		// Where the list was taken in pages, keys that went meanwhile count as
-		// removed at its index, which copies at that index are not told.
+		// Keys that were removed while the list was read page by page count as removed at its
+		// index, and replicas at that index don't learn of it.
 		m.addGap(carobward.Gap{From: min(m.state.Index, max(c.Index, 1)-1), To: max(c.Index, c.Gap.To)})
 	} else {
 		m.addGap(c.Gap)
@@ -200,12 +200,12 @@
 
 	m.state.Index = c.Index
 	m.state.Top = max(m.state.Top, c.Index)
-	m.forget()
+	m.pruneTombstones()
 
-	return m.shade(fresh, now)
+	return m.filterOverridden(fresh, now)
 }
 
-// put takes one item if it is newer than what is there.
+// put applies one item if it is newer than the replica's.
 func (m *Mirror) put(it carobward.Item, now time.Time) bool {
 	old, ok := m.items[it.Key]
 	if ok && old.Index >= it.Index {
@@ -217,18 +217,18 @@
 	return true
 }
 
-// set replaces one item of the copy.
+// set replaces one item of the replica.
 func (m *Mirror) set(it carobward.Item, now time.Time) {
 	old, ok := m.items[it.Key]
 	if ok && old.Gone {
-		m.gone--
+		m.tombstones--
 	}
 
 	next := record{Item: it}
 
 	if it.Gone {
-		m.gone++
-		next.rank = m.rankInForce(it)
+		m.tombstones++
+		next.rank = m.effectiveRank(it)
 
 		if ok && !old.Gone {
 			m.keepRemoved(old.Item, now)
@@ -239,7 +239,7 @@
 	m.state.Top = max(m.state.Top, it.Index)
 }
 
-// rankOf returns the rank of a value, or of the last one of a removed key.
+// rankOf returns the rank of a value, or of the last value of a removed key.
 func (m *Mirror) rankOf(r record) carobward.Rank {
 	if r.Gone || r.Index == 0 {
 		return r.rank
@@ -248,9 +248,9 @@
 	return m.Rank(r.Key, r.Value)
 }
 
-// removeUnlisted removes the keys that were removed at the sender without that
-// being among the changes. A whole list lacks them. Other changes name each key
-// that changed after ours, so that a newer item which they lack is gone.
+// removeUnlisted removes the keys that the sender doesn't have though the changes don't say so. A
+// list of all keys lacks them. Other changes name each key that changed after this replica's index,
+// so that a newer item that they don't name was removed.
 func (m *Mirror) removeUnlisted(c *carobward.Changes, now time.Time) []carobward.Item {
 	after := carobward.StoreIndex(0)
 
@@ -262,8 +262,8 @@
 
 	has := make(map[carobward.Key]bool, len(c.Items))
 	for i := range c.Items {
-		// A removal that is older than our item stands for one that the sender
-		// does not know of: there is no such key at its index.
+		// A removal that is older than the replica's item stands for a later one unknown to the
+		// sender: at the sender's index the key doesn't exist.
 		has[c.Items[i].Key] = !c.Items[i].Gone
 	}
 
@@ -282,22 +282,22 @@
 	return gone
 }
 
-// addGap notes a span of the history that is not known.
+// addGap records a span of the history that is not known.
 func (m *Mirror) addGap(g carobward.Gap) {
 	if g.IsEmpty() || g.To <= m.floor {
 		return
 	}
 
 	m.gaps = append(m.gaps, g)
-	if len(m.gaps) > gapsMost {
+	if len(m.gaps) > maxGaps {
 		m.floor = max(m.floor, m.gaps[0].To)
 		m.gaps = m.gaps[1:]
 	}
 }
 
-// forget drops the memory of removed keys once there are too many.
-func (m *Mirror) forget() {
-	if m.gone <= goneMost {
+// pruneTombstones drops all removed keys once there are too many.
+func (m *Mirror) pruneTombstones() {
+	if m.tombstones <= maxTombstones {
 		return
 	}
 
@@ -308,6 +308,6 @@
 		}
 	}
 
-	m.gone = 0
+	m.tombstones = 0
 	m.gaps = slices.DeleteFunc(m.gaps, func(g carobward.Gap) bool { return g.To <= m.floor })
 }
--- a/internal/cwmirror/mirror_test.go
+++ b/internal/cwmirror/mirror_test.go
@@ -32,7 +32,8 @@
 	return c
 }
 
-// The values of these tests are the key and a rank, as "servers/a 3".
+// rankOf reads the rank from a value of these tests, which is the key and the rank, as in
+// "servers/a 3".
 func rankOf(_ carobward.Key, value []byte) carobward.Rank {
 	_, text, _ := strings.Cut(string(value), " ")
 	n, _ := strconv.ParseUint(text, 10, 64)
@@ -40,10 +41,10 @@
 	return carobward.Rank{Write: n}
 }
 
-// stayTime is for how long lost items stay in these tests, but for the configuration.
-const stayTime = time.Minute
+// retention is for how long lost items other than the configuration stay effective.
+const retention = time.Minute
 
-// newMirror returns an empty copy for which all keys but "op/config" are servers'.
+// newMirror returns an empty replica for which all keys but "op/config" are servers' entries.
 func newMirror() *Mirror {
 	isRouting := func(k carobward.Key) bool { return k == "op/config" }
 
@@ -54,15 +55,15 @@
 				return carobward.Always
 			}
 
-			return stayTime
+			return retention
 		},
 	})
 }
 
 var start = time.Date(2100, time.January, 1, 0, 0, 0, 0, time.UTC)
 
-// inForce returns the items that are in force in a copy.
-func inForce(m *Mirror) map[carobward.Key]carobward.Item {
+// effectiveItems returns the effective items of a replica.
+func effectiveItems(m *Mirror) map[carobward.Key]carobward.Item {
 	all := map[carobward.Key]carobward.Item{}
 
 	for _, it := range m.Since(State{}).Items {
@@ -79,11 +80,11 @@
 	return all
 }
 
-// live returns the keys that a copy has.
+// live returns the keys that exist in a replica.
 func live(m *Mirror) []string {
 	var keys []string
 
-	for key := range inForce(m) {
+	for key := range effectiveItems(m) {
 		keys = append(keys, string(key))
 	}
 
@@ -134,10 +135,9 @@
 	}
 }
 
-// TestSince brings one copy up to date from another, also past the memory of
-// removed keys.
+// TestSince updates one replica from another, also where the other one has dropped its tombstones.
 func TestSince(t *testing.T) {
-	for name, churn := range map[string]int{"within memory": 10, "beyond memory": 2 * goneMost} {
+	for name, churn := range map[string]int{"tombstones kept": 10, "tombstones dropped": 2 * maxTombstones} {
 		t.Run(name, func(t *testing.T) {
 			from, to := newMirror(), newMirror()
 			from.Apply(whole(1, item("stays", 1), item("goes", 1)), start)
@@ -163,7 +163,7 @@
 			step(gone("goes", index+1))
 
 			if !to.State().Behind(from.State()) {
-				t.Fatal("not behind")
+				t.Fatal("the replica is not behind")
 			}
 
 			to.Apply(from.Since(to.State()), start)
@@ -173,15 +173,14 @@
 			}
 
 			if to.State() != from.State() {
-				t.Errorf("%v and %v", to.State(), from.State())
+				t.Errorf("states differ: %v and %v", to.State(), from.State())
 			}
 		})
 	}
 }
 
-// TestTakeOrder takes a newer item of a key while an older one is still being
-// handed on, as from the store and from a peer, and wants those who follow to end
-// with the newer one.
+// TestTakeOrder applies a newer item of a key while an older one is still being passed on, as
+// happens if one comes from the store and one from a peer. The newer one must be passed on last.
 func TestTakeOrder(t *testing.T) {
 	m := newMirror()
 
@@ -215,6 +214,6 @@
 	group.Wait()
 
 	if last != 2 {
-		t.Errorf("those who follow have index %d", last)
+		t.Errorf("index %d was passed on last", last)
 	}
 }
--- a/internal/cwmirror/model_test.go
+++ b/internal/cwmirror/model_test.go
@@ -13,7 +13,7 @@
 	"carobward.example/carobward"
 )
 
-// modelStore is a store whose whole history is kept.
+// modelStore is a store that remembers every key, including removed ones.
 type modelStore struct {
 	index int
 	items map[string]carobward.Item
@@ -30,8 +30,8 @@
 	s.items[key] = it
 }
 
-// list returns all keys; the index may be older than the items, since pages are
-// no snapshot.
+// list returns all keys. The index may be older than the items, since a list read in pages is no
+// snapshot.
 func (s *modelStore) list(index int) carobward.Changes {
 	c := whole(index)
 	c.Gap.To = carobward.StoreIndex(s.index)
@@ -71,10 +71,9 @@
 	return keys
 }
 
-// TestModel lets copies that list, watch, hold removals back, fetch from each
-// other and start anew in any order follow a store. In the end one of them is
-// brought up to date by the store and the others by copies: all must have just
-// the keys that the store has.
+// TestModel lets replicas list, watch, hold removals back, fetch from each other and restart in any
+// order. In the end the store updates one of them and the others update each other: all must have
+// exactly the keys of the store.
 func TestModel(t *testing.T) {
 	const copies = 4
 
@@ -86,7 +85,7 @@
 			all[i] = newMirror()
 		}
 
-		one := func(name string) *Mirror { return all[rapid.IntRange(0, copies-1).Draw(t, name)] }
+		pick := func(name string) *Mirror { return all[rapid.IntRange(0, copies-1).Draw(t, name)] }
 
 		steps := rapid.IntRange(1, 40).Draw(t, "steps")
 		for range steps {
@@ -96,15 +95,15 @@
 				s.write(key, rapid.Bool().Draw(t, "remove"))
 			case 3:
 				older := rapid.IntRange(0, min(2, s.index)).Draw(t, "older")
-				m := one("lists")
+				m := pick("lists")
 				hold(t, m)
 				m.Apply(s.list(s.index-older), start)
 			case 4:
-				m := one("watches")
+				m := pick("watches")
 				hold(t, m)
 				m.Apply(s.watch(m.State().Index), start)
 			case 5, 6:
-				fetch(one("fetches"), one("from"))
+				fetch(pick("fetches"), pick("from"))
 			case 7:
 				all[rapid.IntRange(0, copies-1).Draw(t, "starts")] = newMirror()
 			}
@@ -120,27 +119,27 @@
 			m.Sweep(start.Add(time.Hour), func([]carobward.Item) {})
 
 			if diff := cmp.Diff(s.live(), live(m)); diff != "" {
-				t.Fatalf("copy %d: %s", i, diff)
+				t.Fatalf("replica %d: %s", i, diff)
 			}
 		}
 	})
 }
 
-// hold lets a copy hold removals back, or not.
+// hold makes a replica hold removals back, or not.
 func hold(t *rapid.T, m *Mirror) {
 	if rapid.Bool().Draw(t, "hold") {
 		m.Hold(start)
 	}
 }
 
-// fetch brings a copy up to date from another one, as entry VMs do.
+// fetch updates a replica from another one, as entry VMs do.
 func fetch(to, from *Mirror) {
 	if own := to.State(); own.Behind(from.State()) {
 		to.Apply(answerTo(own, from), start)
 	}
 }
 
-// answerTo returns what a copy answers one at a state.
+// answerTo returns the reply of a replica to one at a state.
 func answerTo(own State, from *Mirror) carobward.Changes {
 	c := from.Since(own)
 	c.Kept, c.Hold = from.Kept(start), from.Held(start)
@@ -148,8 +147,8 @@
 	return c
 }
 
-// TestNewcomer has what went wrong: a newcomer lists the store after a key was
-// removed, and brings a copy up to date that has the key.
+// TestNewcomer guards against removed keys that stay: a new replica lists the store after a key was
+// removed, and then updates a replica that still has the key.
 func TestNewcomer(t *testing.T) {
 	old, newcomer := newMirror(), newMirror()
 	old.Apply(whole(3, item("a", 1), item("b", 3)), start)
--- a/internal/cwmirror/since.go
+++ b/internal/cwmirror/since.go
@@ -6,9 +6,9 @@
 	"carobward.example/carobward"
 )
 
-// Since returns the changes after the state of another copy: all keys where that is too
-// long ago, in a gap, or in an era from which the way is not known. What is kept beside
-// them is not among them.
+// Since returns the changes after the state of another replica. It returns all keys if that state
+// is too old, within a gap, or in an era from which the changes are not known. Kept items are not
+// included.
 func (m *Mirror) Since(from State) carobward.Changes {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -16,21 +16,21 @@
 	out := carobward.Changes{Era: m.state.Era, AfterEra: from.Era, After: from.Index, Index: m.state.Index}
 
 	switch {
-	case from.Era == m.state.Era && !m.lacks(from.Index):
+	case from.Era == m.state.Era && !m.mayLackRemovals(from.Index):
 		out.Gap = m.gapAfter(from.Index)
 		out.Items = m.itemsAfter(from.Index)
-	case m.origin.isFrom(from) && !m.lacks(m.origin.index):
-		out.Items = append(m.itemsAfter(m.origin.index), m.itemsOfEntry()...)
+	case m.origin.matches(from) && !m.mayLackRemovals(m.origin.index):
+		out.Items = append(m.itemsAfter(m.origin.index), m.originItems()...)
 	default:
 		out.After, out.AfterEra, out.Whole = 0, m.state.Era, true
 		out.Gap = m.gapAfter(0)
-		out.Items = m.itemsThere()
+		out.Items = m.liveItems()
 	}
 
 	return out
 }
 
-// itemsAfter returns the items that changed after an index, removed ones among them.
+// itemsAfter returns the items that changed after an index, including removed ones.
 func (m *Mirror) itemsAfter(after carobward.StoreIndex) []carobward.Item {
 	var list []carobward.Item
 
@@ -43,8 +43,8 @@
 	return list
 }
 
-// itemsThere returns the items of all keys that there are.
-func (m *Mirror) itemsThere() []carobward.Item {
+// liveItems returns the items of all keys that exist.
+func (m *Mirror) liveItems() []carobward.Item {
 	var list []carobward.Item
 
 	for _, it := range m.items {
@@ -56,8 +56,9 @@
 	return list
 }
 
-// itemsOfEntry returns what changed as the copy came into its era, and not since.
-func (m *Mirror) itemsOfEntry() []carobward.Item {
+// originItems returns the items that changed when the replica entered its era and have not changed
+// since.
+func (m *Mirror) originItems() []carobward.Item {
 	var list []carobward.Item
 
 	for key := range m.origin.keys {
@@ -72,14 +73,14 @@
 	return list
 }
 
-// lacks tells whether removals after an index may not be known.
-func (m *Mirror) lacks(after carobward.StoreIndex) bool {
+// mayLackRemovals reports whether removals after an index may be unknown.
+func (m *Mirror) mayLackRemovals(after carobward.StoreIndex) bool {
 	inGap := func(g carobward.Gap) bool { return g.Has(after) }
 
 	return after == 0 || after < m.floor || slices.ContainsFunc(m.gaps, inGap)
 }
 
-// gapAfter returns one gap that covers all that begin at an index or later.
+// gapAfter returns one gap that covers all gaps beginning at an index or later.
 func (m *Mirror) gapAfter(after carobward.StoreIndex) carobward.Gap {
 	var all carobward.Gap
 
