--- a/internal/cwfollow/begin.go
+++ b/internal/cwfollow/begin.go
@@ -10,29 +10,30 @@
 	"carobward.example/carobward/internal/cwmesh"
 )
 
-// The figures of beginning without a copy of the store.
+// Parameters of a start without a replica of the store.
 const (
-	// firstTime is how long the first start of the whole fleet leaves to one entry
-	// VM to ask the store for all. Callers come seconds later.
-	firstTime = 1200 * time.Millisecond
-	// fleetSmall is the number of entry VMs up to which each one lists all keys by
-	// itself when it starts again: that is the quickest way, and all of them read
-	// less than a megabyte. More would fill the store's link for a second; then a
-	// few list, and the others get the copy from them in the same time.
-	fleetSmall = 64
-	// againTime is how long the others wait at least before they ask by themselves.
-	// The first ones take 0.3 s to list 800 servers over 20 Mbit/s, and all have it
-	// after three or four steps of as many peers each. They wait up to twice as
-	// long, so that not all ask at once where none of the first is left.
-	againTime = time.Second
+	// firstStartWait is how long, at the first start of the whole fleet, entry VMs that are no
+	// seeds wait for a seed to list all keys. Callers come seconds later.
+	firstStartWait = 1200 * time.Millisecond
+	// smallFleet is the number of entry VMs up to which each one lists all keys itself after a
+	// restart. That is the quickest way, and together they read less than a megabyte. A larger
+	// fleet would fill the store's link for a second; there a few entry VMs list, and the others
+	// fetch the replica from them in the same time.
+	smallFleet = 64
+	// restartWait is the least time that the other entry VMs of a large fleet wait before they
+	// query the store themselves. The first ones take 0.3 s to list 800 servers over 20 Mbit/s, and
+	// all have the replica after three or four rounds, in each of which an entry VM passes it to
+	// three or four peers. They wait up to twice as long, so that they don't all query at once if
+	// none of the first ones is left.
+	restartWait = time.Second
 )
 
-// begin learns from the store how large the fleet is and some entry VMs in it, by
-// one short read, and decides how long to wait for the copy of a peer.
-func (f *Follower) begin(ctx context.Context) {
+// start reads from the store, in one short call, how large the fleet is and some of its entry VMs,
+// and decides how long to wait for the replica of a peer.
+func (f *Follower) start(ctx context.Context) {
 	if f.First {
 		if !f.Seed {
-			f.patience = firstTime
+			f.peerWait = firstStartWait
 		}
 
 		return
@@ -40,28 +41,28 @@
 
 	it, err := f.Feed.Read(ctx, carobward.KeyFleet)
 	if err != nil {
-		f.Log.Info("The list of entry VMs can't be had.", "cause", err.Error())
+		f.Log.Info("The list of entry VMs could not be read from the store.", "cause", err.Error())
 
 		return
 	}
 
 	list, err := cwmesh.DecodeFleet(it.Value)
 	if err != nil {
-		f.Log.Error(err, "The list of entry VMs can't be read.")
+		f.Log.Error(err, "The list of entry VMs could not be decoded.")
 
 		return
 	}
 
 	f.Table.Told(list, f.Clock.Now())
 	f.Mesh.Tell()
-	f.patience = patience(f.Table.Self(), f.Seed, list, rand.Float64())
-	f.Log.Info("The fleet as the store has it.", "domains", len(list), "wait", f.patience.String())
+	f.peerWait = peerWait(f.Table.Self(), f.Seed, list, rand.Float64())
+	f.Log.Info("Read the list of entry VMs from the store.", "domains", len(list), "wait", f.peerWait.String())
 }
 
-// patience returns how long an entry VM that starts again waits for the copy of a
-// peer. Draw is a random number from 0 to 1. Seeds and those that are named do not
-// wait: the others find one of them that has it.
-func patience(self cwmesh.Node, seed bool, list []cwmesh.Summary, draw float64) time.Duration {
+// peerWait returns how long an entry VM that restarts waits for the replica of a peer. The argument
+// draw is a random number from 0 to 1. Seeds and entry VMs that the list names don't wait: the
+// others fetch the replica from one of them.
+func peerWait(self cwmesh.Node, seed bool, list []cwmesh.Summary, draw float64) time.Duration {
 	size, named := 0, seed
 
 	for i := range list {
@@ -69,9 +70,9 @@
 		named = named || slices.ContainsFunc(list[i].Nodes, func(n cwmesh.Node) bool { return n.ID == self.ID })
 	}
 
-	if named || size <= fleetSmall {
+	if named || size <= smallFleet {
 		return 0
 	}
 
-	return againTime + time.Duration(draw*float64(againTime))
+	return restartWait + time.Duration(draw*float64(restartWait))
 }
--- a/internal/cwfollow/bench_test.go
+++ b/internal/cwfollow/bench_test.go
@@ -7,9 +7,9 @@
 	"carobward.example/carobward/internal/cwmesh"
 )
 
-// BenchmarkPlace has the cost of the place in the order of who asks the store,
-// which each entry VM works out at each look whether to ask: 131 us and 56 KB for
-// 530 entry VMs before other failure domains were known as a whole.
+// BenchmarkPlace shows the cost of the place in the query order, which each entry VM computes each
+// time it checks whether to query the store. With 530 entry VMs known one by one, instead of other
+// failure domains as summaries, it took 131 us and 56 KB.
 func BenchmarkPlace(b *testing.B) {
 	var peers []cwmesh.Peer
 	for i := range 530 {
--- a/internal/cwfollow/duty.go
+++ b/internal/cwfollow/duty.go
@@ -8,70 +8,69 @@
 	"carobward.example/carobward/internal/cwrank"
 )
 
-// The rule by which a few entry VMs ask the store for all.
+// Parameters of the order in which entry VMs query the store.
 const (
-	// watchers is the number of entry VMs that watch the store. The others
-	// notice the loss of one by staleTime, which leaves time enough; a second
-	// one would double the calls and the heartbeats, which are paid for.
+	// watchers is the number of entry VMs that watch the store. The others notice the loss of one
+	// by staleAge, which leaves time enough. A second one would double the calls and the
+	// heartbeats, which are paid for.
 	watchers = 1
-	// staleTime is the age of the newest word from the store, from whomever,
-	// at which an entry VM asks by itself: watchers have one each watchTime,
-	// and a change has to be in force within two seconds.
-	staleTime = 950 * time.Millisecond
-	// turnTime is the time by which each further entry VM in the order waits
-	// longer than the one before, up to turnsMost turns, so that one asks and
-	// the others hear of it.
-	turnTime  = 80 * time.Millisecond
-	turnsMost = 8
-	// nextTime is the same for those that come after these, up to nextMost in all.
-	// The store's first answer reaches all within some 100 ms, so that some twenty
-	// ask, where all of a large fleet did at once. With nextMost the last one asks
-	// after 2.2 s, and a change has to be in force there within three.
-	nextTime = 5 * time.Millisecond
-	nextMost = 600 * time.Millisecond
-	// triedMost is how many that the store does not serve make it likely that it
-	// serves nobody. The rest of a large fleet would not be answered either; they
-	// wait until the word is old and ask restTime apart then, in place of 472 at
-	// once. In a small fleet that is no delay to speak of.
-	triedMost = 5
-	restTime  = 30 * time.Millisecond
-	// servedTime is for how long an entry VM that the store answered goes on to
-	// ask though others are refused.
-	servedTime = 3 * time.Second
-	// outagePace is the time between calls of all entry VMs together while the
-	// store serves none of them. Calls to a store that is away are paid for,
-	// and the first that is served tells the others.
-	outagePace = 100 * time.Millisecond
+	// staleAge is the age of the store's newest answer to any entry VM at which the others start to
+	// query the store. Watchers get an answer every watchTimeout, and a change has to take effect
+	// within two seconds.
+	staleAge = 950 * time.Millisecond
+	// turnDelay is how much longer each further entry VM in the order waits than the one before, up
+	// to maxTurns turns, so that one queries the store and the others receive the answer from it.
+	turnDelay = 80 * time.Millisecond
+	maxTurns  = 8
+	// lateTurnDelay is the same delay for the entry VMs after these, up to maxLateDelay in all. The
+	// store's first answer reaches all entry VMs within some 100 ms, so that some twenty query the
+	// store. Without the delay all entry VMs of a large fleet would. With maxLateDelay the last one
+	// queries after 2.2 s, and a change has to take effect there within three.
+	lateTurnDelay = 5 * time.Millisecond
+	maxLateDelay  = 600 * time.Millisecond
+	// outageThreshold is the number of entry VMs not served by the store at which it probably
+	// serves nobody. It wouldn't answer the rest of a large fleet either: these wait until the
+	// newest answer is stale and then query outageTurnDelay apart, since 472 would query at once
+	// otherwise. In a small fleet this delay is negligible.
+	outageThreshold = 5
+	outageTurnDelay = 30 * time.Millisecond
+	// servedPeriod is for how long after an answer an entry VM goes on to query the store though
+	// others are refused.
+	servedPeriod = 3 * time.Second
+	// outageCallInterval is the average time between the calls of all entry VMs together while the
+	// store serves none of them. Calls to an unavailable store are paid for, and the first entry VM
+	// that gets an answer tells the others.
+	outageCallInterval = 100 * time.Millisecond
 )
 
-// backOff returns the pause after a failed call of an entry VM that the store
-// does not serve. Back is its own pause, away has the number of other live entry
-// VMs that the store does not serve either, draw is a random number from 0 to 1.
-// All lose the store at the same moment, so that pauses of one length would leave
-// nobody to notice its return until all of them are over.
-func backOff(back time.Duration, away int, draw float64) time.Duration {
-	return max(back, spread(outagePace, away+1, draw))
+// backoffPause returns the pause after a failed call of an entry VM that the store doesn't serve.
+// The argument back is the entry VM's own pause, away the number of other live entry VMs that the
+// store doesn't serve, and draw a random number from 0 to 1. All entry VMs lose the store at the
+// same moment: with pauses of one length, none would notice its return before all pauses are over.
+func backoffPause(back time.Duration, away int, draw float64) time.Duration {
+	return max(back, randomPause(outageCallInterval, away+1, draw))
 }
 
-// spread returns a pause by which so many are a time apart on average.
-func spread(apart time.Duration, count int, draw float64) time.Duration {
+// randomPause returns a pause such that the calls of count entry VMs are apart by the given time on
+// average.
+func randomPause(apart time.Duration, count int, draw float64) time.Duration {
 	const mean = 0.5
 
 	return time.Duration(draw / mean * float64(count) * float64(apart))
 }
 
-// fleet is what the order of who asks the store goes by.
+// fleet is the state of the fleet that determines the query order.
 type fleet struct {
 	self cwmesh.Node
-	// away tells that the store does not serve this entry VM.
+	// away reports whether this entry VM is not served by the store.
 	away bool
-	// peers are those of its failure domain, domains the other failure domains.
+	// peers are the other entry VMs of its failure domain, domains the other failure domains.
 	peers   []cwmesh.Peer
 	domains []cwmesh.Summary
 }
 
-// countAway returns how many others the store does not serve.
-func (f *fleet) countAway() int {
+// countUnserved returns the number of other entry VMs that the store doesn't serve.
+func (f *fleet) countUnserved() int {
 	away := 0
 
 	for i := range f.peers {
@@ -87,15 +86,16 @@
 	return away
 }
 
-// outside is the place of an entry VM that does not ask before others do.
-const outside = -1
+// noPlace stands for an entry VM that the store doesn't serve. It is not in the query order and
+// queries only after others had their turn.
+const noPlace = -1
 
-// place returns the place of this entry VM in the order of who asks the store: the
-// first of each failure domain comes before the second of any. It is outside where
-// the store does not serve it.
+// place returns the place of this entry VM in the query order, in which the first entry VM of each
+// failure domain comes before the second of any. It returns noPlace if the store doesn't serve this
+// entry VM.
 func (f *fleet) place() int {
 	if f.away {
-		return outside
+		return noPlace
 	}
 
 	own := cwmesh.Peer{Node: f.self}
@@ -118,7 +118,7 @@
 
 		count++
 
-		if domainRank(d.Domain) < domainRank(f.self.Domain) {
+		if domainWeight(d.Domain) < domainWeight(f.self.Domain) {
 			before++
 		}
 	}
@@ -126,11 +126,11 @@
 	return turn*count + before
 }
 
-// domainRank returns the rendezvous weight of a failure domain.
-func domainRank(d carobward.Domain) uint64 { return cwrank.Weight(string(d), "") }
+// domainWeight returns the rendezvous weight of a failure domain.
+func domainWeight(d carobward.Domain) uint64 { return cwrank.Weight(string(d), "") }
 
-// alive returns how many others there are.
-func (f *fleet) alive() int {
+// countAlive returns the number of other entry VMs that are alive.
+func (f *fleet) countAlive() int {
 	n := len(f.peers)
 	for i := range f.domains {
 		n += f.domains[i].Alive
@@ -139,22 +139,22 @@
 	return n
 }
 
-// isOutage tells whether it is likely that the store serves nobody.
-func (f *fleet) isOutage() bool { return f.countAway() >= triedMost }
+// isOutage reports whether the store probably serves nobody.
+func (f *fleet) isOutage() bool { return f.countUnserved() >= outageThreshold }
 
-// mustAsk tells whether the entry VM at a place of the order asks the store
-// now, by the age of the newest word from it.
-func mustAsk(place int, age time.Duration) bool {
-	if place != outside && place < watchers {
+// shouldQuery reports whether the entry VM at a place in the order queries the store now, given the
+// age of the store's newest answer.
+func shouldQuery(place int, age time.Duration) bool {
+	if place != noPlace && place < watchers {
 		return true
 	}
 
-	if place == outside {
-		place = turnsMost
+	if place == noPlace {
+		place = maxTurns
 	}
 
-	turns := time.Duration(min(place, turnsMost)) * turnTime
-	next := min(nextMost, time.Duration(max(0, place-turnsMost))*nextTime)
+	turns := time.Duration(min(place, maxTurns)) * turnDelay
+	next := min(maxLateDelay, time.Duration(max(0, place-maxTurns))*lateTurnDelay)
 
-	return age > staleTime+turns+next
+	return age > staleAge+turns+next
 }
--- a/internal/cwfollow/duty_test.go
+++ b/internal/cwfollow/duty_test.go
@@ -22,26 +22,26 @@
 // fleetOf returns what an entry VM knows of a fleet.
 func fleetOf(self cwmesh.Node, all []cwmesh.Peer) *fleet {
 	f := &fleet{self: self}
-	outside := map[carobward.Domain]int{}
+	sizes := map[carobward.Domain]int{}
 
 	for _, p := range all {
 		switch {
 		case p.Domain != self.Domain:
-			outside[p.Domain]++
+			sizes[p.Domain]++
 		case p.ID != self.ID:
 			f.peers = append(f.peers, p)
 		}
 	}
 
-	for d, n := range outside {
+	for d, n := range sizes {
 		f.domains = append(f.domains, cwmesh.Summary{Domain: d, Alive: n})
 	}
 
 	return f
 }
 
-// TestPlace wants all entry VMs to come to the same order, with the first ones
-// in different failure domains, and those left out that can't ask.
+// TestPlace checks that all entry VMs compute the same order, that the first ones are in different
+// failure domains, and that entry VMs that can't query the store are left out.
 func TestPlace(t *testing.T) {
 	peers := []cwmesh.Peer{peer("1", "a"), peer("2", "a"), peer("3", "b"), peer("4", "b"), peer("5", "c")}
 	places := map[int]carobward.Domain{}
@@ -49,7 +49,7 @@
 	for i := range peers {
 		place := fleetOf(peers[i].Node, peers).place()
 		if d, ok := places[place]; ok {
-			t.Errorf("place %d twice, in %s and %s", place, d, peers[i].Domain)
+			t.Errorf("place %d is taken twice, in %s and %s", place, d, peers[i].Domain)
 		}
 
 		places[place] = peers[i].Domain
@@ -60,7 +60,7 @@
 		t.Error(diff)
 	}
 
-	// The one that comes first of the two in its failure domain.
+	// ahead is the first in the order of the two in failure domain "a".
 	ahead := peers[0]
 	if fleetOf(peers[0].Node, peers).place() < fleetOf(peers[1].Node, peers).place() {
 		ahead = peers[1]
@@ -77,10 +77,10 @@
 		change func(*cwmesh.Peer)
 		behind bool
 	}{
-		"leaving":       {func(p *cwmesh.Peer) { p.State = cwmesh.Leaving }, false},
-		"not served":    {func(p *cwmesh.Peer) { p.Away = true }, false},
-		"never heard":   {func(p *cwmesh.Peer) { p.Heard = time.Time{} }, false},
-		"ready as ever": {func(*cwmesh.Peer) {}, true},
+		"leaving":          {func(p *cwmesh.Peer) { p.State = cwmesh.Leaving }, false},
+		"not served":       {func(p *cwmesh.Peer) { p.Away = true }, false},
+		"never seen":       {func(p *cwmesh.Peer) { p.Heard = time.Time{} }, false},
+		"ready and served": {func(*cwmesh.Peer) {}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			one := before
@@ -94,8 +94,8 @@
 	}
 }
 
-// TestPlaceDomains wants a failure domain that the store serves nobody in to be
-// passed over, and an entry VM that it does not serve to be outside.
+// TestPlaceDomains checks that failure domains in which the store serves no entry VM are skipped,
+// and that an entry VM has no place if the store doesn't serve it.
 func TestPlaceDomains(t *testing.T) {
 	names := []carobward.Domain{"a", "b", "c", "d"}
 
@@ -109,13 +109,13 @@
 		}
 
 		if f.place() != 0 {
-			t.Errorf("%s has place %d, all others are not served", last, f.place())
+			t.Errorf("%s has place %d though the store serves no other domain", last, f.place())
 		}
 
 		f.away = true
 
-		if f.place() != outside {
-			t.Errorf("%s has place %d, and is not served", last, f.place())
+		if f.place() != noPlace {
+			t.Errorf("%s has place %d though the store doesn't serve it", last, f.place())
 		}
 	}
 }
@@ -126,37 +126,36 @@
 		age   time.Duration
 		want  bool
 	}{
-		"the first watches":             {0, 0, true},
-		"the second relies on it":       {1, 900 * time.Millisecond, false},
-		"until it is silent":            {1, 1050 * time.Millisecond, true},
-		"the third relies on both":      {2, 1050 * time.Millisecond, false},
-		"until both are silent":         {2, 1200 * time.Millisecond, true},
-		"the next waits for it":         {6, 1200 * time.Millisecond, false},
-		"but not for long":              {6, 1500 * time.Millisecond, true},
-		"the last of a small fleet":     {18, 1700 * time.Millisecond, true},
-		"the next of a large one waits": {100, 1700 * time.Millisecond, false},
-		"the last asks within the time": {500, 2200 * time.Millisecond, true},
-		"one out of the order, late":    {-1, 1700 * time.Millisecond, true},
-		"one out of the order, early":   {-1, 1000 * time.Millisecond, false},
+		"first watches":                  {0, 0, true},
+		"second relies on the first":     {1, 900 * time.Millisecond, false},
+		"second, first is silent":        {1, 1050 * time.Millisecond, true},
+		"third relies on both":           {2, 1050 * time.Millisecond, false},
+		"third, both are silent":         {2, 1200 * time.Millisecond, true},
+		"seventh waits for them":         {6, 1200 * time.Millisecond, false},
+		"seventh, later":                 {6, 1500 * time.Millisecond, true},
+		"last of a small fleet":          {18, 1700 * time.Millisecond, true},
+		"hundredth of a large one waits": {100, 1700 * time.Millisecond, false},
+		"last of a large one, in time":   {500, 2200 * time.Millisecond, true},
+		"not in the order, late":         {-1, 1700 * time.Millisecond, true},
+		"not in the order, early":        {-1, 1000 * time.Millisecond, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := mustAsk(c.place, c.age); got != c.want {
+			if got := shouldQuery(c.place, c.age); got != c.want {
 				t.Errorf("got %v", got)
 			}
 		})
 	}
 }
 
-// TestStaleHerd lets a store be silent for 1.55 s and then answer again, to a fleet that
-// has not heard the word of it since. Those that asked before stay without an answer;
-// the first answer after that reaches all. Few may have asked by then: each one that
-// does lists a thousand keys, which fills a small entry VM's link for a tenth of a
-// second.
+// TestStaleHerd guards against a stampede after the store was silent for 1.55 s. Entry VMs that
+// queried it before the silence ends get no answer; the first answer after that reaches all. Few
+// may have queried by then: each one lists a thousand keys, which fills a small entry VM's link for
+// a tenth of a second.
 func TestStaleHerd(t *testing.T) {
 	const (
 		vms    = 472
 		silent = 1550 * time.Millisecond
-		spread = 150 * time.Millisecond // An answer, and the way to all.
+		spread = 150 * time.Millisecond // The time of an answer and of its way to all.
 		step   = time.Millisecond
 	)
 
@@ -165,7 +164,7 @@
 
 	for age := time.Duration(0); first == 0 || age < first+spread; age += step {
 		for place := watchers; place < vms; place++ {
-			if asked[place] || !mustAsk(place, age) {
+			if asked[place] || !shouldQuery(place, age) {
 				continue
 			}
 
@@ -179,12 +178,12 @@
 	}
 
 	if calls > 45 {
-		t.Errorf("%d of %d entry VMs ask", calls, vms)
+		t.Errorf("%d of %d entry VMs query the store", calls, vms)
 	}
 }
 
-// TestBackOff has the pause of one entry VM: its own where it is alone with its
-// trouble, longer the more others have the same.
+// TestBackOff checks the pause of an entry VM: its own if only this entry VM lost the store, and a
+// longer one the more others lost it.
 func TestBackOff(t *testing.T) {
 	for name, c := range map[string]struct {
 		back time.Duration
@@ -192,33 +191,33 @@
 		draw float64
 		want time.Duration
 	}{
-		"alone":           {backFirst, 0, 0.5, backFirst},
-		"alone for long":  {backMost, 0, 1, backMost},
-		"with a few":      {backMost, 3, 1, backMost},
-		"all of a small":  {backFirst, 18, 0.5, 1900 * time.Millisecond},
-		"all of a larger": {backMost, 144, 0.5, 14500 * time.Millisecond},
-		"a short draw":    {backFirst, 144, 0, backFirst},
-		"a long draw":     {backMost, 144, 1, 29 * time.Second},
+		"only one":              {minBackoff, 0, 0.5, minBackoff},
+		"only one, for long":    {maxBackoff, 0, 1, maxBackoff},
+		"a few":                 {maxBackoff, 3, 1, maxBackoff},
+		"a whole small fleet":   {minBackoff, 18, 0.5, 1900 * time.Millisecond},
+		"a whole large fleet":   {maxBackoff, 144, 0.5, 14500 * time.Millisecond},
+		"shortest random pause": {minBackoff, 144, 0, minBackoff},
+		"longest random pause":  {maxBackoff, 144, 1, 29 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if diff := cmp.Diff(c.want, backOff(c.back, c.away, c.draw)); diff != "" {
+			if diff := cmp.Diff(c.want, backoffPause(c.back, c.away, c.draw)); diff != "" {
 				t.Error(diff)
 			}
 		})
 	}
 }
 
-// TestBackOffSpread lets all entry VMs lose the store at the same moment. Their
-// calls must be few at any time, and never far apart: the first after the
-// store's return is what brings the changes.
+// TestBackOffSpread checks the calls of entry VMs that all lose the store at the same moment. The
+// calls must be few at any time, but never far apart: the first call after the store's return
+// brings the changes.
 func TestBackOffSpread(t *testing.T) {
 	const (
-		seconds   = 30
-		callsMost = 15.0 // A second, of all: half more than the pace, since they begin together.
-		apartMost = 1500 * time.Millisecond
+		seconds  = 30
+		maxRate  = 15.0 // Per second, of all entry VMs: half more than on average, since they begin together.
+		maxPause = 1500 * time.Millisecond
 	)
 
-	for name, vms := range map[string]int{"a small fleet": 19, "a large one": 145} {
+	for name, vms := range map[string]int{"a small fleet": 19, "a large fleet": 145} {
 		t.Run(name, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(uint64(vms), 1))
 
@@ -228,22 +227,22 @@
 				back := time.Duration(0)
 
 				for at := time.Duration(0); at < seconds*time.Second; {
-					back = min(backMost, max(backFirst, 2*back))
-					at += backOff(back, vms-1, random.Float64())
+					back = min(maxBackoff, max(minBackoff, 2*back))
+					at += backoffPause(back, vms-1, random.Float64())
 					calls = append(calls, at)
 				}
 			}
 
 			slices.Sort(calls)
 
-			if rate := float64(len(calls)) / seconds; rate > callsMost {
+			if rate := float64(len(calls)) / seconds; rate > maxRate {
 				t.Errorf("%.1f calls a second", rate)
 			}
 
 			last := time.Duration(0)
 
 			for _, at := range calls {
-				if at-last > apartMost && at < seconds*time.Second {
+				if at-last > maxPause && at < seconds*time.Second {
 					t.Errorf("no call from %s to %s", last, at)
 				}
 
@@ -253,38 +252,38 @@
 	}
 }
 
-// TestCountAway counts those that the store does not serve and that may ask.
+// TestCountAway checks that entry VMs that are leaving don't count as not served.
 func TestCountAway(t *testing.T) {
 	away, leaving, served := peer("1", "a"), peer("2", "a"), peer("3", "a")
 	away.Away, leaving.Away, leaving.State = true, true, cwmesh.Leaving
 
 	f := fleet{peers: []cwmesh.Peer{away, leaving, served}, domains: []cwmesh.Summary{{Domain: "b", Alive: 5, Away: 4}}}
-	if n := f.countAway(); n != 5 {
-		t.Errorf("%d", n)
+	if n := f.countUnserved(); n != 5 {
+		t.Errorf("got %d", n)
 	}
 }
 
-// TestPatience wants a small fleet that starts again to ask the store at once, and
-// of a large one only those that all know.
+// TestPatience checks that after a restart all entry VMs of a small fleet query the store at once,
+// and in a large fleet only seeds and those that the list names.
 func TestPatience(t *testing.T) {
 	self := cwmesh.Node{ID: "1", Domain: "a"}
-	large := []cwmesh.Summary{{Domain: "a", Size: fleetSmall}, {Domain: "b", Size: fleetSmall}}
-	named := []cwmesh.Summary{{Domain: "a", Size: 10 * fleetSmall, Nodes: []cwmesh.Node{self}}}
+	large := []cwmesh.Summary{{Domain: "a", Size: smallFleet}, {Domain: "b", Size: smallFleet}}
+	named := []cwmesh.Summary{{Domain: "a", Size: 10 * smallFleet, Nodes: []cwmesh.Node{self}}}
 
 	for name, c := range map[string]struct {
 		seed bool
 		list []cwmesh.Summary
 		want time.Duration
 	}{
-		"no list yet":  {false, nil, 0},
-		"a small one":  {false, large[:1], 0},
-		"a large one":  {false, large, 3 * againTime / 2},
-		"a seed":       {true, large, 0},
-		"one of those": {false, named, 0},
+		"no list yet":   {false, nil, 0},
+		"a small fleet": {false, large[:1], 0},
+		"a large fleet": {false, large, 3 * restartWait / 2},
+		"a seed":        {true, large, 0},
+		"a named VM":    {false, named, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := patience(self, c.seed, c.list, 0.5); got != c.want {
-				t.Errorf("%s", got)
+			if got := peerWait(self, c.seed, c.list, 0.5); got != c.want {
+				t.Errorf("got %s", got)
 			}
 		})
 	}
--- a/internal/cwfollow/follower.go
+++ b/internal/cwfollow/follower.go
@@ -1,6 +1,6 @@
-// Package cwfollow keeps an entry VM's copy of the platform's store up to
-// date. A few entry VMs watch the store and tell the others; each asks by
-// itself once it has heard of no word from the store for too long.
+// Package cwfollow keeps an entry VM's replica of the platform's store up to date. A few entry VMs
+// watch the store and tell the others. Each of the others queries the store itself once the newest
+// answer that it knows of is too old.
 package cwfollow
 
 import (
@@ -15,33 +15,33 @@
 	"carobward.example/carobward/internal/cwmirror"
 )
 
-// The paces of following.
+// Intervals and timeouts of the calls.
 const (
-	// watchTime is how long a watch waits. A watch may hear nothing though
-	// there are changes, and only the next call shows it.
-	watchTime = 600 * time.Millisecond
-	// lateTime is how long after its time an answer of the store is overdue, of
-	// which peers are told: the store answers in some milliseconds. Those who come
-	// next in the order know by then that they need not ask all at once.
-	lateTime = 200 * time.Millisecond
-	// gatherTime is the pause after changes in which further ones gather,
-	// since each call is paid for.
-	gatherTime = 100 * time.Millisecond
-	// idleTime is the time between looks at whether to ask.
-	idleTime = 50 * time.Millisecond
-	// backFirst and backMost bound the pause after a failed call; it doubles.
-	// Calls to a store that is away are paid for, too.
-	backFirst = 150 * time.Millisecond
-	backMost  = 1200 * time.Millisecond
-	// writeTime is the least time between writes of the list of entry VMs, and
-	// from the start to the first: the fleet has found itself by then.
-	writeTime = 3 * time.Second
-	// outageTime is how long calls have to fail before the store's list of
-	// servers may have lost entries of servers that live.
-	outageTime = 1500 * time.Millisecond
+	// watchTimeout is how long a watch waits. A watch may miss changes, and only the next call
+	// shows them.
+	watchTimeout = 600 * time.Millisecond
+	// overdueDelay is how long after the expected time an answer of the store is overdue, which is
+	// reported to the peers. The store answers in some milliseconds. The entry VMs that come next
+	// in the order then know that they need not all query at once.
+	overdueDelay = 200 * time.Millisecond
+	// batchDelay is the pause after changes in which further ones collect, since each call is paid
+	// for.
+	batchDelay = 100 * time.Millisecond
+	// pollInterval is the time between checks whether to query the store.
+	pollInterval = 50 * time.Millisecond
+	// minBackoff and maxBackoff bound the pause after a failed call, which doubles with each
+	// failure. Calls to an unavailable store are paid for, too.
+	minBackoff = 150 * time.Millisecond
+	maxBackoff = 1200 * time.Millisecond
+	// fleetWriteInterval is the least time between writes of the list of entry VMs, and from the
+	// start to the first write: by then the entry VMs know each other.
+	fleetWriteInterval = 3 * time.Second
+	// minOutage is how long calls have to fail before the store may have lost the entries of live
+	// servers.
+	minOutage = 1500 * time.Millisecond
 )
 
-// Options are the parts that a Follower needs.
+// Options are the dependencies and settings of a Follower.
 type Options struct {
 	Feed   carobward.Feed
 	Mirror *cwmirror.Mirror
@@ -51,63 +51,63 @@
 	Log    logr.Logger
 	// Changed is called with the changes that came from the store.
 	Changed func([]carobward.Item)
-	// First tells that the whole fleet starts for the first time, Seed that this
-	// entry VM is one that the others begin with.
+	// First reports whether the whole fleet starts for the first time, Seed whether this entry VM
+	// is one that the others contact first.
 	First bool
 	Seed  bool
 }
 
-// Follower asks the store.
+// Follower queries the store.
 type Follower struct {
 	Options
 
-	// list asks for all keys in place of a watch.
-	list bool
-	// watches tells that this entry VM is one that watches the store. One that
-	// asks since it has heard no word for too long wants an answer at once: while
-	// it waits the next ones would ask, too.
-	watches bool
-	// leads tells that it comes first in the order.
+	// needsList requests a list of all keys in place of a watch.
+	needsList bool
+	// watcher reports whether this entry VM is one that watches the store. One that queries because
+	// the newest answer is too old wants an answer at once: while it waits, the next in the order
+	// would query, too.
+	watcher bool
+	// leads reports whether this entry VM is the first in the order.
 	leads atomic.Bool
-	// back is the present pause after a failure, 0 while the store answers.
-	back time.Duration
-	// failing is when the calls began to fail, tried when the last one failed.
-	failing time.Time
-	tried   time.Time
-	// draw is the random part of the pause after that.
-	draw float64
-	// answered is when the store last answered.
-	answered time.Time
-	// rest is until when others ask a store that serves nobody.
-	rest time.Time
-	// patience is how long after the start an entry VM without a copy waits for
-	// its peers' before it asks the store.
-	patience time.Duration
-	// began is when the Follower was made, wrote when it last wrote the list of
-	// entry VMs.
-	began time.Time
-	wrote time.Time
-	// restored is when it last wrote what the store had lost of ours.
-	restored time.Time
+	// backoff is the current pause after a failure, 0 while the store answers.
+	backoff time.Duration
+	// failingSince is when the calls began to fail, lastFailure when the last one failed.
+	failingSince time.Time
+	lastFailure  time.Time
+	// jitter is the random part of the pause after lastFailure.
+	jitter float64
+	// lastAnswer is when the store last answered this entry VM.
+	lastAnswer time.Time
+	// deferUntil is until when this entry VM leaves the queries to others during an outage.
+	deferUntil time.Time
+	// peerWait is how long after the start an entry VM without a replica waits for the replica of a
+	// peer before it queries the store.
+	peerWait time.Duration
+	// started is when the Follower was created, fleetWritten when it last wrote the list of entry
+	// VMs.
+	started      time.Time
+	fleetWritten time.Time
+	// lastRestore is when it last rewrote keys of entry VMs that the store had lost.
+	lastRestore time.Time
 }
 
 // New returns a Follower.
 func New(o Options) *Follower {
 	o.Log = o.Log.WithName("follow")
 
-	return &Follower{Options: o, began: o.Clock.Now()}
+	return &Follower{Options: o, started: o.Clock.Now()}
 }
 
-// Leads tells whether this entry VM comes first in the order of who asks the store.
+// Leads reports whether this entry VM is the first in the order in which entry VMs query the store.
 func (f *Follower) Leads() bool { return f.leads.Load() }
 
-// Run follows until the context ends.
+// Run keeps the replica up to date until the context ends.
 func (f *Follower) Run(ctx context.Context) {
-	f.begin(ctx)
+	f.start(ctx)
 
 	for ctx.Err() == nil {
-		if !f.due() {
-			carobward.Pause(ctx, idleTime)
+		if !f.isDue() {
+			carobward.Pause(ctx, pollInterval)
 
 			continue
 		}
@@ -116,17 +116,17 @@
 	}
 }
 
-// fleet returns what is known of who may ask the store.
+// fleet returns the present state of the fleet.
 func (f *Follower) fleet(now time.Time) *fleet {
-	return &fleet{self: f.Table.Self(), away: f.back > 0, peers: f.Table.Live(now), domains: f.Table.Domains(now)}
+	return &fleet{self: f.Table.Self(), away: f.backoff > 0, peers: f.Table.Live(now), domains: f.Table.Domains(now)}
 }
 
-// due tells whether this entry VM asks the store now.
-func (f *Follower) due() bool {
+// isDue reports whether this entry VM queries the store now.
+func (f *Follower) isDue() bool {
 	now := f.Clock.Now()
 	known := f.fleet(now)
 
-	if f.back > 0 && now.Sub(f.tried) < backOff(f.back, known.countAway(), f.draw) {
+	if f.backoff > 0 && now.Sub(f.lastFailure) < backoffPause(f.backoff, known.countUnserved(), f.jitter) {
 		return false
 	}
 
@@ -134,76 +134,76 @@
 		return true
 	}
 
-	if f.Mirror.State().Index == 0 && now.Sub(f.began) < f.patience {
+	if f.Mirror.State().Index == 0 && now.Sub(f.started) < f.peerWait {
 		return false
 	}
 
 	place, age := known.place(), now.Sub(f.Mesh.Fresh())
-	f.watches = place != outside && place < watchers
+	f.watcher = place != noPlace && place < watchers
 	f.leads.Store(place == 0)
 
-	return mustAsk(place, age) && !f.rests(known, now, age)
+	return shouldQuery(place, age) && !f.isDeferred(known, now, age)
 }
 
-// step makes one call and takes its outcome.
+// step makes one call and handles its outcome.
 func (f *Follower) step(ctx context.Context) {
 	asked := f.Clock.Now()
 
-	c, err := f.ask(ctx)
+	c, err := f.query(ctx)
 	if ctx.Err() != nil {
 		return
 	}
 
 	if err != nil {
-		f.failed(err)
+		f.handleFailure(err)
 
 		return
 	}
 
-	f.took(ctx, c, asked)
+	f.handleAnswer(ctx, c, asked)
 }
 
-// wait returns how long a watch waits for changes.
-func (f *Follower) wait() time.Duration {
-	if f.watches {
-		return watchTime
+// watchWait returns how long a watch waits for changes.
+func (f *Follower) watchWait() time.Duration {
+	if f.watcher {
+		return watchTimeout
 	}
 
 	return 0
 }
 
-// ask lists all keys, or watches for changes.
-func (f *Follower) ask(ctx context.Context) (carobward.Changes, error) {
-	wait := f.wait()
+// query lists all keys, or watches for changes.
+func (f *Follower) query(ctx context.Context) (carobward.Changes, error) {
+	wait := f.watchWait()
 
-	late := time.AfterFunc(wait+lateTime, func() { f.setAway(true) })
+	late := time.AfterFunc(wait+overdueDelay, func() { f.setAway(true) })
 	defer late.Stop()
 
 	after := f.Mirror.State().Index
-	if f.list || after == 0 {
+	if f.needsList || after == 0 {
 		return f.Feed.List(ctx)
 	}
 
 	return f.Feed.Watch(ctx, after, wait)
 }
 
-// took takes an answer of the store to a call that was made at a time.
-func (f *Follower) took(ctx context.Context, c carobward.Changes, asked time.Time) {
+// handleAnswer applies an answer of the store to a call that began at the time asked.
+func (f *Follower) handleAnswer(ctx context.Context, c carobward.Changes, asked time.Time) {
 	now := f.Clock.Now()
-	f.answered = now
-	f.regained(now)
+	f.lastAnswer = now
+	f.handleRecovery(now)
 
 	before := f.Mirror.State()
 
 	changed, err := f.Mesh.TakeAnswer(c, asked)
 	if err != nil {
-		f.failed(err)
+		f.handleFailure(err)
 
 		return
 	}
 
-	f.list = false
-	f.writeLost(ctx, now)
+	f.needsList = false
+	f.restoreLost(ctx, now)
 
 	if len(c.Items) == 0 {
 		f.writeFleet(ctx, now)
@@ -211,7 +211,7 @@
 		return
 	}
 
-	f.Log.Info("Took changes from the store.", "era", c.Era, "index", c.Index, "copy", before.Index, "whole", c.Whole,
+	f.Log.Info("Received changes from the store.", "era", c.Era, "index", c.Index, "copy", before.Index, "whole", c.Whole,
 		"keys", len(c.Items), "changed", changed, "kept", f.Mirror.State().Kept, "held", f.Mirror.Held(now).String())
-	carobward.Pause(ctx, gatherTime)
+	carobward.Pause(ctx, batchDelay)
 }
--- a/internal/cwfollow/outage.go
+++ b/internal/cwfollow/outage.go
@@ -9,25 +9,25 @@
 	"carobward.example/carobward"
 )
 
-// rests tells whether this entry VM leaves it to others to ask a store that serves
-// nobody, by the age of the newest word. One that the store has refused itself goes
-// by its own pause, and one that it answers goes on.
-func (f *Follower) rests(known *fleet, now time.Time, age time.Duration) bool {
-	if f.back > 0 || now.Sub(f.answered) < servedTime || !known.isOutage() {
-		f.rest = time.Time{}
+// isDeferred reports whether this entry VM leaves it to others to query a store that serves nobody,
+// given the age of the newest answer. An entry VM that the store itself refused goes by its own
+// pause instead, and one that the store answers continues.
+func (f *Follower) isDeferred(known *fleet, now time.Time, age time.Duration) bool {
+	if f.backoff > 0 || now.Sub(f.lastAnswer) < servedPeriod || !known.isOutage() {
+		f.deferUntil = time.Time{}
 
 		return false
 	}
 
-	if age <= staleTime {
+	if age <= staleAge {
 		return true
 	}
 
-	if f.rest.IsZero() {
-		f.rest = now.Add(spread(restTime, known.alive(), rand.Float64()))
+	if f.deferUntil.IsZero() {
+		f.deferUntil = now.Add(randomPause(outageTurnDelay, known.countAlive(), rand.Float64()))
 	}
 
-	return now.Before(f.rest)
+	return now.Before(f.deferUntil)
 }
 
 // setAway tells the peers whether the store serves this entry VM.
@@ -37,41 +37,40 @@
 	}
 }
 
-// failed notes a call that failed.
-func (f *Follower) failed(err error) {
+// handleFailure records a failed call.
+func (f *Follower) handleFailure(err error) {
 	if errors.Is(err, carobward.ErrHistory) {
-		f.Log.Info("The store no longer has the changes, listing all keys.", "after", f.Mirror.State().Index, "cause", err.Error())
-		f.list = true
+		f.Log.Info("The store doesn't have the changes, listing all keys.", "after", f.Mirror.State().Index, "cause", err.Error())
+		f.needsList = true
 
 		return
 	}
 
-	if f.back == 0 {
-		f.failing = f.Clock.Now()
-		f.Log.Info("Lost the store.", "cause", err.Error(), "index", f.Mirror.State().Index)
+	if f.backoff == 0 {
+		f.failingSince = f.Clock.Now()
+		f.Log.Info("Calls to the store fail.", "cause", err.Error(), "index", f.Mirror.State().Index)
 	}
 
-	f.back = min(backMost, max(backFirst, 2*f.back))
-	f.tried, f.draw = f.Clock.Now(), rand.Float64()
+	f.backoff = min(maxBackoff, max(minBackoff, 2*f.backoff))
+	f.lastFailure, f.jitter = f.Clock.Now(), rand.Float64()
 	f.setAway(true)
 }
 
-// regained notes that the store answers. After an outage its list may lack
-// servers that live, which have to write their entries again; for a while a
-// missing entry proves nothing. Where the store served others meanwhile there was
-// no outage.
-func (f *Follower) regained(now time.Time) {
+// handleRecovery records that the store answers. After an outage its list may lack live servers,
+// which have to write their entries again, so that removals are held back for a while. If the store
+// served others meanwhile, there was no outage.
+func (f *Follower) handleRecovery(now time.Time) {
 	f.setAway(false)
 
-	if f.back == 0 {
+	if f.backoff == 0 {
 		return
 	}
 
-	away := now.Sub(f.failing)
-	stale := now.Sub(f.Mesh.Word()) > outageTime
-	f.back = 0
+	away := now.Sub(f.failingSince)
+	stale := now.Sub(f.Mesh.Word()) > minOutage
+	f.backoff = 0
 
-	if away > outageTime && stale && f.Mirror.State().Index > 0 {
+	if away > minOutage && stale && f.Mirror.State().Index > 0 {
 		f.Mirror.Hold(now)
 	}
 
--- a/internal/cwfollow/outage_test.go
+++ b/internal/cwfollow/outage_test.go
@@ -12,14 +12,14 @@
 type outageVM struct {
 	Follower
 
-	calls   time.Time // When its call began.
-	away    bool
-	pausing time.Duration
+	callStarted time.Time // When the call in flight began.
+	away        bool
+	pause       time.Duration
 }
 
-// TestOutageCalls lets a store that serves a large fleet fall silent, or refuse
-// all, and counts the calls of all entry VMs in the first seconds. Where each one
-// asked once its copy was old, all 472 did within a second.
+// TestOutageCalls counts the calls of all entry VMs in the first seconds after a store that serves
+// a large fleet falls silent or refuses all. If each entry VM queried the store as soon as the
+// newest answer is stale, all 472 would do so within a second.
 func TestOutageCalls(t *testing.T) {
 	const (
 		vms    = 472
@@ -28,8 +28,8 @@
 	)
 
 	for name, c := range map[string]struct {
-		answer time.Duration
-		most   int
+		answer   time.Duration
+		maxCalls int
 	}{
 		"refused": {step, 200},
 		"silent":  {800 * time.Millisecond, 160},
@@ -48,38 +48,38 @@
 				for i := range all {
 					v := &all[i]
 
-					if !v.calls.IsZero() {
-						late := now.Sub(v.calls)
-						if !v.away && late >= min(lateTime, c.answer) {
+					if !v.callStarted.IsZero() {
+						elapsed := now.Sub(v.callStarted)
+						if !v.away && elapsed >= min(overdueDelay, c.answer) {
 							v.away = true
 							away++
 						}
 
-						if late >= c.answer {
-							v.calls, v.tried, v.back = time.Time{}, now, backFirst
-							v.pausing = backOff(v.back, away, rnd.Float64())
+						if elapsed >= c.answer {
+							v.callStarted, v.lastFailure, v.backoff = time.Time{}, now, minBackoff
+							v.pause = backoffPause(v.backoff, away, rnd.Float64())
 						}
 					}
 
-					mine := outside
+					own := noPlace
 					if !v.away {
-						mine = place
+						own = place
 						place++
 					}
 
-					due := mustAsk(mine, age) && !v.rests(known, now, age)
-					if v.back > 0 {
-						due = now.Sub(v.tried) >= v.pausing
+					due := shouldQuery(own, age) && !v.isDeferred(known, now, age)
+					if v.backoff > 0 {
+						due = now.Sub(v.lastFailure) >= v.pause
 					}
 
-					if due && v.calls.IsZero() {
-						v.calls = now
+					if due && v.callStarted.IsZero() {
+						v.callStarted = now
 						calls++
 					}
 				}
 			}
 
-			if calls > c.most {
+			if calls > c.maxCalls {
 				t.Errorf("%d calls in %s", calls, length)
 			}
 		})
--- a/internal/cwfollow/own.go
+++ b/internal/cwfollow/own.go
@@ -9,44 +9,45 @@
 	"carobward.example/carobward/internal/cwmesh"
 )
 
-// The figures of writing again what the store lost.
+// Parameters of writing again what the store lost.
 const (
-	// lostTime is the least time between such writes: their changes come back first.
-	lostTime = time.Second
-	// lostMost is how many keys one call of the store changes.
-	lostMost = 32
+	// restoreInterval is the least time between such writes, in which the changes of the last one
+	// arrive.
+	restoreInterval = time.Second
+	// maxRestoreBatch is how many keys one call of the store changes.
+	maxRestoreBatch = 32
 )
 
-// writeLost brings keys of entry VMs to what they were before the store came back from a
-// copy: for all, by the one that comes first in the order.
-func (f *Follower) writeLost(ctx context.Context, now time.Time) {
-	b := lostOf(f.Mirror.Kept(now))
+// restoreLost writes keys that entry VMs own as they were before the store was restored from a
+// backup. The first entry VM in the order does so for all.
+func (f *Follower) restoreLost(ctx context.Context, now time.Time) {
+	b := lostBatch(f.Mirror.Kept(now))
 	keys := len(b.Writes) + len(b.Deletes)
 
-	if keys == 0 || now.Sub(f.restored) < lostTime || f.fleet(now).place() != 0 {
+	if keys == 0 || now.Sub(f.lastRestore) < restoreInterval || f.fleet(now).place() != 0 {
 		return
 	}
 
-	f.restored = now
+	f.lastRestore = now
 
 	if err := f.Feed.Write(ctx, b); err != nil {
-		f.Log.Info("What the store lost of ours could not be written.", "keys", keys, "cause", err.Error())
+		f.Log.Info("The entry VMs' keys that the store lost could not be restored.", "keys", keys, "cause", err.Error())
 
 		return
 	}
 
-	f.Log.Info("Wrote what the store lost of ours.", "writes", len(b.Writes), "deletes", len(b.Deletes))
+	f.Log.Info("Restored the entry VMs' keys that the store lost.", "writes", len(b.Writes), "deletes", len(b.Deletes))
 }
 
-// lostOf returns the change of the store by which kept items of ours are in it again.
-func lostOf(list []carobward.Kept) carobward.Batch {
+// lostBatch returns the writes and deletes that restore kept items of entry VMs in the store.
+func lostBatch(list []carobward.Kept) carobward.Batch {
 	var b carobward.Batch
 
 	for i := range list {
 		it := list[i].Item
 
 		switch {
-		case !strings.HasPrefix(string(it.Key), carobward.PrefixOwn) || len(b.Writes)+len(b.Deletes) == lostMost:
+		case !strings.HasPrefix(string(it.Key), carobward.PrefixOwn) || len(b.Writes)+len(b.Deletes) == maxRestoreBatch:
 		case it.Gone:
 			b.Deletes = append(b.Deletes, it.Key)
 		default:
@@ -57,16 +58,16 @@
 	return b
 }
 
-// writeFleet writes the list of entry VMs to the store if it lacks one that
-// lives. A newcomer whose seeds are all gone finds the others by it.
+// writeFleet writes the list of entry VMs to the store if the stored list lacks a live one. A new
+// entry VM whose seeds are all gone finds the others by this list.
 func (f *Follower) writeFleet(ctx context.Context, now time.Time) {
-	if f.fleet(now).place() != 0 || now.Sub(f.wrote) < writeTime || now.Sub(f.began) < writeTime {
+	if f.fleet(now).place() != 0 || now.Sub(f.fleetWritten) < fleetWriteInterval || now.Sub(f.started) < fleetWriteInterval {
 		return
 	}
 
 	known, err := cwmesh.DecodeFleet(f.Mirror.Get(carobward.KeyFleet))
 	if err != nil {
-		f.Log.Error(err, "The list of entry VMs can't be read, it is written anew.")
+		f.Log.Error(err, "The list of entry VMs could not be decoded, writing a new one.")
 	}
 
 	list := f.Table.Fleet(now, f.Mesh.State())
@@ -74,7 +75,7 @@
 		return
 	}
 
-	f.wrote = now
+	f.fleetWritten = now
 	raw, err := cwmesh.EncodeFleet(list)
 
 	if err == nil {
