--- a/internal/cwquarantine/again_test.go
+++ b/internal/cwquarantine/again_test.go
@@ -9,12 +9,12 @@
 	"carobward.example/carobward"
 )
 
-// TestWrittenAgain has what the store acknowledged before it came back from a copy against
-// what is written again: all that the copy of this entry VM had not had yet, since nobody
-// else knows of it.
+// TestWrittenAgain checks that changes which the store acknowledged before it was restored from a
+// backup are written again if they had not arrived in the replica of this entry VM: no other entry
+// VM knows them.
 func TestWrittenAgain(t *testing.T) {
-	c := seen{"a", "1", 0}.crash()
-	trial := Trial{Print: printBy("a"), Number: 1}
+	c := crashSpec{"a", "1", 0}.crash()
+	trial := Trial{Print: fingerprintOf("a"), Number: 1}
 
 	share := func(t *testing.T, k *Keeper, s *fakeFeed) {
 		t.Helper()
@@ -22,7 +22,7 @@
 		k.Ended(c)
 		k.Share(c)
 
-		go s.let()
+		go s.release()
 		k.write(context.Background())
 	}
 
@@ -32,7 +32,7 @@
 		want   map[carobward.Key]bool
 	}{
 		"a crash": {share, 2, map[carobward.Key]bool{c.key(): true}},
-		"a crash that the copy has": {func(t *testing.T, k *Keeper, s *fakeFeed) {
+		"a crash that the replica has": {func(t *testing.T, k *Keeper, s *fakeFeed) {
 			t.Helper()
 			share(t, k, s)
 
@@ -49,23 +49,23 @@
 			share(t, k, s)
 			k.Answered(c.Print)
 
-			go s.let()
+			go s.release()
 			k.write(context.Background())
 		}, 2, map[carobward.Key]bool{c.key(): false}},
 		"a trial": {func(t *testing.T, k *Keeper, s *fakeFeed) {
 			t.Helper()
 
-			go s.let()
+			go s.release()
 
 			if !k.Try(trial) {
-				t.Error("no trial")
+				t.Error("the trial was not granted")
 			}
 		}, 2, map[carobward.Key]bool{trial.key(): true}},
 		"a quarantine that is lifted": {func(t *testing.T, k *Keeper, s *fakeFeed) {
 			t.Helper()
 			k.Ended(c)
 
-			go s.let()
+			go s.release()
 
 			if err := k.Lift(c.Print); err != nil {
 				t.Error(err)
@@ -75,9 +75,9 @@
 		t.Run(name, func(t *testing.T) {
 			s := newFakeFeed()
 			k := newKeeper(s, 0)
-			k.writeAgain(1)
+			k.rewriteLost(1)
 			test.before(t, k, s)
-			k.writeAgain(test.era)
+			k.rewriteLost(test.era)
 
 			got := map[carobward.Key]bool{}
 			for key, value := range k.pending {
--- a/internal/cwquarantine/keeper.go
+++ b/internal/cwquarantine/keeper.go
@@ -9,149 +9,150 @@
 	"carobward.example/carobward"
 )
 
-// The paces of the store's calls, which are paid for.
+// Parameters of the store's calls, which are paid for.
 const (
-	// gatherTime is the pause before a call in which further records gather: the
-	// requests beside the one that ended a server break off in the same moment.
-	gatherTime = 20 * time.Millisecond
-	// batchMost is how many keys one call of the store changes.
-	batchMost = 32
-	// pendingMost bounds the changes that wait for the store, some 500 bytes each.
-	pendingMost = 256
-	// backFirst and backMost bound the pause after a failed call; it doubles.
-	backFirst = 150 * time.Millisecond
-	backMost  = 2400 * time.Millisecond
-	// idleTime is the pause between looks at whether the store serves anybody.
-	idleTime = 100 * time.Millisecond
-	// servedTime is for how long after its last answer to any entry VM the store
-	// counts as there.
-	servedTime = 2 * time.Second
-	// tryTime is the least time between calls that ask for a trial, where the store
-	// refuses them: a quarantined request may come many times a second.
-	tryTime = time.Second
-	// cleanTime is the time between calls that clear outdated records away.
-	cleanTime = 10 * time.Second
+	// batchDelay is the pause before a call in which further records collect: the requests beside
+	// the one that crashed a server fail at the same moment.
+	batchDelay = 20 * time.Millisecond
+	// maxBatch is how many keys one call of the store changes.
+	maxBatch = 32
+	// maxPending bounds the changes that are queued for the store, some 500 bytes each.
+	maxPending = 256
+	// minBackoff and maxBackoff bound the pause after a failed call, which doubles with each
+	// failure.
+	minBackoff = 150 * time.Millisecond
+	maxBackoff = 2400 * time.Millisecond
+	// pollInterval is the time between checks whether the store serves any entry VM.
+	pollInterval = 100 * time.Millisecond
+	// availableTime is for how long after its last answer to any entry VM the store counts as
+	// available.
+	availableTime = 2 * time.Second
+	// claimInterval is the least time between calls that claim a trial. A quarantined request may
+	// come many times a second, and while the store refuses the claims each one would cause a call.
+	claimInterval = time.Second
+	// cleanupInterval is the time between calls that delete outdated records.
+	cleanupInterval = 10 * time.Second
 )
 
-// Options are the parts that a Keeper needs.
+// Options are the dependencies of a Keeper.
 type Options struct {
 	VM    carobward.VMID
 	Table *Table
 	Feed  carobward.Feed
 	Clock carobward.Clock
 	Log   logr.Logger
-	// Word returns when the store last answered any entry VM, as far as was heard.
+	// Word returns when the store last answered any entry VM, as far as this one knows.
 	Word func() time.Time
-	// Leads tells whether this entry VM clears outdated records away.
+	// Leads reports whether this entry VM deletes outdated records.
 	Leads func() bool
-	// Era returns the store's era, as the copy has it.
+	// Era returns the store's era according to the replica.
 	Era func() carobward.StoreEra
 }
 
-// Keeper shares the crashes that this entry VM sees with all others, through the store.
+// Keeper shares the crashes that this entry VM sees with all others through the store.
 type Keeper struct {
 	Options
 
 	wake chan struct{}
 
 	mutex sync.Mutex
-	// pending has the values to be written by key; nil removes a key.
+	// pending holds the values to write by key; nil deletes a key.
 	pending map[carobward.Key][]byte
-	// sent has the keys among them that the store may have: a call with them began.
-	sent map[carobward.Key]bool
-	// unseen has what the store acknowledged and the copy has not had yet: a store that
-	// comes back from a copy may have lost it, and nobody else knows. Era is that in
-	// which it was written.
-	unseen  map[carobward.Key][]byte
-	era     carobward.StoreEra
-	dropped int64
-	back    time.Duration
-	cleaned time.Time
-	// tried is when a trial was last asked for.
-	tried time.Time
+	// attempted holds the pending keys that the store may have because a call with them began.
+	attempted map[carobward.Key]bool
+	// unconfirmed holds the changes that the store acknowledged and that have not arrived in the
+	// replica: a store that is restored from a backup may have lost them, and no other entry VM
+	// knows them. Era is the store's era in which they were written.
+	unconfirmed map[carobward.Key][]byte
+	era         carobward.StoreEra
+	dropped     int64
+	backoff     time.Duration
+	lastCleanup time.Time
+	// lastClaim is when this entry VM last claimed a trial.
+	lastClaim time.Time
 }
 
 // New returns a keeper that shares nothing before Run.
 func New(o Options) *Keeper {
 	o.Log = o.Log.WithName("quarantine")
 
-	return &Keeper{Options: o, wake: make(chan struct{}, 1), pending: map[carobward.Key][]byte{}, sent: map[carobward.Key]bool{}, unseen: map[carobward.Key][]byte{}, cleaned: o.Clock.Now()}
+	return &Keeper{Options: o, wake: make(chan struct{}, 1), pending: map[carobward.Key][]byte{}, attempted: map[carobward.Key]bool{}, unconfirmed: map[carobward.Key][]byte{}, lastCleanup: o.Clock.Now()}
 }
 
-// Took takes changes of the copy of the store.
+// Took handles changes of the replica of the store.
 func (k *Keeper) Took(items []carobward.Item) {
-	k.saw(items)
+	k.confirm(items)
 	change := k.Table.Put(items, k.Clock.Now())
 
 	for i := range change.Added {
 		c := &change.Added[i]
-		k.Log.Info("A server ended under a request.", "print", c.Print.String(), "server", c.Server, "vm", c.VM, "request", c.Request)
+		k.Log.Info("A server crashed with a request in flight.", "print", c.Print.String(), "server", c.Server, "vm", c.VM, "request", c.Request)
 	}
 
 	for _, p := range change.Held {
-		k.logHeld(p)
+		k.logQuarantined(p)
 	}
 
 	for _, p := range change.Freed {
-		k.Log.Info("A request is quarantined no more.", "print", p.String())
+		k.Log.Info("The quarantine of a request ended.", "print", p.String())
 	}
 
-	k.dropAlone(change.Alone)
+	k.removeOrphans(change.Alone)
 
 	for _, err := range change.Wrong {
-		k.Log.Error(err, "A record can't be read and is passed over.")
+		k.Log.Error(err, "Skipping a record that can't be decoded.")
 	}
 }
 
-// dropAlone clears trials of this entry VM that were granted after an answer elsewhere had
-// cleared the crashes and all trials then known. One that stayed would be taken for the
-// trial of the same request when servers end under it again.
-func (k *Keeper) dropAlone(list []Trial) {
+// removeOrphans deletes trials of this entry VM that were granted after an answer elsewhere had
+// removed the crashes and all trials known by then. Such a trial would otherwise count for the same
+// request when servers crash with it again.
+func (k *Keeper) removeOrphans(list []Trial) {
 	for i := range list {
 		if t := &list[i]; t.VM == k.VM {
-			k.Log.Info("A trial came after the answer and is cleared away.", "print", t.Print.String(), "number", t.Number)
-			k.remove([]carobward.Key{t.key()})
+			k.Log.Info("Deleting a trial that came after the answer.", "print", t.Print.String(), "number", t.Number)
+			k.removeKeys([]carobward.Key{t.key()})
 		}
 	}
 }
 
-func (k *Keeper) logHeld(p Print) {
+func (k *Keeper) logQuarantined(p Print) {
 	k.Log.Info("A request is quarantined.", "print", p.String(), "crashes", k.Table.Crashes(p, k.Clock.Now()))
 }
 
-// Ended notes that a server ended under a request here. It tells whether others
-// have to know at once: the request ended servers before.
+// Ended records that a server crashed with a request of this entry VM in flight. It reports whether
+// other entry VMs have to know at once, because the request has crashed servers before.
 func (k *Keeper) Ended(c Crash) bool {
 	now := k.Clock.Now()
 	before := k.Table.Decide(c.Print, now).Held
 	k.Table.Add(c, now)
 
 	if !before && k.Table.Decide(c.Print, now).Held {
-		k.logHeld(c.Print)
+		k.logQuarantined(c.Print)
 	}
 
 	return k.Table.Crashes(c.Print, now) > 1
 }
 
-// Share tells the other entry VMs of a crash.
+// Share queues a crash to be written to the store for the other entry VMs.
 func (k *Keeper) Share(c Crash) {
 	raw, err := c.encode()
 	if err != nil {
-		k.Log.Error(err, "A crash can't be encoded and is not shared.", "print", c.Print.String())
+		k.Log.Error(err, "Could not encode a crash, it is not shared.", "print", c.Print.String())
 
 		return
 	}
 
-	k.put(map[carobward.Key][]byte{c.key(): raw})
+	k.enqueue(map[carobward.Key][]byte{c.key(): raw})
 }
 
-// Answered notes that a request was answered, which ends its quarantine.
+// Answered records that a request was answered, which ends its quarantine.
 func (k *Keeper) Answered(p Print) {
 	keys := k.Table.Answered(p)
 	if len(keys) == 0 {
 		return
 	}
 
-	k.Log.Info("A request under which servers ended was answered.", "print", p.String(), "crashes", len(keys))
-	k.remove(keys)
+	k.Log.Info("A request that had crashes was answered.", "print", p.String(), "crashes", len(keys))
+	k.removeKeys(keys)
 }
--- a/internal/cwquarantine/keeper_test.go
+++ b/internal/cwquarantine/keeper_test.go
@@ -13,7 +13,7 @@
 	"carobward.example/carobward"
 )
 
-// fakeFeed takes writes, with a pause in each call that a test ends.
+// fakeFeed is a store that accepts writes. Each call blocks until the test releases it.
 type fakeFeed struct {
 	carobward.Feed
 
@@ -21,26 +21,26 @@
 	keys  map[carobward.Key]bool
 	calls int
 	err   error
-	// lost has the writes take effect while err is returned.
-	lost  bool
-	begun chan struct{}
-	goOn  chan struct{}
+	// applied makes writes take effect though err is returned.
+	applied bool
+	started chan struct{}
+	proceed chan struct{}
 }
 
 func newFakeFeed() *fakeFeed {
-	return &fakeFeed{keys: map[carobward.Key]bool{}, begun: make(chan struct{}, 1), goOn: make(chan struct{}, 1)}
+	return &fakeFeed{keys: map[carobward.Key]bool{}, started: make(chan struct{}, 1), proceed: make(chan struct{}, 1)}
 }
 
 func (s *fakeFeed) Write(_ context.Context, b carobward.Batch) error {
-	s.begun <- struct{}{}
-	<-s.goOn
+	s.started <- struct{}{}
+	<-s.proceed
 
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
 	s.calls++
 
-	if s.err != nil && !s.lost {
+	if s.err != nil && !s.applied {
 		return s.err
 	}
 
@@ -61,42 +61,42 @@
 	return s.err
 }
 
-// keysNow returns how many keys there are.
-func (s *fakeFeed) keysNow() int {
+// countKeys returns the number of keys in the store.
+func (s *fakeFeed) countKeys() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
 	return len(s.keys)
 }
 
-// let lets the next call go on.
-func (s *fakeFeed) let() {
-	<-s.begun
-	s.goOn <- struct{}{}
+// release lets the next call proceed.
+func (s *fakeFeed) release() {
+	<-s.started
+	s.proceed <- struct{}{}
 }
 
-// still is a clock that stands still.
-type still struct{}
+// fixedClock is a clock that always shows start.
+type fixedClock struct{}
 
-func (still) Now() time.Time { return start }
+func (fixedClock) Now() time.Time { return start }
 
-// newKeeper returns a keeper of an entry VM that last heard of the store so long ago.
+// newKeeper returns a keeper of an entry VM to which the store last answered the given time ago.
 func newKeeper(s *fakeFeed, word time.Duration) *Keeper {
 	return New(Options{
-		VM: "vm-1", Table: NewTable(), Feed: s, Clock: still{}, Log: logr.Discard(),
+		VM: "vm-1", Table: NewTable(), Feed: s, Clock: fixedClock{}, Log: logr.Discard(),
 		Word:  func() time.Time { return start.Add(-word) },
 		Leads: func() bool { return false },
 		Era:   func() carobward.StoreEra { return 0 },
 	})
 }
 
-// TestShared has what becomes of a crash while it is on its way to the store against
-// what the store has in the end.
+// TestShared checks what the store holds in the end after a crash was shared, depending on what
+// happens while it is being written.
 func TestShared(t *testing.T) {
-	c := seen{"a", "1", 0}.crash()
+	c := crashSpec{"a", "1", 0}.crash()
 
 	for name, test := range map[string]struct {
-		// during is done during the call that shares it.
+		// during runs during the call that shares the crash.
 		during func(k *Keeper)
 		err    error
 		want   map[carobward.Key]bool
@@ -125,19 +125,19 @@
 				}
 			}()
 
-			<-s.begun
+			<-s.started
 			test.during(k)
-			s.goOn <- struct{}{}
+			s.proceed <- struct{}{}
 
 			for ended := false; !ended; {
 				select {
 				case <-done:
 					ended = true
-				case <-s.begun:
+				case <-s.started:
 					s.mutex.Lock()
 					s.err = nil
 					s.mutex.Unlock()
-					s.goOn <- struct{}{}
+					s.proceed <- struct{}{}
 				}
 			}
 
@@ -150,24 +150,25 @@
 	}
 }
 
-// TestAnsweredAfter wants nothing to stay in the store of a crash whose request is answered
-// once the store has the record, whenever that is: while the reply is on its way, is taken,
-// or is lost. What stays would hold the request of others for hours.
+// TestAnsweredAfter checks that no record of a crash stays in the store if its request is answered
+// after the store has the record: while the reply is on its way, while it is handled, or after it
+// was lost. A record that stays would quarantine the request of other callers for as long as
+// crashes are remembered.
 func TestAnsweredAfter(t *testing.T) {
 	for name, c := range map[string]struct {
 		err error
-		// rounds is how often it is tried to hit the moment.
+		// rounds is the number of attempts to hit the moment.
 		rounds int
 	}{
-		"as the reply is taken":    {nil, 5000},
-		"after its reply was lost": {carobward.ErrStoreUnknown, 1},
+		"while the reply is handled": {nil, 5000},
+		"after the reply was lost":   {carobward.ErrStoreUnknown, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for range c.rounds {
 				s := newFakeFeed()
-				s.err, s.lost = c.err, true
+				s.err, s.applied = c.err, true
 				k := newKeeper(s, 0)
-				crash := seen{"a", "1", 0}.crash()
+				crash := crashSpec{"a", "1", 0}.crash()
 
 				k.Ended(crash)
 				k.Share(crash)
@@ -181,9 +182,9 @@
 					k.write(ctx)
 				}()
 
-				s.let()
+				s.release()
 
-				for s.keysNow() == 0 {
+				for s.countKeys() == 0 {
 					runtime.Gosched()
 				}
 
@@ -199,34 +200,35 @@
 				s.err = nil
 
 				for k.Waiting() > 0 {
-					go s.let()
+					go s.release()
 					k.write(context.Background())
 				}
 
-				if n := s.keysNow(); n > 0 {
-					t.Fatalf("%d records stay", n)
+				if n := s.countKeys(); n > 0 {
+					t.Fatalf("%d records stay in the store", n)
 				}
 			}
 		})
 	}
 }
 
-// TestAnsweredFirst wants a crash that was not shared yet never to be.
+// TestAnsweredFirst checks that a crash is never shared if its request was answered before the
+// first call.
 func TestAnsweredFirst(t *testing.T) {
 	k := newKeeper(newFakeFeed(), 0)
-	c := seen{"a", "1", 0}.crash()
+	c := crashSpec{"a", "1", 0}.crash()
 
 	k.Ended(c)
 	k.Share(c)
 	k.Answered(c.Print)
 
 	if n := k.Waiting(); n > 0 {
-		t.Errorf("%d changes wait for the store", n)
+		t.Errorf("%d changes are queued for the store", n)
 	}
 }
 
-// TestNoCalls wants nothing of a store that serves nobody, and few calls of one that
-// refuses this entry VM.
+// TestNoCalls checks that there are no calls to a store that serves nobody, and few calls to one
+// that refuses this entry VM.
 func TestNoCalls(t *testing.T) {
 	const asks = 50
 
@@ -235,7 +237,7 @@
 		err   error
 		calls int
 	}{
-		"serves nobody": {servedTime, nil, 0},
+		"serves nobody": {availableTime, nil, 0},
 		"refuses":       {0, carobward.ErrStoreRefused, 1},
 		"has it":        {0, carobward.ErrConflict, 1},
 	} {
@@ -246,12 +248,12 @@
 
 			go func() {
 				for range c.calls {
-					s.let()
+					s.release()
 				}
 			}()
 
 			for range asks {
-				if k.Try(Trial{Print: printBy("a"), Number: 1}) {
+				if k.Try(Trial{Print: fingerprintOf("a"), Number: 1}) {
 					t.Error("a trial was granted")
 				}
 			}
@@ -260,49 +262,49 @@
 				t.Errorf("%d calls", s.calls)
 			}
 
-			k.Share(seen{"a", "1", 0}.crash())
+			k.Share(crashSpec{"a", "1", 0}.crash())
 
-			if waits := k.waits(); waits != (c.word < servedTime) {
-				t.Errorf("it would call: %v", waits)
+			if waits := k.canWrite(); waits != (c.word < availableTime) {
+				t.Errorf("canWrite returned %v", waits)
 			}
 		})
 	}
 }
 
-// TestPending wants what waits for the store to be bounded.
+// TestPending checks that the queue of changes for the store is bounded.
 func TestPending(t *testing.T) {
 	k := newKeeper(newFakeFeed(), 0)
 
-	for n := range 2 * pendingMost {
-		c := seen{"a", string(rune('a' + n)), 0}.crash()
+	for n := range 2 * maxPending {
+		c := crashSpec{"a", string(rune('a' + n)), 0}.crash()
 		k.Share(c)
 	}
 
-	if k.Waiting() != pendingMost || k.Dropped() != pendingMost {
-		t.Errorf("%d wait, %d dropped", k.Waiting(), k.Dropped())
+	if k.Waiting() != maxPending || k.Dropped() != maxPending {
+		t.Errorf("%d queued, %d dropped", k.Waiting(), k.Dropped())
 	}
 }
 
-// TestTrialTooLate wants an entry VM whose trial was granted after another one's answer had
-// cleared everything to clear its trial as well, since nobody else knows of it, and to leave
-// those of others, and those of requests that are remembered, alone.
+// TestTrialTooLate checks that an entry VM deletes its own trial if that was granted after an
+// answer elsewhere had removed everything, since no other entry VM knows of it. It must not delete
+// trials of other entry VMs, nor those of requests that have crashes.
 func TestTrialTooLate(t *testing.T) {
 	for name, c := range map[string]struct {
 		vm         carobward.VMID
 		remembered bool
 		want       int
 	}{
-		"its own":                     {"vm-1", false, 1},
-		"another one's":               {"vm-2", false, 0},
-		"its own, still remembered":   {"vm-1", true, 0},
-		"another's, still remembered": {"vm-2", true, 0},
+		"own trial":                              {"vm-1", false, 1},
+		"another entry VM's trial":               {"vm-2", false, 0},
+		"own trial, with crashes":                {"vm-1", true, 0},
+		"another entry VM's trial, with crashes": {"vm-2", true, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			k := newKeeper(newFakeFeed(), 0)
-			trial := Trial{Print: printBy("a"), Number: 2, At: start, VM: c.vm}
+			trial := Trial{Print: fingerprintOf("a"), Number: 2, At: start, VM: c.vm}
 
 			if c.remembered {
-				k.Ended(seen{"a", "1", 0}.crash())
+				k.Ended(crashSpec{"a", "1", 0}.crash())
 			}
 
 			raw, err := trial.encode()
@@ -313,7 +315,7 @@
 			k.Took([]carobward.Item{{Key: trial.key(), Value: raw}})
 
 			if n := k.Waiting(); n != c.want {
-				t.Errorf("%d changes wait for the store", n)
+				t.Errorf("%d changes are queued for the store", n)
 			}
 		})
 	}
--- a/internal/cwquarantine/list.go
+++ b/internal/cwquarantine/list.go
@@ -6,26 +6,25 @@
 	"time"
 )
 
-// Entry is one request under which servers ended, for operators.
+// Entry is one request that was in flight when servers crashed, for operators.
 type Entry struct {
 	Print Print
-	// Crashes are the crashes, the newest last.
+	// Crashes are ordered by time, the newest last.
 	Crashes []Crash
-	// Trials is how many were made.
+	// Trials is the number of trials that were made.
 	Trials int
 
 	Decision
 }
 
-// List returns all requests under which servers ended, those that are quarantined
-// first.
+// List returns all requests that were in flight when servers crashed, quarantined ones first.
 func (t *Table) List(now time.Time) []Entry {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
 
 	var all []Entry
 
-	for key, s := range t.contents {
+	for key, s := range t.suspects {
 		for caller, list := range s.callers {
 			e := Entry{Print: Print{key.line, key.body, caller}, Trials: len(s.trialKeys(key, caller)) + len(s.trialKeys(key, Digest{}))}
 			e.Decision = s.decide(e.Print, wall(now))
@@ -54,7 +53,7 @@
 	return all
 }
 
-// Counts returns how many requests are quarantined, and how many crashes are remembered.
+// Counts returns the number of quarantined requests and of crashes.
 func (t *Table) Counts(now time.Time) (held, crashes int) {
 	for _, e := range t.List(now) {
 		if e.Held {
--- a/internal/cwquarantine/print.go
+++ b/internal/cwquarantine/print.go
@@ -1,6 +1,6 @@
-// Package cwquarantine keeps requests that end the servers which run them from
-// being sent again. All entry VMs share what each of them saw through the
-// platform's store, so that a request counts as the same at each of them.
+// Package cwquarantine stops sending requests that crash the servers which handle them. All entry
+// VMs share the crashes that they see through the platform's store, so that each of them decides
+// alike about a request.
 package cwquarantine
 
 import (
@@ -15,76 +15,77 @@
 	"carobward.example/carobward"
 )
 
-// digestBytes is the length of a digest. A caller can't find a body by trial that
-// has the digest of another caller's: that takes 2^64 tries on average.
-const digestBytes = 8
+// digestSize is the length of a digest in bytes. A caller can't find by trial a body with the same
+// digest as another caller's: that takes 2^64 tries on average.
+const digestSize = 8
 
 // Digest is the start of a SHA-256 sum.
-type Digest [digestBytes]byte
+type Digest [digestSize]byte
 
 // String returns the digest in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// Print tells whether two requests are the same: what a server gets of them, but for
-// what is new with each attempt, and who sent them.
+// Print identifies a request: two requests with the same fingerprint count as the same one. It
+// covers what a server receives, except for fields that are new with each attempt, and who sent it.
 type Print struct {
 	// Line is the digest of method, host, path and query.
 	Line Digest
 	// Body is the digest of the body.
 	Body Digest
-	// Caller is the digest of the caller's IP number and of the header fields
-	// that say who it is. The same words of another caller may be another request
-	// to a server: its own page, say.
+	// Caller is the digest of the caller's IP number and of the header fields that identify the
+	// caller. The same bytes from another caller may be another request to a server, such as one
+	// for the caller's own page.
 	Caller Digest
 }
 
-// content is a print without its caller.
-type content struct{ line, body Digest }
+// contentKey is a fingerprint without its caller.
+type contentKey struct{ line, body Digest }
 
-func (p Print) content() content { return content{p.Line, p.Body} }
+func (p Print) contentKey() contentKey { return contentKey{p.Line, p.Body} }
 
-// lineOf returns the first part of a request's print, which costs little.
-func lineOf(c *carobward.Call) Digest { return digest(c.Method, c.Host, c.URI) }
+// lineDigest returns the first part of a request's fingerprint, which is cheap to compute.
+func lineDigest(c *carobward.Call) Digest { return digest(c.Method, c.Host, c.URI) }
 
-// PrintOf returns the print of a request that came from an IP number.
+// PrintOf returns the fingerprint of a request that came from an IP number.
 func PrintOf(c *carobward.Call, ip string) Print {
 	return Print{
-		Line:   lineOf(c),
-		Body:   sum(sha256.Sum256(c.Body)),
+		Line:   lineDigest(c),
+		Body:   truncate(sha256.Sum256(c.Body)),
 		Caller: digest(ip, c.Header.Get(fasthttp.HeaderAuthorization), c.Header.Get(fasthttp.HeaderCookie)),
 	}
 }
 
-// digest returns the digest of some texts, one after the other.
+// digest returns the digest of a sequence of texts.
 func digest(texts ...string) Digest {
 	h := sha256.New()
 	for _, t := range texts {
-		write(h, t)
+		writeText(h, t)
 	}
 
-	return sum([sha256.Size]byte(h.Sum(nil)))
+	return truncate([sha256.Size]byte(h.Sum(nil)))
 }
 
-// write adds a text that nothing else ends alike: none of the texts has a zero byte.
-func write(h hash.Hash, text string) {
-	// A hash takes all.
+// writeText adds a text and a zero byte to a hash. No text contains a zero byte, so that different
+// sequences of texts can't give the same input.
+func writeText(h hash.Hash, text string) {
+	// Write of a hash never fails.
 	_, _ = h.Write(append([]byte(text), 0))
 }
 
-func sum(all [sha256.Size]byte) Digest { return Digest(all[:digestBytes]) }
+func truncate(all [sha256.Size]byte) Digest { return Digest(all[:digestSize]) }
 
-// separator stands between the parts of a print.
+// separator stands between the parts of a fingerprint.
 const separator = "-"
 
-// String returns the print as it is in logs, in keys of the store and for operators.
+// String returns the fingerprint as it appears in logs, in keys of the store and to operators.
 func (p Print) String() string {
 	return p.Line.String() + separator + p.Body.String() + separator + p.Caller.String()
 }
 
-// errPrint is the error of a text that is no print.
-const errPrint = errors.ConstError("quarantine: not three numbers of 16 hexadecimal digits with a - between")
+// errFingerprint is the error of a text that is no fingerprint.
+const errFingerprint = errors.ConstError("quarantine: not three numbers of 16 hexadecimal digits with a - between")
 
-// ParsePrint reads a print.
+// ParsePrint parses a fingerprint.
 func ParsePrint(text string) (Print, error) {
 	const parts = 3
 
@@ -92,13 +93,13 @@
 
 	words := strings.Split(text, separator)
 	if len(words) != parts {
-		return Print{}, errors.Annotatef(errPrint, "%q", text)
+		return Print{}, errors.Annotatef(errFingerprint, "%q", text)
 	}
 
 	for i, w := range words {
 		raw, err := hex.DecodeString(w)
-		if err != nil || len(raw) != digestBytes {
-			return Print{}, errors.Annotatef(errPrint, "%q", text)
+		if err != nil || len(raw) != digestSize {
+			return Print{}, errors.Annotatef(errFingerprint, "%q", text)
 		}
 
 		d[i] = Digest(raw)
--- a/internal/cwquarantine/print_test.go
+++ b/internal/cwquarantine/print_test.go
@@ -10,7 +10,7 @@
 	"carobward.example/carobward/internal/cwquarantine"
 )
 
-// TestPrint has two requests against whether they are the same one.
+// TestPrint checks which requests have the same fingerprint.
 func TestPrint(t *testing.T) {
 	call := func(change func(c *carobward.Call)) *carobward.Call {
 		c := &carobward.Call{
@@ -28,20 +28,20 @@
 		ip   string
 		same bool
 	}{
-		"another attempt":      {call(func(c *carobward.Call) { c.ID = "two" }), "10.0.0.1", true},
-		"another header field": {call(func(c *carobward.Call) { c.Header[1].Value = "tomorrow" }), "10.0.0.1", true},
-		"another method":       {call(func(c *carobward.Call) { c.Method = "PUT" }), "10.0.0.1", false},
-		"another host":         {call(func(c *carobward.Call) { c.Host = "other.example" }), "10.0.0.1", false},
-		"another query":        {call(func(c *carobward.Call) { c.URI = "/fees/17?x=2" }), "10.0.0.1", false},
-		"another body":         {call(func(c *carobward.Call) { c.Body = []byte("landing") }), "10.0.0.1", false},
-		"a body that moved":    {call(func(c *carobward.Call) { c.URI, c.Body = "/fees/17?x=1launch", nil }), "10.0.0.1", false},
-		"another IP number":    {call(func(*carobward.Call) {}), "10.0.0.2", false},
-		"another cookie":       {call(func(c *carobward.Call) { c.Header[0].Value = "b" }), "10.0.0.1", false},
+		"another attempt":       {call(func(c *carobward.Call) { c.ID = "two" }), "10.0.0.1", true},
+		"another header field":  {call(func(c *carobward.Call) { c.Header[1].Value = "tomorrow" }), "10.0.0.1", true},
+		"another method":        {call(func(c *carobward.Call) { c.Method = "PUT" }), "10.0.0.1", false},
+		"another host":          {call(func(c *carobward.Call) { c.Host = "other.example" }), "10.0.0.1", false},
+		"another query":         {call(func(c *carobward.Call) { c.URI = "/fees/17?x=2" }), "10.0.0.1", false},
+		"another body":          {call(func(c *carobward.Call) { c.Body = []byte("landing") }), "10.0.0.1", false},
+		"body moved to the URI": {call(func(c *carobward.Call) { c.URI, c.Body = "/fees/17?x=1launch", nil }), "10.0.0.1", false},
+		"another IP number":     {call(func(*carobward.Call) {}), "10.0.0.2", false},
+		"another cookie":        {call(func(c *carobward.Call) { c.Header[0].Value = "b" }), "10.0.0.1", false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := cwquarantine.PrintOf(c.call, c.ip)
 			if same := got == first; same != c.same {
-				t.Errorf("%s and %s", got, first)
+				t.Errorf("fingerprints %s and %s", got, first)
 			}
 
 			back, err := cwquarantine.ParsePrint(got.String())
@@ -52,20 +52,20 @@
 	}
 }
 
-// TestParsePrint wants what is no print to be refused.
+// TestParsePrint checks that texts that are no fingerprint are refused.
 func TestParsePrint(t *testing.T) {
 	part := strings.Repeat("0", 16)
 
 	for name, text := range map[string]string{
-		"empty":       "",
-		"two parts":   part + "-" + part,
-		"four parts":  part + "-" + part + "-" + part + "-" + part,
-		"too long":    part + "-" + part + "-" + part + "00",
-		"other signs": part + "-" + part + "-" + strings.Repeat("x", 16),
+		"empty":         "",
+		"two parts":     part + "-" + part,
+		"four parts":    part + "-" + part + "-" + part + "-" + part,
+		"too long":      part + "-" + part + "-" + part + "00",
+		"no hex digits": part + "-" + part + "-" + strings.Repeat("x", 16),
 	} {
 		t.Run(name, func(t *testing.T) {
 			if p, err := cwquarantine.ParsePrint(text); err == nil {
-				t.Errorf("%q is %s", text, p)
+				t.Errorf("%q was parsed as %s", text, p)
 			}
 		})
 	}
--- a/internal/cwquarantine/record.go
+++ b/internal/cwquarantine/record.go
@@ -12,48 +12,48 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// The keys of the store: one a crash, named by the request and the server, so that
-// entry VMs that saw the same crash write the same key, and one a trial.
+// Prefixes of the keys in the store. There is one key for each crash, named by the request and the
+// server so that entry VMs that saw the same crash write the same key, and one for each trial.
 const (
 	prefixCrash = "carobward/crash/"
 	prefixTrial = "carobward/trial/"
 )
 
-// lineMost is how much of a request's path is kept for operators, in bytes.
-const lineMost = 80
+// maxRequestText is how much of a request's method, host and path is kept for operators, in bytes.
+const maxRequestText = 80
 
-// Crash is the end of one server's process with a request in flight there.
+// Crash is the end of a server's process while a request was in flight there.
 type Crash struct {
 	Print  Print
 	Server carobward.Instance
-	// Start tells which process of the server it was.
+	// Start identifies the process of the server.
 	Start carobward.Start
-	// At is when it was seen, by the clock of the entry VM that saw it.
+	// At is when the crash was seen, by the clock of the entry VM that saw it.
 	At      time.Time
 	VM      carobward.VMID
 	Service carobward.Service
 	Route   carobward.RouteName
-	// Request is the request's method, host and path for operators, cut short.
+	// Request is the request's method, host and path for operators, truncated.
 	Request string
-	// Caller is the IP number that it came from.
+	// Caller is the IP number from which the request came.
 	Caller string
 }
 
-// RequestOf returns what operators are told of a request.
+// RequestOf returns the description of a request for operators.
 func RequestOf(c *carobward.Call) string {
 	text := c.Method + " " + c.Host + c.URI
 
-	return strings.ToValidUTF8(text[:min(len(text), lineMost)], "")
+	return strings.ToValidUTF8(text[:min(len(text), maxRequestText)], "")
 }
 
-// server is the digest of the run of a server that ended.
-func (c *Crash) server() Digest {
+// serverDigest returns the digest of the server's process that crashed.
+func (c *Crash) serverDigest() Digest {
 	return digest(string(c.Server), strconv.FormatInt(int64(c.Start), 10))
 }
 
-// key returns the key of a crash.
+// key returns the store's key of the crash.
 func (c *Crash) key() carobward.Key {
-	return carobward.Key(prefixCrash + c.Print.String() + "/" + c.server().String())
+	return carobward.Key(prefixCrash + c.Print.String() + "/" + c.serverDigest().String())
 }
 
 func (c *Crash) encode() ([]byte, error) {
@@ -63,7 +63,7 @@
 	})
 }
 
-// decodeCrash reads what the store has of a crash.
+// decodeCrash decodes a crash record of the store.
 func decodeCrash(key carobward.Key, value []byte) (Crash, error) {
 	text, _, _ := strings.Cut(strings.TrimPrefix(string(key), prefixCrash), "/")
 
@@ -83,16 +83,16 @@
 	}
 
 	if c.key() != key {
-		return c, errors.Errorf("quarantine: %s is not the key of the crash that it has", key)
+		return c, errors.Errorf("quarantine: %s holds a crash that belongs under another key", key)
 	}
 
 	return c, nil
 }
 
-// Trial is one send of a quarantined request that finds out whether servers bear it
-// now. There are few, so that each has a number.
+// Trial is one send of a quarantined request that shows whether servers survive it now. There are
+// few trials, and each has a number.
 type Trial struct {
-	// Print has no caller where the trial is for all of them.
+	// Print has no caller if the trial is for all callers together.
 	Print Print
 	// Number counts from 1.
 	Number int
@@ -100,7 +100,7 @@
 	VM     carobward.VMID
 }
 
-// key returns the key of a trial.
+// key returns the store's key of the trial.
 func (t *Trial) key() carobward.Key {
 	return carobward.Key(prefixTrial + t.Print.String() + "/" + strconv.Itoa(t.Number))
 }
@@ -109,7 +109,7 @@
 	return proto.Marshal(&cwwire.Trial{At: t.At.UnixMilli(), Vm: string(t.VM)})
 }
 
-// decodeTrial reads what the store has of a trial.
+// decodeTrial decodes a trial record of the store.
 func decodeTrial(key carobward.Key, value []byte) (Trial, error) {
 	text, number, _ := strings.Cut(strings.TrimPrefix(string(key), prefixTrial), "/")
 
@@ -119,8 +119,8 @@
 	}
 
 	n, err := strconv.Atoi(number)
-	if err != nil || n < 1 || n > trialsMost {
-		return Trial{}, errors.Errorf("quarantine: %s has no number of a trial", key)
+	if err != nil || n < 1 || n > maxTrials {
+		return Trial{}, errors.Errorf("quarantine: key %s has no valid trial number", key)
 	}
 
 	var w cwwire.Trial
--- a/internal/cwquarantine/suspect.go
+++ b/internal/cwquarantine/suspect.go
@@ -7,115 +7,116 @@
 	"carobward.example/carobward"
 )
 
-// The rule by which a request is quarantined.
+// Parameters of the rule that quarantines a request.
 const (
-	// crashesMost is how many servers have to crash with a request of the same caller
-	// in flight, and no answer to it, before it is sent no more. One or two come by
-	// chance: an innocent request beside the one that ends servers is sent to a
-	// second one, and that may end, too.
-	crashesMost = 3
-	// sharedMost is the same for one request of several callers together. Others
-	// are refused for it who have not sent it yet, so it takes more.
-	sharedMost = 5
-	// ResendMost is from how many crashes on an entry VM no longer sends a request to a
-	// second server by itself. Its caller may still come back.
+	// crashThreshold is the number of servers that have to crash while a request of the same caller
+	// is in flight and unanswered before the request is quarantined. One or two crashes happen by
+	// chance: an innocent request beside the one that crashes servers is retried on a second
+	// server, and that may crash, too.
+	crashThreshold = 3
+	// sharedCrashThreshold is the same for one request of several callers together. It is higher
+	// because then the request is also refused to callers who have not sent it yet.
+	sharedCrashThreshold = 5
+	// ResendMost is the number of crashes from which an entry VM doesn't retry a request on a
+	// second server itself. The caller may still send it again.
 	ResendMost = 2
-	// trialFirst is how long after the last crash a quarantined request is sent once,
-	// in the whole fleet: an innocent one is answered, and is served from then on.
-	// trialNext is how long after that it is sent once more. A crash of the server
-	// costs the requests beside it, so there are trialsMost in all. Each caller whose
-	// own crashes hold a request has its own: all servers of a service may have ended
-	// at once, under requests that several callers had in flight at three of them.
-	trialFirst = 3 * time.Second
-	trialNext  = 30 * time.Second
-	trialsMost = 2
-	// keepTime is how long a crash is remembered. An operator who is called has seen
-	// to the servers by then, or lifts the quarantine before.
-	keepTime = time.Hour
-	// recordsMost bounds the crashes that are remembered, some 500 bytes each; requests
-	// that ended a server before may take as many again. keptMost bounds those of one
-	// request of one caller: more tell nothing new.
-	recordsMost = 256
-	keptMost    = 8
-	// recordsMany is from how many on the oldest are forgotten whose request ended
-	// no second server.
-	recordsMany = 128
+	// firstTrialDelay is how long after the last crash a quarantined request is sent once, by one
+	// entry VM of all: an innocent request is answered and then served again. trialInterval is how
+	// long after that it is sent once more. A crash of the server costs the requests beside it, so
+	// there are maxTrials in all. Each caller whose own crashes quarantine a request has its own
+	// trials: all servers of a service may have ended at once, while several callers had requests
+	// in flight on three of them.
+	firstTrialDelay = 3 * time.Second
+	trialInterval   = 30 * time.Second
+	maxTrials       = 2
+	// crashRetention is how long a crash is remembered. By then an operator who was alerted has
+	// repaired the servers, or has lifted the quarantine earlier.
+	crashRetention = time.Hour
+	// maxCrashes bounds the crashes that are remembered, some 500 bytes each; requests that have
+	// crashed a server before may take as many again. maxCallerCrashes bounds those of one request
+	// of one caller, since more of them add no information.
+	maxCrashes       = 256
+	maxCallerCrashes = 8
+	// pruneThreshold is the number of crashes above which those whose request crashed only one
+	// server are forgotten, the oldest first.
+	pruneThreshold = 128
 )
 
-// Decision says what happens to a request.
+// Decision says whether a request may be sent.
 type Decision struct {
-	// Held tells that it is not sent. It may come back after Wait.
+	// Held reports whether the request is quarantined and not sent. The caller may send it again
+	// after Wait.
 	Held bool
 	Wait time.Duration
-	// Trial is the one by which it may be sent all the same, once; its number is 0
-	// where there is none.
+	// Trial is the trial as which the request may be sent once all the same. Its number is 0 if
+	// there is none.
 	Trial Trial
 }
 
-// suspect is a request under which servers ended, of whichever caller.
+// suspect is a request that was in flight when servers crashed, of any caller.
 type suspect struct {
-	// callers has the crashes by caller and by server.
+	// callers holds the crashes by caller and by server.
 	callers map[Digest]map[Digest]Crash
-	// trials has when each trial was made, by caller; those for all callers together
-	// have none.
-	trials map[Digest][trialsMost]time.Time
+	// trials holds the time of each trial by caller, with an empty caller for the trials for all
+	// callers together.
+	trials map[Digest][maxTrials]time.Time
 }
 
 func newSuspect() *suspect {
-	return &suspect{callers: map[Digest]map[Digest]Crash{}, trials: map[Digest][trialsMost]time.Time{}}
+	return &suspect{callers: map[Digest]map[Digest]Crash{}, trials: map[Digest][maxTrials]time.Time{}}
 }
 
-// wall returns a time by its wall clock alone: what the store has comes from other
-// clocks, and the steady one stands still while a VM is suspended.
+// wall returns a time without its monotonic clock reading: records of the store come from other
+// clocks, and the monotonic clock stands still while a VM is suspended.
 func wall(now time.Time) time.Time { return now.Round(0) }
 
-// decide returns what happens to a request.
+// decide returns whether a request may be sent.
 func (s *suspect) decide(p Print, now time.Time) Decision {
-	own, last := count(s.callers[p.Caller], now)
-	if own >= crashesMost {
-		return s.hold(p, last, now)
+	own, last := countCrashes(s.callers[p.Caller], now)
+	if own >= crashThreshold {
+		return s.quarantine(p, last, now)
 	}
 
 	callers := 0
 
 	for _, list := range s.callers {
-		if n, _ := count(list, now); n > 0 {
+		if n, _ := countCrashes(list, now); n > 0 {
 			callers++
 		}
 	}
 
-	shared, last := count(s.all(), now)
-	if callers < 2 || shared < sharedMost {
+	shared, last := countCrashes(s.crashes(), now)
+	if callers < 2 || shared < sharedCrashThreshold {
 		return Decision{}
 	}
 
 	p.Caller = Digest{}
 
-	return s.hold(p, last, now)
+	return s.quarantine(p, last, now)
 }
 
-// hold returns what happens to a request that is quarantined for a caller, or for all of
-// them where the print has none, since the last crash that counts.
-func (s *suspect) hold(p Print, last, now time.Time) Decision {
+// quarantine returns the decision on a request that is quarantined for a caller, or for all callers
+// if the fingerprint has none. The argument last is the time of the last crash that counts.
+func (s *suspect) quarantine(p Print, last, now time.Time) Decision {
 	trials := s.trials[p.Caller]
-	due := last.Add(trialFirst)
+	due := last.Add(firstTrialDelay)
 
 	for n, at := range trials {
 		switch {
 		case !at.IsZero():
-			due = at.Add(trialNext)
+			due = at.Add(trialInterval)
 		case now.Before(due):
 			return Decision{Held: true, Wait: due.Sub(now)}
 		default:
-			return Decision{Held: true, Wait: trialNext, Trial: Trial{Print: p, Number: n + 1}}
+			return Decision{Held: true, Wait: trialInterval, Trial: Trial{Print: p, Number: n + 1}}
 		}
 	}
 
-	return Decision{Held: true, Wait: last.Add(keepTime).Sub(now)}
+	return Decision{Held: true, Wait: last.Add(crashRetention).Sub(now)}
 }
 
-// all returns the crashes under the request by server, of whichever caller.
-func (s *suspect) all() map[Digest]Crash {
+// crashes returns the crashes of all callers by server.
+func (s *suspect) crashes() map[Digest]Crash {
 	all := map[Digest]Crash{}
 
 	for _, list := range s.callers {
@@ -125,8 +126,8 @@
 	return all
 }
 
-// keysAt returns the keys of the crash of one server, one a caller.
-func (s *suspect) keysAt(server Digest) []carobward.Key {
+// crashKeys returns the store's keys of the crash of one server, one for each caller.
+func (s *suspect) crashKeys(server Digest) []carobward.Key {
 	var keys []carobward.Key
 
 	for _, list := range s.callers {
@@ -138,10 +139,10 @@
 	return keys
 }
 
-// count returns how many crashes are remembered, and the time of the last one.
-func count(list map[Digest]Crash, now time.Time) (n int, last time.Time) {
+// countCrashes returns the number of crashes that are not too old, and the time of the last one.
+func countCrashes(list map[Digest]Crash, now time.Time) (n int, last time.Time) {
 	for _, c := range list {
-		if now.Sub(c.At) >= keepTime {
+		if now.Sub(c.At) >= crashRetention {
 			continue
 		}
 
@@ -155,8 +156,8 @@
 	return n, last
 }
 
-// trialKeys returns the keys of the trials that were made for a caller.
-func (s *suspect) trialKeys(key content, caller Digest) []carobward.Key {
+// trialKeys returns the store's keys of the trials that were made for a caller.
+func (s *suspect) trialKeys(key contentKey, caller Digest) []carobward.Key {
 	var keys []carobward.Key
 
 	for n, at := range s.trials[caller] {
@@ -169,8 +170,8 @@
 	return keys
 }
 
-// allTrialKeys returns the keys of all trials that were made.
-func (s *suspect) allTrialKeys(key content) []carobward.Key {
+// allTrialKeys returns the store's keys of all trials that were made.
+func (s *suspect) allTrialKeys(key contentKey) []carobward.Key {
 	var keys []carobward.Key
 	for caller := range s.trials {
 		keys = append(keys, s.trialKeys(key, caller)...)
--- a/internal/cwquarantine/table.go
+++ b/internal/cwquarantine/table.go
@@ -10,45 +10,46 @@
 	"carobward.example/carobward"
 )
 
-// Table has the requests under which servers ended, and decides which of them are
-// sent no more. It is safe for use by several goroutines.
+// Table holds the requests that were in flight when servers crashed, and decides which of them are
+// quarantined. It is safe for concurrent use.
 type Table struct {
 	mutex    sync.RWMutex
-	contents map[content]*suspect
-	// lines counts the requests with a first part of the print.
-	lines map[Digest]int
-	// records counts the crashes.
-	records int
-	// full tells that there are any, so that requests have to be looked up.
-	full atomic.Bool
+	suspects map[contentKey]*suspect
+	// lineCounts counts the suspects by the first part of their fingerprint.
+	lineCounts map[Digest]int
+	// crashCount is the number of crashes.
+	crashCount int
+	// hasCrashes reports whether there are any crashes, and so whether requests have to be looked
+	// up.
+	hasCrashes atomic.Bool
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{contents: map[content]*suspect{}, lines: map[Digest]int{}}
+	return &Table{suspects: map[contentKey]*suspect{}, lineCounts: map[Digest]int{}}
 }
 
-// Watches tells whether a server ended under a request with this method, host, path and
-// query. It costs nothing while no server has ended.
+// Watches reports whether a server crashed with a request of this method, host, path and query in
+// flight. It costs nothing while there are no crashes.
 func (t *Table) Watches(c *carobward.Call) bool {
-	if !t.full.Load() {
+	if !t.hasCrashes.Load() {
 		return false
 	}
 
-	line := lineOf(c)
+	line := lineDigest(c)
 
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
 
-	return t.lines[line] > 0
+	return t.lineCounts[line] > 0
 }
 
-// Decide returns what happens to a request.
+// Decide returns whether a request may be sent.
 func (t *Table) Decide(p Print, now time.Time) Decision {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
 
-	s := t.contents[p.content()]
+	s := t.suspects[p.contentKey()]
 	if s == nil {
 		return Decision{}
 	}
@@ -56,22 +57,22 @@
 	return s.decide(p, wall(now))
 }
 
-// Crashes returns how many servers ended under a request of this caller.
+// Crashes returns the number of servers that crashed with this request of this caller in flight.
 func (t *Table) Crashes(p Print, now time.Time) int {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
 
-	s := t.contents[p.content()]
+	s := t.suspects[p.contentKey()]
 	if s == nil {
 		return 0
 	}
 
-	n, _ := count(s.callers[p.Caller], wall(now))
+	n, _ := countCrashes(s.callers[p.Caller], wall(now))
 
 	return n
 }
 
-// Add notes a crash. It tells whether that is news.
+// Add records a crash and reports whether it is new.
 func (t *Table) Add(c Crash, now time.Time) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -79,22 +80,22 @@
 	return t.add(c, wall(now))
 }
 
-// add notes a crash; the mutex is held. A time that another clock has in the future
-// counts as now: it would last for longer than it may.
+// add records a crash; the mutex must be held. A time in the future, which comes from another
+// clock, is replaced by now: the crash would be remembered for too long otherwise.
 func (t *Table) add(c Crash, now time.Time) bool {
 	if c.At = wall(c.At); c.At.After(now) {
 		c.At = now
 	}
 
-	key := c.Print.content()
-	s := t.contents[key]
+	key := c.Print.contentKey()
+	s := t.suspects[key]
 
 	if s == nil {
 		s = newSuspect()
 	}
 
 	list := s.callers[c.Print.Caller]
-	if _, ok := list[c.server()]; ok || !t.hasRoom(len(list)) {
+	if _, ok := list[c.serverDigest()]; ok || !t.hasRoom(len(list)) {
 		return false
 	}
 
@@ -103,43 +104,43 @@
 		s.callers[c.Print.Caller] = list
 	}
 
-	if t.contents[key] == nil {
-		t.contents[key] = s
-		t.lines[key.line]++
+	if t.suspects[key] == nil {
+		t.suspects[key] = s
+		t.lineCounts[key.line]++
 	}
 
-	list[c.server()] = c
-	t.records++
-	t.full.Store(true)
+	list[c.serverDigest()] = c
+	t.crashCount++
+	t.hasCrashes.Store(true)
 
 	return true
 }
 
-// hasRoom tells whether one more crash is remembered of a request that has some; the
-// mutex is held.
+// hasRoom reports whether one more crash can be recorded of a request that has this number of them;
+// the caller holds the mutex.
 func (t *Table) hasRoom(crashes int) bool {
-	most := recordsMost
+	most := maxCrashes
 	if crashes > 0 {
-		most += recordsMost
+		most += maxCrashes
 	}
 
-	return t.records < most && crashes < keptMost
+	return t.crashCount < most && crashes < maxCallerCrashes
 }
 
-// Change is what items of the store changed.
+// Change describes what changed in a table by items of the store.
 type Change struct {
-	// Added are crashes that are news, Held the requests that are quarantined since,
-	// and Freed those that are so no more.
+	// Added are the new crashes, Held the requests that became quarantined, and Freed those whose
+	// quarantine ended.
 	Added []Crash
 	Held  []Print
 	Freed []Print
-	// Alone are trials of requests under which no server ended.
+	// Alone are trials of requests without crashes.
 	Alone []Trial
-	// Wrong has what could not be read.
+	// Wrong holds the errors of records that could not be decoded.
 	Wrong []error
 }
 
-// Put takes changed items of the store, others than crashes and trials among them.
+// Put applies changed items of the store. Items other than crashes and trials are ignored.
 func (t *Table) Put(items []carobward.Item, now time.Time) Change {
 	var change Change
 
@@ -147,26 +148,26 @@
 
 	for i := range items {
 		if strings.HasPrefix(string(items[i].Key), prefixCrash) {
-			t.putCrash(&items[i], now, &change)
+			t.applyCrash(&items[i], now, &change)
 		}
 	}
 
-	// A trial is kept with the crashes that it belongs to.
+	// A trial is recorded only with crashes of its request, so crashes come first.
 	for i := range items {
 		if strings.HasPrefix(string(items[i].Key), prefixTrial) {
-			t.putTrial(&items[i], &change)
+			t.applyTrial(&items[i], &change)
 		}
 	}
 
 	return change
 }
 
-func (t *Table) putCrash(it *carobward.Item, now time.Time, change *Change) {
+func (t *Table) applyCrash(it *carobward.Item, now time.Time, change *Change) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
 	if it.Gone {
-		t.removeKey(it.Key, now, change)
+		t.removeCrashKey(it.Key, now, change)
 
 		return
 	}
@@ -178,54 +179,54 @@
 		return
 	}
 
-	before := t.isHeld(c.Print, now)
+	before := t.isQuarantined(c.Print, now)
 	if t.add(c, now) {
 		change.Added = append(change.Added, c)
 	}
 
-	if !before && t.isHeld(c.Print, now) {
+	if !before && t.isQuarantined(c.Print, now) {
 		change.Held = append(change.Held, c.Print)
 	}
 }
 
-// isHeld tells whether a request is quarantined; the mutex is held.
-func (t *Table) isHeld(p Print, now time.Time) bool {
-	s := t.contents[p.content()]
+// isQuarantined reports whether a request is quarantined; the mutex must be held.
+func (t *Table) isQuarantined(p Print, now time.Time) bool {
+	s := t.suspects[p.contentKey()]
 
 	return s != nil && s.decide(p, now).Held
 }
 
-// removeKey forgets the crash that a key stands for; the mutex is held.
-func (t *Table) removeKey(key carobward.Key, now time.Time, change *Change) {
+// removeCrashKey removes the crash with a key of the store; the mutex must be held.
+func (t *Table) removeCrashKey(key carobward.Key, now time.Time, change *Change) {
 	text, server, _ := strings.Cut(strings.TrimPrefix(string(key), prefixCrash), "/")
 
 	p, err := ParsePrint(text)
 	if err != nil {
-		return // It was never taken.
+		return // Such a record was never added.
 	}
 
-	before := t.isHeld(p, now)
+	before := t.isQuarantined(p, now)
 
-	if s := t.contents[p.content()]; s != nil {
+	if s := t.suspects[p.contentKey()]; s != nil {
 		for d := range s.callers[p.Caller] {
 			if d.String() == server {
-				t.remove(p, d)
+				t.removeCrash(p, d)
 			}
 		}
 	}
 
-	if before && !t.isHeld(p, now) {
+	if before && !t.isQuarantined(p, now) {
 		change.Freed = append(change.Freed, p)
 	}
 }
 
-// remove forgets one crash; the mutex is held.
-func (t *Table) remove(p Print, server Digest) {
-	key := p.content()
-	s := t.contents[key]
+// removeCrash removes one crash; the mutex must be held.
+func (t *Table) removeCrash(p Print, server Digest) {
+	key := p.contentKey()
+	s := t.suspects[key]
 
 	delete(s.callers[p.Caller], server)
-	t.records--
+	t.crashCount--
 
 	if len(s.callers[p.Caller]) == 0 {
 		delete(s.callers, p.Caller)
@@ -235,18 +236,18 @@
 		return
 	}
 
-	delete(t.contents, key)
+	delete(t.suspects, key)
 
-	if t.lines[key.line]--; t.lines[key.line] == 0 {
-		delete(t.lines, key.line)
+	if t.lineCounts[key.line]--; t.lineCounts[key.line] == 0 {
+		delete(t.lineCounts, key.line)
 	}
 
-	t.full.Store(t.records > 0)
+	t.hasCrashes.Store(t.crashCount > 0)
 }
 
-func (t *Table) putTrial(it *carobward.Item, change *Change) {
+func (t *Table) applyTrial(it *carobward.Item, change *Change) {
 	if it.Gone {
-		return // The crashes go with it, and the trials with them.
+		return // The crashes are removed as well, and the trials with them.
 	}
 
 	trial, err := decodeTrial(it.Key, it.Value)
@@ -261,12 +262,12 @@
 	}
 }
 
-// Tried notes a trial, and tells whether servers ended under its request.
+// Tried records a trial, and reports whether its request has crashes.
 func (t *Table) Tried(trial Trial) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
-	s := t.contents[trial.Print.content()]
+	s := t.suspects[trial.Print.contentKey()]
 	if s == nil {
 		return false
 	}
@@ -278,26 +279,26 @@
 	return true
 }
 
-// Answered forgets the crashes under a request that was answered: servers bear it. It
-// returns the keys that are to go from the store. What stays are those that alone
-// are enough to hold the request of another caller.
+// Answered removes the crashes of a request that was answered, since servers survive it. It returns
+// the keys to delete from the store. Crashes of other callers stay if they are enough to quarantine
+// the request for their caller.
 func (t *Table) Answered(p Print) []carobward.Key {
-	return t.forget(p.content(), func(caller Digest, crashes int) bool { return caller == p.Caller || crashes < crashesMost })
+	return t.forget(p.contentKey(), func(caller Digest, crashes int) bool { return caller == p.Caller || crashes < crashThreshold })
 }
 
-// Lift forgets the crashes under a request of all callers, and returns the keys that
-// are to go from the store.
+// Lift removes the crashes of a request for all callers and returns the keys to delete from the
+// store.
 func (t *Table) Lift(p Print) []carobward.Key {
-	return t.forget(p.content(), func(Digest, int) bool { return true })
+	return t.forget(p.contentKey(), func(Digest, int) bool { return true })
 }
 
-// forget removes the crashes under a request of the callers that goes names, and the
-// trials with the last of them.
-func (t *Table) forget(key content, goes func(caller Digest, crashes int) bool) []carobward.Key {
+// forget removes the crashes of a request for the callers for which goes returns true, and all
+// trials once no crash is left. It returns the keys to delete from the store.
+func (t *Table) forget(key contentKey, match func(caller Digest, crashes int) bool) []carobward.Key {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
-	s := t.contents[key]
+	s := t.suspects[key]
 	if s == nil {
 		return nil
 	}
@@ -305,7 +306,7 @@
 	var keys []carobward.Key
 
 	for caller, list := range s.callers {
-		if !goes(caller, len(list)) {
+		if !match(caller, len(list)) {
 			continue
 		}
 
@@ -314,7 +315,7 @@
 
 		for server, c := range list {
 			keys = append(keys, c.key())
-			t.remove(c.Print, server)
+			t.removeCrash(c.Print, server)
 		}
 	}
 
@@ -325,41 +326,40 @@
 	return keys
 }
 
-// Outdated returns up to a number of keys of the store that are to go: of crashes that
-// are too long ago and, where there are many, the oldest whose request ended no
-// second server.
+// Outdated returns up to a number of keys to delete from the store: those of crashes that are too
+// old and, if there are many crashes, of the oldest whose request crashed no second server.
 func (t *Table) Outdated(now time.Time, most int) []carobward.Key {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
 
 	var (
-		keys  []carobward.Key
-		alone []Crash
+		keys    []carobward.Key
+		singles []Crash
 	)
 
 	now = wall(now)
 
-	for key, s := range t.contents {
-		all := s.all()
+	for key, s := range t.suspects {
+		all := s.crashes()
 
-		// Once the last crash has gone nobody knows of the trials.
-		if n, _ := count(all, now); n == 0 {
+		// Once the last crash is removed, the table doesn't know the trials.
+		if n, _ := countCrashes(all, now); n == 0 {
 			keys = append(keys, s.allTrialKeys(key)...)
 		}
 
 		for _, c := range all {
 			switch {
-			case now.Sub(c.At) >= keepTime:
-				keys = append(keys, s.keysAt(c.server())...)
+			case now.Sub(c.At) >= crashRetention:
+				keys = append(keys, s.crashKeys(c.serverDigest())...)
 			case len(all) == 1:
-				alone = append(alone, c)
+				singles = append(singles, c)
 			}
 		}
 	}
 
-	slices.SortFunc(alone, func(a, b Crash) int { return a.At.Compare(b.At) })
+	slices.SortFunc(singles, func(a, b Crash) int { return a.At.Compare(b.At) })
 
-	for _, c := range alone[:max(0, min(len(alone), t.records-recordsMany))] {
+	for _, c := range singles[:max(0, min(len(singles), t.crashCount-pruneThreshold))] {
 		keys = append(keys, c.key())
 	}
 
--- a/internal/cwquarantine/table_test.go
+++ b/internal/cwquarantine/table_test.go
@@ -12,56 +12,56 @@
 
 var start = time.UnixMilli(1_700_000_000_000)
 
-// seen is what happened to requests, in short: crashes by caller and server.
-type seen struct {
+// crashSpec is a crash in short form.
+type crashSpec struct {
 	caller, server string
 	at             time.Duration
 }
 
-// sheet is a request.
-var sheet = carobward.Call{Method: "GET", Host: "club.example", URI: "/sheets/17"}
+// call is the request of these tests.
+var call = carobward.Call{Method: "GET", Host: "club.example", URI: "/sheets/17"}
 
-func printBy(caller string) Print { return PrintOf(&sheet, caller) }
+func fingerprintOf(caller string) Print { return PrintOf(&call, caller) }
 
-func (s seen) crash() Crash {
-	return Crash{Print: printBy(s.caller), Server: carobward.Instance(s.server), At: start.Add(s.at), VM: "vm-1", Request: "GET club.example/sheets/17"}
+func (s crashSpec) crash() Crash {
+	return Crash{Print: fingerprintOf(s.caller), Server: carobward.Instance(s.server), At: start.Add(s.at), VM: "vm-1", Request: "GET club.example/sheets/17"}
 }
 
-// TestDecide has crashes under one request against what happens to it next.
+// TestDecide checks the decision on a request after crashes and trials.
 func TestDecide(t *testing.T) {
 	const second = time.Second
 
-	three := []seen{{"a", "1", 0}, {"a", "2", 0}, {"a", "3", second}}
-	two := append([]seen{{"b", "1", 0}, {"b", "2", 0}, {"b", "3", second}}, three...)
-	forAll := printBy("a")
+	three := []crashSpec{{"a", "1", 0}, {"a", "2", 0}, {"a", "3", second}}
+	two := append([]crashSpec{{"b", "1", 0}, {"b", "2", 0}, {"b", "3", second}}, three...)
+	forAll := fingerprintOf("a")
 	forAll.Caller = Digest{}
-	shared := []seen{{"a", "1", 0}, {"a", "2", 0}, {"b", "3", 0}, {"b", "4", 0}, {"c", "5", second}}
+	shared := []crashSpec{{"a", "1", 0}, {"a", "2", 0}, {"b", "3", 0}, {"b", "4", 0}, {"c", "5", second}}
 
 	for name, c := range map[string]struct {
-		crashes []seen
+		crashes []crashSpec
 		trials  []time.Duration
 		after   time.Duration
 		caller  string
 		want    Decision
 	}{
-		"none":                     {nil, nil, 0, "a", Decision{}},
-		"two servers":              {three[:2], nil, 0, "a", Decision{}},
-		"the same server thrice":   {[]seen{three[0], three[0], three[0]}, nil, 0, "a", Decision{}},
-		"three servers":            {three, nil, 2 * second, "a", Decision{Held: true, Wait: 2 * second}},
-		"of another caller":        {three, nil, 2 * second, "b", Decision{}},
-		"time for a trial":         {three, nil, 6 * second, "a", Decision{Held: true, Trial: Trial{Print: printBy("a"), Number: 1}, Wait: trialNext}},
-		"after a trial":            {three, []time.Duration{6 * second}, 16 * second, "a", Decision{Held: true, Wait: 20 * second}},
-		"time for another trial":   {three, []time.Duration{6 * second}, 36 * second, "a", Decision{Held: true, Trial: Trial{Print: printBy("a"), Number: 2}, Wait: trialNext}},
-		"after another's trial":    {two, []time.Duration{6 * second}, 7 * second, "b", Decision{Held: true, Trial: Trial{Print: printBy("b"), Number: 1}, Wait: trialNext}},
-		"after the last trial":     {three, []time.Duration{6 * second, 36 * second}, 61 * second, "a", Decision{Held: true, Wait: keepTime - 60*second}},
-		"long after":               {three, []time.Duration{6 * second, 36 * second}, keepTime + second, "a", Decision{}},
-		"one too long ago":         {three, nil, keepTime, "a", Decision{}},
-		"four of several callers":  {shared[:4], nil, 0, "a", Decision{}},
-		"five of several callers":  {shared, nil, 2 * second, "a", Decision{Held: true, Wait: 2 * second}},
-		"time for all callers":     {shared, nil, 6 * second, "d", Decision{Held: true, Trial: Trial{Print: forAll, Number: 1}, Wait: trialNext}},
-		"five and another caller":  {shared, nil, 2 * second, "d", Decision{Held: true, Wait: 2 * second}},
-		"one server, five callers": {[]seen{{"a", "1", 0}, {"b", "1", 0}, {"c", "1", 0}, {"d", "1", 0}, {"e", "1", 0}}, nil, 0, "a", Decision{}},
-		"a clock that is ahead":    {[]seen{three[0], three[1], {"a", "3", 24 * time.Hour}}, nil, 2 * second, "a", Decision{Held: true, Wait: 3 * second}},
+		"none":                      {nil, nil, 0, "a", Decision{}},
+		"two servers":               {three[:2], nil, 0, "a", Decision{}},
+		"the same server thrice":    {[]crashSpec{three[0], three[0], three[0]}, nil, 0, "a", Decision{}},
+		"three servers":             {three, nil, 2 * second, "a", Decision{Held: true, Wait: 2 * second}},
+		"crashes of another caller": {three, nil, 2 * second, "b", Decision{}},
+		"time for a trial":          {three, nil, 6 * second, "a", Decision{Held: true, Trial: Trial{Print: fingerprintOf("a"), Number: 1}, Wait: trialInterval}},
+		"after a trial":             {three, []time.Duration{6 * second}, 16 * second, "a", Decision{Held: true, Wait: 20 * second}},
+		"time for another trial":    {three, []time.Duration{6 * second}, 36 * second, "a", Decision{Held: true, Trial: Trial{Print: fingerprintOf("a"), Number: 2}, Wait: trialInterval}},
+		"after another's trial":     {two, []time.Duration{6 * second}, 7 * second, "b", Decision{Held: true, Trial: Trial{Print: fingerprintOf("b"), Number: 1}, Wait: trialInterval}},
+		"after the last trial":      {three, []time.Duration{6 * second, 36 * second}, 61 * second, "a", Decision{Held: true, Wait: crashRetention - 60*second}},
+		"long after":                {three, []time.Duration{6 * second, 36 * second}, crashRetention + second, "a", Decision{}},
+		"one crash too long ago":    {three, nil, crashRetention, "a", Decision{}},
+		"four of several callers":   {shared[:4], nil, 0, "a", Decision{}},
+		"five of several callers":   {shared, nil, 2 * second, "a", Decision{Held: true, Wait: 2 * second}},
+		"time for all callers":      {shared, nil, 6 * second, "d", Decision{Held: true, Trial: Trial{Print: forAll, Number: 1}, Wait: trialInterval}},
+		"five, for another caller":  {shared, nil, 2 * second, "d", Decision{Held: true, Wait: 2 * second}},
+		"one server, five callers":  {[]crashSpec{{"a", "1", 0}, {"b", "1", 0}, {"c", "1", 0}, {"d", "1", 0}, {"e", "1", 0}}, nil, 0, "a", Decision{}},
+		"a clock that is ahead":     {[]crashSpec{three[0], three[1], {"a", "3", 24 * time.Hour}}, nil, 2 * second, "a", Decision{Held: true, Wait: 3 * second}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := NewTable()
@@ -72,29 +72,29 @@
 			}
 
 			for n, at := range c.trials {
-				table.Tried(Trial{Print: printBy("a"), Number: n + 1, At: start.Add(at)})
+				table.Tried(Trial{Print: fingerprintOf("a"), Number: n + 1, At: start.Add(at)})
 			}
 
-			if diff := cmp.Diff(c.want, table.Decide(printBy(c.caller), now)); diff != "" {
+			if diff := cmp.Diff(c.want, table.Decide(fingerprintOf(c.caller), now)); diff != "" {
 				t.Error(diff)
 			}
 		})
 	}
 }
 
-// TestAnswered wants an answer to end the quarantine of a request for its caller, and
-// for others where only all callers together gave cause for it.
+// TestAnswered checks that an answer ends the quarantine of a request for its caller, and also for
+// other callers if only the crashes of all callers together caused it.
 func TestAnswered(t *testing.T) {
-	crashes := []seen{{"a", "1", 0}, {"a", "2", 0}, {"a", "3", 0}, {"b", "4", 0}, {"b", "5", 0}, {"c", "1", 0}}
+	crashes := []crashSpec{{"a", "1", 0}, {"a", "2", 0}, {"a", "3", 0}, {"b", "4", 0}, {"b", "5", 0}, {"c", "1", 0}}
 
 	for name, c := range map[string]struct {
 		answered string
 		held     map[string]bool
 		keys     int
 	}{
-		"of the one that is quarantined": {"a", map[string]bool{"a": false, "b": false, "c": false, "d": false}, 6},
-		"of another one":                 {"b", map[string]bool{"a": true, "b": false, "c": false, "d": false}, 3},
-		"of a new one":                   {"d", map[string]bool{"a": true, "b": false, "c": false, "d": false}, 3},
+		"to the quarantined caller": {"a", map[string]bool{"a": false, "b": false, "c": false, "d": false}, 6},
+		"to another caller":         {"b", map[string]bool{"a": true, "b": false, "c": false, "d": false}, 3},
+		"to a new caller":           {"d", map[string]bool{"a": true, "b": false, "c": false, "d": false}, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := NewTable()
@@ -102,17 +102,17 @@
 				table.Add(s.crash(), start)
 			}
 
-			if !table.Decide(printBy("d"), start).Held {
-				t.Error("five servers ended under requests of several callers, another one may send it")
+			if !table.Decide(fingerprintOf("d"), start).Held {
+				t.Error("five servers crashed with requests of several callers, and another caller may still send it")
 			}
 
-			if keys := table.Answered(printBy(c.answered)); len(keys) != c.keys {
-				t.Errorf("%d keys go: %v", len(keys), keys)
+			if keys := table.Answered(fingerprintOf(c.answered)); len(keys) != c.keys {
+				t.Errorf("%d keys to delete: %v", len(keys), keys)
 			}
 
 			got := map[string]bool{}
 			for caller := range c.held {
-				got[caller] = table.Decide(printBy(caller), start).Held
+				got[caller] = table.Decide(fingerprintOf(caller), start).Held
 			}
 
 			if diff := cmp.Diff(c.held, got); diff != "" {
@@ -122,11 +122,11 @@
 	}
 }
 
-// TestPut wants a table that follows the store to decide as the one that wrote there,
-// also where it gets the trials before the crashes, and removals.
+// TestPut checks that a table that follows the store decides like the one whose crashes are there,
+// also if trials come before crashes, and after removals.
 func TestPut(t *testing.T) {
-	crashes := []seen{{"a", "1", 0}, {"a", "2", 0}, {"a", "3", 0}}
-	trial := Trial{Print: printBy("a"), Number: 1, At: start.Add(time.Second), VM: "vm-2"}
+	crashes := []crashSpec{{"a", "1", 0}, {"a", "2", 0}, {"a", "3", 0}}
+	trial := Trial{Print: fingerprintOf("a"), Number: 1, At: start.Add(time.Second), VM: "vm-2"}
 
 	raw, err := trial.encode()
 	if err != nil {
@@ -157,8 +157,8 @@
 		t.Error(diff)
 	}
 
-	want := Decision{Held: true, Wait: trialNext - time.Second}
-	if diff := cmp.Diff(want, table.Decide(printBy("a"), start.Add(2*time.Second))); diff != "" {
+	want := Decision{Held: true, Wait: trialInterval - time.Second}
+	if diff := cmp.Diff(want, table.Decide(fingerprintOf("a"), start.Add(2*time.Second))); diff != "" {
 		t.Error(diff)
 	}
 
@@ -166,63 +166,63 @@
 		items[i].Value, items[i].Gone = nil, true
 	}
 
-	if change := table.Put(items, start); len(change.Freed) != 1 || table.Watches(&sheet) {
+	if change := table.Put(items, start); len(change.Freed) != 1 || table.Watches(&call) {
 		t.Errorf("after the removal: %+v", change)
 	}
 }
 
-// TestRoom sends requests under which a server ends, each another one, and wants the
-// table to stay small and still to find one that ends several.
+// TestRoom records many requests with one crash each and one request with several. The table must
+// stay small and still quarantine the one with several.
 func TestRoom(t *testing.T) {
 	table := NewTable()
 
-	odd := func(n int) Crash {
-		c := seen{"a", fmt.Sprint(n), 0}.crash()
+	single := func(n int) Crash {
+		c := crashSpec{"a", fmt.Sprint(n), 0}.crash()
 		c.Print = PrintOf(&carobward.Call{URI: fmt.Sprint("/", n)}, "a")
 
 		return c
 	}
 
-	table.Add(seen{"a", "1", time.Hour}.crash(), start)
+	table.Add(crashSpec{"a", "1", time.Hour}.crash(), start)
 
-	for n := range 10 * recordsMost {
-		table.Add(odd(n), start)
+	for n := range 10 * maxCrashes {
+		table.Add(single(n), start)
 	}
 
-	for server := range 10 * keptMost {
-		table.Add(seen{"a", fmt.Sprint(server), 0}.crash(), start)
+	for server := range 10 * maxCallerCrashes {
+		table.Add(crashSpec{"a", fmt.Sprint(server), 0}.crash(), start)
 	}
 
-	if !table.Decide(printBy("a"), start).Held {
-		t.Error("a request that ends servers is sent on")
+	if !table.Decide(fingerprintOf("a"), start).Held {
+		t.Error("a request that crashes servers is not quarantined")
 	}
 
 	held, crashes := table.Counts(start)
-	if held != 1 || crashes > recordsMost+keptMost {
+	if held != 1 || crashes > maxCrashes+maxCallerCrashes {
 		t.Errorf("%d quarantined, %d crashes", held, crashes)
 	}
 
-	gone := table.Outdated(start, 10*recordsMost)
-	if got := crashes - len(gone); got != recordsMany {
-		t.Errorf("%d crashes stay", got)
+	gone := table.Outdated(start, 10*maxCrashes)
+	if got := crashes - len(gone); got != pruneThreshold {
+		t.Errorf("%d crashes stay after pruning", got)
 	}
 
 	for _, key := range gone {
 		table.Put([]carobward.Item{{Key: key, Gone: true}}, start)
 	}
 
-	if !table.Decide(printBy("a"), start).Held {
-		t.Error("the one that ends servers was forgotten")
+	if !table.Decide(fingerprintOf("a"), start).Held {
+		t.Error("the request that crashes servers was forgotten")
 	}
 
-	if later := start.Add(2 * keepTime); len(table.Outdated(later, 10*recordsMost)) < recordsMany {
-		t.Error("crashes of long ago stay")
+	if later := start.Add(2 * crashRetention); len(table.Outdated(later, 10*maxCrashes)) < pruneThreshold {
+		t.Error("old crashes stay")
 	}
 }
 
-// FuzzPut gives the table what another writer may have put where its records are.
+// FuzzPut applies arbitrary records that another writer may have stored under the table's keys.
 func FuzzPut(f *testing.F) {
-	c := seen{"a", "1", 0}.crash()
+	c := crashSpec{"a", "1", 0}.crash()
 
 	raw, err := c.encode()
 	if err != nil {
@@ -230,7 +230,7 @@
 	}
 
 	f.Add(string(c.key()), raw)
-	f.Add(string((&Trial{Print: printBy("a"), Number: 1}).key()), raw)
+	f.Add(string((&Trial{Print: fingerprintOf("a"), Number: 1}).key()), raw)
 	f.Add(prefixCrash, []byte("{}"))
 	f.Add(prefixTrial+"/9", []byte{})
 
@@ -239,7 +239,7 @@
 		items := []carobward.Item{{Key: carobward.Key(key), Value: value}}
 
 		if change := table.Put(items, start); len(change.Held) > 0 {
-			t.Errorf("one record holds a request: %+v", change)
+			t.Errorf("one record quarantines a request: %+v", change)
 		}
 
 		items[0].Gone = true
--- a/internal/cwquarantine/trial.go
+++ b/internal/cwquarantine/trial.go
@@ -9,9 +9,10 @@
 	"carobward.example/carobward"
 )
 
-// Try asks for the one send of a trial, which one entry VM of all gets.
+// Try claims a trial in the store, and reports whether this entry VM got it. Of all entry VMs, only
+// one gets a trial.
 func (k *Keeper) Try(t Trial) bool {
-	if !k.mayTry(k.Clock.Now()) {
+	if !k.mayClaim(k.Clock.Now()) {
 		return false
 	}
 
@@ -19,7 +20,8 @@
 
 	raw, err := t.encode()
 	if err == nil {
-		// The call has a bound of its own; an ended context would end others, too.
+		// The call has a timeout of its own. The context of the request may end, which would end
+		// other calls, too.
 		err = k.Feed.Write(context.Background(), carobward.Batch{
 			Absent: []carobward.Key{t.key()}, Writes: []carobward.Item{{Key: t.key(), Value: raw}},
 		})
@@ -27,12 +29,12 @@
 
 	if err == nil {
 		k.mutex.Lock()
-		k.acknowledge(t.key(), raw)
+		k.addUnconfirmed(t.key(), raw)
 		k.mutex.Unlock()
 	}
 
-	// Where the reply was lost this may have been the trial. Others don't make it
-	// then, nor does this entry VM.
+	// If the reply was lost, the claim may have succeeded. Then neither other entry VMs nor this
+	// one make the trial.
 	if !errors.Is(err, carobward.ErrStoreRefused) {
 		k.Table.Tried(t)
 	}
@@ -42,30 +44,30 @@
 		cause = err.Error()
 	}
 
-	k.Log.Info("Asked for a trial of a quarantined request.", "print", t.Print.String(), "number", t.Number, "granted", err == nil, "cause", cause)
+	k.Log.Info("Tried to claim a trial of a quarantined request.", "print", t.Print.String(), "number", t.Number, "granted", err == nil, "cause", cause)
 
 	return err == nil
 }
 
-// mayTry tells whether the store is asked for a trial now.
-func (k *Keeper) mayTry(now time.Time) bool {
+// mayClaim reports whether to claim a trial in the store now.
+func (k *Keeper) mayClaim(now time.Time) bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 
-	if now.Sub(k.tried) < tryTime || now.Sub(k.Word()) >= servedTime {
+	if now.Sub(k.lastClaim) < claimInterval || now.Sub(k.Word()) >= availableTime {
 		return false
 	}
 
-	k.tried = now
+	k.lastClaim = now
 
 	return true
 }
 
-// ErrNoSuch is the error of a request that is not remembered.
+// ErrNoSuch is the error of a request without crashes.
 const ErrNoSuch = errors.ConstError("quarantine: no server ended under this request")
 
-// Lift ends the quarantine of a request for all entry VMs, and returns once the store
-// has it. The crashes under it count no more.
+// Lift ends the quarantine of a request on all entry VMs, and returns once the store has deleted
+// its crashes.
 func (k *Keeper) Lift(p Print) error {
 	keys := k.Table.Lift(p)
 	if len(keys) == 0 {
@@ -73,25 +75,25 @@
 	}
 
 	for len(keys) > 0 {
-		n := min(len(keys), batchMost)
+		n := min(len(keys), maxBatch)
 
 		if err := k.Feed.Write(context.Background(), carobward.Batch{Deletes: keys[:n]}); err != nil {
-			k.remove(keys)
-			k.Log.Info("A quarantine was lifted here, the store is told later.", "print", p.String(), "cause", err.Error())
+			k.removeKeys(keys)
+			k.Log.Info("Lifted a quarantine on this entry VM, the store will be updated later.", "print", p.String(), "cause", err.Error())
 
 			return err
 		}
 
 		k.mutex.Lock()
 		for _, key := range keys[:n] {
-			k.acknowledge(key, nil)
+			k.addUnconfirmed(key, nil)
 		}
 		k.mutex.Unlock()
 
 		keys = keys[n:]
 	}
 
-	k.Log.Info("A quarantine was lifted.", "print", p.String())
+	k.Log.Info("Lifted a quarantine.", "print", p.String())
 
 	return nil
 }
--- a/internal/cwquarantine/write.go
+++ b/internal/cwquarantine/write.go
@@ -7,30 +7,31 @@
 	"carobward.example/carobward"
 )
 
-// remove clears keys from the store. A crash that was never on its way there never is;
-// after a call whose reply was lost, or is just being taken, the store may have it.
-func (k *Keeper) remove(keys []carobward.Key) {
-	gone := map[carobward.Key][]byte{}
+// removeKeys deletes keys from the store. A crash that was not yet part of any call is dropped
+// instead. After a call whose reply was lost or is just being handled, the store may have the
+// crash.
+func (k *Keeper) removeKeys(keys []carobward.Key) {
+	deletes := map[carobward.Key][]byte{}
 
 	k.mutex.Lock()
 	for _, key := range keys {
-		if value, waits := k.pending[key]; waits && value != nil && !k.sent[key] {
+		if value, waits := k.pending[key]; waits && value != nil && !k.attempted[key] {
 			delete(k.pending, key)
 		} else {
-			gone[key] = nil
+			deletes[key] = nil
 		}
 	}
 	k.mutex.Unlock()
 
-	k.put(gone)
+	k.enqueue(deletes)
 }
 
-// put has changes written by Run.
-func (k *Keeper) put(changes map[carobward.Key][]byte) {
+// enqueue queues changes for Run.
+func (k *Keeper) enqueue(changes map[carobward.Key][]byte) {
 	k.mutex.Lock()
 	for key, value := range changes {
-		// What replaces a change that waits needs no room: a removal must not be dropped.
-		if _, waits := k.pending[key]; waits || len(k.pending) < pendingMost {
+		// Replacing a queued change needs no room, and a removal must not be dropped.
+		if _, waits := k.pending[key]; waits || len(k.pending) < maxPending {
 			k.pending[key] = value
 		} else {
 			k.dropped++
@@ -44,11 +45,11 @@
 	}
 }
 
-// Run writes what is to be shared until the context ends.
+// Run writes the queued changes to the store until the context ends.
 func (k *Keeper) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if k.waits() {
-			carobward.Pause(ctx, gatherTime)
+		if k.canWrite() {
+			carobward.Pause(ctx, batchDelay)
 			k.write(ctx)
 
 			continue
@@ -57,20 +58,20 @@
 		select {
 		case <-ctx.Done():
 		case <-k.wake:
-		case <-time.After(idleTime):
-			k.writeAgain(k.Era())
-			k.clean(k.Clock.Now())
+		case <-time.After(pollInterval):
+			k.rewriteLost(k.Era())
+			k.cleanUp(k.Clock.Now())
 		}
 	}
 }
 
-// waits tells whether there are changes to write and a store that may take them. Calls
-// to one that is away are paid for, too; another entry VM asks it for all.
-func (k *Keeper) waits() bool {
+// canWrite reports whether there are changes to write and the store is available. Calls to an
+// unavailable store are paid for, too, and another entry VM checks for all whether it is back.
+func (k *Keeper) canWrite() bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 
-	return len(k.pending) > 0 && k.Clock.Now().Sub(k.Word()) < servedTime
+	return len(k.pending) > 0 && k.Clock.Now().Sub(k.Word()) < availableTime
 }
 
 // write writes some of the changes in one call.
@@ -79,15 +80,15 @@
 	err := k.Feed.Write(ctx, batch)
 
 	if err == nil {
-		k.wrote(batch)
-		k.back = 0
+		k.handleWritten(batch)
+		k.backoff = 0
 
 		return
 	}
 
-	k.back = min(backMost, max(backFirst, 2*k.back))
-	k.Log.Info("Records could not be written.", "keys", len(batch.Writes)+len(batch.Deletes), "again", k.back.String(), "cause", err.Error())
-	carobward.Pause(ctx, k.back)
+	k.backoff = min(maxBackoff, max(minBackoff, 2*k.backoff))
+	k.Log.Info("Records could not be written to the store.", "keys", len(batch.Writes)+len(batch.Deletes), "again", k.backoff.String(), "cause", err.Error())
+	carobward.Pause(ctx, k.backoff)
 }
 
 // batch returns the changes of one call.
@@ -98,11 +99,11 @@
 	defer k.mutex.Unlock()
 
 	for key, value := range k.pending {
-		if len(b.Writes)+len(b.Deletes) == batchMost {
+		if len(b.Writes)+len(b.Deletes) == maxBatch {
 			break
 		}
 
-		k.sent[key] = true
+		k.attempted[key] = true
 
 		if value == nil {
 			b.Deletes = append(b.Deletes, key)
@@ -114,83 +115,84 @@
 	return b
 }
 
-// wrote notes that changes were written, unless others of a key came meanwhile.
-func (k *Keeper) wrote(b carobward.Batch) {
+// handleWritten finishes changes that were written, except where the queued change of a key was
+// replaced by an opposite one meanwhile.
+func (k *Keeper) handleWritten(b carobward.Batch) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 
 	for i := range b.Writes {
 		if key := b.Writes[i].Key; k.pending[key] != nil {
-			k.done(key)
+			k.finish(key)
 		}
 	}
 
 	for _, key := range b.Deletes {
 		if value, ok := k.pending[key]; ok && value == nil {
-			k.done(key)
+			k.finish(key)
 		}
 	}
 }
 
-// done notes a change that the store has; the mutex is held.
-func (k *Keeper) done(key carobward.Key) {
-	k.acknowledge(key, k.pending[key])
+// finish removes a change that the store has from the queue; the mutex must be held.
+func (k *Keeper) finish(key carobward.Key) {
+	k.addUnconfirmed(key, k.pending[key])
 	delete(k.pending, key)
-	delete(k.sent, key)
+	delete(k.attempted, key)
 }
 
-// acknowledge notes a value that the store acknowledged, or a removal as nil; the mutex is
-// held.
-func (k *Keeper) acknowledge(key carobward.Key, value []byte) {
-	if len(k.unseen) < pendingMost {
-		k.unseen[key] = value
+// addUnconfirmed records a value that the store acknowledged, or a removal as nil; the mutex must
+// be held.
+func (k *Keeper) addUnconfirmed(key carobward.Key, value []byte) {
+	if len(k.unconfirmed) < maxPending {
+		k.unconfirmed[key] = value
 	}
 }
 
-// saw notes that the copy of the store has changes.
-func (k *Keeper) saw(items []carobward.Item) {
+// confirm forgets unconfirmed changes that have arrived in the replica.
+func (k *Keeper) confirm(items []carobward.Item) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 
 	for i := range items {
-		delete(k.unseen, items[i].Key)
+		delete(k.unconfirmed, items[i].Key)
 	}
 }
 
-// writeAgain has changes written again that the copy had not had before the store came back
-// from a copy, in another era.
-func (k *Keeper) writeAgain(era carobward.StoreEra) {
+// rewriteLost queues the unconfirmed changes again if the store is in another era: it was restored
+// from a backup and may have lost them.
+func (k *Keeper) rewriteLost(era carobward.StoreEra) {
 	k.mutex.Lock()
-	lost := k.unseen
+	lost := k.unconfirmed
 
 	if era == k.era {
 		lost = nil
 	} else {
-		k.era, k.unseen = era, map[carobward.Key][]byte{}
+		k.era, k.unconfirmed = era, map[carobward.Key][]byte{}
 	}
 	k.mutex.Unlock()
 
 	if len(lost) > 0 {
-		k.Log.Info("Records that the store may have lost are written again.", "keys", len(lost), "era", era)
-		k.put(lost)
+		k.Log.Info("Writing records again that the store may have lost.", "keys", len(lost), "era", era)
+		k.enqueue(lost)
 	}
 }
 
-// clean clears outdated records away, on one entry VM for all.
-func (k *Keeper) clean(now time.Time) {
-	if now.Sub(k.cleaned) < cleanTime || !k.Leads() {
+// cleanUp deletes outdated records, on one entry VM for all.
+func (k *Keeper) cleanUp(now time.Time) {
+	if now.Sub(k.lastCleanup) < cleanupInterval || !k.Leads() {
 		return
 	}
 
-	k.cleaned = now
+	k.lastCleanup = now
 
-	if keys := k.Table.Outdated(now, batchMost); len(keys) > 0 {
-		k.Log.Info("Outdated records are cleared away.", "keys", len(keys))
-		k.remove(keys)
+	if keys := k.Table.Outdated(now, maxBatch); len(keys) > 0 {
+		k.Log.Info("Deleting outdated records.", "keys", len(keys))
+		k.removeKeys(keys)
 	}
 }
 
-// Waiting returns how many changes wait for the store.
+// Waiting returns the number of changes that are queued for the store.
 func (k *Keeper) Waiting() int {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -198,7 +200,7 @@
 	return len(k.pending)
 }
 
-// Dropped returns how many changes were dropped since too many waited.
+// Dropped returns the number of changes that were dropped because the queue was full.
 func (k *Keeper) Dropped() int64 {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
