--- a/internal/cwgateway/restore_test.go
+++ b/internal/cwgateway/restore_test.go
@@ -159,7 +159,7 @@
 
 			all := slices.Concat(r.vms, []*vm{next})
 
-			for end := time.Now().Add(2 * cwmirror.LapseTime); time.Now().Before(end); {
+			for end := time.Now().Add(2 * cwmirror.ReregisterTime); time.Now().Before(end); {
 				for _, v := range all {
 					if near, answered := r.shares(v); near > 0 || answered == 0 {
 						t.Fatalf("%d requests at the server, %d answered", near, answered)
--- a/internal/cwgateway/stay.go
+++ b/internal/cwgateway/stay.go
@@ -30,7 +30,7 @@
 	case a.IsRouting(it.Key):
 		return carobward.Always
 	case a.IsBackend(it.Key) && !it.Gone:
-		return cwmirror.LapseTime
+		return cwmirror.ReregisterTime
 	case a.IsBackend(it.Key):
 		return goneTime
 	default:
--- a/internal/cwmesh/restore_test.go
+++ b/internal/cwmesh/restore_test.go
@@ -106,7 +106,7 @@
 			case it.Gone:
 				return goneAge
 			default:
-				return cwmirror.LapseTime
+				return cwmirror.ReregisterTime
 			}
 		},
 	})
--- a/internal/cwmirror/era.go
+++ b/internal/cwmirror/era.go
@@ -7,10 +7,10 @@
 	"carobward.example/carobward"
 )
 
-// LapseTime is for how long after an outage or a restore of the store the entries of live servers
+// ReregisterTime is for how long after an outage or a restore of the store the entries of live servers
 // may be missing from it. Servers write their entries again within about two seconds, and the
 // change then has to reach this entry VM.
-const LapseTime = 2200 * time.Millisecond
+const ReregisterTime = 2200 * time.Millisecond
 
 // origin describes how a replica entered its era: from which state, at which index of the new era,
 // and with which keys changed. A replica at that same state needs only these keys to follow.
@@ -41,7 +41,7 @@
 
 	m.items, m.tombstones, m.gaps, m.floor = map[carobward.Key]record{}, 0, nil, 0
 	m.state = State{Era: c.Era, Index: c.Index, Top: c.Index, Version: before.Version}
-	m.holdUntil(now.Add(LapseTime))
+	m.holdUntil(now.Add(ReregisterTime))
 
 	if !c.Whole {
 		for key, it := range old {
--- a/internal/cwmirror/kept.go
+++ b/internal/cwmirror/kept.go
@@ -21,7 +21,7 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
-	m.holdUntil(now.Add(LapseTime))
+	m.holdUntil(now.Add(ReregisterTime))
 }
 
 func (m *Mirror) holdUntil(until time.Time) {
