--- a/internal/cwgateway/stay.go
+++ b/internal/cwgateway/stay.go
@@ -19,7 +19,7 @@
 
 // newMirror returns an empty copy of the store.
 func newMirror(a *Adapter) *cwmirror.Mirror {
-	return cwmirror.New(cwmirror.Options{Rank: a.Rank, Stay: a.stay, IsRouting: a.IsRouting, IsBackend: a.IsBackend})
+	return cwmirror.New(cwmirror.Options{Rank: a.Rank, Retention: a.stay, IsRouting: a.IsRouting, IsBackend: a.IsBackend})
 }
 
 // stay returns for how long an item stays in force that a store came back without. A
--- a/internal/cwmesh/restore_test.go
+++ b/internal/cwmesh/restore_test.go
@@ -99,7 +99,7 @@
 
 	v.mesh.Mirror = cwmirror.New(cwmirror.Options{
 		Rank: rankOf, IsRouting: isRouting, IsBackend: func(k carobward.Key) bool { return !isRouting(k) },
-		Stay: func(it carobward.Item) time.Duration {
+		Retention: func(it carobward.Item) time.Duration {
 			switch {
 			case isRouting(it.Key):
 				return carobward.Always
--- a/internal/cwmesh/sim_test.go
+++ b/internal/cwmesh/sim_test.go
@@ -96,8 +96,8 @@
 	no := func(carobward.Key) bool { return false }
 
 	return cwmirror.New(cwmirror.Options{
-		Rank: func(carobward.Key, []byte) carobward.Rank { return carobward.Rank{} },
-		Stay: func(carobward.Item) time.Duration { return time.Minute }, IsRouting: no, IsBackend: no,
+		Rank:      func(carobward.Key, []byte) carobward.Rank { return carobward.Rank{} },
+		Retention: func(carobward.Item) time.Duration { return time.Minute }, IsRouting: no, IsBackend: no,
 	})
 }
 
--- a/internal/cwmirror/era.go
+++ b/internal/cwmirror/era.go
@@ -136,7 +136,7 @@
 		delete(m.kept, was.Key)
 		m.addTombstone(was.Key, rank)
 	case was.Gone && !rank.Before(m.rankOf(current)), !was.Gone && !exists, !was.Gone && m.rankOf(current).Before(rank):
-		m.keep(was.Item, rank, now.Add(m.Stay(was.Item)))
+		m.keep(was.Item, rank, now.Add(m.Retention(was.Item)))
 	case was.Gone || !bytes.Equal(was.Value, current.Value):
 		delete(m.kept, was.Key)
 
--- a/internal/cwmirror/mirror.go
+++ b/internal/cwmirror/mirror.go
@@ -50,8 +50,8 @@
 type Options struct {
 	// Rank returns the rank of a value.
 	Rank func(carobward.Key, []byte) carobward.Rank
-	// Stay returns for how long an item stays effective after the store was restored without it.
-	Stay func(carobward.Item) time.Duration
+	// Retention returns for how long an item stays effective after the store was restored without it.
+	Retention func(carobward.Item) time.Duration
 	// IsRouting reports whether a key holds the operators' configuration, IsBackend whether it
 	// holds a server's entry.
 	IsRouting func(carobward.Key) bool
--- a/internal/cwmirror/mirror_test.go
+++ b/internal/cwmirror/mirror_test.go
@@ -50,7 +50,7 @@
 
 	return New(Options{
 		Rank: rankOf, IsRouting: isRouting, IsBackend: func(k carobward.Key) bool { return !isRouting(k) },
-		Stay: func(it carobward.Item) time.Duration {
+		Retention: func(it carobward.Item) time.Duration {
 			if isRouting(it.Key) {
 				return carobward.Always
 			}
