--- a/internal/cwfollow/follower.go
+++ b/internal/cwfollow/follower.go
@@ -212,6 +212,6 @@
 	}
 
 	f.Log.Info("Received changes from the store.", "era", c.Era, "index", c.Index, "copy", before.Index, "whole", c.Whole,
-		"keys", len(c.Items), "changed", changed, "kept", f.Mirror.State().Kept, "held", f.Mirror.Held(now).String())
+		"keys", len(c.Items), "changed", changed, "kept", f.Mirror.State().Kept, "held", f.Mirror.HoldRemaining(now).String())
 	carobward.Pause(ctx, batchDelay)
 }
--- a/internal/cwfollow/outage.go
+++ b/internal/cwfollow/outage.go
@@ -74,5 +74,5 @@
 		f.Mirror.Hold(now)
 	}
 
-	f.Log.Info("The store is back.", "away", away.String(), "hold", f.Mirror.Held(now) > 0)
+	f.Log.Info("The store is back.", "away", away.String(), "hold", f.Mirror.HoldRemaining(now) > 0)
 }
--- a/internal/cwmesh/answer.go
+++ b/internal/cwmesh/answer.go
@@ -41,7 +41,7 @@
 
 	m.answered(asked, now)
 
-	c.Hold = m.Mirror.Held(now)
+	c.Hold = m.Mirror.HoldRemaining(now)
 	m.TellFleet(&c)
 
 	return changed, nil
--- a/internal/cwmesh/fetch.go
+++ b/internal/cwmesh/fetch.go
@@ -313,7 +313,7 @@
 	out.GapFrom, out.GapTo = reply.GetGapFrom(), reply.GetGapTo()
 	out.Era, out.AfterEra = reply.GetEra(), reply.GetAfterEra()
 	// Times that are left are those of this moment.
-	out.Kept, out.Hold = wireKept(a.mesh.Mirror.Kept(now)), uint32(a.mesh.Mirror.Held(now).Milliseconds())
+	out.Kept, out.Hold = wireKept(a.mesh.Mirror.Kept(now)), uint32(a.mesh.Mirror.HoldRemaining(now).Milliseconds())
 	out.Fresh, out.Checked = encodeFresh(claim.answered, now), encodeFresh(claim.asked, now)
 	out.By, out.Nth = claim.by, claim.nth
 
--- a/internal/cwmirror/kept.go
+++ b/internal/cwmirror/kept.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// Held returns for how much longer removals are held back.
-func (m *Mirror) Held(now time.Time) time.Duration {
+// HoldRemaining returns for how much longer removals are held back.
+func (m *Mirror) HoldRemaining(now time.Time) time.Duration {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
