--- a/internal/cwmesh/answer.go
+++ b/internal/cwmesh/answer.go
@@ -31,7 +31,7 @@
 		return 0, errors.Annotatef(carobward.ErrHistory, "era %d, the copy has %d", c.Era, before.Era)
 	}
 
-	changed := m.Mirror.Take(c, now, m.Changed)
+	changed := m.Mirror.ApplyAndNotify(c, now, m.Changed)
 
 	if enters {
 		m.Log.Info("The store came back from a copy.", "era", c.Era, "index", c.Index, "before", before.Era, "copy", before.Index,
--- a/internal/cwmesh/fetch.go
+++ b/internal/cwmesh/fetch.go
@@ -233,7 +233,7 @@
 
 	m.asked.Store(true)
 
-	changed := m.Mirror.Take(c, m.Clock.Now(), m.Changed)
+	changed := m.Mirror.ApplyAndNotify(c, m.Clock.Now(), m.Changed)
 	m.Log.Info("Took changes from a peer.", "from", string(from), "after", own.Index, "era", c.Era, "index", c.Index,
 		"whole", c.Whole, "kept", len(c.Kept), "changed", changed)
 
--- a/internal/cwmesh/push.go
+++ b/internal/cwmesh/push.go
@@ -89,7 +89,7 @@
 		return
 	}
 
-	changed := m.Mirror.Take(c, m.Clock.Now(), m.Changed)
+	changed := m.Mirror.ApplyAndNotify(c, m.Clock.Now(), m.Changed)
 	m.Log.Info("Took changes of a heartbeat.", "vm", in.GetId(), "after", c.After, "era", c.Era, "index", c.Index, "changed", changed)
 	m.setPush(&c)
 }
--- a/internal/cwmirror/era_test.go
+++ b/internal/cwmirror/era_test.go
@@ -141,7 +141,7 @@
 			}
 
 			for i := range c.changes {
-				m.Take(c.changes[i], start, deliver)
+				m.ApplyAndNotify(c.changes[i], start, deliver)
 			}
 
 			check(c.want)
--- a/internal/cwmirror/mirror.go
+++ b/internal/cwmirror/mirror.go
@@ -114,10 +114,10 @@
 	return m.effective(key).Value
 }
 
-// Take applies changes as Apply does and passes the items that took effect to changed, in the order
+// ApplyAndNotify applies changes as Apply does and passes the items that took effect to changed, in the order
 // in which they were applied: otherwise an older entry of a server could replace a newer one that
 // came from elsewhere at the same moment. It returns the number of items.
-func (m *Mirror) Take(c carobward.Changes, now time.Time, changed func([]carobward.Item)) int {
+func (m *Mirror) ApplyAndNotify(c carobward.Changes, now time.Time, changed func([]carobward.Item)) int {
 	m.delivery.Lock()
 	defer m.delivery.Unlock()
 
--- a/internal/cwmirror/mirror_test.go
+++ b/internal/cwmirror/mirror_test.go
@@ -193,7 +193,7 @@
 
 	group.Go(func() {
 		older := carobward.Changes{Index: 1, Items: []carobward.Item{{Key: "servers/i", Index: 1}}}
-		m.Take(older, start, func(items []carobward.Item) {
+		m.ApplyAndNotify(older, start, func(items []carobward.Item) {
 			close(began)
 
 			select {
@@ -208,7 +208,7 @@
 		<-began
 
 		newer := carobward.Changes{Index: 2, Items: []carobward.Item{{Key: "servers/i", Index: 2}}}
-		m.Take(newer, start, func(items []carobward.Item) { last = items[0].Index })
+		m.ApplyAndNotify(newer, start, func(items []carobward.Item) { last = items[0].Index })
 		close(taken)
 	})
 	group.Wait()
