--- a/internal/cwmirror/era_test.go
+++ b/internal/cwmirror/era_test.go
@@ -38,9 +38,9 @@
 	return list
 }
 
-// TestEra restores the store from a backup and checks that items it acknowledged before stay
+// TestRestore restores the store from a backup and checks that items it acknowledged before stay
 // effective until they are written again or their time is over.
-func TestEra(t *testing.T) {
+func TestRestore(t *testing.T) {
 	before := inEra(1, whole(6, ranked("op/config", 4, 6), ranked("a", 1, 1), ranked("b", 2, 5)))
 	removed := inEra(1, changes(7, gone("b", 7)))
 	removed.After = 6
