--- a/internal/cwmirror/era_test.go
+++ b/internal/cwmirror/era_test.go
@@ -151,9 +151,9 @@
 	}
 }
 
-// TestEntry brings a replica into an era by the changed keys alone if it is at the state from which
+// TestEraEntry brings a replica into an era by the changed keys alone if it is at the state from which
 // the other replica entered it, and by all keys otherwise.
-func TestEntry(t *testing.T) {
+func TestEraEntry(t *testing.T) {
 	list := inEra(1, whole(3, ranked("a", 1, 1), ranked("b", 1, 2), ranked("c", 1, 3)))
 	next := inEra(1, changes(4, ranked("c", 2, 4)))
 	next.After = 3
