--- a/internal/cwmirror/era_test.go
+++ b/internal/cwmirror/era_test.go
@@ -207,9 +207,9 @@
 	}
 }
 
-// TestLateEntry delivers changes from one era into another to a replica that has moved on since it
+// TestLateEraEntry delivers changes from one era into another to a replica that has moved on since it
 // asked. They must not be applied, whatever its index is.
-func TestLateEntry(t *testing.T) {
+func TestLateEraEntry(t *testing.T) {
 	list := inEra(1, whole(3, ranked("a", 1, 1), ranked("b", 1, 2), ranked("c", 1, 3)))
 	next := inEra(1, changes(4, ranked("c", 2, 4)))
 	next.After = 3
