--- a/internal/cwmirror/era_test.go
+++ b/internal/cwmirror/era_test.go
@@ -240,9 +240,9 @@
 	}
 }
 
-// TestEntryUnlikeOthers checks that a replica that had items beyond its index doesn't bring another
+// TestNoOriginBeyondIndex checks that a replica that had items beyond its index doesn't bring another
 // one into an era by the changed keys alone: the other one may lack those items.
-func TestEntryUnlikeOthers(t *testing.T) {
+func TestNoOriginBeyondIndex(t *testing.T) {
 	list := inEra(1, whole(3, ranked("a", 1, 1), ranked("b", 1, 2), ranked("c", 1, 3)))
 	beyond := inEra(1, changes(7, ranked("c", 3, 7)))
 	beyond.After = 6
