--- a/internal/cwmirror/model_test.go
+++ b/internal/cwmirror/model_test.go
@@ -147,9 +147,9 @@
 	return c
 }
 
-// TestNewcomer guards against removed keys that stay: a new replica lists the store after a key was
+// TestNewReplica guards against removed keys that stay: a new replica lists the store after a key was
 // removed, and then updates a replica that still has the key.
-func TestNewcomer(t *testing.T) {
+func TestNewReplica(t *testing.T) {
 	old, newcomer := newMirror(), newMirror()
 	old.Apply(whole(3, item("a", 1), item("b", 3)), start)
 	newcomer.Apply(whole(5, item("a", 1), item("c", 5)), start)
