--- a/internal/cwmirror/mirror_test.go
+++ b/internal/cwmirror/mirror_test.go
@@ -179,9 +179,9 @@
 	}
 }
 
-// TestTakeOrder applies a newer item of a key while an older one is still being passed on, as
+// TestNotifyOrder applies a newer item of a key while an older one is still being passed on, as
 // happens if one comes from the store and one from a peer. The newer one must be passed on last.
-func TestTakeOrder(t *testing.T) {
+func TestNotifyOrder(t *testing.T) {
 	m := newMirror()
 
 	var (
