--- a/internal/cwfollow/duty_test.go
+++ b/internal/cwfollow/duty_test.go
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestMustAsk(t *testing.T) {
+func TestShouldQuery(t *testing.T) {
 	for name, c := range map[string]struct {
 		place int
 		age   time.Duration
