--- a/internal/cwfollow/duty_test.go
+++ b/internal/cwfollow/duty_test.go
@@ -263,9 +263,9 @@
 	}
 }
 
-// TestPatience checks that after a restart all entry VMs of a small fleet query the store at once,
+// TestPeerWait checks that after a restart all entry VMs of a small fleet query the store at once,
 // and in a large fleet only seeds and those that the list names.
-func TestPatience(t *testing.T) {
+func TestPeerWait(t *testing.T) {
 	self := cwmesh.Node{ID: "1", Domain: "a"}
 	large := []cwmesh.Summary{{Domain: "a", Size: smallFleet}, {Domain: "b", Size: smallFleet}}
 	named := []cwmesh.Summary{{Domain: "a", Size: 10 * smallFleet, Nodes: []cwmesh.Node{self}}}
