--- a/internal/cwfollow/duty_test.go
+++ b/internal/cwfollow/duty_test.go
@@ -182,9 +182,9 @@
 	}
 }
 
-// TestBackOff checks the pause of an entry VM: its own if only this entry VM lost the store, and a
+// TestBackoffPause checks the pause of an entry VM: its own if only this entry VM lost the store, and a
 // longer one the more others lost it.
-func TestBackOff(t *testing.T) {
+func TestBackoffPause(t *testing.T) {
 	for name, c := range map[string]struct {
 		back time.Duration
 		away int
