--- a/internal/cwfollow/duty_test.go
+++ b/internal/cwfollow/duty_test.go
@@ -207,10 +207,10 @@
 	}
 }
 
-// TestBackOffSpread checks the calls of entry VMs that all lose the store at the same moment. The
+// TestBackoffSpread checks the calls of entry VMs that all lose the store at the same moment. The
 // calls must be few at any time, but never far apart: the first call after the store's return
 // brings the changes.
-func TestBackOffSpread(t *testing.T) {
+func TestBackoffSpread(t *testing.T) {
 	const (
 		seconds  = 30
 		maxRate  = 15.0 // Per second, of all entry VMs: half more than on average, since they begin together.
