--- a/internal/cwfollow/duty_test.go
+++ b/internal/cwfollow/duty_test.go
@@ -252,8 +252,8 @@
 	}
 }
 
-// TestCountAway checks that entry VMs that are leaving don't count as not served.
-func TestCountAway(t *testing.T) {
+// TestCountUnserved checks that entry VMs that are leaving don't count as not served.
+func TestCountUnserved(t *testing.T) {
 	away, leaving, served := peer("1", "a"), peer("2", "a"), peer("3", "a")
 	away.Away, leaving.Away, leaving.State = true, true, cwmesh.Leaving
 
