--- a/internal/cwfront/quarantine.go
+++ b/internal/cwfront/quarantine.go
@@ -24,7 +24,7 @@
 // blame notes that a server ended under the request. Who ended by chance beside the
 // one that did it is mostly answered by the next server: then nobody is told, which
 // keeps the store out of it where many servers end at once.
-func (r *request) blame(s *sent, p cwquarantine.Print) {
+func (r *request) blame(s *sent, p cwquarantine.Fingerprint) {
 	q := r.front.Quarantine
 	c := cwquarantine.Crash{
 		Print: p, Server: s.backend.Instance, Start: s.backend.Start, At: r.front.Clock.Now(), VM: q.VM,
@@ -51,7 +51,7 @@
 }
 
 // print returns what the request is known by again under another id.
-func (r *request) print() cwquarantine.Print { return cwquarantine.PrintOf(&r.call, r.ip) }
+func (r *request) print() cwquarantine.Fingerprint { return cwquarantine.PrintOf(&r.call, r.ip) }
 
 // quarantined returns the failure of a request under which servers ended, or nil for
 // one that may be sent. Send tells that it is about to be sent: then it may be that
--- a/internal/cwquarantine/keeper.go
+++ b/internal/cwquarantine/keeper.go
@@ -116,7 +116,7 @@
 	}
 }
 
-func (k *Keeper) logQuarantined(p Print) {
+func (k *Keeper) logQuarantined(p Fingerprint) {
 	k.Log.Info("A request is quarantined.", "print", p.String(), "crashes", k.Table.Crashes(p, k.Clock.Now()))
 }
 
@@ -147,7 +147,7 @@
 }
 
 // Answered records that a request was answered, which ends its quarantine.
-func (k *Keeper) Answered(p Print) {
+func (k *Keeper) Answered(p Fingerprint) {
 	keys := k.Table.Answered(p)
 	if len(keys) == 0 {
 		return
--- a/internal/cwquarantine/list.go
+++ b/internal/cwquarantine/list.go
@@ -8,7 +8,7 @@
 
 // Entry is one request that was in flight when servers crashed, for operators.
 type Entry struct {
-	Print Print
+	Print Fingerprint
 	// Crashes are ordered by time, the newest last.
 	Crashes []Crash
 	// Trials is the number of trials that were made.
@@ -26,7 +26,7 @@
 
 	for key, s := range t.suspects {
 		for caller, list := range s.callers {
-			e := Entry{Print: Print{key.line, key.body, caller}, Trials: len(s.trialKeys(key, caller)) + len(s.trialKeys(key, Digest{}))}
+			e := Entry{Print: Fingerprint{key.line, key.body, caller}, Trials: len(s.trialKeys(key, caller)) + len(s.trialKeys(key, Digest{}))}
 			e.Decision = s.decide(e.Print, wall(now))
 
 			for _, c := range list {
--- a/internal/cwquarantine/print.go
+++ b/internal/cwquarantine/print.go
@@ -25,9 +25,9 @@
 // String returns the digest in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// Print identifies a request: two requests with the same fingerprint count as the same one. It
+// Fingerprint identifies a request: two requests with the same fingerprint count as the same one. It
 // covers what a server receives, except for fields that are new with each attempt, and who sent it.
-type Print struct {
+type Fingerprint struct {
 	// Line is the digest of method, host, path and query.
 	Line Digest
 	// Body is the digest of the body.
@@ -41,14 +41,14 @@
 // contentKey is a fingerprint without its caller.
 type contentKey struct{ line, body Digest }
 
-func (p Print) contentKey() contentKey { return contentKey{p.Line, p.Body} }
+func (p Fingerprint) contentKey() contentKey { return contentKey{p.Line, p.Body} }
 
 // lineDigest returns the first part of a request's fingerprint, which is cheap to compute.
 func lineDigest(c *carobward.Call) Digest { return digest(c.Method, c.Host, c.URI) }
 
 // PrintOf returns the fingerprint of a request that came from an IP number.
-func PrintOf(c *carobward.Call, ip string) Print {
-	return Print{
+func PrintOf(c *carobward.Call, ip string) Fingerprint {
+	return Fingerprint{
 		Line:   lineDigest(c),
 		Body:   truncate(sha256.Sum256(c.Body)),
 		Caller: digest(ip, c.Header.Get(fasthttp.HeaderAuthorization), c.Header.Get(fasthttp.HeaderCookie)),
@@ -78,7 +78,7 @@
 const separator = "-"
 
 // String returns the fingerprint as it appears in logs, in keys of the store and to operators.
-func (p Print) String() string {
+func (p Fingerprint) String() string {
 	return p.Line.String() + separator + p.Body.String() + separator + p.Caller.String()
 }
 
@@ -86,24 +86,24 @@
 const errFingerprint = errors.ConstError("quarantine: not three numbers of 16 hexadecimal digits with a - between")
 
 // ParsePrint parses a fingerprint.
-func ParsePrint(text string) (Print, error) {
+func ParsePrint(text string) (Fingerprint, error) {
 	const parts = 3
 
 	var d [parts]Digest
 
 	words := strings.Split(text, separator)
 	if len(words) != parts {
-		return Print{}, errors.Annotatef(errFingerprint, "%q", text)
+		return Fingerprint{}, errors.Annotatef(errFingerprint, "%q", text)
 	}
 
 	for i, w := range words {
 		raw, err := hex.DecodeString(w)
 		if err != nil || len(raw) != digestSize {
-			return Print{}, errors.Annotatef(errFingerprint, "%q", text)
+			return Fingerprint{}, errors.Annotatef(errFingerprint, "%q", text)
 		}
 
 		d[i] = Digest(raw)
 	}
 
-	return Print{Line: d[0], Body: d[1], Caller: d[2]}, nil
+	return Fingerprint{Line: d[0], Body: d[1], Caller: d[2]}, nil
 }
--- a/internal/cwquarantine/record.go
+++ b/internal/cwquarantine/record.go
@@ -24,7 +24,7 @@
 
 // Crash is the end of a server's process while a request was in flight there.
 type Crash struct {
-	Print  Print
+	Print  Fingerprint
 	Server carobward.Instance
 	// Start identifies the process of the server.
 	Start carobward.Start
@@ -93,7 +93,7 @@
 // few trials, and each has a number.
 type Trial struct {
 	// Print has no caller if the trial is for all callers together.
-	Print Print
+	Print Fingerprint
 	// Number counts from 1.
 	Number int
 	At     time.Time
--- a/internal/cwquarantine/suspect.go
+++ b/internal/cwquarantine/suspect.go
@@ -71,7 +71,7 @@
 func wall(now time.Time) time.Time { return now.Round(0) }
 
 // decide returns whether a request may be sent.
-func (s *suspect) decide(p Print, now time.Time) Decision {
+func (s *suspect) decide(p Fingerprint, now time.Time) Decision {
 	own, last := countCrashes(s.callers[p.Caller], now)
 	if own >= crashThreshold {
 		return s.quarantine(p, last, now)
@@ -97,7 +97,7 @@
 
 // quarantine returns the decision on a request that is quarantined for a caller, or for all callers
 // if the fingerprint has none. The argument last is the time of the last crash that counts.
-func (s *suspect) quarantine(p Print, last, now time.Time) Decision {
+func (s *suspect) quarantine(p Fingerprint, last, now time.Time) Decision {
 	trials := s.trials[p.Caller]
 	due := last.Add(firstTrialDelay)
 
@@ -162,7 +162,7 @@
 
 	for n, at := range s.trials[caller] {
 		if !at.IsZero() {
-			t := Trial{Print: Print{key.line, key.body, caller}, Number: n + 1}
+			t := Trial{Print: Fingerprint{key.line, key.body, caller}, Number: n + 1}
 			keys = append(keys, t.key())
 		}
 	}
--- a/internal/cwquarantine/table.go
+++ b/internal/cwquarantine/table.go
@@ -45,7 +45,7 @@
 }
 
 // Decide returns whether a request may be sent.
-func (t *Table) Decide(p Print, now time.Time) Decision {
+func (t *Table) Decide(p Fingerprint, now time.Time) Decision {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
 
@@ -58,7 +58,7 @@
 }
 
 // Crashes returns the number of servers that crashed with this request of this caller in flight.
-func (t *Table) Crashes(p Print, now time.Time) int {
+func (t *Table) Crashes(p Fingerprint, now time.Time) int {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
 
@@ -132,8 +132,8 @@
 	// Added are the new crashes, Held the requests that became quarantined, and Freed those whose
 	// quarantine ended.
 	Added []Crash
-	Held  []Print
-	Freed []Print
+	Held  []Fingerprint
+	Freed []Fingerprint
 	// Alone are trials of requests without crashes.
 	Alone []Trial
 	// Wrong holds the errors of records that could not be decoded.
@@ -190,7 +190,7 @@
 }
 
 // isQuarantined reports whether a request is quarantined; the mutex must be held.
-func (t *Table) isQuarantined(p Print, now time.Time) bool {
+func (t *Table) isQuarantined(p Fingerprint, now time.Time) bool {
 	s := t.suspects[p.contentKey()]
 
 	return s != nil && s.decide(p, now).Held
@@ -221,7 +221,7 @@
 }
 
 // removeCrash removes one crash; the mutex must be held.
-func (t *Table) removeCrash(p Print, server Digest) {
+func (t *Table) removeCrash(p Fingerprint, server Digest) {
 	key := p.contentKey()
 	s := t.suspects[key]
 
@@ -282,13 +282,13 @@
 // Answered removes the crashes of a request that was answered, since servers survive it. It returns
 // the keys to delete from the store. Crashes of other callers stay if they are enough to quarantine
 // the request for their caller.
-func (t *Table) Answered(p Print) []carobward.Key {
+func (t *Table) Answered(p Fingerprint) []carobward.Key {
 	return t.forget(p.contentKey(), func(caller Digest, crashes int) bool { return caller == p.Caller || crashes < crashThreshold })
 }
 
 // Lift removes the crashes of a request for all callers and returns the keys to delete from the
 // store.
-func (t *Table) Lift(p Print) []carobward.Key {
+func (t *Table) Lift(p Fingerprint) []carobward.Key {
 	return t.forget(p.contentKey(), func(Digest, int) bool { return true })
 }
 
--- a/internal/cwquarantine/table_test.go
+++ b/internal/cwquarantine/table_test.go
@@ -21,7 +21,7 @@
 // call is the request of these tests.
 var call = carobward.Call{Method: "GET", Host: "club.example", URI: "/sheets/17"}
 
-func fingerprintOf(caller string) Print { return PrintOf(&call, caller) }
+func fingerprintOf(caller string) Fingerprint { return PrintOf(&call, caller) }
 
 func (s crashSpec) crash() Crash {
 	return Crash{Print: fingerprintOf(s.caller), Server: carobward.Instance(s.server), At: start.Add(s.at), VM: "vm-1", Request: "GET club.example/sheets/17"}
--- a/internal/cwquarantine/trial.go
+++ b/internal/cwquarantine/trial.go
@@ -68,7 +68,7 @@
 
 // Lift ends the quarantine of a request on all entry VMs, and returns once the store has deleted
 // its crashes.
-func (k *Keeper) Lift(p Print) error {
+func (k *Keeper) Lift(p Fingerprint) error {
 	keys := k.Table.Lift(p)
 	if len(keys) == 0 {
 		return ErrNoSuch
--- a/internal/lab/cwpoison/run.go
+++ b/internal/lab/cwpoison/run.go
@@ -85,7 +85,7 @@
 	vm      int
 	call    carobward.Call
 	caller  string
-	print   cwquarantine.Print
+	print   cwquarantine.Fingerprint
 	safe    bool
 	culprit bool
 	sends   int
