--- a/internal/cwfront/quarantine.go
+++ b/internal/cwfront/quarantine.go
@@ -51,7 +51,7 @@
 }
 
 // print returns what the request is known by again under another id.
-func (r *request) print() cwquarantine.Fingerprint { return cwquarantine.PrintOf(&r.call, r.ip) }
+func (r *request) print() cwquarantine.Fingerprint { return cwquarantine.FingerprintOf(&r.call, r.ip) }
 
 // quarantined returns the failure of a request under which servers ended, or nil for
 // one that may be sent. Send tells that it is about to be sent: then it may be that
--- a/internal/cwquarantine/print.go
+++ b/internal/cwquarantine/print.go
@@ -46,8 +46,8 @@
 // lineDigest returns the first part of a request's fingerprint, which is cheap to compute.
 func lineDigest(c *carobward.Call) Digest { return digest(c.Method, c.Host, c.URI) }
 
-// PrintOf returns the fingerprint of a request that came from an IP number.
-func PrintOf(c *carobward.Call, ip string) Fingerprint {
+// FingerprintOf returns the fingerprint of a request that came from an IP number.
+func FingerprintOf(c *carobward.Call, ip string) Fingerprint {
 	return Fingerprint{
 		Line:   lineDigest(c),
 		Body:   truncate(sha256.Sum256(c.Body)),
--- a/internal/cwquarantine/print_test.go
+++ b/internal/cwquarantine/print_test.go
@@ -21,7 +21,7 @@
 
 		return c
 	}
-	first := cwquarantine.PrintOf(call(func(*carobward.Call) {}), "10.0.0.1")
+	first := cwquarantine.FingerprintOf(call(func(*carobward.Call) {}), "10.0.0.1")
 
 	for name, c := range map[string]struct {
 		call *carobward.Call
@@ -39,7 +39,7 @@
 		"another cookie":        {call(func(c *carobward.Call) { c.Header[0].Value = "b" }), "10.0.0.1", false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got := cwquarantine.PrintOf(c.call, c.ip)
+			got := cwquarantine.FingerprintOf(c.call, c.ip)
 			if same := got == first; same != c.same {
 				t.Errorf("fingerprints %s and %s", got, first)
 			}
--- a/internal/lab/cwpoison/run.go
+++ b/internal/lab/cwpoison/run.go
@@ -190,7 +190,7 @@
 		caller = ""
 	}
 
-	q.print = cwquarantine.PrintOf(&q.call, caller)
+	q.print = cwquarantine.FingerprintOf(&q.call, caller)
 	r.send(q)
 }
 
