--- a/internal/cwgateway/operators.go
+++ b/internal/cwgateway/operators.go
@@ -142,7 +142,7 @@
 // lift ends the quarantine of a request everywhere. It is answered once the store has
 // it.
 func (g *Gateway) lift(ctx *fasthttp.RequestCtx, text string) {
-	p, err := cwquarantine.ParsePrint(text)
+	p, err := cwquarantine.ParseFingerprint(text)
 	if err == nil {
 		err = g.keeper.Lift(p)
 	} else {
--- a/internal/cwquarantine/print.go
+++ b/internal/cwquarantine/print.go
@@ -85,8 +85,8 @@
 // errFingerprint is the error of a text that is no fingerprint.
 const errFingerprint = errors.ConstError("quarantine: not three numbers of 16 hexadecimal digits with a - between")
 
-// ParsePrint parses a fingerprint.
-func ParsePrint(text string) (Fingerprint, error) {
+// ParseFingerprint parses a fingerprint.
+func ParseFingerprint(text string) (Fingerprint, error) {
 	const parts = 3
 
 	var d [parts]Digest
--- a/internal/cwquarantine/print_test.go
+++ b/internal/cwquarantine/print_test.go
@@ -44,7 +44,7 @@
 				t.Errorf("fingerprints %s and %s", got, first)
 			}
 
-			back, err := cwquarantine.ParsePrint(got.String())
+			back, err := cwquarantine.ParseFingerprint(got.String())
 			if diff := cmp.Diff(got, back); diff != "" || err != nil {
 				t.Error(diff, err)
 			}
@@ -64,7 +64,7 @@
 		"no hex digits": part + "-" + part + "-" + strings.Repeat("x", 16),
 	} {
 		t.Run(name, func(t *testing.T) {
-			if p, err := cwquarantine.ParsePrint(text); err == nil {
+			if p, err := cwquarantine.ParseFingerprint(text); err == nil {
 				t.Errorf("%q was parsed as %s", text, p)
 			}
 		})
--- a/internal/cwquarantine/record.go
+++ b/internal/cwquarantine/record.go
@@ -67,7 +67,7 @@
 func decodeCrash(key carobward.Key, value []byte) (Crash, error) {
 	text, _, _ := strings.Cut(strings.TrimPrefix(string(key), prefixCrash), "/")
 
-	p, err := ParsePrint(text)
+	p, err := ParseFingerprint(text)
 	if err != nil {
 		return Crash{}, err
 	}
@@ -113,7 +113,7 @@
 func decodeTrial(key carobward.Key, value []byte) (Trial, error) {
 	text, number, _ := strings.Cut(strings.TrimPrefix(string(key), prefixTrial), "/")
 
-	p, err := ParsePrint(text)
+	p, err := ParseFingerprint(text)
 	if err != nil {
 		return Trial{}, err
 	}
--- a/internal/cwquarantine/table.go
+++ b/internal/cwquarantine/table.go
@@ -200,7 +200,7 @@
 func (t *Table) removeCrashKey(key carobward.Key, now time.Time, change *Change) {
 	text, server, _ := strings.Cut(strings.TrimPrefix(string(key), prefixCrash), "/")
 
-	p, err := ParsePrint(text)
+	p, err := ParseFingerprint(text)
 	if err != nil {
 		return // Such a record was never added.
 	}
