--- a/internal/cwfront/quarantine.go
+++ b/internal/cwfront/quarantine.go
@@ -27,7 +27,7 @@
 func (r *request) blame(s *sent, p cwquarantine.Fingerprint) {
 	q := r.front.Quarantine
 	c := cwquarantine.Crash{
-		Print: p, Server: s.backend.Instance, Start: s.backend.Start, At: r.front.Clock.Now(), VM: q.VM,
+		Fingerprint: p, Server: s.backend.Instance, Start: s.backend.Start, At: r.front.Clock.Now(), VM: q.VM,
 		Service: r.service, Route: r.route.Name, Request: cwquarantine.RequestOf(&r.call), Caller: r.ip,
 	}
 
--- a/internal/cwquarantine/again_test.go
+++ b/internal/cwquarantine/again_test.go
@@ -47,7 +47,7 @@
 		"an answer": {func(t *testing.T, k *Keeper, s *fakeFeed) {
 			t.Helper()
 			share(t, k, s)
-			k.Answered(c.Print)
+			k.Answered(c.Fingerprint)
 
 			go s.release()
 			k.write(context.Background())
@@ -67,7 +67,7 @@
 
 			go s.release()
 
-			if err := k.Lift(c.Print); err != nil {
+			if err := k.Lift(c.Fingerprint); err != nil {
 				t.Error(err)
 			}
 		}, 2, map[carobward.Key]bool{c.key(): false}},
--- a/internal/cwquarantine/keeper.go
+++ b/internal/cwquarantine/keeper.go
@@ -86,7 +86,7 @@
 
 	for i := range change.Added {
 		c := &change.Added[i]
-		k.Log.Info("A server crashed with a request in flight.", "print", c.Print.String(), "server", c.Server, "vm", c.VM, "request", c.Request)
+		k.Log.Info("A server crashed with a request in flight.", "print", c.Fingerprint.String(), "server", c.Server, "vm", c.VM, "request", c.Request)
 	}
 
 	for _, p := range change.Held {
@@ -124,21 +124,21 @@
 // other entry VMs have to know at once, because the request has crashed servers before.
 func (k *Keeper) Ended(c Crash) bool {
 	now := k.Clock.Now()
-	before := k.Table.Decide(c.Print, now).Held
+	before := k.Table.Decide(c.Fingerprint, now).Held
 	k.Table.Add(c, now)
 
-	if !before && k.Table.Decide(c.Print, now).Held {
-		k.logQuarantined(c.Print)
+	if !before && k.Table.Decide(c.Fingerprint, now).Held {
+		k.logQuarantined(c.Fingerprint)
 	}
 
-	return k.Table.Crashes(c.Print, now) > 1
+	return k.Table.Crashes(c.Fingerprint, now) > 1
 }
 
 // Share queues a crash to be written to the store for the other entry VMs.
 func (k *Keeper) Share(c Crash) {
 	raw, err := c.encode()
 	if err != nil {
-		k.Log.Error(err, "Could not encode a crash, it is not shared.", "print", c.Print.String())
+		k.Log.Error(err, "Could not encode a crash, it is not shared.", "print", c.Fingerprint.String())
 
 		return
 	}
--- a/internal/cwquarantine/keeper_test.go
+++ b/internal/cwquarantine/keeper_test.go
@@ -102,7 +102,7 @@
 		want   map[carobward.Key]bool
 	}{
 		"shared":                      {func(*Keeper) {}, nil, map[carobward.Key]bool{c.key(): true}},
-		"answered while it is shared": {func(k *Keeper) { k.Answered(c.Print) }, nil, map[carobward.Key]bool{}},
+		"answered while it is shared": {func(k *Keeper) { k.Answered(c.Fingerprint) }, nil, map[carobward.Key]bool{}},
 		"shared again meanwhile":      {func(k *Keeper) { k.Share(c) }, nil, map[carobward.Key]bool{c.key(): true}},
 		"refused at first":            {func(*Keeper) {}, carobward.ErrStoreRefused, map[carobward.Key]bool{c.key(): true}},
 	} {
@@ -193,7 +193,7 @@
 					<-done
 				}
 
-				k.Answered(crash.Print)
+				k.Answered(crash.Fingerprint)
 				cancel()
 				<-done
 
@@ -220,7 +220,7 @@
 
 	k.Ended(c)
 	k.Share(c)
-	k.Answered(c.Print)
+	k.Answered(c.Fingerprint)
 
 	if n := k.Waiting(); n > 0 {
 		t.Errorf("%d changes are queued for the store", n)
--- a/internal/cwquarantine/record.go
+++ b/internal/cwquarantine/record.go
@@ -24,8 +24,8 @@
 
 // Crash is the end of a server's process while a request was in flight there.
 type Crash struct {
-	Print  Fingerprint
-	Server carobward.Instance
+	Fingerprint Fingerprint
+	Server      carobward.Instance
 	// Start identifies the process of the server.
 	Start carobward.Start
 	// At is when the crash was seen, by the clock of the entry VM that saw it.
@@ -53,7 +53,7 @@
 
 // key returns the store's key of the crash.
 func (c *Crash) key() carobward.Key {
-	return carobward.Key(prefixCrash + c.Print.String() + "/" + c.serverDigest().String())
+	return carobward.Key(prefixCrash + c.Fingerprint.String() + "/" + c.serverDigest().String())
 }
 
 func (c *Crash) encode() ([]byte, error) {
@@ -78,7 +78,7 @@
 	}
 
 	c := Crash{
-		Print: p, Server: carobward.Instance(w.GetServer()), Start: carobward.Start(w.GetStart()), At: time.UnixMilli(w.GetAt()), VM: carobward.VMID(w.GetVm()),
+		Fingerprint: p, Server: carobward.Instance(w.GetServer()), Start: carobward.Start(w.GetStart()), At: time.UnixMilli(w.GetAt()), VM: carobward.VMID(w.GetVm()),
 		Service: carobward.Service(w.GetService()), Route: carobward.RouteName(w.GetRoute()), Request: w.GetLine(), Caller: w.GetCaller(),
 	}
 
--- a/internal/cwquarantine/table.go
+++ b/internal/cwquarantine/table.go
@@ -87,21 +87,21 @@
 		c.At = now
 	}
 
-	key := c.Print.contentKey()
+	key := c.Fingerprint.contentKey()
 	s := t.suspects[key]
 
 	if s == nil {
 		s = newSuspect()
 	}
 
-	list := s.callers[c.Print.Caller]
+	list := s.callers[c.Fingerprint.Caller]
 	if _, ok := list[c.serverDigest()]; ok || !t.hasRoom(len(list)) {
 		return false
 	}
 
 	if list == nil {
 		list = map[Digest]Crash{}
-		s.callers[c.Print.Caller] = list
+		s.callers[c.Fingerprint.Caller] = list
 	}
 
 	if t.suspects[key] == nil {
@@ -179,13 +179,13 @@
 		return
 	}
 
-	before := t.isQuarantined(c.Print, now)
+	before := t.isQuarantined(c.Fingerprint, now)
 	if t.add(c, now) {
 		change.Added = append(change.Added, c)
 	}
 
-	if !before && t.isQuarantined(c.Print, now) {
-		change.Held = append(change.Held, c.Print)
+	if !before && t.isQuarantined(c.Fingerprint, now) {
+		change.Held = append(change.Held, c.Fingerprint)
 	}
 }
 
@@ -315,7 +315,7 @@
 
 		for server, c := range list {
 			keys = append(keys, c.key())
-			t.removeCrash(c.Print, server)
+			t.removeCrash(c.Fingerprint, server)
 		}
 	}
 
--- a/internal/cwquarantine/table_test.go
+++ b/internal/cwquarantine/table_test.go
@@ -24,7 +24,7 @@
 func fingerprintOf(caller string) Fingerprint { return FingerprintOf(&call, caller) }
 
 func (s crashSpec) crash() Crash {
-	return Crash{Print: fingerprintOf(s.caller), Server: carobward.Instance(s.server), At: start.Add(s.at), VM: "vm-1", Request: "GET club.example/sheets/17"}
+	return Crash{Fingerprint: fingerprintOf(s.caller), Server: carobward.Instance(s.server), At: start.Add(s.at), VM: "vm-1", Request: "GET club.example/sheets/17"}
 }
 
 // TestDecide checks the decision on a request after crashes and trials.
@@ -178,7 +178,7 @@
 
 	single := func(n int) Crash {
 		c := crashSpec{"a", fmt.Sprint(n), 0}.crash()
-		c.Print = FingerprintOf(&carobward.Call{URI: fmt.Sprint("/", n)}, "a")
+		c.Fingerprint = FingerprintOf(&carobward.Call{URI: fmt.Sprint("/", n)}, "a")
 
 		return c
 	}
--- a/internal/lab/cwpoison/run.go
+++ b/internal/lab/cwpoison/run.go
@@ -335,7 +335,7 @@
 // broken is what an entry VM does after a send that broke off.
 func (r *run) broken(s *server, q *request) {
 	if r.way.Holds {
-		c := cwquarantine.Crash{Print: q.print, Server: s.name, Start: carobward.Start(s.starts), At: r.time()}
+		c := cwquarantine.Crash{Fingerprint: q.print, Server: s.name, Start: carobward.Start(s.starts), At: r.time()}
 		r.tables[q.vm].Add(c, r.time())
 		q.crashes = append(q.crashes, c)
 	}
