--- a/internal/cwquarantine/again_test.go
+++ b/internal/cwquarantine/again_test.go
@@ -14,7 +14,7 @@
 // VM knows them.
 func TestWrittenAgain(t *testing.T) {
 	c := crashSpec{"a", "1", 0}.crash()
-	trial := Trial{Print: fingerprintOf("a"), Number: 1}
+	trial := Trial{Fingerprint: fingerprintOf("a"), Number: 1}
 
 	share := func(t *testing.T, k *Keeper, s *fakeFeed) {
 		t.Helper()
--- a/internal/cwquarantine/keeper.go
+++ b/internal/cwquarantine/keeper.go
@@ -110,7 +110,7 @@
 func (k *Keeper) removeOrphans(list []Trial) {
 	for i := range list {
 		if t := &list[i]; t.VM == k.VM {
-			k.Log.Info("Deleting a trial that came after the answer.", "print", t.Print.String(), "number", t.Number)
+			k.Log.Info("Deleting a trial that came after the answer.", "print", t.Fingerprint.String(), "number", t.Number)
 			k.removeKeys([]carobward.Key{t.key()})
 		}
 	}
--- a/internal/cwquarantine/keeper_test.go
+++ b/internal/cwquarantine/keeper_test.go
@@ -253,7 +253,7 @@
 			}()
 
 			for range asks {
-				if k.Try(Trial{Print: fingerprintOf("a"), Number: 1}) {
+				if k.Try(Trial{Fingerprint: fingerprintOf("a"), Number: 1}) {
 					t.Error("a trial was granted")
 				}
 			}
@@ -301,7 +301,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			k := newKeeper(newFakeFeed(), 0)
-			trial := Trial{Print: fingerprintOf("a"), Number: 2, At: start, VM: c.vm}
+			trial := Trial{Fingerprint: fingerprintOf("a"), Number: 2, At: start, VM: c.vm}
 
 			if c.remembered {
 				k.Ended(crashSpec{"a", "1", 0}.crash())
--- a/internal/cwquarantine/record.go
+++ b/internal/cwquarantine/record.go
@@ -92,8 +92,8 @@
 // Trial is one send of a quarantined request that shows whether servers survive it now. There are
 // few trials, and each has a number.
 type Trial struct {
-	// Print has no caller if the trial is for all callers together.
-	Print Fingerprint
+	// Fingerprint has no caller if the trial is for all callers together.
+	Fingerprint Fingerprint
 	// Number counts from 1.
 	Number int
 	At     time.Time
@@ -102,7 +102,7 @@
 
 // key returns the store's key of the trial.
 func (t *Trial) key() carobward.Key {
-	return carobward.Key(prefixTrial + t.Print.String() + "/" + strconv.Itoa(t.Number))
+	return carobward.Key(prefixTrial + t.Fingerprint.String() + "/" + strconv.Itoa(t.Number))
 }
 
 func (t *Trial) encode() ([]byte, error) {
@@ -128,5 +128,5 @@
 		return Trial{}, errors.Annotatef(err, "quarantine: %s", key)
 	}
 
-	return Trial{Print: p, Number: n, At: time.UnixMilli(w.GetAt()), VM: carobward.VMID(w.GetVm())}, nil
+	return Trial{Fingerprint: p, Number: n, At: time.UnixMilli(w.GetAt()), VM: carobward.VMID(w.GetVm())}, nil
 }
--- a/internal/cwquarantine/suspect.go
+++ b/internal/cwquarantine/suspect.go
@@ -108,7 +108,7 @@
 		case now.Before(due):
 			return Decision{Held: true, Wait: due.Sub(now)}
 		default:
-			return Decision{Held: true, Wait: trialInterval, Trial: Trial{Print: p, Number: n + 1}}
+			return Decision{Held: true, Wait: trialInterval, Trial: Trial{Fingerprint: p, Number: n + 1}}
 		}
 	}
 
@@ -162,7 +162,7 @@
 
 	for n, at := range s.trials[caller] {
 		if !at.IsZero() {
-			t := Trial{Print: Fingerprint{key.line, key.body, caller}, Number: n + 1}
+			t := Trial{Fingerprint: Fingerprint{key.line, key.body, caller}, Number: n + 1}
 			keys = append(keys, t.key())
 		}
 	}
--- a/internal/cwquarantine/table.go
+++ b/internal/cwquarantine/table.go
@@ -267,14 +267,14 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
-	s := t.suspects[trial.Print.contentKey()]
+	s := t.suspects[trial.Fingerprint.contentKey()]
 	if s == nil {
 		return false
 	}
 
-	all := s.trials[trial.Print.Caller]
+	all := s.trials[trial.Fingerprint.Caller]
 	all[trial.Number-1] = trial.At
-	s.trials[trial.Print.Caller] = all
+	s.trials[trial.Fingerprint.Caller] = all
 
 	return true
 }
--- a/internal/cwquarantine/table_test.go
+++ b/internal/cwquarantine/table_test.go
@@ -49,16 +49,16 @@
 		"the same server thrice":    {[]crashSpec{three[0], three[0], three[0]}, nil, 0, "a", Decision{}},
 		"three servers":             {three, nil, 2 * second, "a", Decision{Held: true, Wait: 2 * second}},
 		"crashes of another caller": {three, nil, 2 * second, "b", Decision{}},
-		"time for a trial":          {three, nil, 6 * second, "a", Decision{Held: true, Trial: Trial{Print: fingerprintOf("a"), Number: 1}, Wait: trialInterval}},
+		"time for a trial":          {three, nil, 6 * second, "a", Decision{Held: true, Trial: Trial{Fingerprint: fingerprintOf("a"), Number: 1}, Wait: trialInterval}},
 		"after a trial":             {three, []time.Duration{6 * second}, 16 * second, "a", Decision{Held: true, Wait: 20 * second}},
-		"time for another trial":    {three, []time.Duration{6 * second}, 36 * second, "a", Decision{Held: true, Trial: Trial{Print: fingerprintOf("a"), Number: 2}, Wait: trialInterval}},
-		"after another's trial":     {two, []time.Duration{6 * second}, 7 * second, "b", Decision{Held: true, Trial: Trial{Print: fingerprintOf("b"), Number: 1}, Wait: trialInterval}},
+		"time for another trial":    {three, []time.Duration{6 * second}, 36 * second, "a", Decision{Held: true, Trial: Trial{Fingerprint: fingerprintOf("a"), Number: 2}, Wait: trialInterval}},
+		"after another's trial":     {two, []time.Duration{6 * second}, 7 * second, "b", Decision{Held: true, Trial: Trial{Fingerprint: fingerprintOf("b"), Number: 1}, Wait: trialInterval}},
 		"after the last trial":      {three, []time.Duration{6 * second, 36 * second}, 61 * second, "a", Decision{Held: true, Wait: crashRetention - 60*second}},
 		"long after":                {three, []time.Duration{6 * second, 36 * second}, crashRetention + second, "a", Decision{}},
 		"one crash too long ago":    {three, nil, crashRetention, "a", Decision{}},
 		"four of several callers":   {shared[:4], nil, 0, "a", Decision{}},
 		"five of several callers":   {shared, nil, 2 * second, "a", Decision{Held: true, Wait: 2 * second}},
-		"time for all callers":      {shared, nil, 6 * second, "d", Decision{Held: true, Trial: Trial{Print: forAll, Number: 1}, Wait: trialInterval}},
+		"time for all callers":      {shared, nil, 6 * second, "d", Decision{Held: true, Trial: Trial{Fingerprint: forAll, Number: 1}, Wait: trialInterval}},
 		"five, for another caller":  {shared, nil, 2 * second, "d", Decision{Held: true, Wait: 2 * second}},
 		"one server, five callers":  {[]crashSpec{{"a", "1", 0}, {"b", "1", 0}, {"c", "1", 0}, {"d", "1", 0}, {"e", "1", 0}}, nil, 0, "a", Decision{}},
 		"a clock that is ahead":     {[]crashSpec{three[0], three[1], {"a", "3", 24 * time.Hour}}, nil, 2 * second, "a", Decision{Held: true, Wait: 3 * second}},
@@ -72,7 +72,7 @@
 			}
 
 			for n, at := range c.trials {
-				table.Tried(Trial{Print: fingerprintOf("a"), Number: n + 1, At: start.Add(at)})
+				table.Tried(Trial{Fingerprint: fingerprintOf("a"), Number: n + 1, At: start.Add(at)})
 			}
 
 			if diff := cmp.Diff(c.want, table.Decide(fingerprintOf(c.caller), now)); diff != "" {
@@ -126,7 +126,7 @@
 // also if trials come before crashes, and after removals.
 func TestPut(t *testing.T) {
 	crashes := []crashSpec{{"a", "1", 0}, {"a", "2", 0}, {"a", "3", 0}}
-	trial := Trial{Print: fingerprintOf("a"), Number: 1, At: start.Add(time.Second), VM: "vm-2"}
+	trial := Trial{Fingerprint: fingerprintOf("a"), Number: 1, At: start.Add(time.Second), VM: "vm-2"}
 
 	raw, err := trial.encode()
 	if err != nil {
@@ -230,7 +230,7 @@
 	}
 
 	f.Add(string(c.key()), raw)
-	f.Add(string((&Trial{Print: fingerprintOf("a"), Number: 1}).key()), raw)
+	f.Add(string((&Trial{Fingerprint: fingerprintOf("a"), Number: 1}).key()), raw)
 	f.Add(prefixCrash, []byte("{}"))
 	f.Add(prefixTrial+"/9", []byte{})
 
--- a/internal/cwquarantine/trial.go
+++ b/internal/cwquarantine/trial.go
@@ -44,7 +44,7 @@
 		cause = err.Error()
 	}
 
-	k.Log.Info("Tried to claim a trial of a quarantined request.", "print", t.Print.String(), "number", t.Number, "granted", err == nil, "cause", cause)
+	k.Log.Info("Tried to claim a trial of a quarantined request.", "print", t.Fingerprint.String(), "number", t.Number, "granted", err == nil, "cause", cause)
 
 	return err == nil
 }
--- a/internal/lab/cwpoison/run.go
+++ b/internal/lab/cwpoison/run.go
@@ -250,7 +250,7 @@
 		return d.Held
 	}
 
-	key := fmt.Sprint(d.Trial.Print, d.Trial.Number)
+	key := fmt.Sprint(d.Trial.Fingerprint, d.Trial.Number)
 	if r.way.Shares && r.trials[key] {
 		return true
 	}
