--- a/internal/cwgateway/operators.go
+++ b/internal/cwgateway/operators.go
@@ -123,7 +123,7 @@
 func suspectOf(e *cwquarantine.Entry) suspect {
 	last := &e.Crashes[len(e.Crashes)-1]
 	s := suspect{
-		Print: e.Print.String(), Request: last.Request, Caller: last.Caller, Route: last.Route, Service: last.Service,
+		Print: e.Fingerprint.String(), Request: last.Request, Caller: last.Caller, Route: last.Route, Service: last.Service,
 		Held: e.Held, Trials: e.Trials,
 	}
 
--- a/internal/cwquarantine/list.go
+++ b/internal/cwquarantine/list.go
@@ -8,7 +8,7 @@
 
 // Entry is one request that was in flight when servers crashed, for operators.
 type Entry struct {
-	Print Fingerprint
+	Fingerprint Fingerprint
 	// Crashes are ordered by time, the newest last.
 	Crashes []Crash
 	// Trials is the number of trials that were made.
@@ -26,8 +26,8 @@
 
 	for key, s := range t.suspects {
 		for caller, list := range s.callers {
-			e := Entry{Print: Fingerprint{key.line, key.body, caller}, Trials: len(s.trialKeys(key, caller)) + len(s.trialKeys(key, Digest{}))}
-			e.Decision = s.decide(e.Print, wall(now))
+			e := Entry{Fingerprint: Fingerprint{key.line, key.body, caller}, Trials: len(s.trialKeys(key, caller)) + len(s.trialKeys(key, Digest{}))}
+			e.Decision = s.decide(e.Fingerprint, wall(now))
 
 			for _, c := range list {
 				e.Crashes = append(e.Crashes, c)
@@ -47,7 +47,7 @@
 			return 1
 		}
 
-		return cmp.Compare(a.Print.String(), b.Print.String())
+		return cmp.Compare(a.Fingerprint.String(), b.Fingerprint.String())
 	})
 
 	return all
