--- a/internal/cwfront/quarantine.go
+++ b/internal/cwfront/quarantine.go
@@ -28,7 +28,7 @@
 	q := r.front.Quarantine
 	c := cwquarantine.Crash{
 		Fingerprint: p, Server: s.backend.Instance, Start: s.backend.Start, At: r.front.Clock.Now(), VM: q.VM,
-		Service: r.service, Route: r.route.Name, Request: cwquarantine.RequestOf(&r.call), Caller: r.ip,
+		Service: r.service, Route: r.route.Name, Request: cwquarantine.DescribeRequest(&r.call), Caller: r.ip,
 	}
 
 	if !q.Ended(c) {
--- a/internal/cwquarantine/record.go
+++ b/internal/cwquarantine/record.go
@@ -39,8 +39,8 @@
 	Caller string
 }
 
-// RequestOf returns the description of a request for operators.
-func RequestOf(c *carobward.Call) string {
+// DescribeRequest returns the description of a request for operators.
+func DescribeRequest(c *carobward.Call) string {
 	text := c.Method + " " + c.Host + c.URI
 
 	return strings.ToValidUTF8(text[:min(len(text), maxRequestText)], "")
