--- a/internal/cwfront/quarantine.go
+++ b/internal/cwfront/quarantine.go
@@ -88,7 +88,7 @@
 
 	t := r.front.Quarantine.Table
 
-	return !t.Watches(&r.call) || t.Crashes(r.print(), r.front.Clock.Now()) < cwquarantine.ResendMost
+	return !t.Watches(&r.call) || t.Crashes(r.print(), r.front.Clock.Now()) < cwquarantine.ResendThreshold
 }
 
 // end notes how the request ended: an answer ends its quarantine.
--- a/internal/cwquarantine/suspect.go
+++ b/internal/cwquarantine/suspect.go
@@ -17,9 +17,9 @@
 	// sharedCrashThreshold is the same for one request of several callers together. It is higher
 	// because then the request is also refused to callers who have not sent it yet.
 	sharedCrashThreshold = 5
-	// ResendMost is the number of crashes from which an entry VM doesn't retry a request on a
+	// ResendThreshold is the number of crashes from which an entry VM doesn't retry a request on a
 	// second server itself. The caller may still send it again.
-	ResendMost = 2
+	ResendThreshold = 2
 	// firstTrialDelay is how long after the last crash a quarantined request is sent once, by one
 	// entry VM of all: an innocent request is answered and then served again. trialInterval is how
 	// long after that it is sent once more. A crash of the server costs the requests beside it, so
--- a/internal/lab/cwpoison/run.go
+++ b/internal/lab/cwpoison/run.go
@@ -342,7 +342,7 @@
 
 	known := r.tables[q.vm].Crashes(q.print, r.time())
 
-	if q.safe && q.sends < sendsMost && known < cwquarantine.ResendMost {
+	if q.safe && q.sends < sendsMost && known < cwquarantine.ResendThreshold {
 		r.send(q)
 
 		return
