--- a/internal/cwfront/quarantine.go
+++ b/internal/cwfront/quarantine.go
@@ -66,7 +66,7 @@
 	d := q.Table.Decide(p, r.front.Clock.Now())
 
 	switch {
-	case !d.Held, d.Trial.Number > 0 && !send:
+	case !d.Quarantined, d.Trial.Number > 0 && !send:
 		return nil
 	case d.Trial.Number > 0 && q.Try(d.Trial):
 		r.trial = true
--- a/internal/cwgateway/operators.go
+++ b/internal/cwgateway/operators.go
@@ -124,10 +124,10 @@
 	last := &e.Crashes[len(e.Crashes)-1]
 	s := suspect{
 		Print: e.Fingerprint.String(), Request: last.Request, Caller: last.Caller, Route: last.Route, Service: last.Service,
-		Held: e.Held, Trials: e.Trials,
+		Held: e.Quarantined, Trials: e.Trials,
 	}
 
-	if e.Held {
+	if e.Quarantined {
 		s.Wait = e.Wait.Round(time.Second).String()
 	}
 
--- a/internal/cwquarantine/keeper.go
+++ b/internal/cwquarantine/keeper.go
@@ -124,10 +124,10 @@
 // other entry VMs have to know at once, because the request has crashed servers before.
 func (k *Keeper) Ended(c Crash) bool {
 	now := k.Clock.Now()
-	before := k.Table.Decide(c.Fingerprint, now).Held
+	before := k.Table.Decide(c.Fingerprint, now).Quarantined
 	k.Table.Add(c, now)
 
-	if !before && k.Table.Decide(c.Fingerprint, now).Held {
+	if !before && k.Table.Decide(c.Fingerprint, now).Quarantined {
 		k.logQuarantined(c.Fingerprint)
 	}
 
--- a/internal/cwquarantine/list.go
+++ b/internal/cwquarantine/list.go
@@ -39,8 +39,8 @@
 	}
 
 	slices.SortFunc(all, func(a, b Entry) int {
-		if a.Held != b.Held {
-			if a.Held {
+		if a.Quarantined != b.Quarantined {
+			if a.Quarantined {
 				return -1
 			}
 
@@ -56,7 +56,7 @@
 // Counts returns the number of quarantined requests and of crashes.
 func (t *Table) Counts(now time.Time) (held, crashes int) {
 	for _, e := range t.List(now) {
-		if e.Held {
+		if e.Quarantined {
 			held++
 		}
 
--- a/internal/cwquarantine/suspect.go
+++ b/internal/cwquarantine/suspect.go
@@ -44,10 +44,10 @@
 
 // Decision says whether a request may be sent.
 type Decision struct {
-	// Held reports whether the request is quarantined and not sent. The caller may send it again
+	// Quarantined reports whether the request is quarantined and not sent. The caller may send it again
 	// after Wait.
-	Held bool
-	Wait time.Duration
+	Quarantined bool
+	Wait        time.Duration
 	// Trial is the trial as which the request may be sent once all the same. Its number is 0 if
 	// there is none.
 	Trial Trial
@@ -106,13 +106,13 @@
 		case !at.IsZero():
 			due = at.Add(trialInterval)
 		case now.Before(due):
-			return Decision{Held: true, Wait: due.Sub(now)}
+			return Decision{Quarantined: true, Wait: due.Sub(now)}
 		default:
-			return Decision{Held: true, Wait: trialInterval, Trial: Trial{Fingerprint: p, Number: n + 1}}
+			return Decision{Quarantined: true, Wait: trialInterval, Trial: Trial{Fingerprint: p, Number: n + 1}}
 		}
 	}
 
-	return Decision{Held: true, Wait: last.Add(crashRetention).Sub(now)}
+	return Decision{Quarantined: true, Wait: last.Add(crashRetention).Sub(now)}
 }
 
 // crashes returns the crashes of all callers by server.
--- a/internal/cwquarantine/table.go
+++ b/internal/cwquarantine/table.go
@@ -193,7 +193,7 @@
 func (t *Table) isQuarantined(p Fingerprint, now time.Time) bool {
 	s := t.suspects[p.contentKey()]
 
-	return s != nil && s.decide(p, now).Held
+	return s != nil && s.decide(p, now).Quarantined
 }
 
 // removeCrashKey removes the crash with a key of the store; the mutex must be held.
--- a/internal/cwquarantine/table_test.go
+++ b/internal/cwquarantine/table_test.go
@@ -47,21 +47,21 @@
 		"none":                      {nil, nil, 0, "a", Decision{}},
 		"two servers":               {three[:2], nil, 0, "a", Decision{}},
 		"the same server thrice":    {[]crashSpec{three[0], three[0], three[0]}, nil, 0, "a", Decision{}},
-		"three servers":             {three, nil, 2 * second, "a", Decision{Held: true, Wait: 2 * second}},
+		"three servers":             {three, nil, 2 * second, "a", Decision{Quarantined: true, Wait: 2 * second}},
 		"crashes of another caller": {three, nil, 2 * second, "b", Decision{}},
-		"time for a trial":          {three, nil, 6 * second, "a", Decision{Held: true, Trial: Trial{Fingerprint: fingerprintOf("a"), Number: 1}, Wait: trialInterval}},
-		"after a trial":             {three, []time.Duration{6 * second}, 16 * second, "a", Decision{Held: true, Wait: 20 * second}},
-		"time for another trial":    {three, []time.Duration{6 * second}, 36 * second, "a", Decision{Held: true, Trial: Trial{Fingerprint: fingerprintOf("a"), Number: 2}, Wait: trialInterval}},
-		"after another's trial":     {two, []time.Duration{6 * second}, 7 * second, "b", Decision{Held: true, Trial: Trial{Fingerprint: fingerprintOf("b"), Number: 1}, Wait: trialInterval}},
-		"after the last trial":      {three, []time.Duration{6 * second, 36 * second}, 61 * second, "a", Decision{Held: true, Wait: crashRetention - 60*second}},
+		"time for a trial":          {three, nil, 6 * second, "a", Decision{Quarantined: true, Trial: Trial{Fingerprint: fingerprintOf("a"), Number: 1}, Wait: trialInterval}},
+		"after a trial":             {three, []time.Duration{6 * second}, 16 * second, "a", Decision{Quarantined: true, Wait: 20 * second}},
+		"time for another trial":    {three, []time.Duration{6 * second}, 36 * second, "a", Decision{Quarantined: true, Trial: Trial{Fingerprint: fingerprintOf("a"), Number: 2}, Wait: trialInterval}},
+		"after another's trial":     {two, []time.Duration{6 * second}, 7 * second, "b", Decision{Quarantined: true, Trial: Trial{Fingerprint: fingerprintOf("b"), Number: 1}, Wait: trialInterval}},
+		"after the last trial":      {three, []time.Duration{6 * second, 36 * second}, 61 * second, "a", Decision{Quarantined: true, Wait: crashRetention - 60*second}},
 		"long after":                {three, []time.Duration{6 * second, 36 * second}, crashRetention + second, "a", Decision{}},
 		"one crash too long ago":    {three, nil, crashRetention, "a", Decision{}},
 		"four of several callers":   {shared[:4], nil, 0, "a", Decision{}},
-		"five of several callers":   {shared, nil, 2 * second, "a", Decision{Held: true, Wait: 2 * second}},
-		"time for all callers":      {shared, nil, 6 * second, "d", Decision{Held: true, Trial: Trial{Fingerprint: forAll, Number: 1}, Wait: trialInterval}},
-		"five, for another caller":  {shared, nil, 2 * second, "d", Decision{Held: true, Wait: 2 * second}},
+		"five of several callers":   {shared, nil, 2 * second, "a", Decision{Quarantined: true, Wait: 2 * second}},
+		"time for all callers":      {shared, nil, 6 * second, "d", Decision{Quarantined: true, Trial: Trial{Fingerprint: forAll, Number: 1}, Wait: trialInterval}},
+		"five, for another caller":  {shared, nil, 2 * second, "d", Decision{Quarantined: true, Wait: 2 * second}},
 		"one server, five callers":  {[]crashSpec{{"a", "1", 0}, {"b", "1", 0}, {"c", "1", 0}, {"d", "1", 0}, {"e", "1", 0}}, nil, 0, "a", Decision{}},
-		"a clock that is ahead":     {[]crashSpec{three[0], three[1], {"a", "3", 24 * time.Hour}}, nil, 2 * second, "a", Decision{Held: true, Wait: 3 * second}},
+		"a clock that is ahead":     {[]crashSpec{three[0], three[1], {"a", "3", 24 * time.Hour}}, nil, 2 * second, "a", Decision{Quarantined: true, Wait: 3 * second}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := NewTable()
@@ -102,7 +102,7 @@
 				table.Add(s.crash(), start)
 			}
 
-			if !table.Decide(fingerprintOf("d"), start).Held {
+			if !table.Decide(fingerprintOf("d"), start).Quarantined {
 				t.Error("five servers crashed with requests of several callers, and another caller may still send it")
 			}
 
@@ -112,7 +112,7 @@
 
 			got := map[string]bool{}
 			for caller := range c.held {
-				got[caller] = table.Decide(fingerprintOf(caller), start).Held
+				got[caller] = table.Decide(fingerprintOf(caller), start).Quarantined
 			}
 
 			if diff := cmp.Diff(c.held, got); diff != "" {
@@ -157,7 +157,7 @@
 		t.Error(diff)
 	}
 
-	want := Decision{Held: true, Wait: trialInterval - time.Second}
+	want := Decision{Quarantined: true, Wait: trialInterval - time.Second}
 	if diff := cmp.Diff(want, table.Decide(fingerprintOf("a"), start.Add(2*time.Second))); diff != "" {
 		t.Error(diff)
 	}
@@ -193,7 +193,7 @@
 		table.Add(crashSpec{"a", fmt.Sprint(server), 0}.crash(), start)
 	}
 
-	if !table.Decide(fingerprintOf("a"), start).Held {
+	if !table.Decide(fingerprintOf("a"), start).Quarantined {
 		t.Error("a request that crashes servers is not quarantined")
 	}
 
@@ -211,7 +211,7 @@
 		table.Put([]carobward.Item{{Key: key, Gone: true}}, start)
 	}
 
-	if !table.Decide(fingerprintOf("a"), start).Held {
+	if !table.Decide(fingerprintOf("a"), start).Quarantined {
 		t.Error("the request that crashes servers was forgotten")
 	}
 
--- a/internal/lab/cwpoison/run.go
+++ b/internal/lab/cwpoison/run.go
@@ -246,8 +246,8 @@
 // isHeld tells whether a request is refused. One entry VM of all makes a trial.
 func (r *run) isHeld(q *request) bool {
 	d := r.tables[q.vm].Decide(q.print, r.time())
-	if !d.Held || d.Trial.Number == 0 || !r.hasRoom() {
-		return d.Held
+	if !d.Quarantined || d.Trial.Number == 0 || !r.hasRoom() {
+		return d.Quarantined
 	}
 
 	key := fmt.Sprint(d.Trial.Fingerprint, d.Trial.Number)
