--- a/internal/cwquarantine/keeper.go
+++ b/internal/cwquarantine/keeper.go
@@ -89,7 +89,7 @@
 		k.Log.Info("A server crashed with a request in flight.", "print", c.Fingerprint.String(), "server", c.Server, "vm", c.VM, "request", c.Request)
 	}
 
-	for _, p := range change.Held {
+	for _, p := range change.Quarantined {
 		k.logQuarantined(p)
 	}
 
--- a/internal/cwquarantine/table.go
+++ b/internal/cwquarantine/table.go
@@ -131,9 +131,9 @@
 type Change struct {
 	// Added are the new crashes, Held the requests that became quarantined, and Freed those whose
 	// quarantine ended.
-	Added []Crash
-	Held  []Fingerprint
-	Freed []Fingerprint
+	Added       []Crash
+	Quarantined []Fingerprint
+	Freed       []Fingerprint
 	// Alone are trials of requests without crashes.
 	Alone []Trial
 	// Wrong holds the errors of records that could not be decoded.
@@ -185,7 +185,7 @@
 	}
 
 	if !before && t.isQuarantined(c.Fingerprint, now) {
-		change.Held = append(change.Held, c.Fingerprint)
+		change.Quarantined = append(change.Quarantined, c.Fingerprint)
 	}
 }
 
--- a/internal/cwquarantine/table_test.go
+++ b/internal/cwquarantine/table_test.go
@@ -149,7 +149,7 @@
 	table := NewTable()
 
 	change := table.Put(items, start)
-	if len(change.Added) != len(crashes) || len(change.Held) != 1 || len(change.Wrong) != 0 {
+	if len(change.Added) != len(crashes) || len(change.Quarantined) != 1 || len(change.Wrong) != 0 {
 		t.Errorf("%+v", change)
 	}
 
@@ -238,7 +238,7 @@
 		table := NewTable()
 		items := []carobward.Item{{Key: carobward.Key(key), Value: value}}
 
-		if change := table.Put(items, start); len(change.Held) > 0 {
+		if change := table.Put(items, start); len(change.Quarantined) > 0 {
 			t.Errorf("one record quarantines a request: %+v", change)
 		}
 
