--- a/internal/cwquarantine/keeper.go
+++ b/internal/cwquarantine/keeper.go
@@ -93,7 +93,7 @@
 		k.logQuarantined(p)
 	}
 
-	for _, p := range change.Freed {
+	for _, p := range change.Released {
 		k.Log.Info("The quarantine of a request ended.", "print", p.String())
 	}
 
--- a/internal/cwquarantine/table.go
+++ b/internal/cwquarantine/table.go
@@ -133,7 +133,7 @@
 	// quarantine ended.
 	Added       []Crash
 	Quarantined []Fingerprint
-	Freed       []Fingerprint
+	Released    []Fingerprint
 	// Alone are trials of requests without crashes.
 	Alone []Trial
 	// Wrong holds the errors of records that could not be decoded.
@@ -216,7 +216,7 @@
 	}
 
 	if before && !t.isQuarantined(p, now) {
-		change.Freed = append(change.Freed, p)
+		change.Released = append(change.Released, p)
 	}
 }
 
