--- a/internal/cwquarantine/keeper.go
+++ b/internal/cwquarantine/keeper.go
@@ -97,7 +97,7 @@
 		k.Log.Info("The quarantine of a request ended.", "print", p.String())
 	}
 
-	k.removeOrphans(change.Alone)
+	k.removeOrphans(change.Orphans)
 
 	for _, err := range change.Wrong {
 		k.Log.Error(err, "Skipping a record that can't be decoded.")
--- a/internal/cwquarantine/table.go
+++ b/internal/cwquarantine/table.go
@@ -134,8 +134,8 @@
 	Added       []Crash
 	Quarantined []Fingerprint
 	Released    []Fingerprint
-	// Alone are trials of requests without crashes.
-	Alone []Trial
+	// Orphans are trials of requests without crashes.
+	Orphans []Trial
 	// Wrong holds the errors of records that could not be decoded.
 	Wrong []error
 }
@@ -258,7 +258,7 @@
 	}
 
 	if !t.Tried(trial) {
-		change.Alone = append(change.Alone, trial)
+		change.Orphans = append(change.Orphans, trial)
 	}
 }
 
