--- a/internal/cwquarantine/keeper.go
+++ b/internal/cwquarantine/keeper.go
@@ -99,7 +99,7 @@
 
 	k.removeOrphans(change.Orphans)
 
-	for _, err := range change.Wrong {
+	for _, err := range change.Errors {
 		k.Log.Error(err, "Skipping a record that can't be decoded.")
 	}
 }
--- a/internal/cwquarantine/table.go
+++ b/internal/cwquarantine/table.go
@@ -136,8 +136,8 @@
 	Released    []Fingerprint
 	// Orphans are trials of requests without crashes.
 	Orphans []Trial
-	// Wrong holds the errors of records that could not be decoded.
-	Wrong []error
+	// Errors holds the errors of records that could not be decoded.
+	Errors []error
 }
 
 // Put applies changed items of the store. Items other than crashes and trials are ignored.
@@ -174,7 +174,7 @@
 
 	c, err := decodeCrash(it.Key, it.Value)
 	if err != nil {
-		change.Wrong = append(change.Wrong, err)
+		change.Errors = append(change.Errors, err)
 
 		return
 	}
@@ -252,7 +252,7 @@
 
 	trial, err := decodeTrial(it.Key, it.Value)
 	if err != nil {
-		change.Wrong = append(change.Wrong, err)
+		change.Errors = append(change.Errors, err)
 
 		return
 	}
--- a/internal/cwquarantine/table_test.go
+++ b/internal/cwquarantine/table_test.go
@@ -149,7 +149,7 @@
 	table := NewTable()
 
 	change := table.Put(items, start)
-	if len(change.Added) != len(crashes) || len(change.Quarantined) != 1 || len(change.Wrong) != 0 {
+	if len(change.Added) != len(crashes) || len(change.Quarantined) != 1 || len(change.Errors) != 0 {
 		t.Errorf("%+v", change)
 	}
 
