--- a/internal/cwfront/quarantine.go
+++ b/internal/cwfront/quarantine.go
@@ -58,7 +58,7 @@
 // of a trial.
 func (r *request) quarantined(send bool) error {
 	q := r.front.Quarantine
-	if r.trial || !q.Table.Watches(&r.call) {
+	if r.trial || !q.Table.MayContain(&r.call) {
 		return nil
 	}
 
@@ -88,14 +88,14 @@
 
 	t := r.front.Quarantine.Table
 
-	return !t.Watches(&r.call) || t.Crashes(r.print(), r.front.Clock.Now()) < cwquarantine.ResendThreshold
+	return !t.MayContain(&r.call) || t.Crashes(r.print(), r.front.Clock.Now()) < cwquarantine.ResendThreshold
 }
 
 // end notes how the request ended: an answer ends its quarantine.
 func (r *request) end() {
 	close(r.over)
 
-	if q := r.front.Quarantine; r.isAnswered() && q.Table.Watches(&r.call) {
+	if q := r.front.Quarantine; r.isAnswered() && q.Table.MayContain(&r.call) {
 		q.Answered(r.print())
 	}
 }
--- a/internal/cwquarantine/table.go
+++ b/internal/cwquarantine/table.go
@@ -29,9 +29,9 @@
 	return &Table{suspects: map[contentKey]*suspect{}, lineCounts: map[Digest]int{}}
 }
 
-// Watches reports whether a server crashed with a request of this method, host, path and query in
+// MayContain reports whether a server crashed with a request of this method, host, path and query in
 // flight. It costs nothing while there are no crashes.
-func (t *Table) Watches(c *carobward.Call) bool {
+func (t *Table) MayContain(c *carobward.Call) bool {
 	if !t.hasCrashes.Load() {
 		return false
 	}
--- a/internal/cwquarantine/table_test.go
+++ b/internal/cwquarantine/table_test.go
@@ -166,7 +166,7 @@
 		items[i].Value, items[i].Gone = nil, true
 	}
 
-	if change := table.Put(items, start); len(change.Released) != 1 || table.Watches(&call) {
+	if change := table.Put(items, start); len(change.Released) != 1 || table.MayContain(&call) {
 		t.Errorf("after the removal: %+v", change)
 	}
 }
--- a/internal/lab/cwpoison/run.go
+++ b/internal/lab/cwpoison/run.go
@@ -302,7 +302,7 @@
 
 	delete(s.out, q)
 
-	if r.way.Holds && r.way.Clears && r.tables[q.vm].Watches(&q.call) {
+	if r.way.Holds && r.way.Clears && r.tables[q.vm].MayContain(&q.call) {
 		r.spread(q.vm, func(table *cwquarantine.Table) { table.Answered(q.print) })
 	}
 }
