--- a/internal/cwquarantine/keeper.go
+++ b/internal/cwquarantine/keeper.go
@@ -125,7 +125,7 @@
 func (k *Keeper) Ended(c Crash) bool {
 	now := k.Clock.Now()
 	before := k.Table.Decide(c.Fingerprint, now).Quarantined
-	k.Table.Add(c, now)
+	k.Table.AddCrash(c, now)
 
 	if !before && k.Table.Decide(c.Fingerprint, now).Quarantined {
 		k.logQuarantined(c.Fingerprint)
--- a/internal/cwquarantine/table.go
+++ b/internal/cwquarantine/table.go
@@ -72,8 +72,8 @@
 	return n
 }
 
-// Add records a crash and reports whether it is new.
-func (t *Table) Add(c Crash, now time.Time) bool {
+// AddCrash records a crash and reports whether it is new.
+func (t *Table) AddCrash(c Crash, now time.Time) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
--- a/internal/cwquarantine/table_test.go
+++ b/internal/cwquarantine/table_test.go
@@ -68,7 +68,7 @@
 			now := start.Add(c.after)
 
 			for _, s := range c.crashes {
-				table.Add(s.crash(), now)
+				table.AddCrash(s.crash(), now)
 			}
 
 			for n, at := range c.trials {
@@ -99,7 +99,7 @@
 		t.Run(name, func(t *testing.T) {
 			table := NewTable()
 			for _, s := range crashes {
-				table.Add(s.crash(), start)
+				table.AddCrash(s.crash(), start)
 			}
 
 			if !table.Decide(fingerprintOf("d"), start).Quarantined {
@@ -183,14 +183,14 @@
 		return c
 	}
 
-	table.Add(crashSpec{"a", "1", time.Hour}.crash(), start)
+	table.AddCrash(crashSpec{"a", "1", time.Hour}.crash(), start)
 
 	for n := range 10 * maxCrashes {
-		table.Add(single(n), start)
+		table.AddCrash(single(n), start)
 	}
 
 	for server := range 10 * maxCallerCrashes {
-		table.Add(crashSpec{"a", fmt.Sprint(server), 0}.crash(), start)
+		table.AddCrash(crashSpec{"a", fmt.Sprint(server), 0}.crash(), start)
 	}
 
 	if !table.Decide(fingerprintOf("a"), start).Quarantined {
--- a/internal/lab/cwpoison/run.go
+++ b/internal/lab/cwpoison/run.go
@@ -336,7 +336,7 @@
 func (r *run) broken(s *server, q *request) {
 	if r.way.Holds {
 		c := cwquarantine.Crash{Fingerprint: q.print, Server: s.name, Start: carobward.Start(s.starts), At: r.time()}
-		r.tables[q.vm].Add(c, r.time())
+		r.tables[q.vm].AddCrash(c, r.time())
 		q.crashes = append(q.crashes, c)
 	}
 
@@ -353,7 +353,7 @@
 	}
 
 	for _, c := range q.crashes {
-		r.spread(q.vm, func(table *cwquarantine.Table) { table.Add(c, r.time()) })
+		r.spread(q.vm, func(table *cwquarantine.Table) { table.AddCrash(c, r.time()) })
 	}
 }
 
