--- a/internal/cwquarantine/table.go
+++ b/internal/cwquarantine/table.go
@@ -257,13 +257,13 @@
 		return
 	}
 
-	if !t.Tried(trial) {
+	if !t.AddTrial(trial) {
 		change.Orphans = append(change.Orphans, trial)
 	}
 }
 
-// Tried records a trial, and reports whether its request has crashes.
-func (t *Table) Tried(trial Trial) bool {
+// AddTrial records a trial, and reports whether its request has crashes.
+func (t *Table) AddTrial(trial Trial) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
--- a/internal/cwquarantine/table_test.go
+++ b/internal/cwquarantine/table_test.go
@@ -72,7 +72,7 @@
 			}
 
 			for n, at := range c.trials {
-				table.Tried(Trial{Fingerprint: fingerprintOf("a"), Number: n + 1, At: start.Add(at)})
+				table.AddTrial(Trial{Fingerprint: fingerprintOf("a"), Number: n + 1, At: start.Add(at)})
 			}
 
 			if diff := cmp.Diff(c.want, table.Decide(fingerprintOf(c.caller), now)); diff != "" {
--- a/internal/cwquarantine/trial.go
+++ b/internal/cwquarantine/trial.go
@@ -36,7 +36,7 @@
 	// If the reply was lost, the claim may have succeeded. Then neither other entry VMs nor this
 	// one make the trial.
 	if !errors.Is(err, carobward.ErrStoreRefused) {
-		k.Table.Tried(t)
+		k.Table.AddTrial(t)
 	}
 
 	cause := ""
--- a/internal/lab/cwpoison/run.go
+++ b/internal/lab/cwpoison/run.go
@@ -258,7 +258,7 @@
 	r.trials[key] = true
 	q.sends = sendsMost
 	d.Trial.At = r.time()
-	r.spread(q.vm, func(table *cwquarantine.Table) { table.Tried(d.Trial) })
+	r.spread(q.vm, func(table *cwquarantine.Table) { table.AddTrial(d.Trial) })
 
 	return false
 }
