--- a/internal/cwgateway/gateway.go
+++ b/internal/cwgateway/gateway.go
@@ -158,9 +158,9 @@
 	g.suspects = cwquarantine.NewTable()
 	g.keeper = cwquarantine.New(cwquarantine.Options{
 		VM: o.Self.ID, Table: g.suspects, Feed: o.Adapter.Feed, Clock: o.Clock, Log: o.Log,
-		Word:  func() time.Time { return g.mesh.Word() },
-		Leads: func() bool { return g.follow.Leads() },
-		Era:   func() carobward.StoreEra { return g.mirror.State().Era },
+		LastAnswer: func() time.Time { return g.mesh.Word() },
+		Leads:      func() bool { return g.follow.Leads() },
+		Era:        func() carobward.StoreEra { return g.mirror.State().Era },
 	})
 
 	g.quota = cwquota.New(cwquota.Options{
--- a/internal/cwquarantine/keeper.go
+++ b/internal/cwquarantine/keeper.go
@@ -41,8 +41,8 @@
 	Feed  carobward.Feed
 	Clock carobward.Clock
 	Log   logr.Logger
-	// Word returns when the store last answered any entry VM, as far as this one knows.
-	Word func() time.Time
+	// LastAnswer returns when the store last answered any entry VM, as far as this one knows.
+	LastAnswer func() time.Time
 	// Leads reports whether this entry VM deletes outdated records.
 	Leads func() bool
 	// Era returns the store's era according to the replica.
--- a/internal/cwquarantine/keeper_test.go
+++ b/internal/cwquarantine/keeper_test.go
@@ -84,9 +84,9 @@
 func newKeeper(s *fakeFeed, word time.Duration) *Keeper {
 	return New(Options{
 		VM: "vm-1", Table: NewTable(), Feed: s, Clock: fixedClock{}, Log: logr.Discard(),
-		Word:  func() time.Time { return start.Add(-word) },
-		Leads: func() bool { return false },
-		Era:   func() carobward.StoreEra { return 0 },
+		LastAnswer: func() time.Time { return start.Add(-word) },
+		Leads:      func() bool { return false },
+		Era:        func() carobward.StoreEra { return 0 },
 	})
 }
 
--- a/internal/cwquarantine/trial.go
+++ b/internal/cwquarantine/trial.go
@@ -54,7 +54,7 @@
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 
-	if now.Sub(k.lastClaim) < claimInterval || now.Sub(k.Word()) >= availableTime {
+	if now.Sub(k.lastClaim) < claimInterval || now.Sub(k.LastAnswer()) >= availableTime {
 		return false
 	}
 
--- a/internal/cwquarantine/write.go
+++ b/internal/cwquarantine/write.go
@@ -71,7 +71,7 @@
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 
-	return len(k.pending) > 0 && k.Clock.Now().Sub(k.Word()) < availableTime
+	return len(k.pending) > 0 && k.Clock.Now().Sub(k.LastAnswer()) < availableTime
 }
 
 // write writes some of the changes in one call.
