--- a/internal/cwgateway/state.go
+++ b/internal/cwgateway/state.go
@@ -38,7 +38,7 @@
 	}
 
 	g.logUnusable(change.wrong)
-	g.keeper.Took(items)
+	g.keeper.HandleChanges(items)
 
 	if first && len(change.list) > 0 {
 		g.log.Info("The first list of servers.", "servers", len(change.list))
--- a/internal/cwquarantine/again_test.go
+++ b/internal/cwquarantine/again_test.go
@@ -41,7 +41,7 @@
 				t.Fatal(err)
 			}
 
-			k.Took([]carobward.Item{{Key: c.key(), Value: raw}})
+			k.HandleChanges([]carobward.Item{{Key: c.key(), Value: raw}})
 		}, 2, map[carobward.Key]bool{}},
 		"the same era": {share, 1, map[carobward.Key]bool{}},
 		"an answer": {func(t *testing.T, k *Keeper, s *fakeFeed) {
--- a/internal/cwquarantine/keeper.go
+++ b/internal/cwquarantine/keeper.go
@@ -79,8 +79,8 @@
 	return &Keeper{Options: o, wake: make(chan struct{}, 1), pending: map[carobward.Key][]byte{}, attempted: map[carobward.Key]bool{}, unconfirmed: map[carobward.Key][]byte{}, lastCleanup: o.Clock.Now()}
 }
 
-// Took handles changes of the replica of the store.
-func (k *Keeper) Took(items []carobward.Item) {
+// HandleChanges handles changes of the replica of the store.
+func (k *Keeper) HandleChanges(items []carobward.Item) {
 	k.confirm(items)
 	change := k.Table.Put(items, k.Clock.Now())
 
--- a/internal/cwquarantine/keeper_test.go
+++ b/internal/cwquarantine/keeper_test.go
@@ -312,7 +312,7 @@
 				t.Fatal(err)
 			}
 
-			k.Took([]carobward.Item{{Key: trial.key(), Value: raw}})
+			k.HandleChanges([]carobward.Item{{Key: trial.key(), Value: raw}})
 
 			if n := k.Waiting(); n != c.want {
 				t.Errorf("%d changes are queued for the store", n)
