--- a/internal/cwfront/quarantine.go
+++ b/internal/cwfront/quarantine.go
@@ -31,7 +31,7 @@
 		Service: r.service, Route: r.route.Name, Request: cwquarantine.DescribeRequest(&r.call), Caller: r.ip,
 	}
 
-	if !q.Ended(c) {
+	if !q.RecordCrash(c) {
 		<-r.over
 
 		if r.isAnswered() {
--- a/internal/cwquarantine/again_test.go
+++ b/internal/cwquarantine/again_test.go
@@ -19,7 +19,7 @@
 	share := func(t *testing.T, k *Keeper, s *fakeFeed) {
 		t.Helper()
 
-		k.Ended(c)
+		k.RecordCrash(c)
 		k.Share(c)
 
 		go s.release()
@@ -63,7 +63,7 @@
 		}, 2, map[carobward.Key]bool{trial.key(): true}},
 		"a quarantine that is lifted": {func(t *testing.T, k *Keeper, s *fakeFeed) {
 			t.Helper()
-			k.Ended(c)
+			k.RecordCrash(c)
 
 			go s.release()
 
--- a/internal/cwquarantine/keeper.go
+++ b/internal/cwquarantine/keeper.go
@@ -120,9 +120,9 @@
 	k.Log.Info("A request is quarantined.", "print", p.String(), "crashes", k.Table.Crashes(p, k.Clock.Now()))
 }
 
-// Ended records that a server crashed with a request of this entry VM in flight. It reports whether
+// RecordCrash records that a server crashed with a request of this entry VM in flight. It reports whether
 // other entry VMs have to know at once, because the request has crashed servers before.
-func (k *Keeper) Ended(c Crash) bool {
+func (k *Keeper) RecordCrash(c Crash) bool {
 	now := k.Clock.Now()
 	before := k.Table.Decide(c.Fingerprint, now).Quarantined
 	k.Table.AddCrash(c, now)
--- a/internal/cwquarantine/keeper_test.go
+++ b/internal/cwquarantine/keeper_test.go
@@ -111,7 +111,7 @@
 			s.err = test.err
 			k := newKeeper(s, 0)
 
-			k.Ended(c)
+			k.RecordCrash(c)
 			k.Share(c)
 
 			ctx, cancel := context.WithCancel(context.Background())
@@ -170,7 +170,7 @@
 				k := newKeeper(s, 0)
 				crash := crashSpec{"a", "1", 0}.crash()
 
-				k.Ended(crash)
+				k.RecordCrash(crash)
 				k.Share(crash)
 
 				ctx, cancel := context.WithCancel(context.Background())
@@ -218,7 +218,7 @@
 	k := newKeeper(newFakeFeed(), 0)
 	c := crashSpec{"a", "1", 0}.crash()
 
-	k.Ended(c)
+	k.RecordCrash(c)
 	k.Share(c)
 	k.Answered(c.Fingerprint)
 
@@ -304,7 +304,7 @@
 			trial := Trial{Fingerprint: fingerprintOf("a"), Number: 2, At: start, VM: c.vm}
 
 			if c.remembered {
-				k.Ended(crashSpec{"a", "1", 0}.crash())
+				k.RecordCrash(crashSpec{"a", "1", 0}.crash())
 			}
 
 			raw, err := trial.encode()
