--- a/internal/cwfront/quarantine.go
+++ b/internal/cwfront/quarantine.go
@@ -68,7 +68,7 @@
 	switch {
 	case !d.Quarantined, d.Trial.Number > 0 && !send:
 		return nil
-	case d.Trial.Number > 0 && q.Try(d.Trial):
+	case d.Trial.Number > 0 && q.ClaimTrial(d.Trial):
 		r.trial = true
 
 		return nil
--- a/internal/cwquarantine/again_test.go
+++ b/internal/cwquarantine/again_test.go
@@ -57,7 +57,7 @@
 
 			go s.release()
 
-			if !k.Try(trial) {
+			if !k.ClaimTrial(trial) {
 				t.Error("the trial was not granted")
 			}
 		}, 2, map[carobward.Key]bool{trial.key(): true}},
--- a/internal/cwquarantine/keeper_test.go
+++ b/internal/cwquarantine/keeper_test.go
@@ -253,7 +253,7 @@
 			}()
 
 			for range asks {
-				if k.Try(Trial{Fingerprint: fingerprintOf("a"), Number: 1}) {
+				if k.ClaimTrial(Trial{Fingerprint: fingerprintOf("a"), Number: 1}) {
 					t.Error("a trial was granted")
 				}
 			}
--- a/internal/cwquarantine/trial.go
+++ b/internal/cwquarantine/trial.go
@@ -9,9 +9,9 @@
 	"carobward.example/carobward"
 )
 
-// Try claims a trial in the store, and reports whether this entry VM got it. Of all entry VMs, only
+// ClaimTrial claims a trial in the store, and reports whether this entry VM got it. Of all entry VMs, only
 // one gets a trial.
-func (k *Keeper) Try(t Trial) bool {
+func (k *Keeper) ClaimTrial(t Trial) bool {
 	if !k.mayClaim(k.Clock.Now()) {
 		return false
 	}
