--- a/internal/cwgateway/tick.go
+++ b/internal/cwgateway/tick.go
@@ -146,7 +146,7 @@
 
 		return int64(crashes)
 	})
-	g.metrics.Gauge("quarantine", "waiting", func() int64 { return int64(g.keeper.Waiting()) })
+	g.metrics.Gauge("quarantine", "waiting", func() int64 { return int64(g.keeper.Pending()) })
 	g.metrics.Gauge("quarantine", "dropped", g.keeper.Dropped)
 	g.metrics.Gauge("gateway", "version", func() int64 {
 		if t := g.front.Routes(); t != nil {
--- a/internal/cwquarantine/keeper_test.go
+++ b/internal/cwquarantine/keeper_test.go
@@ -120,7 +120,7 @@
 			go func() {
 				defer close(done)
 
-				for k.Waiting() > 0 {
+				for k.Pending() > 0 {
 					k.write(ctx)
 				}
 			}()
@@ -199,7 +199,7 @@
 
 				s.err = nil
 
-				for k.Waiting() > 0 {
+				for k.Pending() > 0 {
 					go s.release()
 					k.write(context.Background())
 				}
@@ -222,7 +222,7 @@
 	k.Share(c)
 	k.Answered(c.Fingerprint)
 
-	if n := k.Waiting(); n > 0 {
+	if n := k.Pending(); n > 0 {
 		t.Errorf("%d changes are queued for the store", n)
 	}
 }
@@ -280,8 +280,8 @@
 		k.Share(c)
 	}
 
-	if k.Waiting() != maxPending || k.Dropped() != maxPending {
-		t.Errorf("%d queued, %d dropped", k.Waiting(), k.Dropped())
+	if k.Pending() != maxPending || k.Dropped() != maxPending {
+		t.Errorf("%d queued, %d dropped", k.Pending(), k.Dropped())
 	}
 }
 
@@ -314,7 +314,7 @@
 
 			k.HandleChanges([]carobward.Item{{Key: trial.key(), Value: raw}})
 
-			if n := k.Waiting(); n != c.want {
+			if n := k.Pending(); n != c.want {
 				t.Errorf("%d changes are queued for the store", n)
 			}
 		})
--- a/internal/cwquarantine/write.go
+++ b/internal/cwquarantine/write.go
@@ -192,8 +192,8 @@
 	}
 }
 
-// Waiting returns the number of changes that are queued for the store.
-func (k *Keeper) Waiting() int {
+// Pending returns the number of changes that are queued for the store.
+func (k *Keeper) Pending() int {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 
