--- a/internal/cwgateway/operators.go
+++ b/internal/cwgateway/operators.go
@@ -154,7 +154,7 @@
 	switch {
 	case err == nil:
 		ctx.SetStatusCode(fasthttp.StatusNoContent)
-	case errors.Is(err, cwquarantine.ErrNoSuch):
+	case errors.Is(err, cwquarantine.ErrNotFound):
 		ctx.Error(err.Error()+"\n", fasthttp.StatusNotFound)
 	default:
 		ctx.Error("it is lifted on this entry VM, the others are told once the store answers: "+err.Error()+"\n", fasthttp.StatusAccepted)
--- a/internal/cwquarantine/trial.go
+++ b/internal/cwquarantine/trial.go
@@ -63,15 +63,15 @@
 	return true
 }
 
-// ErrNoSuch is the error of a request without crashes.
-const ErrNoSuch = errors.ConstError("quarantine: no server ended under this request")
+// ErrNotFound is the error of a request without crashes.
+const ErrNotFound = errors.ConstError("quarantine: no server ended under this request")
 
 // Lift ends the quarantine of a request on all entry VMs, and returns once the store has deleted
 // its crashes.
 func (k *Keeper) Lift(p Fingerprint) error {
 	keys := k.Table.Lift(p)
 	if len(keys) == 0 {
-		return ErrNoSuch
+		return ErrNotFound
 	}
 
 	for len(keys) > 0 {
