--- a/internal/cwquarantine/print_test.go
+++ b/internal/cwquarantine/print_test.go
@@ -10,8 +10,8 @@
 	"carobward.example/carobward/internal/cwquarantine"
 )
 
-// TestPrint checks which requests have the same fingerprint.
-func TestPrint(t *testing.T) {
+// TestFingerprint checks which requests have the same fingerprint.
+func TestFingerprint(t *testing.T) {
 	call := func(change func(c *carobward.Call)) *carobward.Call {
 		c := &carobward.Call{
 			ID: "one", Method: "POST", Host: "club.example", URI: "/fees/17?x=1", Body: []byte("launch"),
