--- a/internal/cwquarantine/print_test.go
+++ b/internal/cwquarantine/print_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestParsePrint checks that texts that are no fingerprint are refused.
-func TestParsePrint(t *testing.T) {
+// TestParseFingerprint checks that texts that are no fingerprint are refused.
+func TestParseFingerprint(t *testing.T) {
 	part := strings.Repeat("0", 16)
 
 	for name, text := range map[string]string{
