--- a/internal/cwquarantine/again_test.go
+++ b/internal/cwquarantine/again_test.go
@@ -9,10 +9,10 @@
 	"carobward.example/carobward"
 )
 
-// TestWrittenAgain checks that changes which the store acknowledged before it was restored from a
+// TestRewriteLost checks that changes which the store acknowledged before it was restored from a
 // backup are written again if they had not arrived in the replica of this entry VM: no other entry
 // VM knows them.
-func TestWrittenAgain(t *testing.T) {
+func TestRewriteLost(t *testing.T) {
 	c := crashSpec{"a", "1", 0}.crash()
 	trial := Trial{Fingerprint: fingerprintOf("a"), Number: 1}
 
