--- a/internal/cwquarantine/keeper_test.go
+++ b/internal/cwquarantine/keeper_test.go
@@ -285,10 +285,10 @@
 	}
 }
 
-// TestTrialTooLate checks that an entry VM deletes its own trial if that was granted after an
+// TestOrphanedTrial checks that an entry VM deletes its own trial if that was granted after an
 // answer elsewhere had removed everything, since no other entry VM knows of it. It must not delete
 // trials of other entry VMs, nor those of requests that have crashes.
-func TestTrialTooLate(t *testing.T) {
+func TestOrphanedTrial(t *testing.T) {
 	for name, c := range map[string]struct {
 		vm         carobward.VMID
 		remembered bool
