--- a/internal/cwquarantine/table_test.go
+++ b/internal/cwquarantine/table_test.go
@@ -171,9 +171,9 @@
 	}
 }
 
-// TestRoom records many requests with one crash each and one request with several. The table must
+// TestTableBounds records many requests with one crash each and one request with several. The table must
 // stay small and still quarantine the one with several.
-func TestRoom(t *testing.T) {
+func TestTableBounds(t *testing.T) {
 	table := NewTable()
 
 	single := func(n int) Crash {
