--- a/internal/cwquarantine/keeper_test.go
+++ b/internal/cwquarantine/keeper_test.go
@@ -150,11 +150,11 @@
 	}
 }
 
-// TestAnsweredAfter checks that no record of a crash stays in the store if its request is answered
+// TestAnsweredAfterSharing checks that no record of a crash stays in the store if its request is answered
 // after the store has the record: while the reply is on its way, while it is handled, or after it
 // was lost. A record that stays would quarantine the request of other callers for as long as
 // crashes are remembered.
-func TestAnsweredAfter(t *testing.T) {
+func TestAnsweredAfterSharing(t *testing.T) {
 	for name, c := range map[string]struct {
 		err error
 		// rounds is the number of attempts to hit the moment.
