--- a/internal/cwquarantine/keeper_test.go
+++ b/internal/cwquarantine/keeper_test.go
@@ -212,9 +212,9 @@
 	}
 }
 
-// TestAnsweredFirst checks that a crash is never shared if its request was answered before the
+// TestAnsweredBeforeSharing checks that a crash is never shared if its request was answered before the
 // first call.
-func TestAnsweredFirst(t *testing.T) {
+func TestAnsweredBeforeSharing(t *testing.T) {
 	k := newKeeper(newFakeFeed(), 0)
 	c := crashSpec{"a", "1", 0}.crash()
 
