--- a/internal/cwfollow/order_test.go
+++ b/internal/cwfollow/order_test.go
@@ -126,18 +126,18 @@
 		age   time.Duration
 		want  bool
 	}{
-		"first watches":                  {0, 0, true},
-		"second relies on the first":     {1, 900 * time.Millisecond, false},
-		"second, first is silent":        {1, 1050 * time.Millisecond, true},
-		"third relies on both":           {2, 1050 * time.Millisecond, false},
-		"third, both are silent":         {2, 1200 * time.Millisecond, true},
-		"seventh waits for them":         {6, 1200 * time.Millisecond, false},
-		"seventh, later":                 {6, 1500 * time.Millisecond, true},
-		"last of a small fleet":          {18, 1700 * time.Millisecond, true},
-		"hundredth of a large one waits": {100, 1700 * time.Millisecond, false},
-		"last of a large one, in time":   {500, 2200 * time.Millisecond, true},
-		"not in the order, late":         {-1, 1700 * time.Millisecond, true},
-		"not in the order, early":        {-1, 1000 * time.Millisecond, false},
+		"first watches":                {0, 0, true},
+		"second relies on the first":   {1, 900 * time.Millisecond, false},
+		"second, first is silent":      {1, 1050 * time.Millisecond, true},
+		"third relies on both":         {2, 1050 * time.Millisecond, false},
+		"third, both are silent":       {2, 1200 * time.Millisecond, true},
+		"seventh waits for them":       {6, 1200 * time.Millisecond, false},
+		"seventh, later":               {6, 1500 * time.Millisecond, true},
+		"last of a small fleet":        {18, 1700 * time.Millisecond, true},
+		"middle of a large one waits":  {100, 1700 * time.Millisecond, false},
+		"last of a large one, in time": {500, 2200 * time.Millisecond, true},
+		"not in the order, late":       {-1, 1700 * time.Millisecond, true},
+		"not in the order, early":      {-1, 1000 * time.Millisecond, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := shouldQuery(c.place, c.age); got != c.want {
@@ -182,8 +182,8 @@
 	}
 }
 
-// TestBackoffPause checks the pause of an entry VM: its own if only this entry VM lost the store, and a
-// longer one the more others lost it.
+// TestBackoffPause checks the pause of an entry VM: its own if only this entry VM lost the store,
+// and a longer one the more others lost it.
 func TestBackoffPause(t *testing.T) {
 	for name, c := range map[string]struct {
 		back time.Duration
--- a/internal/cwmirror/era.go
+++ b/internal/cwmirror/era.go
@@ -7,9 +7,9 @@
 	"carobward.example/carobward"
 )
 
-// ReregisterTime is for how long after an outage or a restore of the store the entries of live servers
-// may be missing from it. Servers write their entries again within about two seconds, and the
-// change then has to reach this entry VM.
+// ReregisterTime is for how long after an outage or a restore of the store the entries of live
+// servers may be missing from it. Servers write their entries again within about two seconds, and
+// the change then has to reach this entry VM.
 const ReregisterTime = 2200 * time.Millisecond
 
 // origin describes how a replica entered its era: from which state, at which index of the new era,
--- a/internal/cwmirror/era_test.go
+++ b/internal/cwmirror/era_test.go
@@ -151,8 +151,8 @@
 	}
 }
 
-// TestEraEntry brings a replica into an era by the changed keys alone if it is at the state from which
-// the other replica entered it, and by all keys otherwise.
+// TestEraEntry brings a replica into an era by the changed keys alone if it is at the state from
+// which the other replica entered it, and by all keys otherwise.
 func TestEraEntry(t *testing.T) {
 	list := inEra(1, whole(3, ranked("a", 1, 1), ranked("b", 1, 2), ranked("c", 1, 3)))
 	next := inEra(1, changes(4, ranked("c", 2, 4)))
@@ -207,8 +207,8 @@
 	}
 }
 
-// TestLateEraEntry delivers changes from one era into another to a replica that has moved on since it
-// asked. They must not be applied, whatever its index is.
+// TestLateEraEntry delivers changes from one era into another to a replica that has moved on since
+// it asked. They must not be applied, whatever its index is.
 func TestLateEraEntry(t *testing.T) {
 	list := inEra(1, whole(3, ranked("a", 1, 1), ranked("b", 1, 2), ranked("c", 1, 3)))
 	next := inEra(1, changes(4, ranked("c", 2, 4)))
@@ -240,8 +240,8 @@
 	}
 }
 
-// TestNoOriginBeyondIndex checks that a replica that had items beyond its index doesn't bring another
-// one into an era by the changed keys alone: the other one may lack those items.
+// TestNoOriginBeyondIndex checks that a replica that had items beyond its index doesn't bring
+// another one into an era by the changed keys alone: the other one may lack those items.
 func TestNoOriginBeyondIndex(t *testing.T) {
 	list := inEra(1, whole(3, ranked("a", 1, 1), ranked("b", 1, 2), ranked("c", 1, 3)))
 	beyond := inEra(1, changes(7, ranked("c", 3, 7)))
--- a/internal/cwmirror/kept.go
+++ b/internal/cwmirror/kept.go
@@ -16,7 +16,7 @@
 }
 
 // Hold records that the store is back after an outage in which entries of live servers may have
-// expired: for LapseTime, removals of servers' entries are held back.
+// expired: for ReregisterTime, removals of servers' entries are held back.
 func (m *Mirror) Hold(now time.Time) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/cwmirror/mirror.go
+++ b/internal/cwmirror/mirror.go
@@ -50,7 +50,8 @@
 type Options struct {
 	// Rank returns the rank of a value.
 	Rank func(carobward.Key, []byte) carobward.Rank
-	// Retention returns for how long an item stays effective after the store was restored without it.
+	// Retention returns for how long an item stays effective after the store was restored without
+	// it.
 	Retention func(carobward.Item) time.Duration
 	// IsRouting reports whether a key holds the operators' configuration, IsBackend whether it
 	// holds a server's entry.
@@ -114,9 +115,9 @@
 	return m.effective(key).Value
 }
 
-// ApplyAndNotify applies changes as Apply does and passes the items that took effect to changed, in the order
-// in which they were applied: otherwise an older entry of a server could replace a newer one that
-// came from elsewhere at the same moment. It returns the number of items.
+// ApplyAndNotify applies changes as Apply does and passes the items that took effect to changed, in
+// the order in which they were applied: otherwise an older entry of a server could replace a newer
+// one that came from elsewhere at the same moment. It returns the number of items.
 func (m *Mirror) ApplyAndNotify(c carobward.Changes, now time.Time, changed func([]carobward.Item)) int {
 	m.delivery.Lock()
 	defer m.delivery.Unlock()
--- a/internal/cwmirror/model_test.go
+++ b/internal/cwmirror/model_test.go
@@ -147,8 +147,8 @@
 	return c
 }
 
-// TestNewReplica guards against removed keys that stay: a new replica lists the store after a key was
-// removed, and then updates a replica that still has the key.
+// TestNewReplica guards against removed keys that stay: a new replica lists the store after a key
+// was removed, and then updates a replica that still has the key.
 func TestNewReplica(t *testing.T) {
 	old, newcomer := newMirror(), newMirror()
 	old.Apply(whole(3, item("a", 1), item("b", 3)), start)
--- a/internal/cwquarantine/fingerprint.go
+++ b/internal/cwquarantine/fingerprint.go
@@ -25,8 +25,9 @@
 // String returns the digest in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// Fingerprint identifies a request: two requests with the same fingerprint count as the same one. It
-// covers what a server receives, except for fields that are new with each attempt, and who sent it.
+// Fingerprint identifies a request: two requests with the same fingerprint count as the same one.
+// It covers what a server receives, except for fields that are new with each attempt, and who sent
+// it.
 type Fingerprint struct {
 	// Line is the digest of method, host, path and query.
 	Line Digest
@@ -41,7 +42,7 @@
 // contentKey is a fingerprint without its caller.
 type contentKey struct{ line, body Digest }
 
-func (p Fingerprint) contentKey() contentKey { return contentKey{p.Line, p.Body} }
+func (fp Fingerprint) contentKey() contentKey { return contentKey{fp.Line, fp.Body} }
 
 // lineDigest returns the first part of a request's fingerprint, which is cheap to compute.
 func lineDigest(c *carobward.Call) Digest { return digest(c.Method, c.Host, c.URI) }
@@ -78,8 +79,8 @@
 const separator = "-"
 
 // String returns the fingerprint as it appears in logs, in keys of the store and to operators.
-func (p Fingerprint) String() string {
-	return p.Line.String() + separator + p.Body.String() + separator + p.Caller.String()
+func (fp Fingerprint) String() string {
+	return fp.Line.String() + separator + fp.Body.String() + separator + fp.Caller.String()
 }
 
 // errFingerprint is the error of a text that is no fingerprint.
--- a/internal/cwquarantine/keeper.go
+++ b/internal/cwquarantine/keeper.go
@@ -89,12 +89,12 @@
 		k.Log.Info("A server crashed with a request in flight.", "print", c.Fingerprint.String(), "server", c.Server, "vm", c.VM, "request", c.Request)
 	}
 
-	for _, p := range change.Quarantined {
-		k.logQuarantined(p)
+	for _, fp := range change.Quarantined {
+		k.logQuarantined(fp)
 	}
 
-	for _, p := range change.Released {
-		k.Log.Info("The quarantine of a request ended.", "print", p.String())
+	for _, fp := range change.Released {
+		k.Log.Info("The quarantine of a request ended.", "print", fp.String())
 	}
 
 	k.removeOrphans(change.Orphans)
@@ -116,12 +116,12 @@
 	}
 }
 
-func (k *Keeper) logQuarantined(p Fingerprint) {
-	k.Log.Info("A request is quarantined.", "print", p.String(), "crashes", k.Table.Crashes(p, k.Clock.Now()))
+func (k *Keeper) logQuarantined(fp Fingerprint) {
+	k.Log.Info("A request is quarantined.", "print", fp.String(), "crashes", k.Table.Crashes(fp, k.Clock.Now()))
 }
 
-// RecordCrash records that a server crashed with a request of this entry VM in flight. It reports whether
-// other entry VMs have to know at once, because the request has crashed servers before.
+// RecordCrash records that a server crashed with a request of this entry VM in flight. It reports
+// whether other entry VMs have to know at once, because the request has crashed servers before.
 func (k *Keeper) RecordCrash(c Crash) bool {
 	now := k.Clock.Now()
 	before := k.Table.Decide(c.Fingerprint, now).Quarantined
@@ -147,12 +147,12 @@
 }
 
 // Answered records that a request was answered, which ends its quarantine.
-func (k *Keeper) Answered(p Fingerprint) {
-	keys := k.Table.Answered(p)
+func (k *Keeper) Answered(fp Fingerprint) {
+	keys := k.Table.Answered(fp)
 	if len(keys) == 0 {
 		return
 	}
 
-	k.Log.Info("A request that had crashes was answered.", "print", p.String(), "crashes", len(keys))
+	k.Log.Info("A request that had crashes was answered.", "print", fp.String(), "crashes", len(keys))
 	k.removeKeys(keys)
 }
--- a/internal/cwquarantine/keeper_test.go
+++ b/internal/cwquarantine/keeper_test.go
@@ -150,10 +150,10 @@
 	}
 }
 
-// TestAnsweredAfterSharing checks that no record of a crash stays in the store if its request is answered
-// after the store has the record: while the reply is on its way, while it is handled, or after it
-// was lost. A record that stays would quarantine the request of other callers for as long as
-// crashes are remembered.
+// TestAnsweredAfterSharing checks that no record of a crash stays in the store if its request is
+// answered after the store has the record: while the reply is on its way, while it is handled, or
+// after it was lost. A record that stays would quarantine the request of other callers for as long
+// as crashes are remembered.
 func TestAnsweredAfterSharing(t *testing.T) {
 	for name, c := range map[string]struct {
 		err error
@@ -212,8 +212,8 @@
 	}
 }
 
-// TestAnsweredBeforeSharing checks that a crash is never shared if its request was answered before the
-// first call.
+// TestAnsweredBeforeSharing checks that a crash is never shared if its request was answered before
+// the first call.
 func TestAnsweredBeforeSharing(t *testing.T) {
 	k := newKeeper(newFakeFeed(), 0)
 	c := crashSpec{"a", "1", 0}.crash()
@@ -264,8 +264,8 @@
 
 			k.Share(crashSpec{"a", "1", 0}.crash())
 
-			if waits := k.canWrite(); waits != (c.word < availableTime) {
-				t.Errorf("canWrite returned %v", waits)
+			if got := k.canWrite(); got != (c.word < availableTime) {
+				t.Errorf("canWrite returned %v", got)
 			}
 		})
 	}
--- a/internal/cwquarantine/record.go
+++ b/internal/cwquarantine/record.go
@@ -67,7 +67,7 @@
 func decodeCrash(key carobward.Key, value []byte) (Crash, error) {
 	text, _, _ := strings.Cut(strings.TrimPrefix(string(key), prefixCrash), "/")
 
-	p, err := ParseFingerprint(text)
+	fp, err := ParseFingerprint(text)
 	if err != nil {
 		return Crash{}, err
 	}
@@ -78,7 +78,7 @@
 	}
 
 	c := Crash{
-		Fingerprint: p, Server: carobward.Instance(w.GetServer()), Start: carobward.Start(w.GetStart()), At: time.UnixMilli(w.GetAt()), VM: carobward.VMID(w.GetVm()),
+		Fingerprint: fp, Server: carobward.Instance(w.GetServer()), Start: carobward.Start(w.GetStart()), At: time.UnixMilli(w.GetAt()), VM: carobward.VMID(w.GetVm()),
 		Service: carobward.Service(w.GetService()), Route: carobward.RouteName(w.GetRoute()), Request: w.GetLine(), Caller: w.GetCaller(),
 	}
 
@@ -113,7 +113,7 @@
 func decodeTrial(key carobward.Key, value []byte) (Trial, error) {
 	text, number, _ := strings.Cut(strings.TrimPrefix(string(key), prefixTrial), "/")
 
-	p, err := ParseFingerprint(text)
+	fp, err := ParseFingerprint(text)
 	if err != nil {
 		return Trial{}, err
 	}
@@ -128,5 +128,5 @@
 		return Trial{}, errors.Annotatef(err, "quarantine: %s", key)
 	}
 
-	return Trial{Fingerprint: p, Number: n, At: time.UnixMilli(w.GetAt()), VM: carobward.VMID(w.GetVm())}, nil
+	return Trial{Fingerprint: fp, Number: n, At: time.UnixMilli(w.GetAt()), VM: carobward.VMID(w.GetVm())}, nil
 }
--- a/internal/cwquarantine/suspect.go
+++ b/internal/cwquarantine/suspect.go
@@ -44,8 +44,8 @@
 
 // Decision says whether a request may be sent.
 type Decision struct {
-	// Quarantined reports whether the request is quarantined and not sent. The caller may send it again
-	// after Wait.
+	// Quarantined reports whether the request is quarantined and not sent. The caller may send it
+	// again after Wait.
 	Quarantined bool
 	Wait        time.Duration
 	// Trial is the trial as which the request may be sent once all the same. Its number is 0 if
@@ -71,10 +71,10 @@
 func wall(now time.Time) time.Time { return now.Round(0) }
 
 // decide returns whether a request may be sent.
-func (s *suspect) decide(p Fingerprint, now time.Time) Decision {
-	own, last := countCrashes(s.callers[p.Caller], now)
+func (s *suspect) decide(fp Fingerprint, now time.Time) Decision {
+	own, last := countCrashes(s.callers[fp.Caller], now)
 	if own >= crashThreshold {
-		return s.quarantine(p, last, now)
+		return s.quarantine(fp, last, now)
 	}
 
 	callers := 0
@@ -90,15 +90,15 @@
 		return Decision{}
 	}
 
-	p.Caller = Digest{}
+	fp.Caller = Digest{}
 
-	return s.quarantine(p, last, now)
+	return s.quarantine(fp, last, now)
 }
 
 // quarantine returns the decision on a request that is quarantined for a caller, or for all callers
 // if the fingerprint has none. The argument last is the time of the last crash that counts.
-func (s *suspect) quarantine(p Fingerprint, last, now time.Time) Decision {
-	trials := s.trials[p.Caller]
+func (s *suspect) quarantine(fp Fingerprint, last, now time.Time) Decision {
+	trials := s.trials[fp.Caller]
 	due := last.Add(firstTrialDelay)
 
 	for n, at := range trials {
@@ -108,7 +108,7 @@
 		case now.Before(due):
 			return Decision{Quarantined: true, Wait: due.Sub(now)}
 		default:
-			return Decision{Quarantined: true, Wait: trialInterval, Trial: Trial{Fingerprint: p, Number: n + 1}}
+			return Decision{Quarantined: true, Wait: trialInterval, Trial: Trial{Fingerprint: fp, Number: n + 1}}
 		}
 	}
 
--- a/internal/cwquarantine/table.go
+++ b/internal/cwquarantine/table.go
@@ -29,8 +29,8 @@
 	return &Table{suspects: map[contentKey]*suspect{}, lineCounts: map[Digest]int{}}
 }
 
-// MayContain reports whether a server crashed with a request of this method, host, path and query in
-// flight. It costs nothing while there are no crashes.
+// MayContain reports whether a server crashed with a request of this method, host, path and query
+// in flight. It costs nothing while there are no crashes.
 func (t *Table) MayContain(c *carobward.Call) bool {
 	if !t.hasCrashes.Load() {
 		return false
@@ -45,29 +45,29 @@
 }
 
 // Decide returns whether a request may be sent.
-func (t *Table) Decide(p Fingerprint, now time.Time) Decision {
+func (t *Table) Decide(fp Fingerprint, now time.Time) Decision {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
 
-	s := t.suspects[p.contentKey()]
+	s := t.suspects[fp.contentKey()]
 	if s == nil {
 		return Decision{}
 	}
 
-	return s.decide(p, wall(now))
+	return s.decide(fp, wall(now))
 }
 
 // Crashes returns the number of servers that crashed with this request of this caller in flight.
-func (t *Table) Crashes(p Fingerprint, now time.Time) int {
+func (t *Table) Crashes(fp Fingerprint, now time.Time) int {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
 
-	s := t.suspects[p.contentKey()]
+	s := t.suspects[fp.contentKey()]
 	if s == nil {
 		return 0
 	}
 
-	n, _ := countCrashes(s.callers[p.Caller], wall(now))
+	n, _ := countCrashes(s.callers[fp.Caller], wall(now))
 
 	return n
 }
@@ -117,7 +117,7 @@
 }
 
 // hasRoom reports whether one more crash can be recorded of a request that has this number of them;
-// the caller holds the mutex.
+// the mutex must be held.
 func (t *Table) hasRoom(crashes int) bool {
 	most := maxCrashes
 	if crashes > 0 {
@@ -129,8 +129,8 @@
 
 // Change describes what changed in a table by items of the store.
 type Change struct {
-	// Added are the new crashes, Held the requests that became quarantined, and Freed those whose
-	// quarantine ended.
+	// Added are the new crashes, Quarantined the requests that became quarantined, and Released
+	// those whose quarantine ended.
 	Added       []Crash
 	Quarantined []Fingerprint
 	Released    []Fingerprint
@@ -190,46 +190,46 @@
 }
 
 // isQuarantined reports whether a request is quarantined; the mutex must be held.
-func (t *Table) isQuarantined(p Fingerprint, now time.Time) bool {
-	s := t.suspects[p.contentKey()]
+func (t *Table) isQuarantined(fp Fingerprint, now time.Time) bool {
+	s := t.suspects[fp.contentKey()]
 
-	return s != nil && s.decide(p, now).Quarantined
+	return s != nil && s.decide(fp, now).Quarantined
 }
 
 // removeCrashKey removes the crash with a key of the store; the mutex must be held.
 func (t *Table) removeCrashKey(key carobward.Key, now time.Time, change *Change) {
 	text, server, _ := strings.Cut(strings.TrimPrefix(string(key), prefixCrash), "/")
 
-	p, err := ParseFingerprint(text)
+	fp, err := ParseFingerprint(text)
 	if err != nil {
 		return // Such a record was never added.
 	}
 
-	before := t.isQuarantined(p, now)
+	before := t.isQuarantined(fp, now)
 
-	if s := t.suspects[p.contentKey()]; s != nil {
-		for d := range s.callers[p.Caller] {
+	if s := t.suspects[fp.contentKey()]; s != nil {
+		for d := range s.callers[fp.Caller] {
 			if d.String() == server {
-				t.removeCrash(p, d)
+				t.removeCrash(fp, d)
 			}
 		}
 	}
 
-	if before && !t.isQuarantined(p, now) {
-		change.Released = append(change.Released, p)
+	if before && !t.isQuarantined(fp, now) {
+		change.Released = append(change.Released, fp)
 	}
 }
 
 // removeCrash removes one crash; the mutex must be held.
-func (t *Table) removeCrash(p Fingerprint, server Digest) {
-	key := p.contentKey()
+func (t *Table) removeCrash(fp Fingerprint, server Digest) {
+	key := fp.contentKey()
 	s := t.suspects[key]
 
-	delete(s.callers[p.Caller], server)
+	delete(s.callers[fp.Caller], server)
 	t.crashCount--
 
-	if len(s.callers[p.Caller]) == 0 {
-		delete(s.callers, p.Caller)
+	if len(s.callers[fp.Caller]) == 0 {
+		delete(s.callers, fp.Caller)
 	}
 
 	if len(s.callers) > 0 {
@@ -282,18 +282,19 @@
 // Answered removes the crashes of a request that was answered, since servers survive it. It returns
 // the keys to delete from the store. Crashes of other callers stay if they are enough to quarantine
 // the request for their caller.
-func (t *Table) Answered(p Fingerprint) []carobward.Key {
-	return t.forget(p.contentKey(), func(caller Digest, crashes int) bool { return caller == p.Caller || crashes < crashThreshold })
+func (t *Table) Answered(fp Fingerprint) []carobward.Key {
+	return t.forget(fp.contentKey(), func(caller Digest, crashes int) bool { return caller == fp.Caller || crashes < crashThreshold })
 }
 
 // Lift removes the crashes of a request for all callers and returns the keys to delete from the
 // store.
-func (t *Table) Lift(p Fingerprint) []carobward.Key {
-	return t.forget(p.contentKey(), func(Digest, int) bool { return true })
+func (t *Table) Lift(fp Fingerprint) []carobward.Key {
+	return t.forget(fp.contentKey(), func(Digest, int) bool { return true })
 }
 
-// forget removes the crashes of a request for the callers for which goes returns true, and all
-// trials once no crash is left. It returns the keys to delete from the store.
+// forget removes the crashes and trials of a request for the callers for which match returns true,
+// and all trials of the request once no crash is left. It returns the keys to delete from the
+// store.
 func (t *Table) forget(key contentKey, match func(caller Digest, crashes int) bool) []carobward.Key {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -326,8 +327,8 @@
 	return keys
 }
 
-// Outdated returns up to a number of keys to delete from the store: those of crashes that are too
-// old and, if there are many crashes, of the oldest whose request crashed no second server.
+// Outdated returns keys to delete from the store, up to a maximum number: those of crashes that are
+// too old and, if there are many crashes, of the oldest whose request crashed only one server.
 func (t *Table) Outdated(now time.Time, most int) []carobward.Key {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
--- a/internal/cwquarantine/table_test.go
+++ b/internal/cwquarantine/table_test.go
@@ -171,8 +171,8 @@
 	}
 }
 
-// TestTableBounds records many requests with one crash each and one request with several. The table must
-// stay small and still quarantine the one with several.
+// TestTableBounds records many requests with one crash each and one request with several. The table
+// must stay small and still quarantine the one with several.
 func TestTableBounds(t *testing.T) {
 	table := NewTable()
 
--- a/internal/cwquarantine/trial.go
+++ b/internal/cwquarantine/trial.go
@@ -9,8 +9,8 @@
 	"carobward.example/carobward"
 )
 
-// ClaimTrial claims a trial in the store, and reports whether this entry VM got it. Of all entry VMs, only
-// one gets a trial.
+// ClaimTrial claims a trial in the store, and reports whether this entry VM got it. Of all entry
+// VMs, only one gets a trial.
 func (k *Keeper) ClaimTrial(t Trial) bool {
 	if !k.mayClaim(k.Clock.Now()) {
 		return false
@@ -68,8 +68,8 @@
 
 // Lift ends the quarantine of a request on all entry VMs, and returns once the store has deleted
 // its crashes.
-func (k *Keeper) Lift(p Fingerprint) error {
-	keys := k.Table.Lift(p)
+func (k *Keeper) Lift(fp Fingerprint) error {
+	keys := k.Table.Lift(fp)
 	if len(keys) == 0 {
 		return ErrNotFound
 	}
@@ -79,7 +79,7 @@
 
 		if err := k.Feed.Write(context.Background(), carobward.Batch{Deletes: keys[:n]}); err != nil {
 			k.removeKeys(keys)
-			k.Log.Info("Lifted a quarantine on this entry VM, the store will be updated later.", "print", p.String(), "cause", err.Error())
+			k.Log.Info("Lifted a quarantine on this entry VM, the store will be updated later.", "print", fp.String(), "cause", err.Error())
 
 			return err
 		}
@@ -93,7 +93,7 @@
 		keys = keys[n:]
 	}
 
-	k.Log.Info("Lifted a quarantine.", "print", p.String())
+	k.Log.Info("Lifted a quarantine.", "print", fp.String())
 
 	return nil
 }
--- a/internal/cwquarantine/writer.go
+++ b/internal/cwquarantine/writer.go
@@ -15,7 +15,7 @@
 
 	k.mutex.Lock()
 	for _, key := range keys {
-		if value, waits := k.pending[key]; waits && value != nil && !k.attempted[key] {
+		if value, queued := k.pending[key]; queued && value != nil && !k.attempted[key] {
 			delete(k.pending, key)
 		} else {
 			deletes[key] = nil
@@ -31,7 +31,7 @@
 	k.mutex.Lock()
 	for key, value := range changes {
 		// Replacing a queued change needs no room, and a removal must not be dropped.
-		if _, waits := k.pending[key]; waits || len(k.pending) < maxPending {
+		if _, queued := k.pending[key]; queued || len(k.pending) < maxPending {
 			k.pending[key] = value
 		} else {
 			k.dropped++
