--- a/internal/cwturn/line.go
+++ b/internal/cwturn/line.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// Waiter is a request that waits in a line.
+// Waiter is a request in a queue.
 type Waiter interface {
 	comparable
-	// Turn returns what is known of the request.
+	// Turn returns the request's schedule.
 	Turn() *Turn
 }
 
-// Line has the requests of one service that wait for a server at one entry VM. It
-// is short: requests wait for a few usual times at most. It is not safe for use by
-// several goroutines.
+// Queue holds the requests of one service that wait for a server at one entry VM. It is
+// short, since requests wait for a few usual response times at most. It is not safe for
+// concurrent use.
 type Line[W Waiter] struct{ list []W }
 
 // Join adds a request.
 func (l *Line[W]) Join(w W) { l.list = append(l.list, w) }
 
-// Leave takes a request out, if it is there.
+// Leave removes a request, if it is there.
 func (l *Line[W]) Leave(w W) {
 	if i := slices.Index(l.list, w); i >= 0 {
 		l.list = slices.Delete(l.list, i, i+1)
 	}
 }
 
-// First returns the first request in order that may have a turn. It returns false
-// where there is none.
+// First returns the first request, in the order of Before, that may have a server. It
+// returns false if there is none.
 func (l *Line[W]) First(now time.Time, may func(W) bool) (W, bool) {
 	var (
 		best  W
@@ -44,12 +44,12 @@
 	return best, found
 }
 
-// Looks tells whether a request looks at servers itself: there is none before it for
-// which that was in vain. While there is room each looks at once, however many come.
-// While there is none, the others wait for what the first one finds and for slots that
-// are freed. Each looking for itself, waiting requests use up the looks of all, and
-// several take the same slot: 0.76 in time in bursts, 0.78 with this (carobward bench
-// worst, pattern bursts, twelve seeds).
+// MayCheck reports whether a request may make health checks itself: those made for the
+// requests before it have not failed to find room. While there is room, all requests make
+// checks at once, however many arrive. When there is none, the others wait for what the
+// first one finds and for slots that become free. If each made its own checks, waiting
+// requests would use up the rate limit of all, and several would take the same slot: 0.76
+// of the requests are in time in bursts then, 0.78 with this rule.
 func (l *Line[W]) Looks(w W, now time.Time) bool {
 	for _, o := range l.list {
 		if o != w && o.Turn().Vain && o.Turn().Before(w.Turn(), now) {
--- a/internal/cwturn/line_bench_test.go
+++ b/internal/cwturn/line_bench_test.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// BenchmarkLine has the cost of one turn: a request joins eight that wait, is told
-// whether to look, and a freed slot goes to the first.
+// BenchmarkQueue has the cost of one request's way through the queue: it joins eight that
+// wait, is told whether to make health checks, and a freed slot goes to the first.
 func BenchmarkLine(b *testing.B) {
 	const waiting = 8
 
-	var l Line[*named]
+	var l Line[*testWaiter]
 
 	for i := range waiting {
-		l.Join(&named{turn: turn(1, time.Duration(i)*time.Millisecond)})
+		l.Join(&testWaiter{turn: schedule(1, time.Duration(i)*time.Millisecond)})
 	}
 
-	one := &named{turn: turn(1, 0)}
-	all := func(*named) bool { return true }
+	one := &testWaiter{turn: schedule(1, 0)}
+	all := func(*testWaiter) bool { return true }
 
 	b.ReportAllocs()
 
--- a/internal/cwturn/line_test.go
+++ b/internal/cwturn/line_test.go
@@ -7,22 +7,23 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// named is a waiter of the tests.
-type named struct {
+// testWaiter is a Waiter with a name.
+type testWaiter struct {
 	name string
 	turn *Turn
 }
 
 // Turn implements Waiter.
-func (n *named) Turn() *Turn { return n.turn }
+func (n *testWaiter) Turn() *Turn { return n.turn }
 
-// TestLine wants servers to go to waiting requests in order, past those that may
-// not have them, and only the first to look at servers itself once that was in vain.
+// TestQueue checks that servers go to waiting requests in order, skipping those that may
+// not use them, and that the requests behind it make no health checks once those of the
+// first one found no room.
 func TestLine(t *testing.T) {
-	var l Line[*named]
+	var l Line[*testWaiter]
 
-	all := []*named{
-		{"late", turn(0, time.Second)}, {"first", turn(1, 50*time.Millisecond)}, {"urgent", turn(0, 0)}, {"last", turn(1, 0)},
+	all := []*testWaiter{
+		{"late", schedule(0, time.Second)}, {"first", schedule(1, 50*time.Millisecond)}, {"urgent", schedule(0, 0)}, {"last", schedule(1, 0)},
 	}
 	for _, w := range all {
 		l.Join(w)
@@ -30,7 +31,7 @@
 
 	for _, w := range all {
 		if !l.Looks(w, begin) {
-			t.Errorf("%s does not look while there may be room", w.name)
+			t.Errorf("%s makes no health checks while there may be room", w.name)
 		}
 	}
 
@@ -38,18 +39,18 @@
 
 	for _, w := range all {
 		if got := l.Looks(w, begin); got != (w.name == "urgent") {
-			t.Errorf("%s looks: %v", w.name, got)
+			t.Errorf("%s makes health checks: %v", w.name, got)
 		}
 	}
 
-	if w, _ := l.First(begin, func(w *named) bool { return w.name != "urgent" }); w.name != "first" {
-		t.Errorf("past the urgent one, %s", w.name)
+	if w, _ := l.First(begin, func(w *testWaiter) bool { return w.name != "urgent" }); w.name != "first" {
+		t.Errorf("first without the urgent one: %s", w.name)
 	}
 
 	var order []string
 
 	for {
-		w, ok := l.First(begin, func(*named) bool { return true })
+		w, ok := l.First(begin, func(*testWaiter) bool { return true })
 		if !ok {
 			break
 		}
@@ -64,8 +65,8 @@
 	}
 }
 
-// TestPace wants the pace to be that of the faster servers, usual where little is
-// known, and to follow a change within a few dozen looks.
+// TestSlowdown checks that the slowdown is that of the faster servers, that it is 1 as
+// long as little is known, and that it follows a change within a few dozen health checks.
 func TestPace(t *testing.T) {
 	var p Pace
 
--- a/internal/cwturn/pace.go
+++ b/internal/cwturn/pace.go
@@ -2,47 +2,46 @@
 
 import "slices"
 
-// The figures of a pace.
+// The parameters of a Slowdown.
 const (
-	// paceLooks is how many looks at servers are remembered: a second or two of
-	// one entry VM's.
-	paceLooks = 32
-	// paceLeast is how many are needed to tell a pace.
-	paceLeast = 8
-	// paceQuantile is the part of servers that are faster. A few fast ones among
-	// many slow ones are worth waiting for: a look at four finds one in two of
-	// three times where a quarter are fast.
-	paceQuantile = 0.25
+	// slowdownSamples is how many health checks are remembered: those of a second or two
+	// at one entry VM.
+	slowdownSamples = 32
+	// slowdownMinSamples is how many are needed for an estimate.
+	slowdownMinSamples = 8
+	// slowdownQuantile is the fraction of servers that are faster than the estimate. A few
+	// fast servers among many slow ones are worth waiting for: if a quarter are fast, a
+	// check of four servers finds a fast one two times in three.
+	slowdownQuantile = 0.25
 )
 
-// Pace is how much longer than usual servers take now, learned from looks at
-// them. Without it requests wait for a fast server, and four in ten are refused in
-// the end, while all servers are slow but have room (carobward bench worst, pattern
-// all-slow, two seeds). It is not safe for use by several goroutines.
+// Slowdown estimates by which factor servers are slower than usual now, from health
+// checks. Without it, while all servers are slow but have room, requests wait for a fast
+// one, and four in ten are refused in the end. It is not safe for concurrent use.
 type Pace struct {
-	list []float64
-	next int
-	pace float64
+	samples  []float64
+	next     int
+	estimate float64
 }
 
-// Add takes how long one server takes that has no other request, in usual times.
+// Add adds the time of one server that has no other request, in usual response times.
 func (p *Pace) Add(alone float64) {
-	if len(p.list) < paceLooks {
-		p.list = append(p.list, alone)
+	if len(p.samples) < slowdownSamples {
+		p.samples = append(p.samples, alone)
 	} else {
-		p.list[p.next] = alone
+		p.samples[p.next] = alone
 	}
 
-	p.next = (p.next + 1) % paceLooks
+	p.next = (p.next + 1) % slowdownSamples
 
-	if len(p.list) < paceLeast {
+	if len(p.samples) < slowdownMinSamples {
 		return
 	}
 
-	sorted := slices.Clone(p.list)
+	sorted := slices.Clone(p.samples)
 	slices.Sort(sorted)
-	p.pace = sorted[int(paceQuantile*float64(len(sorted)))]
+	p.estimate = sorted[int(slowdownQuantile*float64(len(sorted)))]
 }
 
-// Now returns the pace, 1 where none is known.
-func (p *Pace) Now() float64 { return max(1, p.pace) }
+// Now returns the estimate, or 1 if there is none or servers are faster than usual.
+func (p *Pace) Now() float64 { return max(1, p.estimate) }
