--- a/internal/cwretry/budget.go
+++ b/internal/cwretry/budget.go
@@ -1,6 +1,5 @@
-// Package cwretry decides when a request is sent a second time: retries and
-// hedges share one budget, a share of all requests, so that an outage is not
-// amplified by them.
+// Package cwretry decides when a request is sent a second time. Retries and hedges share
+// one budget, a fraction of all requests, so that they don't amplify an outage.
 package cwretry
 
 import "sync"
@@ -13,13 +12,13 @@
 	tokens float64
 }
 
-// NewBudget returns a full budget: share is the number of extra calls for
-// each request, most bounds how many can be saved up.
+// NewBudget returns a full budget. Share is the number of extra calls earned by each
+// request, most the number that can be saved up.
 func NewBudget(share, most float64) *Budget {
 	return &Budget{share: share, most: most, tokens: most}
 }
 
-// Earn notes a request.
+// Earn records a request, which earns a share of an extra call.
 func (b *Budget) Earn() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -27,7 +26,7 @@
 	b.tokens = min(b.most, b.tokens+b.share)
 }
 
-// Take spends one extra call if the budget has it.
+// Take spends one extra call and reports whether the budget had one left.
 func (b *Budget) Take() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/cwretry/claim_test.go
+++ b/internal/cwretry/claim_test.go
@@ -9,9 +9,9 @@
 	"carobward.example/carobward"
 )
 
-// TestClaimOf has what requests use of the bound on extra calls: a caller that can
-// come back after a refusal a part at once and the rest evenly, one that has come
-// back the whole, and so does a request that failed otherwise.
+// TestClaimOf checks the claims of extra calls. If the caller can still retry after a
+// refusal, the request may use a share of the bound at once and the rest evenly. If the
+// caller has retried already, or the request failed otherwise, it may use the whole bound.
 func TestClaimOf(t *testing.T) {
 	for name, c := range map[string]struct {
 		verdict  carobward.Verdict
@@ -19,7 +19,7 @@
 		want     Claim
 	}{
 		"refused, for the first time": {carobward.NotRun, false, Refused},
-		"refused, come back":          {carobward.NotRun, true, Needed},
+		"refused, a retry":            {carobward.NotRun, true, Needed},
 		"no answer":                   {carobward.Unknown, false, Needed},
 		"a server's failure":          {carobward.Ran, false, Needed},
 	} {
@@ -31,9 +31,9 @@
 	}
 }
 
-// TestTakePaced lets all servers refuse for most of a span. Claims that are paced use
-// the bound up, and each second of it has its part; those that are not use their part
-// in the first second and leave the rest.
+// TestTakePaced lets all servers refuse for most of a window. Paced claims use up the
+// bound with some calls in each second. Other claims use their share in the first second
+// and leave the rest.
 func TestTakePaced(t *testing.T) {
 	const (
 		share   = 0.2
@@ -75,7 +75,7 @@
 			}
 
 			if total < c.least || total > c.most || fewest < c.inSecond {
-				t.Errorf("%d extra calls, %d in the second that has fewest", total, fewest)
+				t.Errorf("%d extra calls, %d in the second with the fewest", total, fewest)
 			}
 		})
 	}
--- a/internal/cwretry/quantile.go
+++ b/internal/cwretry/quantile.go
@@ -5,31 +5,30 @@
 	"time"
 )
 
-// Quantile follows one quantile of latencies in constant memory: each sample
-// moves the estimate by a small factor, up or down, so that it rests where
-// the two balance.
+// Quantile estimates one quantile of latencies in constant memory. Each sample moves the
+// estimate up or down by a small factor, so that it settles where the two balance.
 type Quantile struct {
-	at float64
+	quantile float64
 
 	mutex    sync.Mutex
 	estimate float64
 	samples  int
 }
 
-// The pace of the estimate.
+// The parameters of the estimate.
 const (
-	// step is the largest change by one sample, as a share.
+	// step is the largest relative change by one sample.
 	step = 0.05
-	// enough samples must be seen before the estimate is of use.
-	enough = 50
-	// firstFactor is where the estimate starts, in first samples.
+	// minSamples is how many samples are needed before the estimate is usable.
+	minSamples = 50
+	// firstFactor is the first estimate as a multiple of the first sample.
 	firstFactor = 2
 )
 
-// NewQuantile follows the given quantile, from 0 to 1.
-func NewQuantile(at float64) *Quantile { return &Quantile{at: at} }
+// NewQuantile returns an estimator of the given quantile, from 0 to 1.
+func NewQuantile(quantile float64) *Quantile { return &Quantile{quantile: quantile} }
 
-// Add takes one latency.
+// Add adds one latency.
 func (q *Quantile) Add(d time.Duration) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -40,16 +39,16 @@
 	case q.estimate == 0:
 		q.estimate = firstFactor * sample
 	case sample > q.estimate:
-		q.estimate *= 1 + step*q.at
+		q.estimate *= 1 + step*q.quantile
 	default:
-		q.estimate *= 1 - step*(1-q.at)
+		q.estimate *= 1 - step*(1-q.quantile)
 	}
 }
 
-// Value returns the estimate, and whether it rests on enough samples.
+// Value returns the estimate, and whether there are enough samples for it.
 func (q *Quantile) Value() (time.Duration, bool) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 
-	return time.Duration(q.estimate), q.samples >= enough
+	return time.Duration(q.estimate), q.samples >= minSamples
 }
--- a/internal/cwretry/record.go
+++ b/internal/cwretry/record.go
@@ -6,49 +6,49 @@
 	"carobward.example/carobward/internal/cwserver"
 )
 
-// The constants of hedges and retries. docs/design/route.md has the
-// measurements.
+// The constants of hedges and retries. docs/design/route.md has the measurements.
 const (
 	// Share is how many extra calls a request may cost on average.
 	Share = 0.05
-	// saved bounds how many extra calls can be saved up.
-	saved = 10
-	// hedgeAt is the quantile of a target's latencies after which a call is
-	// hedged in any case.
-	hedgeAt = 0.97
-	// earlyFactor is how many usual latencies a call must be out to be hedged
-	// early, which needs that earlyCalls of ours on the same server are.
+	// maxSaved is how many extra calls can be saved up.
+	maxSaved = 10
+	// hedgeQuantile is the quantile of a target's latencies after which a call is hedged
+	// in any case.
+	hedgeQuantile = 0.97
+	// earlyFactor is the age from which on a call may be hedged early, in usual latencies.
+	// That needs earlyCalls calls of this entry VM overdue on the same server.
 	earlyFactor = 1.5
 	earlyCalls  = 2
-	// lookFactor is the time between two looks, in usual latencies.
-	lookFactor = 0.3
-	// leastWait is the least time before a hedge; below it the timers cost
-	// more than they win.
-	leastWait = time.Millisecond
+	// recheckFactor is the interval between two decisions about a hedge, in usual
+	// latencies.
+	recheckFactor = 0.3
+	// minHedgeDelay is the minimum time before a hedge; below it the timers cost more than
+	// the hedges gain.
+	minHedgeDelay = time.Millisecond
 )
 
-// Record is what is kept for one target.
+// TargetState is the state of retries and hedges for one target.
 type Record struct {
 	// Budget is shared by retries and hedges.
 	Budget *Budget
-	// Latency follows the quantile that hedging waits for.
+	// Latency estimates the latency after which a call is hedged.
 	Latency *Quantile
 }
 
-// NewRecord returns the record of a target without requests.
+// NewTargetState returns the state of a target without requests.
 func NewRecord() *Record {
-	return &Record{Budget: NewBudget(Share, saved), Latency: NewQuantile(hedgeAt)}
+	return &Record{Budget: NewBudget(Share, maxSaved), Latency: NewQuantile(hedgeQuantile)}
 }
 
-// Due tells whether a call that has been out for age on a server should be
-// hedged now, and if not, at which age to look again; zero means never.
+// Due reports whether a call that started age ago on a server should be hedged now, and if
+// not, at which age to ask again; zero means never.
 func (r *Record) Due(now time.Time, age time.Duration, s *cwserver.Server) (bool, time.Duration) {
 	last, ok := r.Latency.Value()
 	if !ok {
 		return false, 0
 	}
 
-	if last = max(last, leastWait); age >= last {
+	if last = max(last, minHedgeDelay); age >= last {
 		return true, 0
 	}
 
@@ -63,5 +63,5 @@
 		return true, 0
 	}
 
-	return false, min(last, age+max(leastWait, time.Duration(lookFactor*usual)))
+	return false, min(last, age+max(minHedgeDelay, time.Duration(recheckFactor*usual)))
 }
--- a/internal/cwretry/retry_test.go
+++ b/internal/cwretry/retry_test.go
@@ -16,8 +16,8 @@
 
 var start = time.Date(2100, time.January, 1, 0, 0, 0, 0, time.UTC)
 
-// TestBudgetBoundsAnOutage asks for an extra call at each request, as an
-// outage does.
+// TestBudgetLimitsOutage takes an extra call for each request, as in an outage, and checks
+// that the budget limits them.
 func TestBudgetBoundsAnOutage(t *testing.T) {
 	tests := map[string]struct{ requests, most int }{
 		"few":  {10, 10},
@@ -38,7 +38,7 @@
 			}
 
 			if extra > test.most || extra < test.most*9/10 {
-				t.Errorf("%d extra calls, want %d", extra, test.most)
+				t.Errorf("%d extra calls, want at most %d and most of them", extra, test.most)
 			}
 		})
 	}
@@ -49,10 +49,10 @@
 	q := cwretry.NewQuantile(0.9)
 
 	if _, ok := q.Value(); ok {
-		t.Error("an estimate without samples")
+		t.Error("Value returned an estimate without samples")
 	}
 
-	// All of 1 to 100 ms alike, then the same ten times as slow.
+	// Uniform latencies from 1 to 100 ms, then ten times as slow.
 	for _, scale := range []time.Duration{time.Millisecond, 10 * time.Millisecond} {
 		for range 20000 {
 			q.Add(scale * time.Duration(1+rng.IntN(100)))
@@ -72,15 +72,15 @@
 	}
 
 	tests := map[string]struct {
-		samples, out int
-		age          time.Duration
-		want         answer
+		samples, running int
+		age              time.Duration
+		want             answer
 	}{
-		"too few samples":                 {10, 1, time.Second, answer{}},
-		"at first":                        {1000, 1, 0, answer{Next: 15 * time.Millisecond}},
-		"one call out for long":           {1000, 1, 16 * time.Millisecond, answer{Next: 19 * time.Millisecond}},
-		"two calls out for long":          {1000, 2, 16 * time.Millisecond, answer{Due: true}},
-		"one that is out for the longest": {1000, 1, 60 * time.Millisecond, answer{Due: true}},
+		"too few samples":            {10, 1, time.Second, answer{}},
+		"a new call":                 {1000, 1, 0, answer{Next: 15 * time.Millisecond}},
+		"one call overdue":           {1000, 1, 16 * time.Millisecond, answer{Next: 19 * time.Millisecond}},
+		"two calls overdue":          {1000, 2, 16 * time.Millisecond, answer{Due: true}},
+		"a call beyond the quantile": {1000, 1, 60 * time.Millisecond, answer{Due: true}},
 	}
 
 	for name, test := range tests {
@@ -91,7 +91,7 @@
 			s := table.Of("records")[0]
 			s.Begin(start).End(start.Add(usual), cwserver.Replied)
 
-			for range test.out {
+			for range test.running {
 				s.Begin(start)
 			}
 
--- a/internal/cwretry/window.go
+++ b/internal/cwretry/window.go
@@ -5,36 +5,37 @@
 	"time"
 )
 
-// slices is the number of parts that a window is counted in. One more is kept,
-// so that what is counted is never less than the window.
-const slices = 10
+// buckets is the number of buckets that a window is counted in. One more is kept, so that
+// the counts always cover at least the window.
+const buckets = 10
 
-// Window bounds the calls beyond the first of each request in each span of
-// time, as this entry VM's part of a bound on all of them.
+// Window limits the calls beyond the first of each request in each span of time. It has
+// this entry VM's share of a limit over all entry VMs.
 type Window struct {
 	share float64
 	span  time.Duration
 
 	mutex    sync.Mutex
 	start    time.Time
-	turn     int64
-	requests [slices + 1]int
-	extras   [slices + 1]int
-	// earned is what the newest requests add to the bound, up to earnedMost.
+	bucket   int64
+	requests [buckets + 1]int
+	extras   [buckets + 1]int
+	// earned is how many extra calls paced claims have earned by recent requests, up to
+	// maxEarned.
 	earned float64
 }
 
-// earnedMost is how many extra calls paced claims may save up, for two requests that
-// are refused at the same moment.
-const earnedMost = 2
+// maxEarned is how many extra calls paced claims may save up, for two requests that are
+// refused at the same moment.
+const maxEarned = 2
 
-// NewWindow returns a window: in each span extra calls may be up to share of
-// the requests, and a number on top that Take is told.
+// NewWindow returns a window that allows extra calls up to share of the requests in each
+// span, and a number on top that is passed to Take.
 func NewWindow(share float64, span time.Duration, now time.Time) *Window {
 	return &Window{share: share, span: span, start: now}
 }
 
-// SetShare changes the share of the requests that extra calls may be.
+// SetShare changes the share.
 func (w *Window) SetShare(share float64) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -42,23 +43,23 @@
 	w.share = share
 }
 
-// Request notes a request.
+// Request records a request.
 func (w *Window) Request(now time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 
-	w.move(now)
-	w.requests[w.turn%(slices+1)]++
-	w.earned = min(earnedMost, w.earned+w.share)
+	w.advance(now)
+	w.requests[w.bucket%(buckets+1)]++
+	w.earned = min(maxEarned, w.earned+w.share)
 }
 
-// Take spends one extra call if there is one left for the claim. Slack is how many
-// may be made whatever the number of requests.
-func (w *Window) Take(now time.Time, slack float64, c Claim) bool {
+// Take spends one extra call and reports whether there was one left for the claim.
+// MinExtra is how many are allowed whatever the number of requests.
+func (w *Window) Take(now time.Time, minExtra float64, c Claim) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 
-	w.move(now)
+	w.advance(now)
 
 	requests, extras := 0, 0
 	for i := range w.requests {
@@ -66,7 +67,7 @@
 		extras += w.extras[i]
 	}
 
-	bound := w.share*float64(requests) + slack
+	bound := w.share*float64(requests) + minExtra
 	next := float64(extras + 1)
 	paced := c.Paced && w.earned >= 1
 
@@ -74,20 +75,20 @@
 		return false
 	}
 
-	w.extras[w.turn%(slices+1)]++
+	w.extras[w.bucket%(buckets+1)]++
 	w.earned = max(0, w.earned-1)
 
 	return true
 }
 
-// move empties the parts of the window that have passed.
-func (w *Window) move(now time.Time) {
-	turn := int64(now.Sub(w.start) / (w.span / slices))
+// advance clears the buckets whose time has passed.
+func (w *Window) advance(now time.Time) {
+	current := int64(now.Sub(w.start) / (w.span / buckets))
 
-	for steps := 0; w.turn < turn && steps <= slices; steps++ {
-		w.turn++
-		w.requests[w.turn%(slices+1)], w.extras[w.turn%(slices+1)] = 0, 0
+	for steps := 0; w.bucket < current && steps <= buckets; steps++ {
+		w.bucket++
+		w.requests[w.bucket%(buckets+1)], w.extras[w.bucket%(buckets+1)] = 0, 0
 	}
 
-	w.turn = max(w.turn, turn)
+	w.bucket = max(w.bucket, current)
 }
--- a/internal/cwretry/window_test.go
+++ b/internal/cwretry/window_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// TestWindow plays random loads and wants each span of time, wherever it
-// begins, to have no more extra calls than its bound: a share of the requests
-// of that span and of the one before it, and the slack.
+// TestWindow generates random loads and checks that each span of time, wherever it begins,
+// has no more extra calls than its limit: a share of the requests of that span or of the
+// one before it, whichever has more, plus twice minExtra.
 func TestWindow(t *testing.T) {
 	const (
-		share = 0.2
-		slack = 3.0
-		span  = 10 * time.Second
-		step  = 50 * time.Millisecond
+		share    = 0.2
+		minExtra = 3.0
+		span     = 10 * time.Second
+		step     = 50 * time.Millisecond
 	)
 
 	for seed := range uint64(20) {
@@ -39,8 +39,8 @@
 				w.Request(now)
 			}
 
-			for range 3 { // Each tries as hard as it can.
-				if w.Take(now, slack, Needed) {
+			for range 3 { // Take as many as the window allows.
+				if w.Take(now, minExtra, Needed) {
 					given++
 				}
 			}
@@ -50,7 +50,7 @@
 
 		for from := spans; from+spans <= len(extras); from++ {
 			more := sum(extras[from : from+spans])
-			most := share*float64(max(sum(requests[from:from+spans]), sum(requests[from-spans:from]))) + 2*slack
+			most := share*float64(max(sum(requests[from:from+spans]), sum(requests[from-spans:from]))) + 2*minExtra
 
 			if float64(more) > most {
 				t.Fatalf("seed %d: %d extra calls from step %d on, at most %.1f", seed, more, from, most)
@@ -68,32 +68,32 @@
 	return total
 }
 
-// TestWindowIdle wants what was spent to come back after a pause.
+// TestWindowIdle checks that extra calls are available again after a pause.
 func TestWindowIdle(t *testing.T) {
 	now := time.Now()
 	w := NewWindow(0, 10*time.Second, now)
 
 	for range 2 {
 		if !w.Take(now, 2, Needed) {
-			t.Fatal("nothing to spend")
+			t.Fatal("no extra call available at the start")
 		}
 	}
 
 	if w.Take(now.Add(9*time.Second), 2, Needed) {
-		t.Error("more than the slack within one span")
+		t.Error("more extra calls than allowed within one span")
 	}
 
 	if !w.Take(now.Add(time.Minute), 2, Needed) {
-		t.Error("nothing came back")
+		t.Error("no extra call available after a pause")
 	}
 }
 
-// TestTakePart wants extra calls of less need to leave a part of the bound to
-// others, and the bound to hold for both.
+// TestTakeShare checks that claims of less need leave a share of the bound to others, and
+// that the bound limits both together.
 func TestTakePart(t *testing.T) {
 	const (
-		slack = 10.0
-		part  = 0.4
+		minExtra = 10.0
+		reserved = 0.4
 	)
 
 	now := time.Now()
@@ -108,15 +108,15 @@
 		return n
 	}
 
-	if n := count(func() bool { return w.Take(now, slack, Claim{Part: 1 - part}) }); n != 6 {
-		t.Errorf("%d extra calls that leave four of ten", n)
+	if n := count(func() bool { return w.Take(now, minExtra, Claim{Part: 1 - reserved}) }); n != 6 {
+		t.Errorf("%d extra calls, want 6, which leaves four of ten", n)
 	}
 
-	if n := count(func() bool { return w.Take(now, slack, Needed) }); n != 4 {
-		t.Errorf("%d extra calls of those left", n)
+	if n := count(func() bool { return w.Take(now, minExtra, Needed) }); n != 4 {
+		t.Errorf("%d extra calls, want the 4 that are left", n)
 	}
 
-	if w.Take(now, slack, Claim{Part: 1 - part}) {
+	if w.Take(now, minExtra, Claim{Part: 1 - reserved}) {
 		t.Error("an extra call beyond the bound")
 	}
 }
