--- a/internal/cwattempt/waits.go
+++ b/internal/cwattempt/waits.go
@@ -1,6 +1,6 @@
-// Package cwattempt tells callers that have just begun from those that come back
-// after a refusal or a lost connection. Nothing on a request says so; but callers
-// say how long they still wait, and one that comes back has used a part of that.
+// Package cwattempt tells first attempts of callers from retries after a refusal or a lost
+// connection. Requests don't carry that information; but callers state how long they still
+// wait, and a retrying one has used up a part of its wait.
 package cwattempt
 
 import (
@@ -8,77 +8,78 @@
 	"time"
 )
 
-// The figures of what is learned of a route's callers.
+// The parameters of what is learned about a route's callers.
 const (
-	// recent is how many callers are remembered: some seconds of one entry VM's
-	// requests, enough for quantiles and few enough to follow a change.
-	recent = 64
-	// enough is how many are needed to say how far the waits of first attempts
-	// lie apart.
-	enough = 8
-	// highest and middle are the quantiles of the waits that are looked at.
-	// Callers that come back are fewer than half of all, so that both are first
+	// maxSamples is how many callers are remembered: those of some seconds at one entry
+	// VM, enough for quantiles and few enough to follow a change.
+	maxSamples = 64
+	// minSamples is how many are needed to estimate the spread of the waits of first
 	// attempts.
-	highest = 0.95
-	middle  = 0.5
-	// widen is how much further below the highest the least wait of a first
-	// attempt is than the middle, where first attempts are spread evenly.
-	widen = highest / (highest - middle)
-	// spreadFirst is how far waits of first attempts lie apart as a part of the
-	// highest, until enough have been seen. spreadMost bounds what is learned:
-	// after a loss of all entry VMs most callers are some that come back.
-	spreadFirst = 0.2
-	spreadMost  = 0.33
-	// slack is the part of a wait that the way to us may have taken.
-	slack = 0.02
+	minSamples = 8
+	// highQuantile and midQuantile are the quantiles of the waits that are used. Fewer
+	// than half of the callers are retrying, so both quantiles are waits of first
+	// attempts.
+	highQuantile = 0.95
+	midQuantile  = 0.5
+	// widenFactor extrapolates from the distance of the middle below the highest wait to
+	// that of the shortest wait, as if the waits of first attempts were spread evenly.
+	widenFactor = highQuantile / (highQuantile - midQuantile)
+	// initialSpread is the spread of the waits of first attempts, as a fraction of the
+	// highest, until enough samples are there. maxSpread limits what is learned: after the
+	// loss of all entry VMs most callers are retrying.
+	initialSpread = 0.2
+	maxSpread     = 0.33
+	// transitFraction is the fraction of a wait that a request may have spent on the way
+	// to the entry VM.
+	transitFraction = 0.02
 )
 
-// Waits is what the callers of one route said lately. It is not safe for use by
-// several goroutines.
+// Waits estimates how long first attempts on one route wait, from what recent callers
+// stated. It is not safe for concurrent use.
 type Waits struct {
-	list []time.Duration
-	next int
-	// most and least bound what a first attempt waits.
-	most, least time.Duration
+	samples []time.Duration
+	next    int
+	// longest and shortest are the bounds of a first attempt's wait.
+	longest, shortest time.Duration
 }
 
-// Add takes how long a caller still waits.
+// Add records how long a caller still waits.
 func (w *Waits) Add(left time.Duration) {
-	if len(w.list) < recent {
-		w.list = append(w.list, left)
+	if len(w.samples) < maxSamples {
+		w.samples = append(w.samples, left)
 	} else {
-		w.list[w.next] = left
+		w.samples[w.next] = left
 	}
 
-	w.next = (w.next + 1) % recent
+	w.next = (w.next + 1) % maxSamples
 	w.learn()
 }
 
 func (w *Waits) learn() {
-	sorted := slices.Clone(w.list)
+	sorted := slices.Clone(w.samples)
 	slices.Sort(sorted)
 
 	at := func(q float64) time.Duration { return sorted[int(q*float64(len(sorted)-1)+0.5)] }
-	w.most = at(highest)
-	spread := spreadFirst * float64(w.most)
+	w.longest = at(highQuantile)
+	spread := initialSpread * float64(w.longest)
 
-	if len(sorted) >= enough {
-		spread = min(spreadMost*float64(w.most), widen*float64(w.most-at(middle)))
+	if len(sorted) >= minSamples {
+		spread = min(maxSpread*float64(w.longest), widenFactor*float64(w.longest-at(midQuantile)))
 	}
 
-	w.least = w.most - time.Duration(spread+slack*float64(w.most))
+	w.shortest = w.longest - time.Duration(spread+transitFraction*float64(w.longest))
 }
 
-// Age returns how long ago the first attempt of a caller was that still waits for
-// so long: zero where this is probably the first.
+// Age returns how long ago the first attempt of a caller was that still waits for left, or
+// zero if this is probably the first.
 //
-// The share of a route's first attempts that are taken for later ones falls from
-// two in three to under one in ten where callers wait for 0.85 to 1 of two
-// seconds, against a fixed bound at 0.95 of the longest wait.
+// If callers wait for 0.85 to 1 of two seconds, under one in ten first attempts on a route
+// is mistaken for a retry. With a fixed bound at 0.95 of the longest wait, it would be two
+// in three.
 func (w *Waits) Age(left time.Duration) time.Duration {
-	if left >= w.least {
+	if left >= w.shortest {
 		return 0
 	}
 
-	return max(0, (w.most+w.least)/2-left)
+	return max(0, (w.longest+w.shortest)/2-left)
 }
--- a/internal/cwattempt/waits_test.go
+++ b/internal/cwattempt/waits_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestAge lets callers come whose first attempts wait for one time or for some
-// between two, and wants first attempts to be told from later ones.
+// TestAge checks that first attempts are told from retries, for callers that all wait
+// equally long and for callers whose waits differ within a range.
 func TestAge(t *testing.T) {
 	const (
 		second = time.Second
@@ -16,20 +16,20 @@
 
 	for name, c := range map[string]struct {
 		most, least time.Duration
-		// back is the share of callers that come back, after is when.
+		// back is the fraction of callers that retry, after is when.
 		back  float64
 		after time.Duration
-		// wrong is the largest share of first attempts taken for later ones,
-		// missed of later ones taken for first.
+		// wrong is the largest fraction of first attempts mistaken for retries, missed
+		// that of retries mistaken for first attempts.
 		wrong, missed float64
 	}{
-		"all wait alike":                 {2 * second, 2 * second, 0, 0, 0, 0},
-		"all alike, some come back":      {2 * second, 2 * second, 0.2, 100 * time.Millisecond, 0, 0.01},
-		"waits differ":                   {2 * second, 1700 * time.Millisecond, 0, 0, 0.1, 0},
-		"waits differ, some come back":   {2 * second, 1700 * time.Millisecond, 0.2, 400 * time.Millisecond, 0.05, 0.15},
-		"a burst, two in five come back": {2 * second, 1700 * time.Millisecond, 0.4, 600 * time.Millisecond, 0.05, 0.1},
-		"a lost connection":              {2 * second, 1700 * time.Millisecond, 0.45, second, 0.05, 0.01},
-		"waits differ by a third":        {1500 * time.Millisecond, second, 0, 0, 0.15, 0},
+		"equal waits":                {2 * second, 2 * second, 0, 0, 0, 0},
+		"equal waits, some retries":  {2 * second, 2 * second, 0.2, 100 * time.Millisecond, 0, 0.01},
+		"waits differ":               {2 * second, 1700 * time.Millisecond, 0, 0, 0.1, 0},
+		"waits differ, some retries": {2 * second, 1700 * time.Millisecond, 0.2, 400 * time.Millisecond, 0.05, 0.15},
+		"a burst, two in five retry": {2 * second, 1700 * time.Millisecond, 0.4, 600 * time.Millisecond, 0.05, 0.1},
+		"a lost connection":          {2 * second, 1700 * time.Millisecond, 0.45, second, 0.05, 0.01},
+		"waits differ by a third":    {1500 * time.Millisecond, second, 0, 0, 0.15, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(1, 2))
@@ -50,7 +50,7 @@
 				w.Add(left)
 				taken := w.Age(left) > 0
 
-				if i < recent {
+				if i < maxSamples {
 					continue
 				}
 
@@ -70,14 +70,14 @@
 			}
 
 			if float64(wrong) > c.wrong*float64(first) || float64(missed) > c.missed*float64(later) {
-				t.Errorf("%d of %d first attempts taken for later ones, %d of %d missed", wrong, first, missed, later)
+				t.Errorf("%d of %d first attempts mistaken for retries, %d of %d retries missed", wrong, first, missed, later)
 			}
 		})
 	}
 }
 
-// TestAgeAfterOutage starts without knowledge among callers of whom most come
-// back, since their connections were lost a second ago.
+// TestAgeAfterOutage starts without samples, among callers of whom most retry because they
+// lost their connections a second ago.
 func TestAgeAfterOutage(t *testing.T) {
 	const (
 		wait    = 2 * time.Second
@@ -100,29 +100,29 @@
 		}
 
 		if age := w.Age(left); (age > 0) != (i%3 > 0) {
-			t.Errorf("caller %d with %s left: %s ago", i, left, age)
+			t.Errorf("caller %d with %s left: first attempt %s ago", i, left, age)
 		}
 	}
 
 	if got := w.Age(wait - lost); got < lost/2 || got > lost*13/10 {
-		t.Errorf("a caller that began %s ago is taken for one of %s", lost, got)
+		t.Errorf("first attempt %s ago, estimated %s", lost, got)
 	}
 }
 
-// TestAgeFollows lets an operator shorten the callers' wait: the new one is taken
-// for that of first attempts once enough callers have it.
+// TestAgeFollows shortens the callers' wait. The shorter wait must count as that of first
+// attempts once enough callers have it.
 func TestAgeFollows(t *testing.T) {
 	var w Waits
 
-	for range recent {
+	for range maxSamples {
 		w.Add(2 * time.Second)
 	}
 
-	for range recent {
+	for range maxSamples {
 		w.Add(time.Second)
 	}
 
 	if got := w.Age(time.Second); got != 0 {
-		t.Errorf("first attempts are taken for some of %s ago", got)
+		t.Errorf("first attempts are mistaken for retries after %s", got)
 	}
 }
