--- a/internal/cwgone/gone.go
+++ b/internal/cwgone/gone.go
@@ -1,5 +1,5 @@
-// Package cwgone cancels the work of callers that have gone. The HTTP library
-// does not tell of them, so each tick looks at their connections.
+// Package cwdisconnect cancels the work of callers that have disconnected. The HTTP
+// library doesn't report that, so each tick peeks at their connections.
 package cwgone
 
 import (
@@ -10,47 +10,47 @@
 	"carobward.example/carobward/internal/cwsocket"
 )
 
-// Table is the table of callers that wait for work. It is safe for use by
-// several goroutines.
+// Watcher watches the connections of callers that wait for work. It is safe for concurrent
+// use.
 type Table struct {
 	mutex   sync.Mutex
 	callers map[*caller]struct{}
 }
 
-// caller is one caller that waits.
+// caller is one waiting caller.
 type caller struct {
 	conn   net.Conn
 	cancel context.CancelFunc
-	// seen tells that the caller was there at an earlier tick already, so
-	// that short work is never looked at.
+	// seen reports that an earlier tick has met the caller already. Connections are peeked
+	// at from the second tick on, so that short work costs no system call.
 	seen bool
 }
 
-// New returns an empty table.
+// New returns a watcher without callers.
 func New() *Table { return &Table{callers: map[*caller]struct{}{}} }
 
-// Wait returns a context below ctx that ends when the other side of a TCP
-// connection has gone. The function must be called when its work is done.
+// Watch returns a context derived from ctx that ends when the other side of a TCP
+// connection has closed it. The returned function must be called when the work is done.
 func (w *Table) Wait(ctx context.Context, conn net.Conn) (context.Context, func()) {
 	work, cancel := context.WithCancel(ctx)
-	one := &caller{conn: conn, cancel: cancel}
+	c := &caller{conn: conn, cancel: cancel}
 
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 
-	w.callers[one] = struct{}{}
+	w.callers[c] = struct{}{}
 
 	return work, func() {
 		cancel()
 		w.mutex.Lock()
 		defer w.mutex.Unlock()
 
-		delete(w.callers, one)
+		delete(w.callers, c)
 	}
 }
 
-// Tick cancels the work of callers that have closed their connection. Bytes
-// that wait are another request, behind which a close cannot be seen.
+// Tick cancels the work of callers that have closed their connection. If unread bytes are
+// waiting, they are another request, and a close behind them can't be seen.
 func (w *Table) Tick() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
