--- a/internal/cwsocket/peek.go
+++ b/internal/cwsocket/peek.go
@@ -1,4 +1,4 @@
-// Package cwsocket looks at a TCP connection without reading from it.
+// Package cwsocket reports the state of a TCP connection without reading from it.
 package cwsocket
 
 import (
@@ -6,20 +6,20 @@
 	"syscall"
 )
 
-// State is what a look at a connection shows.
+// State is the state of a connection.
 type State uint8
 
 // The states of a connection.
 const (
-	// Quiet: it is open and there is nothing to read.
+	// Idle: the connection is open and there is nothing to read.
 	Quiet State = iota
-	// Bytes: there is something to read.
+	// Readable: there is something to read.
 	Bytes
-	// Closed: the other side has closed or reset it, or we have.
+	// Closed: the other side or this one has closed or reset it.
 	Closed
 )
 
-// Peek tells a connection's state. It neither waits nor takes bytes.
+// Peek returns a connection's state. It neither blocks nor consumes bytes.
 func Peek(c net.Conn) State {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/cwsocket/peek_test.go
+++ b/internal/cwsocket/peek_test.go
@@ -36,7 +36,7 @@
 				t.Fatal(err)
 			}
 
-			cwtest.Wait(t, "the state", func() bool { return Peek(ours) == c.want })
+			cwtest.Wait(t, "the connection's state", func() bool { return Peek(ours) == c.want })
 
 			_ = ours.Close()
 
@@ -47,7 +47,7 @@
 	}
 }
 
-// pair returns both ends of a connection.
+// pair returns both ends of a TCP connection.
 func pair(t *testing.T) (net.Conn, *net.TCPConn) {
 	t.Helper()
 
