--- a/internal/cwfront/front.go
+++ b/internal/cwfront/front.go
@@ -50,7 +50,7 @@
 	// Limits are the limits at the start, see SetLimits.
 	Limits Limits
 	// FleetSize returns the number of entry VMs that share the limits.
-	Fleet func() int
+	FleetSize func() int
 	// TrafficShare returns this entry VM's share of all requests. The limit on health
 	// checks is split by it.
 	Part func() float64
@@ -255,7 +255,7 @@
 // minExtraCalls returns this entry VM's share of the extra calls that are allowed whatever
 // the number of requests.
 func (f *Front) minExtraCalls() float64 {
-	return extraCallFraction * float64(f.limits.Load().ExtraLeast) / float64(max(1, f.Fleet()))
+	return extraCallFraction * float64(f.limits.Load().ExtraLeast) / float64(max(1, f.FleetSize()))
 }
 
 // handle serves one request. It recovers from a panic, which then fails this request only:
--- a/internal/cwfront/service_test.go
+++ b/internal/cwfront/service_test.go
@@ -31,8 +31,8 @@
 
 	return New(Options{
 		Servers: table, Clock: carobward.SystemClock{}, Metrics: cwmetric.New(), Log: logr.Discard(),
-		Limits: Limits{ExtraShare: 0.2, ExtraWindow: 10 * time.Second, ExtraLeast: 64, Looks: 60},
-		Fleet:  func() int { return 4 }, Part: func() float64 { return part },
+		Limits:    Limits{ExtraShare: 0.2, ExtraWindow: 10 * time.Second, ExtraLeast: 64, Looks: 60},
+		FleetSize: func() int { return 4 }, Part: func() float64 { return part },
 	})
 }
 
@@ -104,7 +104,7 @@
 // TestMinExtraCalls checks that all entry VMs together stay within ExtraMin.
 func TestSlack(t *testing.T) {
 	f := newFront(1)
-	if all := f.minExtraCalls() * float64(f.Fleet()); all > float64(f.Limits.ExtraLeast) || all < 0.8*float64(f.Limits.ExtraLeast) {
+	if all := f.minExtraCalls() * float64(f.FleetSize()); all > float64(f.Limits.ExtraLeast) || all < 0.8*float64(f.Limits.ExtraLeast) {
 		t.Errorf("%.1f extra calls without requests over the fleet, want at most %d and most of them", all, f.Limits.ExtraLeast)
 	}
 }
