--- a/internal/cwfront/front.go
+++ b/internal/cwfront/front.go
@@ -53,7 +53,7 @@
 	FleetSize func() int
 	// TrafficShare returns this entry VM's share of all requests. The limit on health
 	// checks is split by it.
-	Part func() float64
+	TrafficShare func() float64
 	// KeyAge returns the age of this entry VM's knowledge of the API keys. Keys that were
 	// revoked longer ago than that are known to be revoked.
 	KeyAge func(now time.Time) time.Duration
@@ -239,7 +239,7 @@
 // checkRate returns how many health checks a second this entry VM may make of a service's
 // servers, and how many it can save up.
 func (f *Front) checkRate(name carobward.Service) (rate.Limit, int) {
-	most := checkFraction * f.limits.Load().Looks * float64(f.Servers.CountOf(name)) * f.Part()
+	most := checkFraction * f.limits.Load().Looks * float64(f.Servers.CountOf(name)) * f.TrafficShare()
 
 	return rate.Limit(most), int(checkBurstSeconds*most) + cwpick.Width
 }
--- a/internal/cwfront/service_test.go
+++ b/internal/cwfront/service_test.go
@@ -32,7 +32,7 @@
 	return New(Options{
 		Servers: table, Clock: carobward.SystemClock{}, Metrics: cwmetric.New(), Log: logr.Discard(),
 		Limits:    Limits{ExtraShare: 0.2, ExtraWindow: 10 * time.Second, ExtraLeast: 64, Looks: 60},
-		FleetSize: func() int { return 4 }, Part: func() float64 { return part },
+		FleetSize: func() int { return 4 }, TrafficShare: func() float64 { return part },
 	})
 }
 
--- a/internal/cwgateway/gateway.go
+++ b/internal/cwgateway/gateway.go
@@ -178,8 +178,8 @@
 	g.front = cwfront.New(cwfront.Options{
 		Dialect: o.Adapter.Caller, Domain: o.Self.Domain, Regions: o.Regions, Servers: g.servers, Link: g.link, Quarantine: g.keeper, Quota: g.quota, Clock: o.Clock,
 		Metrics: g.metrics, Log: o.Log, Limits: o.Limits,
-		FleetSize: func() int { return g.table.Size(o.Clock.Now()) },
-		Part:      func() float64 { return g.part(o.Clock.Now()) },
+		FleetSize:    func() int { return g.table.Size(o.Clock.Now()) },
+		TrafficShare: func() float64 { return g.part(o.Clock.Now()) },
 
 		KeyAge: func(now time.Time) time.Duration { return now.Sub(g.mesh.Checked()) + o.Pending() },
 	})
