--- a/internal/cwfront/front.go
+++ b/internal/cwfront/front.go
@@ -66,7 +66,7 @@
 	// ExtraMin more.
 	ExtraShare  float64
 	ExtraWindow time.Duration
-	ExtraLeast  int
+	ExtraMin    int
 	// ChecksPerSecond is the maximum rate of health checks that one server gets.
 	Looks float64
 	// MaxKeyAge is the age of this entry VM's knowledge of the API keys from which on it
@@ -255,7 +255,7 @@
 // minExtraCalls returns this entry VM's share of the extra calls that are allowed whatever
 // the number of requests.
 func (f *Front) minExtraCalls() float64 {
-	return extraCallFraction * float64(f.limits.Load().ExtraLeast) / float64(max(1, f.FleetSize()))
+	return extraCallFraction * float64(f.limits.Load().ExtraMin) / float64(max(1, f.FleetSize()))
 }
 
 // handle serves one request. It recovers from a panic, which then fails this request only:
--- a/internal/cwfront/service_test.go
+++ b/internal/cwfront/service_test.go
@@ -31,7 +31,7 @@
 
 	return New(Options{
 		Servers: table, Clock: carobward.SystemClock{}, Metrics: cwmetric.New(), Log: logr.Discard(),
-		Limits:    Limits{ExtraShare: 0.2, ExtraWindow: 10 * time.Second, ExtraLeast: 64, Looks: 60},
+		Limits:    Limits{ExtraShare: 0.2, ExtraWindow: 10 * time.Second, ExtraMin: 64, Looks: 60},
 		FleetSize: func() int { return 4 }, TrafficShare: func() float64 { return part },
 	})
 }
@@ -104,8 +104,8 @@
 // TestMinExtraCalls checks that all entry VMs together stay within ExtraMin.
 func TestSlack(t *testing.T) {
 	f := newFront(1)
-	if all := f.minExtraCalls() * float64(f.FleetSize()); all > float64(f.Limits.ExtraLeast) || all < 0.8*float64(f.Limits.ExtraLeast) {
-		t.Errorf("%.1f extra calls without requests over the fleet, want at most %d and most of them", all, f.Limits.ExtraLeast)
+	if all := f.minExtraCalls() * float64(f.FleetSize()); all > float64(f.Limits.ExtraMin) || all < 0.8*float64(f.Limits.ExtraMin) {
+		t.Errorf("%.1f extra calls without requests over the fleet, want at most %d and most of them", all, f.Limits.ExtraMin)
 	}
 }
 
@@ -120,7 +120,7 @@
 		f.serviceState("records").window.Request(now)
 	}
 
-	f.SetLimits(Limits{ExtraShare: 0.02, ExtraLeast: 8, Looks: 10, ExtraWindow: time.Minute})
+	f.SetLimits(Limits{ExtraShare: 0.02, ExtraMin: 8, Looks: 10, ExtraWindow: time.Minute})
 
 	if !take("records") || take("records") {
 		t.Error("want exactly one extra call for a hundred requests")
--- a/internal/cwgateway/ends_test.go
+++ b/internal/cwgateway/ends_test.go
@@ -267,7 +267,7 @@
 
 	v := f.start(t, "vm-1", func(o *cwgateway.Options) {
 		o.Limits.ExtraShare = 0
-		o.Limits.ExtraLeast = extra + 1 // Nine tenths of it are used.
+		o.Limits.ExtraMin = extra + 1 // Nine tenths of it are used.
 	})
 	v.waitReady(t)
 
