--- a/internal/cwfront/front.go
+++ b/internal/cwfront/front.go
@@ -68,7 +68,7 @@
 	ExtraWindow time.Duration
 	ExtraMin    int
 	// ChecksPerSecond is the maximum rate of health checks that one server gets.
-	Looks float64
+	ChecksPerSecond float64
 	// MaxKeyAge is the age of this entry VM's knowledge of the API keys from which on it
 	// refuses requests that need a key; 0 means no limit.
 	KeyAge time.Duration
@@ -239,7 +239,7 @@
 // checkRate returns how many health checks a second this entry VM may make of a service's
 // servers, and how many it can save up.
 func (f *Front) checkRate(name carobward.Service) (rate.Limit, int) {
-	most := checkFraction * f.limits.Load().Looks * float64(f.Servers.CountOf(name)) * f.TrafficShare()
+	most := checkFraction * f.limits.Load().ChecksPerSecond * float64(f.Servers.CountOf(name)) * f.TrafficShare()
 
 	return rate.Limit(most), int(checkBurstSeconds*most) + cwpick.Width
 }
--- a/internal/cwfront/look_test.go
+++ b/internal/cwfront/look_test.go
@@ -38,7 +38,7 @@
 
 	f := New(Options{
 		Servers: table, Link: link, Clock: carobward.SystemClock{}, Metrics: cwmetric.New(), Log: logr.Discard(),
-		Limits: Limits{ExtraWindow: 10 * time.Second, Looks: 60}, FleetSize: func() int { return 1 }, TrafficShare: func() float64 { return 1 },
+		Limits: Limits{ExtraWindow: 10 * time.Second, ChecksPerSecond: 60}, FleetSize: func() int { return 1 }, TrafficShare: func() float64 { return 1 },
 	})
 	routes := cwroutes.New(&carobward.Routing{Services: map[carobward.Service]carobward.ServiceSpec{"records": {HealthPath: "/health"}}})
 
--- a/internal/cwfront/service_test.go
+++ b/internal/cwfront/service_test.go
@@ -31,7 +31,7 @@
 
 	return New(Options{
 		Servers: table, Clock: carobward.SystemClock{}, Metrics: cwmetric.New(), Log: logr.Discard(),
-		Limits:    Limits{ExtraShare: 0.2, ExtraWindow: 10 * time.Second, ExtraMin: 64, Looks: 60},
+		Limits:    Limits{ExtraShare: 0.2, ExtraWindow: 10 * time.Second, ExtraMin: 64, ChecksPerSecond: 60},
 		FleetSize: func() int { return 4 }, TrafficShare: func() float64 { return part },
 	})
 }
@@ -120,7 +120,7 @@
 		f.serviceState("records").window.Request(now)
 	}
 
-	f.SetLimits(Limits{ExtraShare: 0.02, ExtraMin: 8, Looks: 10, ExtraWindow: time.Minute})
+	f.SetLimits(Limits{ExtraShare: 0.02, ExtraMin: 8, ChecksPerSecond: 10, ExtraWindow: time.Minute})
 
 	if !take("records") || take("records") {
 		t.Error("want exactly one extra call for a hundred requests")
--- a/internal/cwgateway/bounds.go
+++ b/internal/cwgateway/bounds.go
@@ -46,7 +46,7 @@
 	g.quota.SetBounds(b.Quota)
 	g.mesh.AddSeeds(b.Seeds)
 	g.log.Info("New bounds are in force.", "grace", b.Grace.String(), "answer", b.AnswerMost.String(),
-		"share", b.Limits.ExtraShare, "least", b.Limits.ExtraMin, "looks", b.Limits.Looks, "overshoot", b.ColdOvershoot, "slack", b.ColdSlack,
+		"share", b.Limits.ExtraShare, "least", b.Limits.ExtraMin, "looks", b.Limits.ChecksPerSecond, "overshoot", b.ColdOvershoot, "slack", b.ColdSlack,
 		"keyage", b.Limits.KeyAge.String(), "quota", b.Quota.Slack, "window", b.Quota.Window.String(), "seeds", b.Seeds)
 }
 
--- a/internal/cwgateway/fleet_test.go
+++ b/internal/cwgateway/fleet_test.go
@@ -131,7 +131,7 @@
 		Ready: free(t), Lookup: free(t), Metrics: free(t),
 		Bounds: cwgateway.Bounds{
 			Grace: 400 * time.Millisecond, AnswerMost: 5 * time.Second, ColdOvershoot: 1.5, ColdSlack: 8,
-			Limits: cwfront.Limits{ExtraShare: 0.2, ExtraWindow: 10 * time.Second, ExtraMin: 64, Looks: 60},
+			Limits: cwfront.Limits{ExtraShare: 0.2, ExtraWindow: 10 * time.Second, ExtraMin: 64, ChecksPerSecond: 60},
 		},
 		Adapter: platform.Adapter(f.address, func() {}), Dropped: func() int64 { return 0 }, Calls: func() int64 { return 0 }, Clock: carobward.SystemClock{},
 		Suspended: func() time.Duration { return 0 }, Pending: func() time.Duration { return 0 }, Log: logr.Discard(),
