--- a/internal/cwfront/front.go
+++ b/internal/cwfront/front.go
@@ -71,7 +71,7 @@
 	ChecksPerSecond float64
 	// MaxKeyAge is the age of this entry VM's knowledge of the API keys from which on it
 	// refuses requests that need a key; 0 means no limit.
-	KeyAge time.Duration
+	MaxKeyAge time.Duration
 }
 
 // Front handles callers' requests.
--- a/internal/cwfront/team.go
+++ b/internal/cwfront/team.go
@@ -33,7 +33,7 @@
 	}
 
 	f := r.front
-	age, most := f.KeyAge(now), f.limits.Load().KeyAge
+	age, most := f.KeyAge(now), f.limits.Load().MaxKeyAge
 	team := r.routes.Team(f.Dialect.Key(h.Peek))
 
 	switch {
--- a/internal/cwgateway/bounds.go
+++ b/internal/cwgateway/bounds.go
@@ -47,7 +47,7 @@
 	g.mesh.AddSeeds(b.Seeds)
 	g.log.Info("New bounds are in force.", "grace", b.Grace.String(), "answer", b.AnswerMost.String(),
 		"share", b.Limits.ExtraShare, "least", b.Limits.ExtraMin, "looks", b.Limits.ChecksPerSecond, "overshoot", b.ColdOvershoot, "slack", b.ColdSlack,
-		"keyage", b.Limits.KeyAge.String(), "quota", b.Quota.Slack, "window", b.Quota.Window.String(), "seeds", b.Seeds)
+		"keyage", b.Limits.MaxKeyAge.String(), "quota", b.Quota.Slack, "window", b.Quota.Window.String(), "seeds", b.Seeds)
 }
 
 // setColdBounds tells the table of servers what cold ones bear, by the configuration and
--- a/internal/cwgateway/team_test.go
+++ b/internal/cwgateway/team_test.go
@@ -155,7 +155,7 @@
 	u := f.upstream(t, "records", "i-1")
 	f.teams([]cwstand.MetadataTeam{{Name: "club", Keys: []string{clubKey}}}, safe("records"), open("records"))
 
-	v := f.start(t, "vm-1", func(o *cwgateway.Options) { o.Limits.KeyAge = most })
+	v := f.start(t, "vm-1", func(o *cwgateway.Options) { o.Limits.MaxKeyAge = most })
 	v.waitReady(t)
 	cwtest.Wait(t, "an answer", func() bool { return v.askAs(reading, "one", bearer(clubKey)).status == http.StatusOK })
 
