--- a/internal/cwfront/front.go
+++ b/internal/cwfront/front.go
@@ -195,7 +195,7 @@
 
 // AllowedRegions returns the regions to which requests of a host's routes may go, for the
 // routes that restrict them.
-func (f *Front) Homes(host string) []carobward.Region {
+func (f *Front) AllowedRegions(host string) []carobward.Region {
 	t := f.routes.Load()
 	if t == nil {
 		return nil
--- a/internal/cwgateway/addresses.go
+++ b/internal/cwgateway/addresses.go
@@ -35,7 +35,7 @@
 		byDomain[s.Domain] = g.callable(s.Domain)
 	}
 
-	return drawn(nearest(a, byDomain, g.Regions, g.front.Homes(a.host)))
+	return drawn(nearest(a, byDomain, g.Regions, g.front.AllowedRegions(a.host)))
 }
 
 // nearest returns the addresses of the nearest failure domains that have enough: the
