--- a/internal/cwfront/front.go
+++ b/internal/cwfront/front.go
@@ -208,7 +208,7 @@
 func (f *Front) Leave() { f.leaving.Store(true) }
 
 // InFlight returns the number of requests in progress.
-func (f *Front) Flight() int { return int(f.inFlight.Load()) }
+func (f *Front) InFlight() int { return int(f.inFlight.Load()) }
 
 // Total returns the number of requests received.
 func (f *Front) Total() int64 { return f.total.Load() }
--- a/internal/cwgateway/gateway.go
+++ b/internal/cwgateway/gateway.go
@@ -253,7 +253,7 @@
 func (g *Gateway) stop(listeners []net.Listener) {
 	began := g.Clock.Now()
 	grace := float64(g.bounds.Load().Grace)
-	g.log.Info("Stopping.", "flight", g.front.Flight())
+	g.log.Info("Stopping.", "flight", g.front.InFlight())
 	g.front.Leave()
 	g.mesh.SetState(cwmesh.Leaving)
 
@@ -262,9 +262,9 @@
 	// The callers' listener is the first.
 	_ = listeners[0].Close()
 
-	for g.front.Flight() > 0 && g.Clock.Now().Sub(began) < time.Duration(endShare*grace) {
+	for g.front.InFlight() > 0 && g.Clock.Now().Sub(began) < time.Duration(endShare*grace) {
 		time.Sleep(tickTime / 4)
 	}
 
-	g.log.Info("Stopped.", "flight", g.front.Flight(), "took", g.Clock.Now().Sub(began).String())
+	g.log.Info("Stopped.", "flight", g.front.InFlight(), "took", g.Clock.Now().Sub(began).String())
 }
--- a/internal/cwgateway/tick.go
+++ b/internal/cwgateway/tick.go
@@ -48,7 +48,7 @@
 // servers said of limits. Others are left: what is known of load is asked before each send,
 // blocks only last longer, and who sent the requests in flight has left or will.
 func (g *Gateway) wake(by time.Duration) {
-	g.log.Info("The VM was suspended.", "by", by.String(), "flight", g.front.Flight())
+	g.log.Info("The VM was suspended.", "by", by.String(), "flight", g.front.InFlight())
 	g.mesh.Suspended(by)
 	g.link.Suspended(by)
 	g.servers.Suspended(by)
@@ -107,7 +107,7 @@
 
 // gauges shows what is counted elsewhere.
 func (g *Gateway) gauges() {
-	g.metrics.Gauge("gateway", "flight", func() int64 { return int64(g.front.Flight()) })
+	g.metrics.Gauge("gateway", "flight", func() int64 { return int64(g.front.InFlight()) })
 	g.metrics.Gauge("gateway", "servers", func() int64 { return int64(g.servers.Count()) })
 	g.metrics.Gauge("gateway", "peers", func() int64 { return int64(len(g.table.Live(g.Clock.Now()))) })
 	g.metrics.Gauge("gateway", "fleet", func() int64 { return int64(g.table.Size(g.Clock.Now())) })
