--- a/internal/cwfront/judge_test.go
+++ b/internal/cwfront/judge_test.go
@@ -21,7 +21,7 @@
 
 // TestResolveResult checks what the caller is told about the result of a send: only a
 // request that surely did not run is reported as not run, and then with a time to retry.
-func TestJudge(t *testing.T) {
+func TestResolveResult(t *testing.T) {
 	failure := func(v carobward.Verdict, err error) error { return carobward.NewFailure(v, 502, 0, err) }
 	reply := func(status int, shed bool) *carobward.Reply { return &carobward.Reply{Status: status, Shed: shed} }
 
