--- a/internal/cwfront/look_test.go
+++ b/internal/cwfront/look_test.go
@@ -52,7 +52,7 @@
 // silently. The health check that finds it reset is made once more over a new connection,
 // and the server is not blocked for it. A server that resets new connections as well is
 // blocked.
-func TestLookForgotten(t *testing.T) {
+func TestCheckReset(t *testing.T) {
 	for name, c := range map[string]struct {
 		fault       cwstand.ProxyFault
 		ok, blocked bool
