--- a/internal/cwfront/look_test.go
+++ b/internal/cwfront/look_test.go
@@ -94,7 +94,7 @@
 
 // TestRecheckLimit checks that repeated health checks over new connections count against
 // the rate limit.
-func TestLookAgainBound(t *testing.T) {
+func TestRecheckLimit(t *testing.T) {
 	u := cwstand.NewUpstream(cwtest.Listen(t), "i-1")
 	t.Cleanup(u.Close)
 
