--- a/internal/cwfront/service_test.go
+++ b/internal/cwfront/service_test.go
@@ -38,7 +38,7 @@
 
 // TestCheckRate makes health checks as fast as the rate limit allows for a minute. They
 // must stay within this entry VM's share of the limit and use most of it.
-func TestLooksBound(t *testing.T) {
+func TestCheckRate(t *testing.T) {
 	const (
 		minute = 60
 		limit  = 60.0 * 10
