--- a/internal/cwfront/service_test.go
+++ b/internal/cwfront/service_test.go
@@ -66,7 +66,7 @@
 // TestRecordAnswer checks that the usual response time is that of a machine at its usual
 // speed with free slots, that each objective has its own, and that the crowding factor is
 // learned.
-func TestLearn(t *testing.T) {
+func TestRecordAnswer(t *testing.T) {
 	const (
 		fast  = 500 * time.Millisecond
 		slow  = time.Second
