--- a/internal/cwfront/service_test.go
+++ b/internal/cwfront/service_test.go
@@ -102,7 +102,7 @@
 }
 
 // TestMinExtraCalls checks that all entry VMs together stay within ExtraMin.
-func TestSlack(t *testing.T) {
+func TestMinExtraCalls(t *testing.T) {
 	f := newFront(1)
 	if all := f.minExtraCalls() * float64(f.FleetSize()); all > float64(f.Limits.ExtraMin) || all < 0.8*float64(f.Limits.ExtraMin) {
 		t.Errorf("%.1f extra calls without requests over the fleet, want at most %d and most of them", all, f.Limits.ExtraMin)
