--- a/internal/cwfront/service_test.go
+++ b/internal/cwfront/service_test.go
@@ -137,7 +137,7 @@
 
 // TestCheckTimeout checks how the timeout of health checks follows the time that recent
 // ones took.
-func TestLookTime(t *testing.T) {
+func TestCheckTimeout(t *testing.T) {
 	const objective = time.Second
 
 	for name, c := range map[string]struct {
