--- a/internal/cwfront/wait_test.go
+++ b/internal/cwfront/wait_test.go
@@ -34,7 +34,7 @@
 // TestConcurrentChecks sends many requests to a server that is slow to answer health
 // checks. As long as there may be room, no request waits for the health check of another.
 // If each did, only those started during one check's time would run at once, about ten.
-func TestLooksTogether(t *testing.T) {
+func TestConcurrentChecks(t *testing.T) {
 	const (
 		requests = 32
 		together = 20
