--- a/internal/cwfront/wait.go
+++ b/internal/cwfront/wait.go
@@ -30,7 +30,7 @@
 // cwqueue.
 type queue struct {
 	mutex   sync.Mutex
-	waiters cwturn.Line[*waiter]
+	waiters cwturn.Queue[*waiter]
 }
 
 // join adds a waiter, and reports whether it makes health checks itself.
--- a/internal/cwturn/line.go
+++ b/internal/cwturn/line.go
@@ -15,13 +15,13 @@
 // Queue holds the requests of one service that wait for a server at one entry VM. It is
 // short, since requests wait for a few usual response times at most. It is not safe for
 // concurrent use.
-type Line[W Waiter] struct{ list []W }
+type Queue[W Waiter] struct{ list []W }
 
 // Join adds a request.
-func (l *Line[W]) Join(w W) { l.list = append(l.list, w) }
+func (l *Queue[W]) Join(w W) { l.list = append(l.list, w) }
 
 // Leave removes a request, if it is there.
-func (l *Line[W]) Leave(w W) {
+func (l *Queue[W]) Leave(w W) {
 	if i := slices.Index(l.list, w); i >= 0 {
 		l.list = slices.Delete(l.list, i, i+1)
 	}
@@ -29,7 +29,7 @@
 
 // First returns the first request, in the order of Before, that may have a server. It
 // returns false if there is none.
-func (l *Line[W]) First(now time.Time, may func(W) bool) (W, bool) {
+func (l *Queue[W]) First(now time.Time, may func(W) bool) (W, bool) {
 	var (
 		best  W
 		found bool
@@ -50,7 +50,7 @@
 // first one finds and for slots that become free. If each made its own checks, waiting
 // requests would use up the rate limit of all, and several would take the same slot: 0.76
 // of the requests are in time in bursts then, 0.78 with this rule.
-func (l *Line[W]) Looks(w W, now time.Time) bool {
+func (l *Queue[W]) Looks(w W, now time.Time) bool {
 	for _, o := range l.list {
 		if o != w && o.Turn().Vain && o.Turn().Before(w.Turn(), now) {
 			return false
--- a/internal/cwturn/line_bench_test.go
+++ b/internal/cwturn/line_bench_test.go
@@ -10,7 +10,7 @@
 func BenchmarkLine(b *testing.B) {
 	const waiting = 8
 
-	var l Line[*testWaiter]
+	var l Queue[*testWaiter]
 
 	for i := range waiting {
 		l.Join(&testWaiter{turn: schedule(1, time.Duration(i)*time.Millisecond)})
--- a/internal/cwturn/line_test.go
+++ b/internal/cwturn/line_test.go
@@ -20,7 +20,7 @@
 // not use them, and that the requests behind it make no health checks once those of the
 // first one found no room.
 func TestLine(t *testing.T) {
-	var l Line[*testWaiter]
+	var l Queue[*testWaiter]
 
 	all := []*testWaiter{
 		{"late", schedule(0, time.Second)}, {"first", schedule(1, 50*time.Millisecond)}, {"urgent", schedule(0, 0)}, {"last", schedule(1, 0)},
--- a/internal/lab/cwbench/worst_vm.go
+++ b/internal/lab/cwbench/worst_vm.go
@@ -47,7 +47,7 @@
 	domain  carobward.Domain
 	table   *cwbackend.Table
 	servers map[carobward.Address]*worstServer
-	line    cwturn.Line[*worstRequest]
+	line    cwturn.Queue[*worstRequest]
 	pace    cwturn.Pace
 	waits   cwattempt.Waits
 	longest time.Duration
