--- a/internal/cwfront/wait.go
+++ b/internal/cwfront/wait.go
@@ -40,7 +40,7 @@
 
 	q.waiters.Join(w)
 
-	return q.waiters.Looks(w, now)
+	return q.waiters.MayCheck(w, now)
 }
 
 // mayCheck reports whether a waiter makes health checks itself. It also updates by which
@@ -51,7 +51,7 @@
 
 	w.request.schedule.Pace = slowdown
 
-	return q.waiters.Looks(w, now)
+	return q.waiters.MayCheck(w, now)
 }
 
 // noteNoRoom records that health checks for a waiter found no server with room.
--- a/internal/cwturn/line.go
+++ b/internal/cwturn/line.go
@@ -50,7 +50,7 @@
 // first one finds and for slots that become free. If each made its own checks, waiting
 // requests would use up the rate limit of all, and several would take the same slot: 0.76
 // of the requests are in time in bursts then, 0.78 with this rule.
-func (l *Queue[W]) Looks(w W, now time.Time) bool {
+func (l *Queue[W]) MayCheck(w W, now time.Time) bool {
 	for _, o := range l.list {
 		if o != w && o.Turn().Vain && o.Turn().Before(w.Turn(), now) {
 			return false
--- a/internal/cwturn/line_bench_test.go
+++ b/internal/cwturn/line_bench_test.go
@@ -23,7 +23,7 @@
 
 	for b.Loop() {
 		l.Join(one)
-		l.Looks(one, begin)
+		l.MayCheck(one, begin)
 		l.First(begin, all)
 		l.Leave(one)
 	}
--- a/internal/cwturn/line_test.go
+++ b/internal/cwturn/line_test.go
@@ -30,7 +30,7 @@
 	}
 
 	for _, w := range all {
-		if !l.Looks(w, begin) {
+		if !l.MayCheck(w, begin) {
 			t.Errorf("%s makes no health checks while there may be room", w.name)
 		}
 	}
@@ -38,7 +38,7 @@
 	all[2].turn.Vain = true
 
 	for _, w := range all {
-		if got := l.Looks(w, begin); got != (w.name == "urgent") {
+		if got := l.MayCheck(w, begin); got != (w.name == "urgent") {
 			t.Errorf("%s makes health checks: %v", w.name, got)
 		}
 	}
--- a/internal/lab/cwbench/worst_vm.go
+++ b/internal/lab/cwbench/worst_vm.go
@@ -161,7 +161,7 @@
 	case !w.now().Before(r.until):
 		v.line.Leave(r)
 		w.finish(r, false, false)
-	case w.way.Alone || w.way.Restless || v.line.Looks(r, w.now()):
+	case w.way.Alone || w.way.Restless || v.line.MayCheck(r, w.now()):
 		v.look(r)
 	case r.turn.Over(w.now()):
 		v.line.Leave(r)
