--- a/internal/cwfront/request.go
+++ b/internal/cwfront/request.go
@@ -53,7 +53,7 @@
 	// returned reports that the caller is probably retrying after a refusal.
 	returned bool
 	// schedule decides when the request gets a server.
-	schedule cwturn.Turn
+	schedule cwturn.Schedule
 	routes   *cwroutes.Table
 	route    *cwroutes.Route
 	// team is the caller's team, or nil if its route needs no key. Priority is that of the
@@ -159,7 +159,7 @@
 	}
 
 	r.returned = age > 0
-	r.schedule = cwturn.Turn{
+	r.schedule = cwturn.Schedule{
 		Rank: r.priority, Arrived: now, Due: now.Add(r.route.Objective - age), Deadline: r.deadline,
 		Objective: r.route.Objective, Usual: r.usualTime(), Pace: r.state.currentSlowdown(),
 	}
--- a/internal/cwfront/wait.go
+++ b/internal/cwfront/wait.go
@@ -24,7 +24,7 @@
 }
 
 // Turn implements cwturn.Waiter.
-func (w *waiter) Turn() *cwturn.Turn { return &w.request.schedule }
+func (w *waiter) Turn() *cwturn.Schedule { return &w.request.schedule }
 
 // queue is the queue of one service's waiting requests. The decisions are those of
 // cwqueue.
--- a/internal/cwfront/wait_test.go
+++ b/internal/cwfront/wait_test.go
@@ -23,7 +23,7 @@
 func queuedRequest(r *request) *request {
 	one := *r
 	now := time.Now()
-	one.schedule = cwturn.Turn{
+	one.schedule = cwturn.Schedule{
 		Arrived: now, Due: now.Add(time.Minute), Deadline: now.Add(time.Minute),
 		Objective: time.Minute, Usual: time.Second, Pace: 1,
 	}
--- a/internal/cwturn/line.go
+++ b/internal/cwturn/line.go
@@ -9,7 +9,7 @@
 type Waiter interface {
 	comparable
 	// Turn returns the request's schedule.
-	Turn() *Turn
+	Turn() *Schedule
 }
 
 // Queue holds the requests of one service that wait for a server at one entry VM. It is
--- a/internal/cwturn/line_test.go
+++ b/internal/cwturn/line_test.go
@@ -10,11 +10,11 @@
 // testWaiter is a Waiter with a name.
 type testWaiter struct {
 	name string
-	turn *Turn
+	turn *Schedule
 }
 
 // Turn implements Waiter.
-func (n *testWaiter) Turn() *Turn { return n.turn }
+func (n *testWaiter) Turn() *Schedule { return n.turn }
 
 // TestQueue checks that servers go to waiting requests in order, skipping those that may
 // not use them, and that the requests behind it make no health checks once those of the
--- a/internal/cwturn/turn.go
+++ b/internal/cwturn/turn.go
@@ -38,7 +38,7 @@
 )
 
 // Schedule decides when one request gets a server.
-type Turn struct {
+type Schedule struct {
 	// Rank is the request's priority; a lower one is more urgent.
 	Rank int
 	// Arrived is when the request arrived. Due is when its answer becomes late, counted
@@ -55,18 +55,18 @@
 }
 
 // expectedTime returns how long one of the better servers takes now.
-func (t *Turn) expectedTime() time.Duration { return t.times(max(1, t.Pace)) }
+func (t *Schedule) expectedTime() time.Duration { return t.times(max(1, t.Pace)) }
 
 // times returns n usual response times.
-func (t *Turn) times(n float64) time.Duration { return time.Duration(n * float64(t.Usual)) }
+func (t *Schedule) times(n float64) time.Duration { return time.Duration(n * float64(t.Usual)) }
 
 // Timely reports whether an answer can still be in time.
-func (t *Turn) Timely(now time.Time) bool { return t.Due.Sub(now) >= t.expectedTime() }
+func (t *Schedule) Timely(now time.Time) bool { return t.Due.Sub(now) >= t.expectedTime() }
 
 // Before reports whether a request gets a server before another one. A request whose
 // answer can be in time goes first, then the more urgent one, then the one that is due
 // sooner.
-func (t *Turn) Before(o *Turn, now time.Time) bool {
+func (t *Schedule) Before(o *Schedule, now time.Time) bool {
 	if a, b := t.Timely(now), o.Timely(now); a != b {
 		return a
 	}
@@ -82,7 +82,7 @@
 // overload, slots held for late answers are missing for those that can be in time. Of the
 // requests that arrive while all other callers return from a power failure, 0.81 are in
 // time without this rule, 0.88 with it.
-func (t *Turn) Spares(now time.Time) int {
+func (t *Schedule) Spares(now time.Time) int {
 	if t.Timely(now) {
 		return 0
 	}
@@ -93,11 +93,11 @@
 // Good reports whether a server is used at once. Time is how long it takes, in usual
 // response times. While nearly all servers are slow, the limit grows by their slowdown,
 // since waiting would not find a faster one.
-func (t *Turn) Good(time float64) bool { return time <= goodTime*max(1, t.Pace) }
+func (t *Schedule) Good(time float64) bool { return time <= goodTime*max(1, t.Pace) }
 
 // Acceptable reports whether a server that is not good is used: its answer would be in
 // time, and the request has searched for a better one long enough.
-func (t *Turn) Suits(time float64, now time.Time) bool {
+func (t *Schedule) Suits(time float64, now time.Time) bool {
 	waited := now.Sub(t.Arrived) >= fraction(betterFraction, t.Objective)
 
 	return waited && t.InTime(time, now)
@@ -105,11 +105,11 @@
 
 // InTime reports whether a server that takes that many usual response times would answer
 // in time.
-func (t *Turn) InTime(time float64, now time.Time) bool { return t.Due.Sub(now) >= t.times(time) }
+func (t *Schedule) InTime(time float64, now time.Time) bool { return t.Due.Sub(now) >= t.times(time) }
 
 // ShouldRefuse reports whether a request that found no server is refused. One whose answer
 // can be in time is not: the next slot that becomes free may be for it.
-func (t *Turn) Over(now time.Time) bool {
+func (t *Schedule) Over(now time.Time) bool {
 	if t.Timely(now) {
 		return false
 	}
@@ -118,21 +118,21 @@
 }
 
 // CheckInterval returns the time until the next health checks.
-func (t *Turn) Pause() time.Duration { return max(minCheckInterval, t.times(checkInterval)) }
+func (t *Schedule) Pause() time.Duration { return max(minCheckInterval, t.times(checkInterval)) }
 
 // RetryAfter returns when a caller may retry that is refused because no server has room.
-func (t *Turn) Return() time.Duration {
+func (t *Schedule) Return() time.Duration {
 	return max(minRetryAfter, t.times(retryAfter*max(1, t.Pace)))
 }
 
 // RetryAfterOpening returns the same if it is known when the first server accepts requests
 // again: that time, or RetryAfter if it is sooner, since servers that this entry VM
 // doesn't know may have room by then.
-func (t *Turn) ReturnAt(opens, now time.Time) time.Duration {
+func (t *Schedule) ReturnAt(opens, now time.Time) time.Duration {
 	return min(max(minRetryAfter, opens.Sub(now)), t.Return())
 }
 
 // RetryAfterRefusal returns the same after a server's refusal.
-func (t *Turn) ReturnShed() time.Duration { return max(minRetryAfter, t.times(refusalRetryAfter)) }
+func (t *Schedule) ReturnShed() time.Duration { return max(minRetryAfter, t.times(refusalRetryAfter)) }
 
 func fraction(p float64, d time.Duration) time.Duration { return time.Duration(p * float64(d)) }
--- a/internal/cwturn/turn_test.go
+++ b/internal/cwturn/turn_test.go
@@ -15,8 +15,8 @@
 var begin = time.Unix(1000, 0)
 
 // schedule returns that of a request whose caller made its first attempt age before.
-func schedule(rank int, age time.Duration) *Turn {
-	return &Turn{
+func schedule(rank int, age time.Duration) *Schedule {
+	return &Schedule{
 		Rank: rank, Arrived: begin, Due: begin.Add(objective - age), Deadline: begin.Add(wait - age),
 		Objective: objective, Usual: usual, Pace: 1,
 	}
@@ -28,7 +28,7 @@
 	slow := schedule(0, 0)
 	slow.Pace = 5
 
-	for name, c := range map[string]struct{ first, second *Turn }{
+	for name, c := range map[string]struct{ first, second *Schedule }{
 		"in time before late":           {schedule(1, 0), schedule(1, 350*time.Millisecond)},
 		"in time though less urgent":    {schedule(2, 0), schedule(0, 350*time.Millisecond)},
 		"the more urgent":               {schedule(0, 0), schedule(1, 100*time.Millisecond)},
@@ -90,7 +90,7 @@
 func TestTimes(t *testing.T) {
 	for name, usual := range map[string]time.Duration{"short work": 10 * time.Millisecond, "long work": 500 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
-			r := &Turn{Usual: usual, Pace: 1}
+			r := &Schedule{Usual: usual, Pace: 1}
 
 			if p := r.Pause(); p <= 0 || p >= usual {
 				t.Errorf("health checks every %s, work of %s", p, usual)
@@ -111,7 +111,7 @@
 // TestMinIntervals checks that neither health checks of waiting requests nor retries of
 // refused callers follow in quick succession if work takes next to no time.
 func TestLeastTimes(t *testing.T) {
-	r := &Turn{Usual: time.Microsecond, Pace: 1}
+	r := &Schedule{Usual: time.Microsecond, Pace: 1}
 
 	for name, d := range map[string]time.Duration{"a check interval": r.Pause(), "a retry": r.Return(), "a retry after a refusal": r.ReturnShed()} {
 		if d < time.Millisecond {
--- a/internal/lab/cwbench/worst_run.go
+++ b/internal/lab/cwbench/worst_run.go
@@ -51,7 +51,7 @@
 	began, until time.Time
 	attempt      int
 	vm           *worstVM
-	turn         cwturn.Turn
+	turn         cwturn.Schedule
 	// back tells that the caller has probably come back after a refusal, sends how
 	// often this attempt was sent, tried to which servers.
 	back  bool
@@ -66,7 +66,7 @@
 }
 
 // Turn implements cwturn.Waiter.
-func (r *worstRequest) Turn() *cwturn.Turn { return &r.turn }
+func (r *worstRequest) Turn() *cwturn.Schedule { return &r.turn }
 
 // RunWorst runs a pattern under some ways, each with the same requests.
 func RunWorst(p Pattern, ways []Way, parallel int) ([]*WorstResult, error) {
--- a/internal/lab/cwbench/worst_vm.go
+++ b/internal/lab/cwbench/worst_vm.go
@@ -132,7 +132,7 @@
 	r.sends, r.tried = 0, map[*cwbackend.Server]bool{}
 	v.extra.Request(now)
 	r.returned = float64(left) < aloneWait*float64(v.longest)
-	r.turn = cwturn.Turn{
+	r.turn = cwturn.Schedule{
 		Arrived: now, Due: now.Add(p.Objective - age), Deadline: r.until, Objective: p.Objective,
 		Usual: v.times.Usual(p.Objective), Pace: v.paceNow(),
 	}
