--- a/internal/cwfront/look.go
+++ b/internal/cwfront/look.go
@@ -75,7 +75,7 @@
 
 	var best *candidate
 
-	for round := cwpick.FirstRound(r.schedule.Vain); round < cwpick.Rounds; round++ {
+	for round := cwpick.FirstRound(r.schedule.NoRoom); round < cwpick.Rounds; round++ {
 		draw := cwpick.Draw(cwpick.Global{}, views, r.checkCount(now), f.Domain, seen, round)
 		if len(draw) == 0 {
 			break
--- a/internal/cwfront/wait.go
+++ b/internal/cwfront/wait.go
@@ -59,7 +59,7 @@
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 
-	w.request.schedule.Vain = true
+	w.request.schedule.NoRoom = true
 }
 
 // leave removes a waiter. An offer that it did not take goes to another waiter. The first
--- a/internal/cwturn/line.go
+++ b/internal/cwturn/line.go
@@ -52,7 +52,7 @@
 // of the requests are in time in bursts then, 0.78 with this rule.
 func (l *Queue[W]) MayCheck(w W, now time.Time) bool {
 	for _, o := range l.list {
-		if o != w && o.Turn().Vain && o.Turn().Before(w.Turn(), now) {
+		if o != w && o.Turn().NoRoom && o.Turn().Before(w.Turn(), now) {
 			return false
 		}
 	}
--- a/internal/cwturn/line_test.go
+++ b/internal/cwturn/line_test.go
@@ -35,7 +35,7 @@
 		}
 	}
 
-	all[2].turn.Vain = true
+	all[2].turn.NoRoom = true
 
 	for _, w := range all {
 		if got := l.MayCheck(w, begin); got != (w.name == "urgent") {
--- a/internal/cwturn/turn.go
+++ b/internal/cwturn/turn.go
@@ -51,7 +51,7 @@
 	Usual time.Duration
 	Pace  float64
 	// NoRoom reports that health checks for the request found no server with room.
-	Vain bool
+	NoRoom bool
 }
 
 // expectedTime returns how long one of the better servers takes now.
--- a/internal/lab/cwbench/worst_choice.go
+++ b/internal/lab/cwbench/worst_choice.go
@@ -23,7 +23,7 @@
 		return
 	}
 
-	v.lookOn(r, nil, maps.Clone(r.tried), cwpick.FirstRound(r.turn.Vain))
+	v.lookOn(r, nil, maps.Clone(r.tried), cwpick.FirstRound(r.turn.NoRoom))
 }
 
 // lookOn makes a round of looks. Best is the best server of those before it, seen has
--- a/internal/lab/cwbench/worst_vm.go
+++ b/internal/lab/cwbench/worst_vm.go
@@ -204,7 +204,7 @@
 func (v *worstVM) park(r *worstRequest, looked bool) {
 	r.parked++
 	r.waits = true
-	r.turn.Vain = r.turn.Vain || looked
+	r.turn.NoRoom = r.turn.NoRoom || looked
 	parked, pause := r.parked, r.turn.Pause()
 
 	switch {
