--- a/internal/cwfront/request.go
+++ b/internal/cwfront/request.go
@@ -161,7 +161,7 @@
 	r.returned = age > 0
 	r.schedule = cwturn.Schedule{
 		Rank: r.priority, Arrived: now, Due: now.Add(r.route.Objective - age), Deadline: r.deadline,
-		Objective: r.route.Objective, Usual: r.usualTime(), Pace: r.state.currentSlowdown(),
+		Objective: r.route.Objective, Usual: r.usualTime(), Slowdown: r.state.currentSlowdown(),
 	}
 }
 
--- a/internal/cwfront/wait.go
+++ b/internal/cwfront/wait.go
@@ -49,7 +49,7 @@
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 
-	w.request.schedule.Pace = slowdown
+	w.request.schedule.Slowdown = slowdown
 
 	return q.waiters.MayCheck(w, now)
 }
--- a/internal/cwfront/wait_test.go
+++ b/internal/cwfront/wait_test.go
@@ -25,7 +25,7 @@
 	now := time.Now()
 	one.schedule = cwturn.Schedule{
 		Arrived: now, Due: now.Add(time.Minute), Deadline: now.Add(time.Minute),
-		Objective: time.Minute, Usual: time.Second, Pace: 1,
+		Objective: time.Minute, Usual: time.Second, Slowdown: 1,
 	}
 
 	return &one
--- a/internal/cwturn/turn.go
+++ b/internal/cwturn/turn.go
@@ -48,14 +48,14 @@
 	Objective time.Duration
 	// Usual is the usual response time of such requests. Slowdown is the factor by which
 	// servers are slower than that now.
-	Usual time.Duration
-	Pace  float64
+	Usual    time.Duration
+	Slowdown float64
 	// NoRoom reports that health checks for the request found no server with room.
 	NoRoom bool
 }
 
 // expectedTime returns how long one of the better servers takes now.
-func (t *Schedule) expectedTime() time.Duration { return t.times(max(1, t.Pace)) }
+func (t *Schedule) expectedTime() time.Duration { return t.times(max(1, t.Slowdown)) }
 
 // times returns n usual response times.
 func (t *Schedule) times(n float64) time.Duration { return time.Duration(n * float64(t.Usual)) }
@@ -93,7 +93,7 @@
 // Good reports whether a server is used at once. Time is how long it takes, in usual
 // response times. While nearly all servers are slow, the limit grows by their slowdown,
 // since waiting would not find a faster one.
-func (t *Schedule) Good(time float64) bool { return time <= goodTime*max(1, t.Pace) }
+func (t *Schedule) Good(time float64) bool { return time <= goodTime*max(1, t.Slowdown) }
 
 // Acceptable reports whether a server that is not good is used: its answer would be in
 // time, and the request has searched for a better one long enough.
@@ -122,7 +122,7 @@
 
 // RetryAfter returns when a caller may retry that is refused because no server has room.
 func (t *Schedule) Return() time.Duration {
-	return max(minRetryAfter, t.times(retryAfter*max(1, t.Pace)))
+	return max(minRetryAfter, t.times(retryAfter*max(1, t.Slowdown)))
 }
 
 // RetryAfterOpening returns the same if it is known when the first server accepts requests
--- a/internal/cwturn/turn_test.go
+++ b/internal/cwturn/turn_test.go
@@ -18,7 +18,7 @@
 func schedule(rank int, age time.Duration) *Schedule {
 	return &Schedule{
 		Rank: rank, Arrived: begin, Due: begin.Add(objective - age), Deadline: begin.Add(wait - age),
-		Objective: objective, Usual: usual, Pace: 1,
+		Objective: objective, Usual: usual, Slowdown: 1,
 	}
 }
 
@@ -26,7 +26,7 @@
 func TestBefore(t *testing.T) {
 	at := begin.Add(50 * time.Millisecond)
 	slow := schedule(0, 0)
-	slow.Pace = 5
+	slow.Slowdown = 5
 
 	for name, c := range map[string]struct{ first, second *Schedule }{
 		"in time before late":           {schedule(1, 0), schedule(1, 350*time.Millisecond)},
@@ -72,7 +72,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := schedule(0, c.age)
-			r.Pace = c.pace
+			r.Slowdown = c.pace
 			now := begin.Add(c.after)
 
 			if got := r.Good(c.best) || r.Suits(c.best, now); got != c.sent {
@@ -90,7 +90,7 @@
 func TestTimes(t *testing.T) {
 	for name, usual := range map[string]time.Duration{"short work": 10 * time.Millisecond, "long work": 500 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
-			r := &Schedule{Usual: usual, Pace: 1}
+			r := &Schedule{Usual: usual, Slowdown: 1}
 
 			if p := r.Pause(); p <= 0 || p >= usual {
 				t.Errorf("health checks every %s, work of %s", p, usual)
@@ -100,7 +100,7 @@
 				t.Errorf("retry after %s, work of %s", d, usual)
 			}
 
-			r.Pace = 4
+			r.Slowdown = 4
 			if d := r.Return(); d < 4*usual {
 				t.Errorf("retry after %s while work takes %s", d, 4*usual)
 			}
@@ -111,7 +111,7 @@
 // TestMinIntervals checks that neither health checks of waiting requests nor retries of
 // refused callers follow in quick succession if work takes next to no time.
 func TestLeastTimes(t *testing.T) {
-	r := &Schedule{Usual: time.Microsecond, Pace: 1}
+	r := &Schedule{Usual: time.Microsecond, Slowdown: 1}
 
 	for name, d := range map[string]time.Duration{"a check interval": r.Pause(), "a retry": r.Return(), "a retry after a refusal": r.ReturnShed()} {
 		if d < time.Millisecond {
--- a/internal/lab/cwbench/worst_vm.go
+++ b/internal/lab/cwbench/worst_vm.go
@@ -134,7 +134,7 @@
 	r.returned = float64(left) < aloneWait*float64(v.longest)
 	r.turn = cwturn.Schedule{
 		Arrived: now, Due: now.Add(p.Objective - age), Deadline: r.until, Objective: p.Objective,
-		Usual: v.times.Usual(p.Objective), Pace: v.paceNow(),
+		Usual: v.times.Usual(p.Objective), Slowdown: v.paceNow(),
 	}
 	r.back = age > 0
 	v.line.Join(r)
@@ -180,7 +180,7 @@
 		return
 	}
 
-	r.turn.Pace = v.paceNow()
+	r.turn.Slowdown = v.paceNow()
 	over, after := r.turn.Over(now), r.turn.Return()
 
 	if w.way.Alone {
