--- a/internal/cwfront/wait.go
+++ b/internal/cwfront/wait.go
@@ -175,7 +175,7 @@
 	best, known := r.chooseOnce(ctx, tried)
 	now := r.front.Clock.Now()
 
-	if best != nil && (r.schedule.Good(best.time) || r.schedule.Suits(best.time, now)) {
+	if best != nil && (r.schedule.Good(best.time) || r.schedule.Acceptable(best.time, now)) {
 		return best, nil
 	}
 
--- a/internal/cwturn/turn.go
+++ b/internal/cwturn/turn.go
@@ -97,7 +97,7 @@
 
 // Acceptable reports whether a server that is not good is used: its answer would be in
 // time, and the request has searched for a better one long enough.
-func (t *Schedule) Suits(time float64, now time.Time) bool {
+func (t *Schedule) Acceptable(time float64, now time.Time) bool {
 	waited := now.Sub(t.Arrived) >= fraction(betterFraction, t.Objective)
 
 	return waited && t.InTime(time, now)
--- a/internal/cwturn/turn_test.go
+++ b/internal/cwturn/turn_test.go
@@ -75,7 +75,7 @@
 			r.Slowdown = c.pace
 			now := begin.Add(c.after)
 
-			if got := r.Good(c.best) || r.Suits(c.best, now); got != c.sent {
+			if got := r.Good(c.best) || r.Acceptable(c.best, now); got != c.sent {
 				t.Errorf("sent: %v", got)
 			}
 
--- a/internal/lab/cwbench/worst_choice.go
+++ b/internal/lab/cwbench/worst_choice.go
@@ -135,7 +135,7 @@
 		return best.time <= worstGood || over && v.suitsAlone(r, best.time, now)
 	}
 
-	return r.turn.Good(best.time) || r.turn.Suits(best.time, now)
+	return r.turn.Good(best.time) || r.turn.Acceptable(best.time, now)
 }
 
 // suitsAlone is what the way "alone" takes when the time of looking is over.
