--- a/internal/cwfront/wait.go
+++ b/internal/cwfront/wait.go
@@ -140,7 +140,7 @@
 			return nil, carobward.NewFailure(carobward.NotRun, fasthttp.StatusServiceUnavailable, 0, ErrCallerGone)
 		}
 
-		if now := f.Clock.Now(); r.schedule.Over(now) {
+		if now := f.Clock.Now(); r.schedule.ShouldRefuse(now) {
 			return nil, carobward.NewFailure(carobward.NotRun, fasthttp.StatusServiceUnavailable, r.schedule.Return(), ErrNoRoom)
 		}
 
@@ -186,7 +186,7 @@
 	}
 
 	// A request that is known to be refused doesn't wait.
-	if !r.availableAt.IsZero() && r.schedule.Over(r.availableAt) {
+	if !r.availableAt.IsZero() && r.schedule.ShouldRefuse(r.availableAt) {
 		return nil, carobward.NewFailure(carobward.NotRun, fasthttp.StatusServiceUnavailable, r.schedule.ReturnAt(r.availableAt, now), ErrAllBarred)
 	}
 
--- a/internal/cwturn/turn.go
+++ b/internal/cwturn/turn.go
@@ -109,7 +109,7 @@
 
 // ShouldRefuse reports whether a request that found no server is refused. One whose answer
 // can be in time is not: the next slot that becomes free may be for it.
-func (t *Schedule) Over(now time.Time) bool {
+func (t *Schedule) ShouldRefuse(now time.Time) bool {
 	if t.Timely(now) {
 		return false
 	}
--- a/internal/cwturn/turn_test.go
+++ b/internal/cwturn/turn_test.go
@@ -79,7 +79,7 @@
 				t.Errorf("sent: %v", got)
 			}
 
-			if got := r.Over(now); got != c.over {
+			if got := r.ShouldRefuse(now); got != c.over {
 				t.Errorf("refused: %v", got)
 			}
 		})
--- a/internal/lab/cwbench/worst_vm.go
+++ b/internal/lab/cwbench/worst_vm.go
@@ -163,7 +163,7 @@
 		w.finish(r, false, false)
 	case w.way.Alone || w.way.Restless || v.line.MayCheck(r, w.now()):
 		v.look(r)
-	case r.turn.Over(w.now()):
+	case r.turn.ShouldRefuse(w.now()):
 		v.line.Leave(r)
 		w.refuse(r, r.turn.Return())
 	default:
@@ -181,7 +181,7 @@
 	}
 
 	r.turn.Slowdown = v.paceNow()
-	over, after := r.turn.Over(now), r.turn.Return()
+	over, after := r.turn.ShouldRefuse(now), r.turn.Return()
 
 	if w.way.Alone {
 		over = now.Sub(r.turn.Arrived) >= time.Duration(aloneRoom*float64(w.pattern.Objective))
