--- a/internal/cwfront/wait.go
+++ b/internal/cwfront/wait.go
@@ -144,7 +144,7 @@
 			return nil, carobward.NewFailure(carobward.NotRun, fasthttp.StatusServiceUnavailable, r.schedule.Return(), ErrNoRoom)
 		}
 
-		if o := w.wait(ctx, r.schedule.Pause()); o != nil {
+		if o := w.wait(ctx, r.schedule.CheckInterval()); o != nil {
 			return o, nil
 		}
 
--- a/internal/cwturn/turn.go
+++ b/internal/cwturn/turn.go
@@ -118,7 +118,9 @@
 }
 
 // CheckInterval returns the time until the next health checks.
-func (t *Schedule) Pause() time.Duration { return max(minCheckInterval, t.times(checkInterval)) }
+func (t *Schedule) CheckInterval() time.Duration {
+	return max(minCheckInterval, t.times(checkInterval))
+}
 
 // RetryAfter returns when a caller may retry that is refused because no server has room.
 func (t *Schedule) Return() time.Duration {
--- a/internal/cwturn/turn_test.go
+++ b/internal/cwturn/turn_test.go
@@ -92,7 +92,7 @@
 		t.Run(name, func(t *testing.T) {
 			r := &Schedule{Usual: usual, Slowdown: 1}
 
-			if p := r.Pause(); p <= 0 || p >= usual {
+			if p := r.CheckInterval(); p <= 0 || p >= usual {
 				t.Errorf("health checks every %s, work of %s", p, usual)
 			}
 
@@ -113,7 +113,7 @@
 func TestLeastTimes(t *testing.T) {
 	r := &Schedule{Usual: time.Microsecond, Slowdown: 1}
 
-	for name, d := range map[string]time.Duration{"a check interval": r.Pause(), "a retry": r.Return(), "a retry after a refusal": r.ReturnShed()} {
+	for name, d := range map[string]time.Duration{"a check interval": r.CheckInterval(), "a retry": r.Return(), "a retry after a refusal": r.ReturnShed()} {
 		if d < time.Millisecond {
 			t.Errorf("%s after %s", name, d)
 		}
--- a/internal/lab/cwbench/worst_vm.go
+++ b/internal/lab/cwbench/worst_vm.go
@@ -205,7 +205,7 @@
 	r.parked++
 	r.waits = true
 	r.turn.NoRoom = r.turn.NoRoom || looked
-	parked, pause := r.parked, r.turn.Pause()
+	parked, pause := r.parked, r.turn.CheckInterval()
 
 	switch {
 	case v.run.way.Central:
