--- a/internal/cwfront/carry.go
+++ b/internal/cwfront/carry.go
@@ -137,7 +137,7 @@
 
 	switch {
 	case carobward.VerdictOf(err) == carobward.NotRun:
-		return carobward.NewFailure(carobward.NotRun, fasthttp.StatusServiceUnavailable, r.schedule.Return(), cause)
+		return carobward.NewFailure(carobward.NotRun, fasthttp.StatusServiceUnavailable, r.schedule.RetryAfter(), cause)
 	case cwframe.IsTimeout(err):
 		return carobward.NewFailure(carobward.Unknown, fasthttp.StatusGatewayTimeout, 0, ErrTimeout)
 	default:
--- a/internal/cwfront/wait.go
+++ b/internal/cwfront/wait.go
@@ -141,7 +141,7 @@
 		}
 
 		if now := f.Clock.Now(); r.schedule.ShouldRefuse(now) {
-			return nil, carobward.NewFailure(carobward.NotRun, fasthttp.StatusServiceUnavailable, r.schedule.Return(), ErrNoRoom)
+			return nil, carobward.NewFailure(carobward.NotRun, fasthttp.StatusServiceUnavailable, r.schedule.RetryAfter(), ErrNoRoom)
 		}
 
 		if o := w.wait(ctx, r.schedule.CheckInterval()); o != nil {
@@ -182,7 +182,7 @@
 	best.release()
 
 	if !known && ctx.Err() == nil {
-		return nil, carobward.NewFailure(carobward.NotRun, fasthttp.StatusServiceUnavailable, r.schedule.Return(), r.noServerCause())
+		return nil, carobward.NewFailure(carobward.NotRun, fasthttp.StatusServiceUnavailable, r.schedule.RetryAfter(), r.noServerCause())
 	}
 
 	// A request that is known to be refused doesn't wait.
--- a/internal/cwturn/turn.go
+++ b/internal/cwturn/turn.go
@@ -123,7 +123,7 @@
 }
 
 // RetryAfter returns when a caller may retry that is refused because no server has room.
-func (t *Schedule) Return() time.Duration {
+func (t *Schedule) RetryAfter() time.Duration {
 	return max(minRetryAfter, t.times(retryAfter*max(1, t.Slowdown)))
 }
 
@@ -131,7 +131,7 @@
 // again: that time, or RetryAfter if it is sooner, since servers that this entry VM
 // doesn't know may have room by then.
 func (t *Schedule) ReturnAt(opens, now time.Time) time.Duration {
-	return min(max(minRetryAfter, opens.Sub(now)), t.Return())
+	return min(max(minRetryAfter, opens.Sub(now)), t.RetryAfter())
 }
 
 // RetryAfterRefusal returns the same after a server's refusal.
--- a/internal/cwturn/turn_test.go
+++ b/internal/cwturn/turn_test.go
@@ -96,12 +96,12 @@
 				t.Errorf("health checks every %s, work of %s", p, usual)
 			}
 
-			if d := r.Return(); d < usual || d > 2*usual {
+			if d := r.RetryAfter(); d < usual || d > 2*usual {
 				t.Errorf("retry after %s, work of %s", d, usual)
 			}
 
 			r.Slowdown = 4
-			if d := r.Return(); d < 4*usual {
+			if d := r.RetryAfter(); d < 4*usual {
 				t.Errorf("retry after %s while work takes %s", d, 4*usual)
 			}
 		})
@@ -113,7 +113,7 @@
 func TestLeastTimes(t *testing.T) {
 	r := &Schedule{Usual: time.Microsecond, Slowdown: 1}
 
-	for name, d := range map[string]time.Duration{"a check interval": r.CheckInterval(), "a retry": r.Return(), "a retry after a refusal": r.ReturnShed()} {
+	for name, d := range map[string]time.Duration{"a check interval": r.CheckInterval(), "a retry": r.RetryAfter(), "a retry after a refusal": r.ReturnShed()} {
 		if d < time.Millisecond {
 			t.Errorf("%s after %s", name, d)
 		}
--- a/internal/lab/cwbench/worst_vm.go
+++ b/internal/lab/cwbench/worst_vm.go
@@ -165,7 +165,7 @@
 		v.look(r)
 	case r.turn.ShouldRefuse(w.now()):
 		v.line.Leave(r)
-		w.refuse(r, r.turn.Return())
+		w.refuse(r, r.turn.RetryAfter())
 	default:
 		v.park(r, false)
 	}
@@ -181,7 +181,7 @@
 	}
 
 	r.turn.Slowdown = v.paceNow()
-	over, after := r.turn.ShouldRefuse(now), r.turn.Return()
+	over, after := r.turn.ShouldRefuse(now), r.turn.RetryAfter()
 
 	if w.way.Alone {
 		over = now.Sub(r.turn.Arrived) >= time.Duration(aloneRoom*float64(w.pattern.Objective))
