--- a/internal/cwfront/wait.go
+++ b/internal/cwfront/wait.go
@@ -187,7 +187,7 @@
 
 	// A request that is known to be refused doesn't wait.
 	if !r.availableAt.IsZero() && r.schedule.ShouldRefuse(r.availableAt) {
-		return nil, carobward.NewFailure(carobward.NotRun, fasthttp.StatusServiceUnavailable, r.schedule.ReturnAt(r.availableAt, now), ErrAllBarred)
+		return nil, carobward.NewFailure(carobward.NotRun, fasthttp.StatusServiceUnavailable, r.schedule.RetryAfterOpening(r.availableAt, now), ErrAllBarred)
 	}
 
 	return nil, nil
--- a/internal/cwturn/turn.go
+++ b/internal/cwturn/turn.go
@@ -130,7 +130,7 @@
 // RetryAfterOpening returns the same if it is known when the first server accepts requests
 // again: that time, or RetryAfter if it is sooner, since servers that this entry VM
 // doesn't know may have room by then.
-func (t *Schedule) ReturnAt(opens, now time.Time) time.Duration {
+func (t *Schedule) RetryAfterOpening(opens, now time.Time) time.Duration {
 	return min(max(minRetryAfter, opens.Sub(now)), t.RetryAfter())
 }
 
