--- a/internal/cwfront/carry.go
+++ b/internal/cwfront/carry.go
@@ -122,7 +122,7 @@
 		r.reply, r.err = nil, carobward.NewFailure(carobward.Unknown, fasthttp.StatusBadGateway, 0, ErrMayHaveRun)
 	case r.err != nil:
 	case r.reply.Shed:
-		r.reply, r.err = nil, carobward.NewFailure(carobward.NotRun, fasthttp.StatusServiceUnavailable, r.schedule.ReturnShed(), ErrRefused)
+		r.reply, r.err = nil, carobward.NewFailure(carobward.NotRun, fasthttp.StatusServiceUnavailable, r.schedule.RetryAfterRefusal(), ErrRefused)
 	case impliesNotRun(r.reply.Status):
 		// Forwarded unchanged, these statuses would tell the caller that the request did
 		// not run.
--- a/internal/cwturn/turn.go
+++ b/internal/cwturn/turn.go
@@ -135,6 +135,8 @@
 }
 
 // RetryAfterRefusal returns the same after a server's refusal.
-func (t *Schedule) ReturnShed() time.Duration { return max(minRetryAfter, t.times(refusalRetryAfter)) }
+func (t *Schedule) RetryAfterRefusal() time.Duration {
+	return max(minRetryAfter, t.times(refusalRetryAfter))
+}
 
 func fraction(p float64, d time.Duration) time.Duration { return time.Duration(p * float64(d)) }
--- a/internal/cwturn/turn_test.go
+++ b/internal/cwturn/turn_test.go
@@ -113,7 +113,7 @@
 func TestLeastTimes(t *testing.T) {
 	r := &Schedule{Usual: time.Microsecond, Slowdown: 1}
 
-	for name, d := range map[string]time.Duration{"a check interval": r.CheckInterval(), "a retry": r.RetryAfter(), "a retry after a refusal": r.ReturnShed()} {
+	for name, d := range map[string]time.Duration{"a check interval": r.CheckInterval(), "a retry": r.RetryAfter(), "a retry after a refusal": r.RetryAfterRefusal()} {
 		if d < time.Millisecond {
 			t.Errorf("%s after %s", name, d)
 		}
--- a/internal/lab/cwbench/worst_vm.go
+++ b/internal/lab/cwbench/worst_vm.go
@@ -254,7 +254,7 @@
 		server.End(q.number, w.now(), cwbackend.Refused)
 
 		if !v.again(r) {
-			w.refuse(r, r.turn.ReturnShed())
+			w.refuse(r, r.turn.RetryAfterRefusal())
 
 			return
 		}
