--- a/internal/cwfront/service.go
+++ b/internal/cwfront/service.go
@@ -26,7 +26,7 @@
 	// times has statistics of response times.
 	times *cwpick.Times
 	// slowdown is how much slower than usual servers are now.
-	slowdown cwturn.Pace
+	slowdown cwturn.Slowdown
 	// checkTime is the moving average of the time of health checks.
 	checkTime time.Duration
 	// waits has, by route, how long recent callers said that they still wait.
--- a/internal/cwturn/pace.go
+++ b/internal/cwturn/pace.go
@@ -18,14 +18,14 @@
 // Slowdown estimates by which factor servers are slower than usual now, from health
 // checks. Without it, while all servers are slow but have room, requests wait for a fast
 // one, and four in ten are refused in the end. It is not safe for concurrent use.
-type Pace struct {
+type Slowdown struct {
 	samples  []float64
 	next     int
 	estimate float64
 }
 
 // Add adds the time of one server that has no other request, in usual response times.
-func (p *Pace) Add(alone float64) {
+func (p *Slowdown) Add(alone float64) {
 	if len(p.samples) < slowdownSamples {
 		p.samples = append(p.samples, alone)
 	} else {
@@ -44,4 +44,4 @@
 }
 
 // Now returns the estimate, or 1 if there is none or servers are faster than usual.
-func (p *Pace) Now() float64 { return max(1, p.estimate) }
+func (p *Slowdown) Now() float64 { return max(1, p.estimate) }
--- a/internal/lab/cwbench/worst_vm.go
+++ b/internal/lab/cwbench/worst_vm.go
@@ -48,7 +48,7 @@
 	table   *cwbackend.Table
 	servers map[carobward.Address]*worstServer
 	line    cwturn.Queue[*worstRequest]
-	pace    cwturn.Pace
+	pace    cwturn.Slowdown
 	waits   cwattempt.Waits
 	longest time.Duration
 	times   *cwpick.Times
