--- a/internal/cwturn/line_test.go
+++ b/internal/cwturn/line_test.go
@@ -19,7 +19,7 @@
 // TestQueue checks that servers go to waiting requests in order, skipping those that may
 // not use them, and that the requests behind it make no health checks once those of the
 // first one found no room.
-func TestLine(t *testing.T) {
+func TestQueue(t *testing.T) {
 	var l Queue[*testWaiter]
 
 	all := []*testWaiter{
