--- a/internal/cwturn/line_test.go
+++ b/internal/cwturn/line_test.go
@@ -67,7 +67,7 @@
 
 // TestSlowdown checks that the slowdown is that of the faster servers, that it is 1 as
 // long as little is known, and that it follows a change within a few dozen health checks.
-func TestPace(t *testing.T) {
+func TestSlowdown(t *testing.T) {
 	var p Slowdown
 
 	add := func(n int, slowness ...float64) float64 {
