--- a/internal/cwturn/line_bench_test.go
+++ b/internal/cwturn/line_bench_test.go
@@ -7,7 +7,7 @@
 
 // BenchmarkQueue has the cost of one request's way through the queue: it joins eight that
 // wait, is told whether to make health checks, and a freed slot goes to the first.
-func BenchmarkLine(b *testing.B) {
+func BenchmarkQueue(b *testing.B) {
 	const waiting = 8
 
 	var l Queue[*testWaiter]
