--- a/internal/cwturn/turn_test.go
+++ b/internal/cwturn/turn_test.go
@@ -87,7 +87,7 @@
 }
 
 // TestIntervals checks that the intervals of waiting follow the usual response time.
-func TestTimes(t *testing.T) {
+func TestIntervals(t *testing.T) {
 	for name, usual := range map[string]time.Duration{"short work": 10 * time.Millisecond, "long work": 500 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
 			r := &Schedule{Usual: usual, Slowdown: 1}
