--- a/internal/cwturn/turn_test.go
+++ b/internal/cwturn/turn_test.go
@@ -110,7 +110,7 @@
 
 // TestMinIntervals checks that neither health checks of waiting requests nor retries of
 // refused callers follow in quick succession if work takes next to no time.
-func TestLeastTimes(t *testing.T) {
+func TestMinIntervals(t *testing.T) {
 	r := &Schedule{Usual: time.Microsecond, Slowdown: 1}
 
 	for name, d := range map[string]time.Duration{"a check interval": r.CheckInterval(), "a retry": r.RetryAfter(), "a retry after a refusal": r.RetryAfterRefusal()} {
