--- a/internal/cwturn/line_bench_test.go
+++ b/internal/cwturn/line_bench_test.go
@@ -13,10 +13,10 @@
 	var l Queue[*testWaiter]
 
 	for i := range waiting {
-		l.Join(&testWaiter{turn: schedule(1, time.Duration(i)*time.Millisecond)})
+		l.Join(&testWaiter{schedule: schedule(1, time.Duration(i)*time.Millisecond)})
 	}
 
-	one := &testWaiter{turn: schedule(1, 0)}
+	one := &testWaiter{schedule: schedule(1, 0)}
 	all := func(*testWaiter) bool { return true }
 
 	b.ReportAllocs()
--- a/internal/cwturn/line_test.go
+++ b/internal/cwturn/line_test.go
@@ -9,12 +9,12 @@
 
 // testWaiter is a Waiter with a name.
 type testWaiter struct {
-	name string
-	turn *Schedule
+	name     string
+	schedule *Schedule
 }
 
 // Turn implements Waiter.
-func (n *testWaiter) Turn() *Schedule { return n.turn }
+func (n *testWaiter) Turn() *Schedule { return n.schedule }
 
 // TestQueue checks that servers go to waiting requests in order, skipping those that may
 // not use them, and that the requests behind it make no health checks once those of the
@@ -35,7 +35,7 @@
 		}
 	}
 
-	all[2].turn.NoRoom = true
+	all[2].schedule.NoRoom = true
 
 	for _, w := range all {
 		if got := l.MayCheck(w, begin); got != (w.name == "urgent") {
