--- a/internal/cwretry/claim.go
+++ b/internal/cwretry/claim.go
@@ -5,7 +5,7 @@
 // Claim limits how much of the bound on extra calls one kind of extra call may use.
 type Claim struct {
 	// Share is the fraction of the bound that it may use at once.
-	Part float64
+	Share float64
 	// Paced lets it use the rest of the bound as fast as requests earn it, so that there
 	// are extra calls in each second of an outage that lasts for a whole window.
 	Paced bool
@@ -25,7 +25,7 @@
 var (
 	// Needed is for requests that can't succeed otherwise: they failed at a server after
 	// it may have run them, or their callers have retried already and won't again.
-	Needed = Claim{Part: 1}
+	Needed = Claim{Share: 1}
 	// Refused is for requests that a server refused. Their callers can retry, which costs
 	// no extra call. While all servers refuse, callers retry within half a usual response
 	// time. That is less than the waits of different callers differ by, so hardly any is
@@ -34,9 +34,9 @@
 	// refuse half of the requests, 0.903 of the requests are in time, against 0.865 if
 	// three quarters of the bound are reserved; 0.902 and 0.870 in a fleet of 472 entry
 	// VMs.
-	Refused = Claim{Part: refusedShare, Paced: true}
+	Refused = Claim{Share: refusedShare, Paced: true}
 	// Overdue is for hedges: second sends while the first may still be answered.
-	Overdue = Claim{Part: overdueShare}
+	Overdue = Claim{Share: overdueShare}
 )
 
 // ClaimOf returns the claim of the next send of a request whose last send ended with a
--- a/internal/cwretry/window.go
+++ b/internal/cwretry/window.go
@@ -71,7 +71,7 @@
 	next := float64(extras + 1)
 	paced := c.Paced && w.earned >= 1
 
-	if next > bound || next > c.Part*bound && !paced {
+	if next > bound || next > c.Share*bound && !paced {
 		return false
 	}
 
--- a/internal/cwretry/window_test.go
+++ b/internal/cwretry/window_test.go
@@ -108,7 +108,7 @@
 		return n
 	}
 
-	if n := count(func() bool { return w.Take(now, minExtra, Claim{Part: 1 - reserved}) }); n != 6 {
+	if n := count(func() bool { return w.Take(now, minExtra, Claim{Share: 1 - reserved}) }); n != 6 {
 		t.Errorf("%d extra calls, want 6, which leaves four of ten", n)
 	}
 
@@ -116,7 +116,7 @@
 		t.Errorf("%d extra calls, want the 4 that are left", n)
 	}
 
-	if w.Take(now, minExtra, Claim{Part: 1 - reserved}) {
+	if w.Take(now, minExtra, Claim{Share: 1 - reserved}) {
 		t.Error("an extra call beyond the bound")
 	}
 }
