--- a/internal/cwentry/carrier.go
+++ b/internal/cwentry/carrier.go
@@ -89,7 +89,7 @@
 	shares  *cwlimit.Shares
 	gates   *cwmap.Map[carobward.Service, *cwlimit.Gate]
 	metrics *expvar.Map
-	records *cwmap.Map[carobward.TargetName, *cwretry.Record]
+	records *cwmap.Map[carobward.TargetName, *cwretry.TargetState]
 
 	running atomic.Int64
 	serial  atomic.Uint64
--- a/internal/cwentry/carry.go
+++ b/internal/cwentry/carry.go
@@ -29,7 +29,7 @@
 	*visit
 	id     carobward.RequestID
 	call   *carobward.Call
-	record *cwretry.Record
+	record *cwretry.TargetState
 
 	began    time.Time
 	sent     int
--- a/internal/cwretry/record.go
+++ b/internal/cwretry/record.go
@@ -28,7 +28,7 @@
 )
 
 // TargetState is the state of retries and hedges for one target.
-type Record struct {
+type TargetState struct {
 	// Budget is shared by retries and hedges.
 	Budget *Budget
 	// Latency estimates the latency after which a call is hedged.
@@ -36,13 +36,13 @@
 }
 
 // NewTargetState returns the state of a target without requests.
-func NewRecord() *Record {
-	return &Record{Budget: NewBudget(Share, maxSaved), Latency: NewQuantile(hedgeQuantile)}
+func NewRecord() *TargetState {
+	return &TargetState{Budget: NewBudget(Share, maxSaved), Latency: NewQuantile(hedgeQuantile)}
 }
 
 // Due reports whether a call that started age ago on a server should be hedged now, and if
 // not, at which age to ask again; zero means never.
-func (r *Record) Due(now time.Time, age time.Duration, s *cwserver.Server) (bool, time.Duration) {
+func (r *TargetState) Due(now time.Time, age time.Duration, s *cwserver.Server) (bool, time.Duration) {
 	last, ok := r.Latency.Value()
 	if !ok {
 		return false, 0
--- a/internal/lab/cwbench/entry.go
+++ b/internal/lab/cwbench/entry.go
@@ -19,7 +19,7 @@
 	entry   *entry
 	tried   []*cwserver.Server
 	out     []*attempt
-	record  *cwretry.Record
+	record  *cwretry.TargetState
 	began   time.Duration
 	starts  int
 	done    bool
@@ -62,8 +62,8 @@
 	next   []time.Duration
 	policy cwroute.Policy
 	rng    *rand.Rand
-	quick  *cwretry.Record
-	once   *cwretry.Record
+	quick  *cwretry.TargetState
+	once   *cwretry.TargetState
 	gate   *gate
 }
 
