--- a/internal/cwentry/carrier.go
+++ b/internal/cwentry/carrier.go
@@ -120,7 +120,7 @@
 		shares:  cwlimit.NewShares(o.Calls),
 		gates:   cwmap.New[carobward.Service](gate),
 		metrics: o.Metrics,
-		records: cwmap.New[carobward.TargetName](cwretry.NewRecord),
+		records: cwmap.New[carobward.TargetName](cwretry.NewTargetState),
 	}
 	c.bodies.most = int64(cmp.Or(o.Bodies, bodiesDefault))
 	c.waiting = cwgone.New()
--- a/internal/cwretry/record.go
+++ b/internal/cwretry/record.go
@@ -36,7 +36,7 @@
 }
 
 // NewTargetState returns the state of a target without requests.
-func NewRecord() *TargetState {
+func NewTargetState() *TargetState {
 	return &TargetState{Budget: NewBudget(Share, maxSaved), Latency: NewQuantile(hedgeQuantile)}
 }
 
--- a/internal/cwretry/retry_test.go
+++ b/internal/cwretry/retry_test.go
@@ -95,7 +95,7 @@
 				s.Begin(start)
 			}
 
-			r := cwretry.NewRecord()
+			r := cwretry.NewTargetState()
 			for range test.samples {
 				// The estimate starts at twice this and falls slowly.
 				r.Latency.Add(30 * time.Millisecond)
--- a/internal/lab/cwbench/entry.go
+++ b/internal/lab/cwbench/entry.go
@@ -79,8 +79,8 @@
 		open:   make([]int, len(r.backends)),
 		next:   make([]time.Duration, len(r.backends)),
 		rng:    random(r.scenario.Seed, streamChoices+uint64(number)<<8),
-		quick:  cwretry.NewRecord(),
-		once:   cwretry.NewRecord(),
+		quick:  cwretry.NewTargetState(),
+		once:   cwretry.NewTargetState(),
 	}
 
 	if r.variant.Queue {
