--- a/internal/cwretry/retry_test.go
+++ b/internal/cwretry/retry_test.go
@@ -18,7 +18,7 @@
 
 // TestBudgetLimitsOutage takes an extra call for each request, as in an outage, and checks
 // that the budget limits them.
-func TestBudgetBoundsAnOutage(t *testing.T) {
+func TestBudgetLimitsOutage(t *testing.T) {
 	tests := map[string]struct{ requests, most int }{
 		"few":  {10, 10},
 		"many": {10000, 510},
