--- a/internal/cwretry/window_test.go
+++ b/internal/cwretry/window_test.go
@@ -90,7 +90,7 @@
 
 // TestTakeShare checks that claims of less need leave a share of the bound to others, and
 // that the bound limits both together.
-func TestTakePart(t *testing.T) {
+func TestTakeShare(t *testing.T) {
 	const (
 		minExtra = 10.0
 		reserved = 0.4
