--- a/internal/cwentry/carrier.go
+++ b/internal/cwentry/carrier.go
@@ -93,7 +93,7 @@
 
 	running atomic.Int64
 	serial  atomic.Uint64
-	waiting *cwgone.Table
+	waiting *cwgone.Watcher
 	bodies  bodies
 
 	// bound ends when a stop may wait no longer for requests in flight.
--- a/internal/cwfront/front.go
+++ b/internal/cwfront/front.go
@@ -80,7 +80,7 @@
 
 	limits      atomic.Pointer[Limits]
 	routes      atomic.Pointer[cwroutes.Table]
-	disconnects *cwgone.Table
+	disconnects *cwgone.Watcher
 	inFlight    atomic.Int64
 	total       atomic.Int64
 	leaving     atomic.Bool
--- a/internal/cwgone/gone.go
+++ b/internal/cwgone/gone.go
@@ -12,7 +12,7 @@
 
 // Watcher watches the connections of callers that wait for work. It is safe for concurrent
 // use.
-type Table struct {
+type Watcher struct {
 	mutex   sync.Mutex
 	callers map[*caller]struct{}
 }
@@ -27,11 +27,11 @@
 }
 
 // New returns a watcher without callers.
-func New() *Table { return &Table{callers: map[*caller]struct{}{}} }
+func New() *Watcher { return &Watcher{callers: map[*caller]struct{}{}} }
 
 // Watch returns a context derived from ctx that ends when the other side of a TCP
 // connection has closed it. The returned function must be called when the work is done.
-func (w *Table) Wait(ctx context.Context, conn net.Conn) (context.Context, func()) {
+func (w *Watcher) Wait(ctx context.Context, conn net.Conn) (context.Context, func()) {
 	work, cancel := context.WithCancel(ctx)
 	c := &caller{conn: conn, cancel: cancel}
 
@@ -51,7 +51,7 @@
 
 // Tick cancels the work of callers that have closed their connection. If unread bytes are
 // waiting, they are another request, and a close behind them can't be seen.
-func (w *Table) Tick() {
+func (w *Watcher) Tick() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 
