--- a/internal/cwentry/carrier.go
+++ b/internal/cwentry/carrier.go
@@ -211,7 +211,7 @@
 		return c.once(o.ctx, ctx, id, target, call)
 	}
 
-	work, done := c.waiting.Wait(o.ctx, conn(ctx))
+	work, done := c.waiting.Watch(o.ctx, conn(ctx))
 	defer done()
 
 	return c.carry(work, id, target, call)
--- a/internal/cwfront/front.go
+++ b/internal/cwfront/front.go
@@ -274,7 +274,7 @@
 	r := f.newRequest(ctx, now)
 
 	if r.err == nil {
-		work, done := f.disconnects.Wait(context.Background(), ctx.Conn())
+		work, done := f.disconnects.Watch(context.Background(), ctx.Conn())
 		r.forward(work)
 		done()
 	}
--- a/internal/cwgone/gone.go
+++ b/internal/cwgone/gone.go
@@ -31,7 +31,7 @@
 
 // Watch returns a context derived from ctx that ends when the other side of a TCP
 // connection has closed it. The returned function must be called when the work is done.
-func (w *Watcher) Wait(ctx context.Context, conn net.Conn) (context.Context, func()) {
+func (w *Watcher) Watch(ctx context.Context, conn net.Conn) (context.Context, func()) {
 	work, cancel := context.WithCancel(ctx)
 	c := &caller{conn: conn, cancel: cancel}
 
