--- a/internal/cwlink/pool.go
+++ b/internal/cwlink/pool.go
@@ -66,7 +66,7 @@
 func (p *pool) take(now time.Time, i idling, most int) (*conn, error) {
 	for {
 		c, err := p.pop(now, i, most)
-		if c == nil || cwsocket.Peek(c.Conn) == cwsocket.Quiet {
+		if c == nil || cwsocket.Peek(c.Conn) == cwsocket.Idle {
 			return c, err
 		}
 
--- a/internal/cwlink/pool_test.go
+++ b/internal/cwlink/pool_test.go
@@ -114,7 +114,7 @@
 			close(more)
 
 			p, _ := l.pool(s.Address())
-			cwtest.Wait(t, "news on the connection", func() bool { return cwsocket.Peek(p.idle[0].Conn) != cwsocket.Quiet })
+			cwtest.Wait(t, "news on the connection", func() bool { return cwsocket.Peek(p.idle[0].Conn) != cwsocket.Idle })
 
 			if _, err := exchange(l, s, call("next")); err != nil || s.Conns() != 2 {
 				t.Errorf("%v, %d connections", err, s.Conns())
--- a/internal/cwsocket/peek.go
+++ b/internal/cwsocket/peek.go
@@ -12,7 +12,7 @@
 // The states of a connection.
 const (
 	// Idle: the connection is open and there is nothing to read.
-	Quiet State = iota
+	Idle State = iota
 	// Readable: there is something to read.
 	Bytes
 	// Closed: the other side or this one has closed or reset it.
@@ -42,7 +42,7 @@
 		case n > 0:
 			state = Bytes
 		case rerr == syscall.EAGAIN || rerr == syscall.EWOULDBLOCK || rerr == syscall.EINTR:
-			state = Quiet
+			state = Idle
 		}
 	})
 	if err != nil {
--- a/internal/cwsocket/peek_test.go
+++ b/internal/cwsocket/peek_test.go
@@ -14,7 +14,7 @@
 		other func(*net.TCPConn) error
 		want  State
 	}{
-		"nothing": {func(*net.TCPConn) error { return nil }, Quiet},
+		"nothing": {func(*net.TCPConn) error { return nil }, Idle},
 		"bytes": {func(c *net.TCPConn) error {
 			_, err := c.Write([]byte("a"))
 
