--- a/internal/cwsocket/peek.go
+++ b/internal/cwsocket/peek.go
@@ -14,7 +14,7 @@
 	// Idle: the connection is open and there is nothing to read.
 	Idle State = iota
 	// Readable: there is something to read.
-	Bytes
+	Readable
 	// Closed: the other side or this one has closed or reset it.
 	Closed
 )
@@ -40,7 +40,7 @@
 
 		switch {
 		case n > 0:
-			state = Bytes
+			state = Readable
 		case rerr == syscall.EAGAIN || rerr == syscall.EWOULDBLOCK || rerr == syscall.EINTR:
 			state = Idle
 		}
--- a/internal/cwsocket/peek_test.go
+++ b/internal/cwsocket/peek_test.go
@@ -19,7 +19,7 @@
 			_, err := c.Write([]byte("a"))
 
 			return err
-		}, Bytes},
+		}, Readable},
 		"closed":      {(*net.TCPConn).Close, Closed},
 		"half closed": {(*net.TCPConn).CloseWrite, Closed},
 		"reset": {func(c *net.TCPConn) error {
