--- a/internal/cwfront/queue.go
+++ b/internal/cwfront/queue.go
@@ -10,7 +10,7 @@
 	"carobward.example/carobward"
 	"carobward.example/carobward/internal/cwbackend"
 	"carobward.example/carobward/internal/cwpick"
-	"carobward.example/carobward/internal/cwturn"
+	"carobward.example/carobward/internal/cwqueue"
 )
 
 // waiter is a request in the queue of its service.
@@ -23,14 +23,14 @@
 	wake chan struct{}
 }
 
-// Turn implements cwturn.Waiter.
-func (w *waiter) Turn() *cwturn.Schedule { return &w.request.schedule }
+// Turn implements cwqueue.Waiter.
+func (w *waiter) Turn() *cwqueue.Schedule { return &w.request.schedule }
 
 // queue is the queue of one service's waiting requests. The decisions are those of
 // cwqueue.
 type queue struct {
 	mutex   sync.Mutex
-	waiters cwturn.Queue[*waiter]
+	waiters cwqueue.Queue[*waiter]
 }
 
 // join adds a waiter, and reports whether it makes health checks itself.
--- a/internal/cwfront/queue_test.go
+++ b/internal/cwfront/queue_test.go
@@ -14,16 +14,16 @@
 
 	"carobward.example/carobward"
 	"carobward.example/carobward/internal/cwbackend"
+	"carobward.example/carobward/internal/cwqueue"
 	"carobward.example/carobward/internal/cwstand"
 	"carobward.example/carobward/internal/cwtest"
-	"carobward.example/carobward/internal/cwturn"
 )
 
 // queuedRequest returns a copy of a request that has just arrived.
 func queuedRequest(r *request) *request {
 	one := *r
 	now := time.Now()
-	one.schedule = cwturn.Schedule{
+	one.schedule = cwqueue.Schedule{
 		Arrived: now, Due: now.Add(time.Minute), Deadline: now.Add(time.Minute),
 		Objective: time.Minute, Usual: time.Second, Slowdown: 1,
 	}
--- a/internal/cwfront/request.go
+++ b/internal/cwfront/request.go
@@ -9,8 +9,8 @@
 	"carobward.example/carobward"
 	"carobward.example/carobward/internal/cwbackend"
 	"carobward.example/carobward/internal/cwframe"
+	"carobward.example/carobward/internal/cwqueue"
 	"carobward.example/carobward/internal/cwroutes"
-	"carobward.example/carobward/internal/cwturn"
 )
 
 // The causes of failure that callers are told.
@@ -53,7 +53,7 @@
 	// returned reports that the caller is probably retrying after a refusal.
 	returned bool
 	// schedule decides when the request gets a server.
-	schedule cwturn.Schedule
+	schedule cwqueue.Schedule
 	routes   *cwroutes.Table
 	route    *cwroutes.Route
 	// team is the caller's team, or nil if its route needs no key. Priority is that of the
@@ -159,7 +159,7 @@
 	}
 
 	r.returned = age > 0
-	r.schedule = cwturn.Schedule{
+	r.schedule = cwqueue.Schedule{
 		Rank: r.priority, Arrived: now, Due: now.Add(r.route.Objective - age), Deadline: r.deadline,
 		Objective: r.route.Objective, Usual: r.usualTime(), Slowdown: r.state.currentSlowdown(),
 	}
--- a/internal/cwfront/service.go
+++ b/internal/cwfront/service.go
@@ -9,8 +9,8 @@
 	"carobward.example/carobward"
 	"carobward.example/carobward/internal/cwattempt"
 	"carobward.example/carobward/internal/cwpick"
+	"carobward.example/carobward/internal/cwqueue"
 	"carobward.example/carobward/internal/cwretry"
-	"carobward.example/carobward/internal/cwturn"
 )
 
 // serviceState is the state of a service. It survives configuration changes.
@@ -26,7 +26,7 @@
 	// times has statistics of response times.
 	times *cwpick.Times
 	// slowdown is how much slower than usual servers are now.
-	slowdown cwturn.Slowdown
+	slowdown cwqueue.Slowdown
 	// checkTime is the moving average of the time of health checks.
 	checkTime time.Duration
 	// waits has, by route, how long recent callers said that they still wait.
--- a/internal/cwturn/schedule.go
+++ b/internal/cwqueue/schedule.go
@@ -7,7 +7,7 @@
 // then in any case, and the order decides how many. A request whose answer can still be in
 // time goes before one whose answer can't be; the latter gets the room that the others
 // leave.
-package cwturn
+package cwqueue
 
 import "time"
 
--- a/internal/cwturn/schedule_test.go
+++ b/internal/cwqueue/schedule_test.go
@@ -1,4 +1,4 @@
-package cwturn
+package cwqueue
 
 import (
 	"testing"
--- a/internal/lab/cwbench/worst_run.go
+++ b/internal/lab/cwbench/worst_run.go
@@ -9,7 +9,7 @@
 
 	"carobward.example/carobward"
 	"carobward.example/carobward/internal/cwbackend"
-	"carobward.example/carobward/internal/cwturn"
+	"carobward.example/carobward/internal/cwqueue"
 )
 
 // The figures of the model that patterns share.
@@ -51,7 +51,7 @@
 	began, until time.Time
 	attempt      int
 	vm           *worstVM
-	turn         cwturn.Schedule
+	turn         cwqueue.Schedule
 	// back tells that the caller has probably come back after a refusal, sends how
 	// often this attempt was sent, tried to which servers.
 	back  bool
@@ -65,8 +65,8 @@
 	done   bool
 }
 
-// Turn implements cwturn.Waiter.
-func (r *worstRequest) Turn() *cwturn.Schedule { return &r.turn }
+// Turn implements cwqueue.Waiter.
+func (r *worstRequest) Turn() *cwqueue.Schedule { return &r.turn }
 
 // RunWorst runs a pattern under some ways, each with the same requests.
 func RunWorst(p Pattern, ways []Way, parallel int) ([]*WorstResult, error) {
--- a/internal/lab/cwbench/worst_vm.go
+++ b/internal/lab/cwbench/worst_vm.go
@@ -11,8 +11,8 @@
 	"carobward.example/carobward/internal/cwattempt"
 	"carobward.example/carobward/internal/cwbackend"
 	"carobward.example/carobward/internal/cwpick"
+	"carobward.example/carobward/internal/cwqueue"
 	"carobward.example/carobward/internal/cwretry"
-	"carobward.example/carobward/internal/cwturn"
 )
 
 // The measures of the entry VMs, as those of the product.
@@ -47,8 +47,8 @@
 	domain  carobward.Domain
 	table   *cwbackend.Table
 	servers map[carobward.Address]*worstServer
-	line    cwturn.Queue[*worstRequest]
-	pace    cwturn.Slowdown
+	line    cwqueue.Queue[*worstRequest]
+	pace    cwqueue.Slowdown
 	waits   cwattempt.Waits
 	longest time.Duration
 	times   *cwpick.Times
@@ -132,7 +132,7 @@
 	r.sends, r.tried = 0, map[*cwbackend.Server]bool{}
 	v.extra.Request(now)
 	r.returned = float64(left) < aloneWait*float64(v.longest)
-	r.turn = cwturn.Schedule{
+	r.turn = cwqueue.Schedule{
 		Arrived: now, Due: now.Add(p.Objective - age), Deadline: r.until, Objective: p.Objective,
 		Usual: v.times.Usual(p.Objective), Slowdown: v.paceNow(),
 	}
