--- a/internal/cwgone/watcher.go
+++ b/internal/cwdisconnect/watcher.go
@@ -1,6 +1,6 @@
 // Package cwdisconnect cancels the work of callers that have disconnected. The HTTP
 // library doesn't report that, so each tick peeks at their connections.
-package cwgone
+package cwdisconnect
 
 import (
 	"context"
--- a/internal/cwentry/carrier.go
+++ b/internal/cwentry/carrier.go
@@ -16,7 +16,7 @@
 
 	"carobward.example/carobward"
 	"carobward.example/carobward/internal/cwconfig"
-	"carobward.example/carobward/internal/cwgone"
+	"carobward.example/carobward/internal/cwdisconnect"
 	"carobward.example/carobward/internal/cwlimit"
 	"carobward.example/carobward/internal/cwmap"
 	"carobward.example/carobward/internal/cwmetric"
@@ -93,7 +93,7 @@
 
 	running atomic.Int64
 	serial  atomic.Uint64
-	waiting *cwgone.Watcher
+	waiting *cwdisconnect.Watcher
 	bodies  bodies
 
 	// bound ends when a stop may wait no longer for requests in flight.
@@ -123,7 +123,7 @@
 		records: cwmap.New[carobward.TargetName](cwretry.NewTargetState),
 	}
 	c.bodies.most = int64(cmp.Or(o.Bodies, bodiesDefault))
-	c.waiting = cwgone.New()
+	c.waiting = cwdisconnect.New()
 
 	if c.metrics == nil {
 		c.metrics = new(expvar.Map).Init()
--- a/internal/cwfront/front.go
+++ b/internal/cwfront/front.go
@@ -22,7 +22,7 @@
 
 	"carobward.example/carobward"
 	"carobward.example/carobward/internal/cwbackend"
-	"carobward.example/carobward/internal/cwgone"
+	"carobward.example/carobward/internal/cwdisconnect"
 	"carobward.example/carobward/internal/cwlink"
 	"carobward.example/carobward/internal/cwmetric"
 	"carobward.example/carobward/internal/cwpick"
@@ -80,7 +80,7 @@
 
 	limits      atomic.Pointer[Limits]
 	routes      atomic.Pointer[cwroutes.Table]
-	disconnects *cwgone.Watcher
+	disconnects *cwdisconnect.Watcher
 	inFlight    atomic.Int64
 	total       atomic.Int64
 	leaving     atomic.Bool
@@ -119,7 +119,7 @@
 	o.Log = o.Log.WithName("front")
 
 	f := &Front{
-		Options: o, disconnects: cwgone.New(), services: map[carobward.Service]*serviceState{}, counts: o.Metrics.Part(metricsPart),
+		Options: o, disconnects: cwdisconnect.New(), services: map[carobward.Service]*serviceState{}, counts: o.Metrics.Part(metricsPart),
 	}
 	f.limits.Store(&o.Limits)
 
