--- a/internal/cwfront/front.go
+++ b/internal/cwfront/front.go
@@ -39,8 +39,8 @@
 	Regions map[carobward.Domain]carobward.Region
 	Servers *cwbackend.Table
 	Link    *cwlink.Link
-	// Quarantine holds the requests that are not sent for now because servers ended while
-	// they handled them.
+	// Quarantine holds the requests that are not sent for now because servers crashed
+	// with them in flight.
 	Quarantine *cwquarantine.Keeper
 	// Quota has the quotas of teams.
 	Quota   *cwquota.Keeper
--- a/internal/cwfront/quarantine.go
+++ b/internal/cwfront/quarantine.go
@@ -22,9 +22,9 @@
 	}
 }
 
-// reportCrash records that a server ended during the request. If several servers end at
-// once, most requests that did not cause it are then answered by the next server. Those
-// crashes are not shared, which spares the store a burst of writes.
+// reportCrash records that a server crashed with the request in flight. If several servers
+// crash at once, most requests that did not cause it are answered by the next server. Their
+// crashes are not shared with the other entry VMs, which saves writes to the store.
 func (r *request) reportCrash(s *send, p cwquarantine.Fingerprint) {
 	q := r.front.Quarantine
 	c := cwquarantine.Crash{
--- a/internal/cwfront/queue_test.go
+++ b/internal/cwfront/queue_test.go
@@ -86,7 +86,7 @@
 
 	f, r := newCheckFront(t, u.Address())
 	server := f.Servers.Views("records", time.Now(), time.Second)[0]
-	line := &r.state.queue
+	q := &r.state.queue
 
 	wait := func(age time.Duration, tried bool) *waiter {
 		one := queuedRequest(r)
@@ -97,7 +97,7 @@
 			w.tried[server.Server] = true
 		}
 
-		line.join(w, time.Now())
+		q.join(w, time.Now())
 
 		return w
 	}
@@ -113,7 +113,7 @@
 	var got []string
 
 	for i, o := range []*candidate{slot(4), slot(0), slot(0), slot(0)} {
-		taken := line.offer(o, time.Now())
+		taken := q.offer(o, time.Now())
 		got = append(got, fmt.Sprint(i, taken, len(hasTried.offer), len(first.offer), len(last.offer)))
 	}
 
--- a/internal/cwfront/service_test.go
+++ b/internal/cwfront/service_test.go
@@ -17,7 +17,7 @@
 )
 
 // newFront returns a front with ten servers and a share of all requests.
-func newFront(part float64) *Front {
+func newFront(share float64) *Front {
 	const servers = 10
 
 	table := cwbackend.New(cwbackend.VM{ID: "vm-1", Domain: "a"})
@@ -32,7 +32,7 @@
 	return New(Options{
 		Servers: table, Clock: carobward.SystemClock{}, Metrics: cwmetric.New(), Log: logr.Discard(),
 		Limits:    Limits{ExtraShare: 0.2, ExtraWindow: 10 * time.Second, ExtraMin: 64, ChecksPerSecond: 60},
-		FleetSize: func() int { return 4 }, TrafficShare: func() float64 { return part },
+		FleetSize: func() int { return 4 }, TrafficShare: func() float64 { return share },
 	})
 }
 
@@ -44,9 +44,9 @@
 		limit  = 60.0 * 10
 	)
 
-	for name, part := range map[string]float64{"an equal share": 0.25, "a small share": 0.01, "all": 1} {
+	for name, share := range map[string]float64{"an equal share": 0.25, "a small share": 0.01, "all": 1} {
 		t.Run(name, func(t *testing.T) {
-			f := newFront(part)
+			f := newFront(share)
 			r := &request{front: f, state: f.serviceState("records")}
 			start := time.Now()
 			checks := 0
@@ -55,7 +55,7 @@
 				checks += r.checkCount(start.Add(time.Duration(ms) * time.Millisecond))
 			}
 
-			most := limit*part*minute + cwpick.Width
+			most := limit*share*minute + cwpick.Width
 			if float64(checks) > most || float64(checks) < 0.8*most {
 				t.Errorf("%d health checks in a minute, want at most %.0f and most of them", checks, most)
 			}
--- a/internal/cwqueue/queue.go
+++ b/internal/cwqueue/queue.go
@@ -18,24 +18,24 @@
 type Queue[W Waiter] struct{ list []W }
 
 // Join adds a request.
-func (l *Queue[W]) Join(w W) { l.list = append(l.list, w) }
+func (q *Queue[W]) Join(w W) { q.list = append(q.list, w) }
 
 // Leave removes a request, if it is there.
-func (l *Queue[W]) Leave(w W) {
-	if i := slices.Index(l.list, w); i >= 0 {
-		l.list = slices.Delete(l.list, i, i+1)
+func (q *Queue[W]) Leave(w W) {
+	if i := slices.Index(q.list, w); i >= 0 {
+		q.list = slices.Delete(q.list, i, i+1)
 	}
 }
 
 // First returns the first request, in the order of Before, that may have a server. It
 // returns false if there is none.
-func (l *Queue[W]) First(now time.Time, may func(W) bool) (W, bool) {
+func (q *Queue[W]) First(now time.Time, may func(W) bool) (W, bool) {
 	var (
 		best  W
 		found bool
 	)
 
-	for _, w := range l.list {
+	for _, w := range q.list {
 		if (!found || w.Turn().Before(best.Turn(), now)) && may(w) {
 			best, found = w, true
 		}
@@ -50,8 +50,8 @@
 // first one finds and for slots that become free. If each made its own checks, waiting
 // requests would use up the rate limit of all, and several would take the same slot: 0.76
 // of the requests are in time in bursts then, 0.78 with this rule.
-func (l *Queue[W]) MayCheck(w W, now time.Time) bool {
-	for _, o := range l.list {
+func (q *Queue[W]) MayCheck(w W, now time.Time) bool {
+	for _, o := range q.list {
 		if o != w && o.Turn().NoRoom && o.Turn().Before(w.Turn(), now) {
 			return false
 		}
--- a/internal/cwqueue/queue_bench_test.go
+++ b/internal/cwqueue/queue_bench_test.go
@@ -10,10 +10,10 @@
 func BenchmarkQueue(b *testing.B) {
 	const waiting = 8
 
-	var l Queue[*testWaiter]
+	var q Queue[*testWaiter]
 
 	for i := range waiting {
-		l.Join(&testWaiter{schedule: schedule(1, time.Duration(i)*time.Millisecond)})
+		q.Join(&testWaiter{schedule: schedule(1, time.Duration(i)*time.Millisecond)})
 	}
 
 	one := &testWaiter{schedule: schedule(1, 0)}
@@ -22,9 +22,9 @@
 	b.ReportAllocs()
 
 	for b.Loop() {
-		l.Join(one)
-		l.MayCheck(one, begin)
-		l.First(begin, all)
-		l.Leave(one)
+		q.Join(one)
+		q.MayCheck(one, begin)
+		q.First(begin, all)
+		q.Leave(one)
 	}
 }
--- a/internal/cwqueue/schedule.go
+++ b/internal/cwqueue/schedule.go
@@ -55,35 +55,35 @@
 }
 
 // expectedTime returns how long one of the better servers takes now.
-func (t *Schedule) expectedTime() time.Duration { return t.times(max(1, t.Slowdown)) }
+func (s *Schedule) expectedTime() time.Duration { return s.times(max(1, s.Slowdown)) }
 
 // times returns n usual response times.
-func (t *Schedule) times(n float64) time.Duration { return time.Duration(n * float64(t.Usual)) }
+func (s *Schedule) times(n float64) time.Duration { return time.Duration(n * float64(s.Usual)) }
 
 // Timely reports whether an answer can still be in time.
-func (t *Schedule) Timely(now time.Time) bool { return t.Due.Sub(now) >= t.expectedTime() }
+func (s *Schedule) Timely(now time.Time) bool { return s.Due.Sub(now) >= s.expectedTime() }
 
 // Before reports whether a request gets a server before another one. A request whose
 // answer can be in time goes first, then the more urgent one, then the one that is due
 // sooner.
-func (t *Schedule) Before(o *Schedule, now time.Time) bool {
-	if a, b := t.Timely(now), o.Timely(now); a != b {
+func (s *Schedule) Before(o *Schedule, now time.Time) bool {
+	if a, b := s.Timely(now), o.Timely(now); a != b {
 		return a
 	}
 
-	if t.Rank != o.Rank {
-		return t.Rank < o.Rank
+	if s.Rank != o.Rank {
+		return s.Rank < o.Rank
 	}
 
-	return t.Due.Before(o.Due)
+	return s.Due.Before(o.Due)
 }
 
 // Spares returns how many slots of a server a request leaves free for others. Under
 // overload, slots held for late answers are missing for those that can be in time. Of the
 // requests that arrive while all other callers return from a power failure, 0.81 are in
 // time without this rule, 0.88 with it.
-func (t *Schedule) Spares(now time.Time) int {
-	if t.Timely(now) {
+func (s *Schedule) Spares(now time.Time) int {
+	if s.Timely(now) {
 		return 0
 	}
 
@@ -93,50 +93,50 @@
 // Good reports whether a server is used at once. Time is how long it takes, in usual
 // response times. While nearly all servers are slow, the limit grows by their slowdown,
 // since waiting would not find a faster one.
-func (t *Schedule) Good(time float64) bool { return time <= goodTime*max(1, t.Slowdown) }
+func (s *Schedule) Good(time float64) bool { return time <= goodTime*max(1, s.Slowdown) }
 
 // Acceptable reports whether a server that is not good is used: its answer would be in
 // time, and the request has searched for a better one long enough.
-func (t *Schedule) Acceptable(time float64, now time.Time) bool {
-	waited := now.Sub(t.Arrived) >= fraction(betterFraction, t.Objective)
+func (s *Schedule) Acceptable(time float64, now time.Time) bool {
+	waited := now.Sub(s.Arrived) >= fraction(betterFraction, s.Objective)
 
-	return waited && t.InTime(time, now)
+	return waited && s.InTime(time, now)
 }
 
 // InTime reports whether a server that takes that many usual response times would answer
 // in time.
-func (t *Schedule) InTime(time float64, now time.Time) bool { return t.Due.Sub(now) >= t.times(time) }
+func (s *Schedule) InTime(time float64, now time.Time) bool { return s.Due.Sub(now) >= s.times(time) }
 
 // ShouldRefuse reports whether a request that found no server is refused. One whose answer
 // can be in time is not: the next slot that becomes free may be for it.
-func (t *Schedule) ShouldRefuse(now time.Time) bool {
-	if t.Timely(now) {
+func (s *Schedule) ShouldRefuse(now time.Time) bool {
+	if s.Timely(now) {
 		return false
 	}
 
-	return now.Sub(t.Arrived) >= fraction(lateFraction, t.Objective) || t.Deadline.Sub(now) < t.expectedTime()
+	return now.Sub(s.Arrived) >= fraction(lateFraction, s.Objective) || s.Deadline.Sub(now) < s.expectedTime()
 }
 
 // CheckInterval returns the time until the next health checks.
-func (t *Schedule) CheckInterval() time.Duration {
-	return max(minCheckInterval, t.times(checkInterval))
+func (s *Schedule) CheckInterval() time.Duration {
+	return max(minCheckInterval, s.times(checkInterval))
 }
 
 // RetryAfter returns when a caller may retry that is refused because no server has room.
-func (t *Schedule) RetryAfter() time.Duration {
-	return max(minRetryAfter, t.times(retryAfter*max(1, t.Slowdown)))
+func (s *Schedule) RetryAfter() time.Duration {
+	return max(minRetryAfter, s.times(retryAfter*max(1, s.Slowdown)))
 }
 
 // RetryAfterOpening returns the same if it is known when the first server accepts requests
 // again: that time, or RetryAfter if it is sooner, since servers that this entry VM
 // doesn't know may have room by then.
-func (t *Schedule) RetryAfterOpening(opens, now time.Time) time.Duration {
-	return min(max(minRetryAfter, opens.Sub(now)), t.RetryAfter())
+func (s *Schedule) RetryAfterOpening(availableAt, now time.Time) time.Duration {
+	return min(max(minRetryAfter, availableAt.Sub(now)), s.RetryAfter())
 }
 
 // RetryAfterRefusal returns the same after a server's refusal.
-func (t *Schedule) RetryAfterRefusal() time.Duration {
-	return max(minRetryAfter, t.times(refusalRetryAfter))
+func (s *Schedule) RetryAfterRefusal() time.Duration {
+	return max(minRetryAfter, s.times(refusalRetryAfter))
 }
 
 func fraction(p float64, d time.Duration) time.Duration { return time.Duration(p * float64(d)) }
--- a/internal/cwqueue/schedule_test.go
+++ b/internal/cwqueue/schedule_test.go
@@ -50,9 +50,9 @@
 	const none = 1000
 
 	for name, c := range map[string]struct {
-		age, after time.Duration
-		best, pace float64
-		sent, over bool
+		age, after     time.Duration
+		best, slowdown float64
+		sent, refused  bool
 	}{
 		"a fast server":                            {0, 0, 1, 1, true, false},
 		"a crowded one":                            {0, 0, 1.7, 1, true, false},
@@ -72,14 +72,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := schedule(0, c.age)
-			r.Slowdown = c.pace
+			r.Slowdown = c.slowdown
 			now := begin.Add(c.after)
 
 			if got := r.Good(c.best) || r.Acceptable(c.best, now); got != c.sent {
 				t.Errorf("sent: %v", got)
 			}
 
-			if got := r.ShouldRefuse(now); got != c.over {
+			if got := r.ShouldRefuse(now); got != c.refused {
 				t.Errorf("refused: %v", got)
 			}
 		})
--- a/internal/cwqueue/slowdown.go
+++ b/internal/cwqueue/slowdown.go
@@ -25,23 +25,23 @@
 }
 
 // Add adds the time of one server that has no other request, in usual response times.
-func (p *Slowdown) Add(alone float64) {
-	if len(p.samples) < slowdownSamples {
-		p.samples = append(p.samples, alone)
+func (s *Slowdown) Add(alone float64) {
+	if len(s.samples) < slowdownSamples {
+		s.samples = append(s.samples, alone)
 	} else {
-		p.samples[p.next] = alone
+		s.samples[s.next] = alone
 	}
 
-	p.next = (p.next + 1) % slowdownSamples
+	s.next = (s.next + 1) % slowdownSamples
 
-	if len(p.samples) < slowdownMinSamples {
+	if len(s.samples) < slowdownMinSamples {
 		return
 	}
 
-	sorted := slices.Clone(p.samples)
+	sorted := slices.Clone(s.samples)
 	slices.Sort(sorted)
-	p.estimate = sorted[int(slowdownQuantile*float64(len(sorted)))]
+	s.estimate = sorted[int(slowdownQuantile*float64(len(sorted)))]
 }
 
 // Now returns the estimate, or 1 if there is none or servers are faster than usual.
-func (p *Slowdown) Now() float64 { return max(1, p.estimate) }
+func (s *Slowdown) Now() float64 { return max(1, s.estimate) }
--- a/internal/cwretry/target.go
+++ b/internal/cwretry/target.go
@@ -42,8 +42,8 @@
 
 // Due reports whether a call that started age ago on a server should be hedged now, and if
 // not, at which age to ask again; zero means never.
-func (r *TargetState) Due(now time.Time, age time.Duration, s *cwserver.Server) (bool, time.Duration) {
-	last, ok := r.Latency.Value()
+func (t *TargetState) Due(now time.Time, age time.Duration, s *cwserver.Server) (bool, time.Duration) {
+	last, ok := t.Latency.Value()
 	if !ok {
 		return false, 0
 	}
