--- a/internal/cwbackend/arrange_test.go
+++ b/internal/cwbackend/arrange_test.go
@@ -13,11 +13,11 @@
 	"carobward.example/carobward"
 )
 
-// arranged returns the servers that an entry VM sends to, in the order of their instances.
-func arranged(t *Table) map[string][]carobward.Instance {
+// subsetsOf returns the subsetsOf of an entry VM, sorted by instance.
+func subsetsOf(t *Table) map[string][]carobward.Instance {
 	all := map[string][]carobward.Instance{}
 
-	for service, m := range t.mine {
+	for service, m := range t.subsets {
 		for part, list := range map[string][]*Server{"near": m.near, "far": m.far, "spare": m.spare} {
 			key := string(service) + " " + part
 
@@ -32,8 +32,9 @@
 	return all
 }
 
-// TestArranged lets servers and entry VMs come, change and go, and wants a table that follows
-// all of that to have the same servers as one that is told of the outcome at once.
+// TestArranged applies random changes of servers, entry VMs and evacuations to a table, and
+// checks that it selects the same subsets as a new table with the final state. It guards
+// against errors in incremental updates.
 func TestArranged(t *testing.T) {
 	const (
 		steps   = 400
@@ -91,7 +92,7 @@
 			fresh.SetNeighbours(keysOf(neighbours))
 		}
 
-		if diff := gocmp.Diff(arranged(fresh), arranged(table)); diff != "" {
+		if diff := gocmp.Diff(subsetsOf(fresh), subsetsOf(table)); diff != "" {
 			t.Fatalf("step %d: %s", step, diff)
 		}
 
--- a/internal/cwbackend/backend_test.go
+++ b/internal/cwbackend/backend_test.go
@@ -35,16 +35,16 @@
 		outcomes []Outcome
 		want     time.Duration
 	}{
-		"an answer":              {[]Outcome{Answered}, 0},
-		"one that we gave up":    {[]Outcome{Abandoned}, 0},
-		"a refusal":              {[]Outcome{Refused}, 100 * time.Millisecond},
-		"refusals do not add up": {times(9, Refused), 100 * time.Millisecond},
-		"a failure":              {[]Outcome{Broken}, 250 * time.Millisecond},
-		"failures double it":     {times(3, Silent), time.Second},
-		"up to a bound":          {times(20, Failed), 4 * time.Second},
+		"a response":            {[]Outcome{Answered}, 0},
+		"an abandoned request":  {[]Outcome{Abandoned}, 0},
+		"a refusal":             {[]Outcome{Refused}, 100 * time.Millisecond},
+		"refusals don't add up": {times(9, Refused), 100 * time.Millisecond},
+		"a failure":             {[]Outcome{Broken}, 250 * time.Millisecond},
+		"failures double it":    {times(3, Silent), time.Second},
+		"up to a bound":         {times(20, Failed), 4 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newServer(backend(1, "a"), newSpeakers(), start)
+			s := newServer(backend(1, "a"), newAnnouncers(), start)
 			for _, o := range c.outcomes {
 				s.End(s.Begin(start, func() {}), start, o)
 			}
@@ -61,9 +61,9 @@
 	}
 }
 
-// TestBlockedAgain wants an answer to end the row of failures.
+// TestBlockedAgain checks that a response resets the count of consecutive failures.
 func TestBlockedAgain(t *testing.T) {
-	s := newServer(backend(1, "a"), newSpeakers(), start)
+	s := newServer(backend(1, "a"), newAnnouncers(), start)
 	for _, o := range []Outcome{Broken, Broken, Broken, Answered} {
 		s.End(s.Begin(start, func() {}), start, o)
 	}
@@ -71,45 +71,46 @@
 	later := start.Add(time.Minute)
 	s.End(s.Begin(later, func() {}), later, Broken)
 
-	if !s.View(later, usual).Blocked || s.View(later.Add(blockFirst), usual).Blocked {
-		t.Error("the failures before the answer still count")
+	if !s.View(later, usual).Blocked || s.View(later.Add(minBlock), usual).Blocked {
+		t.Error("failures before the response still count")
 	}
 }
 
-// TestLooked wants a good health check not to excuse failed requests.
+// TestLooked checks that a successful health check does not clear failures of requests, and
+// that one without a response blocks the server.
 func TestLooked(t *testing.T) {
-	s := newServer(backend(1, "a"), newSpeakers(), start)
+	s := newServer(backend(1, "a"), newAnnouncers(), start)
 	s.End(s.Begin(start, func() {}), start, Broken)
 	s.Looked(start, Answered)
 
 	if !s.View(start, usual).Blocked {
-		t.Error("health excused a failure")
+		t.Error("a successful health check cleared a failure")
 	}
 
-	s = newServer(backend(1, "a"), newSpeakers(), start)
+	s = newServer(backend(1, "a"), newAnnouncers(), start)
 	s.Looked(start, Silent)
 
 	if !s.View(start, usual).Blocked {
-		t.Error("a silent health check did not block")
+		t.Error("a health check without a response did not block")
 	}
 }
 
 func TestOverdue(t *testing.T) {
-	s := newServer(backend(1, "a"), newSpeakers(), start)
+	s := newServer(backend(1, "a"), newAnnouncers(), start)
 	number := s.Begin(start, func() {})
 
 	if s.View(start.Add(3*usual), usual).Overdue || !s.View(start.Add(5*usual), usual).Overdue {
-		t.Error("overdue after the wrong time")
+		t.Error("overdue too early or too late")
 	}
 
 	s.End(number, start.Add(5*usual), Answered)
 
 	if s.View(start.Add(9*usual), usual).Overdue {
-		t.Error("overdue though it was answered")
+		t.Error("overdue after its response")
 	}
 }
 
-// TestNewInstance wants another run at the same address to be another server.
+// TestNewInstance checks that another instance at the same address is another server.
 func TestNewInstance(t *testing.T) {
 	table := New(VM{ID: "vm-1", Domain: "a"})
 	table.Put([]carobward.Backend{backend(1, "a")}, nil, start)
@@ -127,7 +128,7 @@
 	}
 }
 
-// TestLeaving wants a leaving server to get nothing.
+// TestLeaving checks that a leaving server gets no requests.
 func TestLeaving(t *testing.T) {
 	table := New(VM{ID: "vm-1", Domain: "a"})
 	b := backend(1, "a")
@@ -137,13 +138,13 @@
 	table.Put([]carobward.Backend{b}, nil, start)
 
 	if len(table.Views("records", start, usual)) != 0 || table.Has(b) || table.Count() != 1 {
-		t.Error("a leaving server may get work")
+		t.Error("a leaving server may get requests")
 	}
 }
 
-// TestPick wants each server to be known to enough entry VMs of its domain,
-// each entry VM to know enough servers of each kind and not many more, and a
-// newcomer to move few.
+// TestPick checks that each server is in the subsets of enough entry VMs of its failure
+// domain, that each subset has enough servers and not many more, and that a new entry VM moves
+// few servers.
 func TestPick(t *testing.T) {
 	var (
 		vms      []VM
@@ -175,8 +176,8 @@
 		table.Put(backends, nil, start)
 
 		views := table.Views("records", start, usual)
-		if n := len(views); n < (knownNear+knownFar)/2 || n > 2*(knownNear+knownFar) {
-			t.Errorf("%s knows %d servers", vm.ID, n)
+		if n := len(views); n < (subsetNear+subsetFar)/2 || n > 2*(subsetNear+subsetFar) {
+			t.Errorf("%s has %d servers in its subset", vm.ID, n)
 		}
 
 		had := map[*Server]bool{}
@@ -201,17 +202,17 @@
 
 	for _, b := range backends {
 		if knownBy[b.Instance] < 4 {
-			t.Errorf("%s is known to %d entry VMs of its domain", b.Instance, knownBy[b.Instance])
+			t.Errorf("%s is in the subsets of %d entry VMs of its failure domain", b.Instance, knownBy[b.Instance])
 		}
 	}
 
 	if moved > len(backends) {
-		t.Errorf("%d times a server became known, more than once a server", moved)
+		t.Errorf("%d additions to subsets, more than one per server", moved)
 	}
 }
 
-// TestStartedAgain has entries of a server in the order in which they come against which
-// process the table has in the end, and whether what is known and in flight goes.
+// TestStartedAgain checks for sequences of entries of a server which process the table ends up
+// with, and that a restart discards the server's state and cancels its requests.
 func TestStartedAgain(t *testing.T) {
 	for name, c := range map[string]struct {
 		starts []carobward.Start
@@ -219,12 +220,12 @@
 		again  int
 		fresh  bool
 	}{
-		"the same process":           {[]carobward.Start{5, 5}, 5, 0, false},
-		"another one":                {[]carobward.Start{5, 7}, 7, 1, true},
-		"a late word of the old one": {[]carobward.Start{5, 7, 5}, 7, 1, true},
-		"two more":                   {[]carobward.Start{5, 7, 9}, 9, 2, true},
-		"none says its start":        {[]carobward.Start{0, 0}, 0, 0, false},
-		"the first that says it":     {[]carobward.Start{0, 5}, 5, 0, false},
+		"the same process":            {[]carobward.Start{5, 5}, 5, 0, false},
+		"another one":                 {[]carobward.Start{5, 7}, 7, 1, true},
+		"a late entry of the old one": {[]carobward.Start{5, 7, 5}, 7, 1, true},
+		"two more":                    {[]carobward.Start{5, 7, 9}, 9, 2, true},
+		"no start times":              {[]carobward.Start{0, 0}, 0, 0, false},
+		"the first start time":        {[]carobward.Start{0, 5}, 5, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := New(VM{ID: "vm-1", Domain: "a"})
@@ -244,11 +245,11 @@
 
 			view := table.Views("records", start, usual)[0]
 			if got := view.Server.Backend().Start; got != c.want || again != c.again {
-				t.Errorf("process %d, started again %d times", got, again)
+				t.Errorf("process %d, %d restarts", got, again)
 			}
 
 			if fresh := !view.Blocked && view.Own == 0 && broken == 1; fresh != c.fresh {
-				t.Errorf("blocked %v, %d in flight, %d broken off", view.Blocked, view.Own, broken)
+				t.Errorf("blocked %v, %d in flight, %d canceled", view.Blocked, view.Own, broken)
 			}
 
 			old := b
@@ -261,8 +262,8 @@
 	}
 }
 
-// TestSpare wants further servers of other failure domains to be known while over half of
-// the near ones fail, are cold or leave, and no longer once those answer again.
+// TestSpare checks that spare servers of other failure domains are used while over half of the
+// near ones fail, and not once those respond again.
 func TestSpare(t *testing.T) {
 	const each = 40
 
@@ -275,7 +276,7 @@
 		list = append(list, backend(i, fmt.Sprintf("d%d", i%3)))
 	}
 
-	for i := 1; i < 2*each/knownNear; i++ {
+	for i := 1; i < 2*each/subsetNear; i++ {
 		neighbours = append(neighbours, carobward.VMID(fmt.Sprintf("vm-%d", i)))
 	}
 
@@ -297,20 +298,20 @@
 	}
 
 	near, few := spare()
-	if few > 0 || len(near) < knownNear/2 {
-		t.Fatalf("%d near servers, %d spare ones while all is well", len(near), few)
+	if few > 0 || len(near) < subsetNear/2 {
+		t.Fatalf("%d near servers, %d spare ones without failures", len(near), few)
 	}
 
 	for i, s := range near {
 		s.Looked(start, Silent)
 
 		if _, got := spare(); got > 0 != (2*(len(near)-i-1) < len(near)) {
-			t.Errorf("%d spare servers with %d of %d near ones silent", got, i+1, len(near))
+			t.Errorf("%d spare servers with %d of %d near ones not responding", got, i+1, len(near))
 		}
 	}
 
-	if _, got := spare(); got != knownNear {
-		t.Errorf("%d spare servers, want as many as near ones", got)
+	if _, got := spare(); got != subsetNear {
+		t.Errorf("%d spare servers, want the number of near ones", got)
 	}
 
 	for _, s := range near {
@@ -318,6 +319,6 @@
 	}
 
 	if _, got := spare(); got > 0 {
-		t.Errorf("%d spare servers once the near ones answer", got)
+		t.Errorf("%d spare servers after the near ones responded", got)
 	}
 }
--- a/internal/cwbackend/cold.go
+++ b/internal/cwbackend/cold.go
@@ -6,56 +6,56 @@
 	"carobward.example/carobward"
 )
 
-// A cold server bears few requests a second, from all entry VMs together, and ends under
-// more. Its bound is divided, see sharers. It answers the return of many servers at once
-// under a burst, where each entry VM by itself would see an idle server.
+// A server that is warming up tolerates few requests a second from all entry VMs together, and
+// crashes under more. Its rate is divided, see sharers. This protects many servers that return
+// at once during a burst, when each entry VM by itself would see idle servers.
 
-// ColdBound is what cold servers of a service bear.
+// ColdBound is the request rate that servers of a service tolerate while they are warming up.
 type ColdBound struct {
-	// Rate is the requests a second that a cold server tolerates, Overshoot the number
-	// of times as many that it may get, and Slack further requests in any one second.
-	// There is no bound where Rate is 0.
+	// Rate is the tolerated number of requests a second, Overshoot the factor by which it may
+	// be exceeded, and Slack the number of additional requests in any one second. A Rate of 0
+	// means no bound.
 	Rate      float64
 	Overshoot float64
 	Slack     float64
 }
 
-// most returns how many requests a cold server may get in one second by our division, 0
-// where there is no bound.
-func (b ColdBound) most() int {
+// budget returns how many requests the entry VMs divide for a server in one second, 0 if there
+// is no bound.
+func (b ColdBound) budget() int {
 	if b.Rate <= 0 {
 		return 0
 	}
 
-	// Settings that do not name the overshoot mean none, and not that servers bear nothing.
-	return max(1, int(sharePart*(b.Rate*max(1, b.Overshoot)+b.Slack)))
+	// An overshoot of 0 means that none is set, not that servers tolerate nothing.
+	return max(1, int(dividedShare*(b.Rate*max(1, b.Overshoot)+b.Slack)))
 }
 
-// SetColdBounds tells what cold servers of each service bear.
+// SetColdBounds sets the rates for servers that are warming up, by service.
 func (t *Table) SetColdBounds(bounds map[carobward.Service]ColdBound) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
-	t.cold = bounds
+	t.warmupBounds = bounds
 }
 
-// coldAllowance returns this entry VM's part of what a server bears while it is cold; the
-// mutex is held.
-func (t *Table) coldAllowance(b *carobward.Backend, warm, now time.Time) allowance {
-	bound := t.cold[b.Service]
+// warmupAllowance returns this entry VM's share of the rate that a server tolerates while it
+// is warming up. The mutex must be held.
+func (t *Table) warmupAllowance(b *carobward.Backend, warm, now time.Time) allowance {
+	bound := t.warmupBounds[b.Service]
 	if bound.Rate <= 0 || !now.Before(warm) {
 		return allowance{}
 	}
 
-	return allowance{most: t.part(b, bound.most(), t.sharers.size, now), window: shareWindow, until: warm}
+	return allowance{maxRequests: t.share(b, bound.budget(), t.sharers.size, now), window: minWindow, until: warm}
 }
 
-func (s *Server) isCold(now time.Time) bool { return now.Before(s.warmAt()) }
+func (s *Server) isWarming(now time.Time) bool { return now.Before(s.warmAt()) }
 
-// warmAt returns until when the server is cold.
+// warmAt returns when the server is warmed up.
 func (s *Server) warmAt() time.Time {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
-	return s.warm
+	return s.warmupEnd
 }
--- a/internal/cwbackend/cold_test.go
+++ b/internal/cwbackend/cold_test.go
@@ -10,67 +10,66 @@
 	"carobward.example/carobward"
 )
 
-// coldBound is a bound such as the users' deployments have: 15.2 requests in a second.
-var coldBound = ColdBound{Rate: 4.8, Overshoot: 1.5, Slack: 8}
+// warmupBound allows 15.2 requests in a second, as in a typical deployment.
+var warmupBound = ColdBound{Rate: 4.8, Overshoot: 1.5, Slack: 8}
 
-// coldWay is a way of bounding the requests that cold servers get.
-type coldWay uint8
+// warmupMethod is a method of bounding the requests to servers that are warming up.
+type warmupMethod uint8
 
 const (
-	// byHash is the product's: the first by hash send one a second each.
-	byHash coldWay = iota
-	// byCount has each entry VM that knows the server send its part by the number of
-	// entry VMs lately, rounded up.
+	// byHash is the method in use: the first entry VMs by hash send one a second each.
+	byHash warmupMethod = iota
+	// byCount has each entry VM with the server in its subset send its part by the recent
+	// number of entry VMs, rounded up.
 	byCount
-	// byReport has each send while the server's last report has room.
+	// byReport has each entry VM send while the server's latest report shows a free slot.
 	byReport
 )
 
-// coldVM is one entry VM of a model fleet.
-type coldVM struct {
+// simVM is a simulated entry VM.
+type simVM struct {
 	table  *Table
 	id     carobward.VMID
 	domain carobward.Domain
-	// heard has when each other one was heard last.
-	heard map[carobward.VMID]time.Time
-	// alive tells that it runs, cut that it hears nobody and is heard by nobody.
+	// lastSeen is when each other entry VM was last seen.
+	lastSeen map[carobward.VMID]time.Time
+	// alive is set while it runs, cut while it is partitioned from the other entry VMs.
 	alive, cut bool
 	started    time.Time
 }
 
-// coldFleet is the entry VMs of one failure domain or two and the cold servers of the first
-// one. The cut ones reach servers, as those that lose each other only.
-type coldFleet struct {
+// simFleet simulates the entry VMs of one failure domain or two, and servers of the first one
+// that are warming up. Partitioned entry VMs still reach the servers.
+type simFleet struct {
 	rnd     *rand.Rand
-	vms     []*coldVM
+	vms     []*simVM
 	now     time.Time
 	size    int
 	servers []carobward.Backend
-	// arrivals has when each server got its requests.
+	// arrivals has the times of the requests at each server.
 	arrivals map[carobward.Instance][]time.Time
-	way      coldWay
-	// running has the end of each request at a server, for byReport, and told what a
-	// server last reported.
+	method   warmupMethod
+	// running has the ends of the requests at each server, for byReport.
 	running map[carobward.Instance][]time.Time
 }
 
 const (
-	coldStep  = 100 * time.Millisecond
-	coldLive  = 2500 * time.Millisecond
-	coldKeep  = 30 * time.Second
-	coldWork  = 400 * time.Millisecond
-	coldSlots = 4
+	simStep        = 100 * time.Millisecond
+	simLive        = 2500 * time.Millisecond
+	simSharerTime  = 30 * time.Second
+	simRequestTime = 400 * time.Millisecond
+	simSlots       = 4
 )
 
-func newColdFleet(seed uint64, vms, servers int, way coldWay) *coldFleet {
-	f := &coldFleet{
-		rnd: rand.New(rand.NewPCG(seed, 1)), now: start, size: vms, way: way,
+func newSimFleet(seed uint64, vms, servers int, method warmupMethod) *simFleet {
+	f := &simFleet{
+		rnd: rand.New(rand.NewPCG(seed, 1)), now: start, size: vms, method: method,
 		arrivals: map[carobward.Instance][]time.Time{}, running: map[carobward.Instance][]time.Time{},
 	}
 
 	for i := range servers {
 		b := backend(i, "d0")
-		b.Warmup = time.Hour // Cold for as long as the history lasts.
+		b.Warmup = time.Hour // Longer than any simulation.
 		f.servers = append(f.servers, b)
 	}
 
@@ -80,39 +79,39 @@
 }
 
 // addVMs starts entry VMs in a failure domain.
-func (f *coldFleet) addVMs(count int, d carobward.Domain) {
+func (f *simFleet) addVMs(count int, d carobward.Domain) {
 	for i := range count {
-		v := &coldVM{id: carobward.VMID(fmt.Sprintf("vm-%s-%d", d, i)), domain: d}
+		v := &simVM{id: carobward.VMID(fmt.Sprintf("vm-%s-%d", d, i)), domain: d}
 		f.vms = append(f.vms, v)
 		f.startVM(v)
 	}
 }
 
-// startVM starts an entry VM that knows nobody; the store tells it how many there are.
-func (f *coldFleet) startVM(v *coldVM) {
+// startVM starts an entry VM that has seen no other; the store tells it how many there are.
+func (f *simFleet) startVM(v *simVM) {
 	v.table = New(VM{ID: v.id, Domain: v.domain})
-	v.table.SetColdBounds(map[carobward.Service]ColdBound{"records": coldBound})
+	v.table.SetColdBounds(map[carobward.Service]ColdBound{"records": warmupBound})
 	v.table.Put(f.servers, nil, f.now)
 
-	v.heard, v.alive, v.started = map[carobward.VMID]time.Time{}, true, f.now
+	v.lastSeen, v.alive, v.started = map[carobward.VMID]time.Time{}, true, f.now
 }
 
-// step moves the history on: entry VMs end, start again, are cut off and come back, and
-// send as much as they may.
-func (f *coldFleet) step(trouble bool) {
-	f.now = f.now.Add(coldStep)
+// step simulates one time step: entry VMs crash, restart, are partitioned and rejoin, and send
+// as much as they may.
+func (f *simFleet) step(faults bool) {
+	f.now = f.now.Add(simStep)
 
 	for _, v := range f.vms {
-		if trouble {
-			f.change(v)
+		if faults {
+			f.injectFaults(v)
 		}
 
 		if !v.alive {
 			continue
 		}
 
-		f.hear(v)
-		v.share(f, f.now)
+		f.receiveHeartbeats(v)
+		v.updateTable(f, f.now)
 	}
 
 	for _, n := range f.rnd.Perm(len(f.vms)) {
@@ -122,10 +121,10 @@
 	}
 }
 
-// change lets chance act on one entry VM: a death each 10 s, half a second to 3 s long,
-// and a cut each 8 s.
-func (f *coldFleet) change(v *coldVM) {
-	chance := func(every time.Duration) bool { return f.rnd.Float64() < float64(coldStep)/float64(every) }
+// injectFaults randomly disturbs one entry VM: it crashes every 10 s on average, for 1.5 s on
+// average, and is partitioned or rejoins every 8 s.
+func (f *simFleet) injectFaults(v *simVM) {
+	chance := func(every time.Duration) bool { return f.rnd.Float64() < float64(simStep)/float64(every) }
 
 	switch {
 	case v.alive && chance(10*time.Second):
@@ -137,63 +136,64 @@
 	}
 }
 
-// hear has an entry VM hear the others, each once in a second or so.
-func (f *coldFleet) hear(v *coldVM) {
+// receiveHeartbeats lets an entry VM receive heartbeats from the others, one from each every
+// 300 ms on average.
+func (f *simFleet) receiveHeartbeats(v *simVM) {
 	for _, o := range f.vms {
-		if o != v && o.domain == v.domain && o.alive && !o.cut && !v.cut && f.rnd.Float64() < float64(coldStep)/float64(300*time.Millisecond) {
-			v.heard[o.id] = f.now
+		if o != v && o.domain == v.domain && o.alive && !o.cut && !v.cut && f.rnd.Float64() < float64(simStep)/float64(300*time.Millisecond) {
+			v.lastSeen[o.id] = f.now
 		}
 	}
 }
 
-// share tells the table what the entry VM knows of the others.
-func (v *coldVM) share(f *coldFleet, now time.Time) {
-	var live, lately []carobward.VMID
+// updateTable passes the entry VMs that were seen to the table.
+func (v *simVM) updateTable(f *simFleet, now time.Time) {
+	var live, recent []carobward.VMID
 
-	for id, at := range v.heard {
-		if f.now.Sub(at) < coldLive {
+	for id, at := range v.lastSeen {
+		if f.now.Sub(at) < simLive {
 			live = append(live, id)
 		}
 
-		if f.now.Sub(at) < coldKeep {
-			lately = append(lately, id)
+		if f.now.Sub(at) < simSharerTime {
+			recent = append(recent, id)
 		}
 	}
 
 	v.table.SetNeighbours(live)
-	v.table.SetSharers(lately, f.size, now)
+	v.table.SetSharers(recent, f.size, now)
 }
 
-// send has an entry VM send to each cold server that it may.
-func (f *coldFleet) send(v *coldVM) {
+// send sends requests of an entry VM to each server that may get one.
+func (f *simFleet) send(v *simVM) {
 	for _, view := range v.table.Views("records", f.now, usual) {
 		b := view.Server.Backend()
-		if f.may(v, view, b) {
+		if f.allows(v, view, b) {
 			f.arrivals[b.Instance] = append(f.arrivals[b.Instance], f.now)
-			f.running[b.Instance] = append(f.running[b.Instance], f.now.Add(coldWork))
+			f.running[b.Instance] = append(f.running[b.Instance], f.now.Add(simRequestTime))
 		}
 	}
 }
 
-func (f *coldFleet) may(v *coldVM, view View, b carobward.Backend) bool {
-	switch f.way {
+func (f *simFleet) allows(v *simVM, view View, b carobward.Backend) bool {
+	switch f.method {
 	case byCount:
-		return view.Server.admit(&allowances{{most: max(1, coldBound.most()/f.size), window: shareWindow}}, f.now)
+		return view.Server.admit(&allowances{{maxRequests: max(1, warmupBound.budget()/f.size), window: minWindow}}, f.now)
 	case byReport:
-		// All that look within a few milliseconds see the same free slots.
+		// All entry VMs that check within a few milliseconds see the same free slots.
 		list := slices.DeleteFunc(f.running[b.Instance], func(end time.Time) bool { return end.Before(f.now) })
 		f.running[b.Instance] = list
-		before := len(slices.DeleteFunc(slices.Clone(list), func(end time.Time) bool { return !end.Before(f.now.Add(coldWork)) }))
+		before := len(slices.DeleteFunc(slices.Clone(list), func(end time.Time) bool { return !end.Before(f.now.Add(simRequestTime)) }))
 
-		return before < coldSlots
+		return before < simSlots
 	default:
 		return v.table.Admit(view.Server, f.now)
 	}
 }
 
-// worst returns the most requests that a server got in any one second, and the mean over
-// servers and seconds.
-func (f *coldFleet) worst() (int, float64) {
+// worst returns the largest number of requests at a server in any one second, and the mean per
+// second and server.
+func (f *simFleet) worst() (int, float64) {
 	worst, all := 0, 0
 
 	for _, list := range f.arrivals {
@@ -212,17 +212,18 @@
 	return worst, float64(all) / float64(len(f.servers)) / f.now.Sub(start).Seconds()
 }
 
-// TestColdHistory wants no cold server to get more than it bears in any one second, from
-// entry VMs that join, die and lose each other at random, all of which send as much as
-// they may. Without trouble the bound is used.
+// TestColdHistory checks that no server that is warming up gets more requests than it
+// tolerates in any one second, from entry VMs that join, crash and are partitioned at random
+// and all send as much as they may. Without faults, the servers must get a good part of the
+// bound.
 func TestColdHistory(t *testing.T) {
 	const span = 8 * time.Second
 
-	allowed := int(coldBound.Rate*coldBound.Overshoot + coldBound.Slack)
+	allowed := int(warmupBound.Rate*warmupBound.Overshoot + warmupBound.Slack)
 
 	for name, c := range map[string]struct {
 		vms, servers int
-		// least is the mean of requests a second that a server must get in calm.
+		// least is the mean number of requests a second that a server must get without faults.
 		least float64
 	}{
 		"6 of 17 entry VMs":    {6, 10, 8},
@@ -234,42 +235,42 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(2) {
-				for _, trouble := range []bool{false, true} {
-					f := newColdFleet(seed, c.vms, c.servers, byHash)
+				for _, faults := range []bool{false, true} {
+					f := newSimFleet(seed, c.vms, c.servers, byHash)
 					for f.now.Sub(start) < span {
-						f.step(trouble)
+						f.step(faults)
 					}
 
 					worst, mean := f.worst()
 					if worst > allowed {
-						t.Errorf("seed %d, trouble %v: %d requests in a second, %d allowed", seed, trouble, worst, allowed)
+						t.Errorf("seed %d, faults %v: %d requests in a second, %d allowed", seed, faults, worst, allowed)
 					}
 
-					if !trouble && mean < c.least {
+					if !faults && mean < c.least {
 						t.Errorf("seed %d: %.1f requests a second and server, want %.1f", seed, mean, c.least)
 					}
 
-					t.Logf("seed %d, trouble %v: at most %d in a second, %.1f in the mean", seed, trouble, worst, mean)
+					t.Logf("seed %d, faults %v: at most %d in a second, %.1f in the mean", seed, faults, worst, mean)
 				}
 			}
 		})
 	}
 }
 
-// TestColdWays has what the ways that were not taken let through.
+// TestColdWays compares the method in use with alternatives that exceed the bound.
 func TestColdWays(t *testing.T) {
-	allowed := int(coldBound.Rate*coldBound.Overshoot + coldBound.Slack)
+	allowed := int(warmupBound.Rate*warmupBound.Overshoot + warmupBound.Slack)
 
 	for name, c := range map[string]struct {
-		way  coldWay
-		pass bool
+		method warmupMethod
+		pass   bool
 	}{
-		"the first by hash":       {byHash, true},
-		"parts by count, rounded": {byCount, false},
-		"room by reports alone":   {byReport, false},
+		"the first by hash":     {byHash, true},
+		"shares by count":       {byCount, false},
+		"free slots by reports": {byReport, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newColdFleet(1, 42, 5, c.way)
+			f := newSimFleet(1, 42, 5, c.method)
 			for f.now.Sub(start) < 4*time.Second {
 				f.step(false)
 			}
@@ -284,20 +285,20 @@
 	}
 }
 
-// TestColdView has what entries and health answers say of a server's warm-up, one after
-// the other 1 s apart, against until when it is cold.
+// TestColdView checks until when a server counts as warming up, given a sequence of entries
+// and health check answers 1 s apart.
 func TestColdView(t *testing.T) {
 	const none = -1
 
 	for name, c := range map[string]struct {
-		// entries and answers are the seconds left by each, or none.
+		// entries and answers have the seconds of warm-up left by each, or none.
 		entries, answers []int
 		want             int
 	}{
 		"a start":                         {[]int{3}, []int{none}, 3},
-		"cold again without a start":      {[]int{0, none}, []int{none, 3}, 4},
+		"warming up without a restart":    {[]int{0, none}, []int{none, 3}, 4},
 		"an older entry after the answer": {[]int{0, none, 0}, []int{none, 3, none}, 4},
-		"warm by its own word":            {[]int{9, none}, []int{none, 0}, 1},
+		"warm by its own report":          {[]int{9, none}, []int{none, 0}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := New(VM{ID: "vm-1", Domain: "a"})
@@ -312,8 +313,8 @@
 				}
 
 				if c.answers[i] != none {
-					says := &carobward.Reply{Warmup: time.Duration(c.answers[i]) * time.Second, SaysWarmup: true}
-					table.byInstance[b.Instance].Hear(says, ByLook, now)
+					reply := &carobward.Reply{Warmup: time.Duration(c.answers[i]) * time.Second, SaysWarmup: true}
+					table.byInstance[b.Instance].Hear(reply, ByLook, now)
 				}
 			}
 
@@ -321,40 +322,40 @@
 			warm := func(at time.Time) bool { return !table.Views("records", at, usual)[0].Warming }
 
 			if warm(end.Add(-time.Millisecond)) || !warm(end) {
-				t.Errorf("not cold until %d s", c.want)
+				t.Errorf("not warming up until %d s", c.want)
 			}
 		})
 	}
 }
 
-// TestColdMost has what the operators say of cold servers against the requests in a second
-// that are divided.
+// TestColdMost checks how many requests in a second are divided, given the settings for
+// servers that are warming up.
 func TestColdMost(t *testing.T) {
 	for name, c := range map[string]struct {
 		bound ColdBound
 		want  int
 	}{
 		"no bound":            {ColdBound{Overshoot: 1.5, Slack: 8}, 0},
-		"the users' figures":  {coldBound, 12},
+		"a typical setting":   {warmupBound, 12},
 		"no overshoot, slack": {ColdBound{Rate: 10}, 8},
-		"hardly any":          {ColdBound{Rate: 0.2, Overshoot: 1}, 1},
+		"below one":           {ColdBound{Rate: 0.2, Overshoot: 1}, 1},
 		"many":                {ColdBound{Rate: 100, Overshoot: 2, Slack: 10}, 168},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := c.bound.most(); got != c.want {
+			if got := c.bound.budget(); got != c.want {
 				t.Errorf("%d, want %d", got, c.want)
 			}
 		})
 	}
 }
 
-// BenchmarkColdViews has the cost of the views for one choice while all eight near servers
-// are cold, by the number of entry VMs of the failure domain, which are ranked for each
-// server: 25 µs at 42, 33 µs at 106 (a busy machine).
+// BenchmarkColdViews runs Views while all eight near servers are warming up, which ranks the
+// entry VMs of the failure domain for each server: 25 µs with 42 entry VMs, 33 µs with 106 (on
+// a busy machine).
 func BenchmarkColdViews(b *testing.B) {
 	for _, vms := range []int{6, 42, 106} {
 		b.Run(fmt.Sprint(vms), func(b *testing.B) {
-			f := newColdFleet(1, vms, knownNear, byHash)
+			f := newSimFleet(1, vms, subsetNear, byHash)
 			v := f.vms[0]
 
 			for range 30 {
--- a/internal/cwbackend/cost_test.go
+++ b/internal/cwbackend/cost_test.go
@@ -8,8 +8,8 @@
 	"carobward.example/carobward"
 )
 
-// BenchmarkPut has the cost of one changed entry at an entry VM of a large failure domain, by
-// the number of servers: each entry VM pays it for each change.
+// BenchmarkPut applies one changed entry at an entry VM of a large failure domain, by the
+// number of servers. Each entry VM does this for each change.
 func BenchmarkPut(b *testing.B) {
 	for _, servers := range []int{1000, 10_000} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
@@ -27,7 +27,7 @@
 	}
 }
 
-// largeTable returns a table with servers in five failure domains, and the entry VMs of one of
+// largeTable returns a table with servers in five failure domains and the entry VMs of one of
 // them.
 func largeTable(servers int) (*Table, []carobward.Backend) {
 	const domains, peers = 5, 200
@@ -56,7 +56,7 @@
 	return t, list
 }
 
-// BenchmarkNeighbourLarge has the cost of an entry VM that comes or goes.
+// BenchmarkNeighbourLarge adds or removes one entry VM.
 func BenchmarkNeighbourLarge(b *testing.B) {
 	t, _ := largeTable(10_000)
 
@@ -72,8 +72,7 @@
 	}
 }
 
-// BenchmarkSame has the cost of telling the table the neighbours that it has, ten times a
-// second.
+// BenchmarkSame sets unchanged neighbours, which entry VMs do ten times a second.
 func BenchmarkSame(b *testing.B) {
 	t, _ := largeTable(10_000)
 
@@ -89,7 +88,7 @@
 	}
 }
 
-// BenchmarkWords has the cost of what servers said for one heartbeat.
+// BenchmarkWords collects the announcements of servers for one heartbeat.
 func BenchmarkWords(b *testing.B) {
 	t, _ := largeTable(10_000)
 	now := time.Now()
--- a/internal/cwbackend/limit.go
+++ b/internal/cwbackend/limit.go
@@ -8,85 +8,86 @@
 	"carobward.example/carobward"
 )
 
-// A server in need names how many requests a second it takes from all entry VMs together.
-// Its bound is divided, see sharers: by those that know it, of which each has its part in a
-// window that is long enough for limitOwners parts. So the mean is below the limit in each
-// window, and the requests at the start of one are few. The others, and all entry VMs of
-// other failure domains, send nothing while anybody says that the limit stands.
+// An overloaded server announces how many requests a second it takes from all entry VMs
+// together. This limit is divided, see sharers: each entry VM with a share sends its part in a
+// window that is long enough for limitOwners shares. The mean rate in each window is then
+// below the limit, and few requests come at its start. Entry VMs without a share, and all of
+// other failure domains, send nothing while the limit is known to hold.
 
-// The figures of limits.
+// The parameters of limits.
 const (
-	// limitOwners is how many entry VMs have a part of a limit at least, where there are
-	// as many, so that the server is used when some of them have no callers or are lost.
+	// limitOwners is the least number of entry VMs with a share of a limit, where that many
+	// exist, so that the server stays in use when some of them have no callers or are lost.
 	limitOwners = 4
-	// limitKeep is the time after the last word on a limit after which an entry VM
-	// without a part asks the server again with a request: the limit may have been taken
-	// back unheard. Three failure domains together take 0.1 a second for that, and for
-	// limits below one a second it takes longer in proportion, to limitLeast.
-	limitKeep  = 30 * time.Second
-	limitLeast = 0.25
-	// limitStep is by how much later each further entry VM by hash asks again, so that
-	// the word on the first one's request reaches the others before their turn.
-	limitStep = 2 * time.Second
-	// limitRateLeast and limitRateMost are between which rates limits are divided: less
-	// than one request in a quarter of an hour is none, and a server that takes more than
-	// the entry VMs of a failure domain carry is not bounded.
-	limitRateLeast = 0.001
-	limitRateMost  = 100_000
+	// limitRecheck is how long after the last announcement of a limit an entry VM without a
+	// share sends the server a request to check it: the limit may have been lifted without any
+	// entry VM being told. Entry VMs of three failure domains together send 0.1 a second for
+	// that. For limits below one a second the time is longer in proportion, down to a limit of
+	// minRecheckRate.
+	limitRecheck   = 30 * time.Second
+	minRecheckRate = 0.25
+	// limitRecheckStep is the delay between the checks of successive entry VMs by hash, so
+	// that the result of one reaches the others before their turn.
+	limitRecheckStep = 2 * time.Second
+	// minLimitRate and maxLimitRate are the range of rates that are divided. Less than about
+	// one request in a quarter of an hour counts as zero; a server that takes more than the
+	// entry VMs of a failure domain can carry needs no bound.
+	minLimitRate = 0.001
+	maxLimitRate = 100_000
 )
 
-// limit is what this entry VM believes of a server's limit.
+// limit is the state of a server's limit as this entry VM knows it.
 type limit struct {
 	carobward.Limit
 
-	// at is when the server's newest word on it came, to any entry VM.
+	// at is when the server last announced it, to any entry VM.
 	at time.Time
-	// own is when it last came to this one, since when the limit was named or taken
-	// back.
-	own   time.Time
-	since time.Time
-	// looks tells that the server's health answers name it.
-	looks bool
+	// ownAt is when the server last announced it to this entry VM, changedAt when it was last
+	// set, changed or lifted.
+	ownAt     time.Time
+	changedAt time.Time
+	// inHealth is set if the server's answers to health checks state the limit.
+	inHealth bool
 }
 
-// TakeLimit takes a word on the server's limit, and tells whether that changes what is
-// believed. A word that can't be read does not: a server that has named a limit is still
-// in need, for one that has not nothing can be derived.
+// TakeLimit merges an announcement of the server's limit and reports whether it changed the
+// known limit. An unreadable value does not replace a known limit: the server still needs one,
+// but how high it is cannot be derived.
 func (s *Server) TakeLimit(w carobward.LimitWord, from Source) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
-	// A peer's word may be on the process before this one.
-	if w.At.Before(s.follows) {
+	// An announcement from a peer may be about the previous process.
+	if w.At.Before(s.replacedAt) {
 		return false
 	}
 
-	return s.takeLimit(w, from)
+	return s.mergeLimit(w, from)
 }
 
-// takeLimit takes a word on the limit; the mutex is held.
-func (s *Server) takeLimit(w carobward.LimitWord, from Source) bool {
-	changed := s.limit.take(w, from)
+// mergeLimit merges an announcement of the limit. The mutex must be held.
+func (s *Server) mergeLimit(w carobward.LimitWord, from Source) bool {
+	changed := s.limit.merge(w, from)
 	if changed || s.limit.Named {
-		s.speakers.add(s)
+		s.announcers.add(s)
 	}
 
 	return changed
 }
 
-func (l *limit) take(w carobward.LimitWord, from Source) bool {
-	if w.At.Before(l.at) || !l.counts(w, from) {
+func (l *limit) merge(w carobward.LimitWord, from Source) bool {
+	if w.At.Before(l.at) || !l.isRelevant(w, from) {
 		return false
 	}
 
 	l.at = w.At
 
 	if from == ByLook {
-		l.looks = w.Limit.Named
+		l.inHealth = w.Limit.Named
 	}
 
 	if from != ByPeer {
-		l.own = w.At
+		l.ownAt = w.At
 	}
 
 	next := w.Limit
@@ -98,113 +99,114 @@
 		return false
 	}
 
-	l.Limit, l.since = next, w.At
+	l.Limit, l.changedAt = next, w.At
 
 	return true
 }
 
-// counts tells whether a word says anything of the limit.
-func (l *limit) counts(w carobward.LimitWord, from Source) bool {
+// isRelevant reports whether an announcement says anything about the limit.
+func (l *limit) isRelevant(w carobward.LimitWord, from Source) bool {
 	switch {
 	case w.Passed && !l.at.IsZero():
-		// One that goes round would never grow old: it is for who knows nothing yet.
+		// Announcements relayed by third entry VMs would circulate without ever expiring. They
+		// only count where no limit is known yet.
 		return false
 	case from == ByLook && !w.Limit.Named:
-		// Where its health answers do not speak of limits they take none back.
-		return l.looks
+		// If its answers to health checks have not stated the limit, their silence does not
+		// lift it.
+		return l.inHealth
 	default:
 		return true
 	}
 }
 
 // bound returns how many requests all entry VMs together send to a server with a limit in
-// a window.
+// which window.
 func (l *limit) bound() (int, time.Duration) {
-	rate := sharePart * float64(l.Rate)
-	if most := rate * shareWindow.Seconds(); most >= limitOwners {
-		return int(most), shareWindow
+	rate := dividedShare * float64(l.Rate)
+	if most := rate * minWindow.Seconds(); most >= limitOwners {
+		return int(most), minWindow
 	}
 
 	return limitOwners, time.Duration(limitOwners / rate * float64(time.Second))
 }
 
-// limitAllowance returns this entry VM's part of what a server with a limit takes; the mutex
-// is held.
+// limitAllowance returns this entry VM's share of a server's limit. The mutex must be held.
 func (t *Table) limitAllowance(b *carobward.Backend, l *limit, now time.Time) allowance {
-	if !l.Named || !l.Readable || l.Rate > limitRateMost {
+	if !l.Named || !l.Readable || l.Rate > maxLimitRate {
 		return allowance{}
 	}
 
-	if l.Rate >= limitRateLeast {
+	if l.Rate >= minLimitRate {
 		most, window := l.bound()
-		if part := t.part(b, most, min(most, t.knowers(t.near[b.Service])), now); part > 0 {
-			return allowance{most: part, window: window}
+		if part := t.share(b, most, min(most, t.holders(t.nearCounts[b.Service])), now); part > 0 {
+			return allowance{maxRequests: part, window: window}
 		}
 	}
 
-	again := time.Duration(float64(limitKeep) / min(1, max(limitLeast, float64(l.Rate))))
-	if place := t.shares.places[b.Instance]; place != nil {
-		again += time.Duration(place.before) * limitStep
+	recheck := time.Duration(float64(limitRecheck) / min(1, max(minRecheckRate, float64(l.Rate))))
+	if place := t.placement.places[b.Instance]; place != nil {
+		recheck += time.Duration(place.rank) * limitRecheckStep
 	}
 
-	return allowance{most: 1, window: again, from: l.at.Add(again)}
+	return allowance{maxRequests: 1, window: recheck, from: l.at.Add(recheck)}
 }
 
-// TakeLimits takes words on limits that other entry VMs had from servers. It returns those
-// that were news.
+// TakeLimits merges the limits that other entry VMs received from servers. It returns those
+// that were new.
 func (t *Table) TakeLimits(list []carobward.LimitWord) []carobward.LimitWord {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
 
-	var news []carobward.LimitWord
+	var added []carobward.LimitWord
 
 	for _, w := range list {
 		if s := t.byInstance[w.Server]; s != nil && s.TakeLimit(w, ByPeer) {
-			news = append(news, w)
+			added = append(added, w)
 		}
 	}
 
-	return news
+	return added
 }
 
-// limits returns the words on limits that other entry VMs lack: those that servers gave this
-// one lately, or for a newcomer all limits that stand.
-func limits(said map[carobward.Instance]*Server, now time.Time, newcomer bool) []carobward.LimitWord {
+// limits returns the limits that other entry VMs may lack: those that servers announced to
+// this entry VM recently, or for a newcomer all that hold.
+func limits(announcing map[carobward.Instance]*Server, now time.Time, newcomer bool) []carobward.LimitWord {
 	var list []carobward.LimitWord
 
-	for i, s := range said {
+	for i, s := range announcing {
 		s.mutex.Lock()
 		l := s.limit
 		s.mutex.Unlock()
 
-		if news := l.isNews(now); news || newcomer && l.Readable {
-			list = append(list, carobward.LimitWord{Server: i, Limit: l.Limit, At: l.at, Passed: !news})
+		if recent := l.isRecent(now); recent || newcomer && l.Readable {
+			list = append(list, carobward.LimitWord{Server: i, Limit: l.Limit, At: l.at, Passed: !recent})
 		}
 	}
 
 	return list
 }
 
-// isNews tells whether what is believed comes from a late word of the server to this entry
-// VM.
-func (l *limit) isNews(now time.Time) bool {
-	late := l.at.Equal(l.own) && now.Sub(l.own) < newsTime
-	lifted := !l.Named && now.Sub(l.since) < newsTime
+// isRecent reports whether the limit was recently announced to this entry VM by the server
+// itself.
+func (l *limit) isRecent(now time.Time) bool {
+	recent := l.at.Equal(l.ownAt) && now.Sub(l.ownAt) < announceTime
+	lifted := !l.Named && now.Sub(l.changedAt) < announceTime
 
-	return late && (l.Readable || lifted)
+	return recent && (l.Readable || lifted)
 }
 
-// Limited is a server that names a limit, as this entry VM sees it.
+// Limited is a server that has announced a limit, as this entry VM knows it.
 type Limited struct {
 	carobward.LimitWord
 
 	Service carobward.Service
-	// Part is the number of requests that this entry VM sends it in any Window.
+	// Part is the number of requests that this entry VM may send it in any Window.
 	Part   int
 	Window time.Duration
 }
 
-// Limited returns the servers that name a limit, in the order of their instances.
+// Limited returns the servers that have announced a limit, ordered by instance.
 func (t *Table) Limited(now time.Time) []Limited {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
@@ -218,7 +220,7 @@
 
 		if l.Named {
 			a := t.limitAllowance(&b, &l, now)
-			list = append(list, Limited{carobward.LimitWord{Server: i, Limit: l.Limit, At: l.at}, b.Service, a.most, a.window})
+			list = append(list, Limited{carobward.LimitWord{Server: i, Limit: l.Limit, At: l.at}, b.Service, a.maxRequests, a.window})
 		}
 	}
 
--- a/internal/cwbackend/limit_fleet_test.go
+++ b/internal/cwbackend/limit_fleet_test.go
@@ -8,66 +8,68 @@
 	"carobward.example/carobward"
 )
 
-// The users' bound on a server that names a limit, see TestLimit of package cwgateway.
+// The allowed requests at a server that announces a limit, see TestLimit of package cwgateway.
 const (
 	limitedFirst  = 3 * time.Second
 	limitedWindow = 4 * time.Second
 	limitedFactor = 1.5
 	limitedSlack  = 5
-	// limitedKnown is how long an entry VM may take after it passed on such a reply.
+	// limitedKnown is how long an entry VM may take to apply a limit after the reply that
+	// announced it.
 	limitedKnown = 500 * time.Millisecond
-	// limitedExcused is for how long trouble excuses an entry VM.
+	// limitedExcused is how long after a fault the requests of an entry VM do not count.
 	limitedExcused = 3 * time.Second
 )
 
-// limitedVM is what a limitFleet has of an entry VM beside coldVM.
+// limitedVM is the state of an entry VM beside simVM.
 type limitedVM struct {
-	// lost is the time that its clock did not count, asleep until when it stands still.
+	// lost is how far its clock is behind, asleep the end of its suspension, slept the length
+	// of the one that its clock has not made up for.
 	lost   time.Duration
 	asleep time.Time
 	slept  time.Duration
-	// told has when each server first told this run of a limit that can be read.
-	told map[carobward.Instance]time.Time
-	// troubled is when it was last started, cut off or suspended.
-	troubled time.Time
-	beat     time.Time
+	// knownSince is when each server first announced a readable limit to this run of the entry VM.
+	knownSince map[carobward.Instance]time.Time
+	// faultAt is when it was last started, partitioned or suspended.
+	faultAt  time.Time
+	nextBeat time.Time
 }
 
-// limitArrival is a request at a server. It counts if its entry VM had been told in time
-// and is not excused.
+// limitArrival is a request at a server. It counts if its entry VM knew the limit for long
+// enough and is not excused by a fault.
 type limitArrival struct {
 	at     time.Time
 	counts bool
 }
 
-// limitReply is a reply on its way.
+// limitReply is a reply in flight.
 type limitReply struct {
 	at     time.Time
-	vm     *coldVM
+	vm     *simVM
 	table  *Table
 	server *Server
 }
 
-// limitFleet is a model of entry VMs that send as much as they may, in the failure domain
-// of some servers and in another one, and of what those servers say.
+// limitFleet simulates servers that announce limits, and entry VMs in their failure domain and
+// in another one that send as much as they may.
 type limitFleet struct {
-	*coldFleet
-
-	more     map[*coldVM]*limitedVM
-	says     map[carobward.Instance]carobward.Limit
-	first    map[carobward.Instance]time.Time
-	replies  []limitReply
-	requests map[carobward.Instance][]limitArrival
-	// highest has the highest limit of each step.
+	*simFleet
+
+	states      map[*simVM]*limitedVM
+	limits      map[carobward.Instance]carobward.Limit
+	announcedAt map[carobward.Instance]time.Time
+	inFlight    []limitReply
+	requests    map[carobward.Instance][]limitArrival
+	// highest has the highest limit in each step.
 	highest []carobward.Rate
-	// other is a way of keeping limits that is not the product's, or none.
-	other func(f *limitFleet, v View, now time.Time) bool
+	// admitOther replaces the method of enforcing limits, unless it is nil.
+	admitOther func(f *limitFleet, v View, now time.Time) bool
 }
 
 func newLimitFleet(seed uint64, near, far, servers int) *limitFleet {
 	f := &limitFleet{
-		coldFleet: newColdFleet(seed, near, 0, byHash), more: map[*coldVM]*limitedVM{}, says: map[carobward.Instance]carobward.Limit{},
-		first: map[carobward.Instance]time.Time{}, requests: map[carobward.Instance][]limitArrival{},
+		simFleet: newSimFleet(seed, near, 0, byHash), states: map[*simVM]*limitedVM{}, limits: map[carobward.Instance]carobward.Limit{},
+		announcedAt: map[carobward.Instance]time.Time{}, requests: map[carobward.Instance][]limitArrival{},
 	}
 
 	for i := range servers {
@@ -78,40 +80,40 @@
 
 	for _, v := range f.vms {
 		f.startVM(v)
-		f.more[v] = &limitedVM{told: map[carobward.Instance]time.Time{}, beat: f.now.Add(time.Duration(f.rnd.Int64N(int64(time.Second))))}
+		f.states[v] = &limitedVM{knownSince: map[carobward.Instance]time.Time{}, nextBeat: f.now.Add(time.Duration(f.rnd.Int64N(int64(time.Second))))}
 	}
 
 	return f
 }
 
-// name has the first servers name a limit.
-func (f *limitFleet) name(servers int, l carobward.Limit) {
+// announce lets the first servers announce a limit.
+func (f *limitFleet) announce(servers int, l carobward.Limit) {
 	for i := range servers {
 		instance := f.servers[i].Instance
-		f.says[instance] = l
+		f.limits[instance] = l
 
-		if f.first[instance].IsZero() {
-			f.first[instance] = f.now
+		if f.announcedAt[instance].IsZero() {
+			f.announcedAt[instance] = f.now
 		}
 	}
 }
 
-// clock is the time by the clock of an entry VM.
-func (f *limitFleet) clock(v *coldVM) time.Time { return f.now.Add(-f.more[v].lost) }
+// clock returns the time by the clock of an entry VM.
+func (f *limitFleet) clock(v *simVM) time.Time { return f.now.Add(-f.states[v].lost) }
 
-func (f *limitFleet) step(trouble bool) {
-	f.now = f.now.Add(coldStep)
+func (f *limitFleet) step(faults bool) {
+	f.now = f.now.Add(simStep)
 
 	highest := carobward.Rate(0)
-	for _, l := range f.says {
+	for _, l := range f.limits {
 		highest = max(highest, l.Rate)
 	}
 
 	f.highest = append(f.highest, highest)
 
 	for _, v := range f.vms {
-		if trouble {
-			f.trouble(v)
+		if faults {
+			f.injectSuspensions(v)
 		}
 	}
 
@@ -119,46 +121,46 @@
 
 	for _, n := range f.rnd.Perm(len(f.vms)) {
 		v := f.vms[n]
-		if m := f.more[v]; !v.alive || f.now.Before(m.asleep) {
+		if m := f.states[v]; !v.alive || f.now.Before(m.asleep) {
 			continue
 		}
 
 		f.wake(v)
-		f.tell(v)
-		v.share(f.coldFleet, f.clock(v))
+		f.sendHeartbeat(v)
+		v.updateTable(f.simFleet, f.clock(v))
 		f.send(v)
 	}
 }
 
-// trouble lets chance act on an entry VM, as for cold servers, and suspends it each 8 s or
-// so for up to 4 s.
-func (f *limitFleet) trouble(v *coldVM) {
-	m := f.more[v]
+// injectSuspensions randomly disturbs an entry VM as simFleet does, and also suspends it about
+// every 8 s for up to 4 s.
+func (f *limitFleet) injectSuspensions(v *simVM) {
+	m := f.states[v]
 	alive, cut := v.alive, v.cut
 
-	f.change(v)
+	f.injectFaults(v)
 
 	if v.alive != alive || v.cut != cut {
-		m.troubled = f.now
+		m.faultAt = f.now
 	}
 
 	if v.alive && !alive {
-		m.told, m.asleep, m.slept = map[carobward.Instance]time.Time{}, time.Time{}, 0
+		m.knownSince, m.asleep, m.slept = map[carobward.Instance]time.Time{}, time.Time{}, 0
 	}
 
-	if f.rnd.Float64() < float64(coldStep)/float64(8*time.Second) && !f.now.Before(m.asleep) {
+	if f.rnd.Float64() < float64(simStep)/float64(8*time.Second) && !f.now.Before(m.asleep) {
 		m.slept = time.Duration(f.rnd.Int64N(int64(4 * time.Second)))
 		m.asleep = f.now.Add(m.slept)
 	}
 
 	if m.slept > 0 || v.cut {
-		m.troubled = f.now
+		m.faultAt = f.now
 	}
 }
 
-// wake ends the sleep of an entry VM, which its clock did not count.
-func (f *limitFleet) wake(v *coldVM) {
-	m := f.more[v]
+// wake ends the suspension of an entry VM, during which its clock did not advance.
+func (f *limitFleet) wake(v *simVM) {
+	m := f.states[v]
 	if m.slept == 0 {
 		return
 	}
@@ -169,73 +171,72 @@
 	m.slept = 0
 }
 
-// deliver hands out the replies that have come.
+// deliver delivers the replies that have arrived.
 func (f *limitFleet) deliver() {
 	var left []limitReply
 
-	for _, r := range f.replies {
+	for _, r := range f.inFlight {
 		switch {
-		case r.at.After(f.now) || f.now.Before(f.more[r.vm].asleep):
+		case r.at.After(f.now) || f.now.Before(f.states[r.vm].asleep):
 			left = append(left, r)
 		case r.vm.alive && r.vm.table == r.table:
 			f.reply(r)
 		}
 	}
 
-	f.replies = left
+	f.inFlight = left
 }
 
 func (f *limitFleet) reply(r limitReply) {
 	f.wake(r.vm)
 
 	instance := r.server.Backend().Instance
-	l := f.says[instance]
-	told := f.more[r.vm].told
+	l := f.limits[instance]
+	since := f.states[r.vm].knownSince
 
-	if l.Readable && told[instance].IsZero() {
-		told[instance] = f.now
+	if l.Readable && since[instance].IsZero() {
+		since[instance] = f.now
 	}
 
 	r.server.TakeLimit(carobward.LimitWord{Server: instance, Limit: l, At: f.clock(r.vm)}, ByReply)
 }
 
-// tell sends a heartbeat with words on limits if one is due, three of a hundred of which are
-// lost.
-func (f *limitFleet) tell(v *coldVM) {
+// sendHeartbeat sends a heartbeat with announced limits if one is due. 3 % are lost.
+func (f *limitFleet) sendHeartbeat(v *simVM) {
 	const loss = 0.03
 
-	m := f.more[v]
-	if f.now.Before(m.beat) {
+	m := f.states[v]
+	if f.now.Before(m.nextBeat) {
 		return
 	}
 
-	m.beat = f.now.Add(time.Second)
+	m.nextBeat = f.now.Add(time.Second)
 	list := v.table.Words(f.clock(v), false).Limits
-	f.ask(v)
+	f.requestLimits(v)
 
 	for _, o := range f.vms {
-		if o == v || o.domain != v.domain || !o.alive || v.cut || o.cut || f.now.Before(f.more[o].asleep) || f.rnd.Float64() < loss {
+		if o == v || o.domain != v.domain || !o.alive || v.cut || o.cut || f.now.Before(f.states[o].asleep) || f.rnd.Float64() < loss {
 			continue
 		}
 
 		f.wake(o)
 
-		o.heard[v.id] = f.now
-		f.pass(v, o, list)
+		o.lastSeen[v.id] = f.now
+		f.passLimits(v, o, list)
 	}
 }
 
-// ask has an entry VM ask another one for all limits, as newcomers do.
-func (f *limitFleet) ask(v *coldVM) {
+// requestLimits lets an entry VM request all limits from another one, as newcomers do.
+func (f *limitFleet) requestLimits(v *simVM) {
 	o := f.vms[f.rnd.IntN(len(f.vms))]
-	if o != v && o.domain == v.domain && o.alive && !v.cut && !o.cut && !f.now.Before(f.more[o].asleep) {
+	if o != v && o.domain == v.domain && o.alive && !v.cut && !o.cut && !f.now.Before(f.states[o].asleep) {
 		f.wake(o)
-		f.pass(o, v, o.table.Words(f.clock(o), true).Limits)
+		f.passLimits(o, v, o.table.Words(f.clock(o), true).Limits)
 	}
 }
 
-// pass hands words on limits from one entry VM to another, as ages.
-func (f *limitFleet) pass(from, to *coldVM, list []carobward.LimitWord) {
+// passLimits passes limits from one entry VM to another, with their ages.
+func (f *limitFleet) passLimits(from, to *simVM, list []carobward.LimitWord) {
 	words := slices.Clone(list)
 	for i := range words {
 		words[i].At = f.clock(to).Add(words[i].At.Sub(f.clock(from)))
@@ -244,9 +245,9 @@
 	to.table.TakeLimits(words)
 }
 
-// send has an entry VM send to each server that it may, one in the mean in 400 ms to one
-// that takes all.
-func (f *limitFleet) send(v *coldVM) {
+// send sends requests of an entry VM to each server that may get one, to a server without a
+// limit every 400 ms on average.
+func (f *limitFleet) send(v *simVM) {
 	const share = 0.25
 
 	now := f.clock(v)
@@ -257,43 +258,43 @@
 		}
 
 		instance := view.Server.Backend().Instance
-		m := f.more[v]
-		told := m.told[instance]
-		counts := !told.IsZero() && f.now.Sub(told) >= limitedKnown && f.now.Sub(m.troubled) >= limitedExcused
+		m := f.states[v]
+		since := m.knownSince[instance]
+		counts := !since.IsZero() && f.now.Sub(since) >= limitedKnown && f.now.Sub(m.faultAt) >= limitedExcused
 		f.requests[instance] = append(f.requests[instance], limitArrival{f.now, counts})
-		f.replies = append(f.replies, limitReply{f.now.Add(2 * coldStep), v, v.table, view.Server})
+		f.inFlight = append(f.inFlight, limitReply{f.now.Add(2 * simStep), v, v.table, view.Server})
 	}
 }
 
-// admits tells whether an entry VM sends to a server, by the product's way or another one.
-func (f *limitFleet) admits(v *coldVM, view View, now time.Time) bool {
-	if f.other != nil && view.Limit.Named {
-		return f.other(f, view, now)
+// admits reports whether an entry VM may send to a server, by the method in use or by
+// admitOther.
+func (f *limitFleet) admits(v *simVM, view View, now time.Time) bool {
+	if f.admitOther != nil && view.Limit.Named {
+		return f.admitOther(f, view, now)
 	}
 
 	return !view.Barred && v.table.Admit(view.Server, now)
 }
 
-// check wants no server to get more than the users allow of what counts, and returns the
-// mean of all requests a second at those with a limit from limitedFirst on.
+// check checks that no server got more requests that count than allowed, and returns the mean
+// rate at the servers with a limit from limitedFirst on.
 func (f *limitFleet) check(t *testing.T) float64 {
 	t.Helper()
 
 	worst, mean := f.worst()
 	if worst > 0 {
-		t.Errorf("a server got %d requests more in %s than are allowed", worst, limitedWindow)
+		t.Errorf("a server got %d requests more in %s than allowed", worst, limitedWindow)
 	}
 
 	return mean
 }
 
-// worst returns by how many requests a server got more in a window than the users allow of
-// what counts, and the mean of all requests a second at those with a limit from limitedFirst
-// on.
+// worst returns by how many requests that count a server exceeded what is allowed in a window,
+// and the mean rate at the servers with a limit from limitedFirst on.
 func (f *limitFleet) worst() (int, float64) {
 	worst, all, seconds := 0, 0, 0.0
 
-	for i, first := range f.first {
+	for i, first := range f.announcedAt {
 		from := first.Add(limitedFirst)
 		seconds += f.now.Sub(from).Seconds()
 		list := f.requests[i]
@@ -319,12 +320,13 @@
 	return worst, float64(all) / seconds
 }
 
-// allowed is what the highest limit allows that was named in a window or just before.
+// allowed returns how many requests are allowed in a window by the highest limit in it or
+// shortly before it.
 func (f *limitFleet) allowed(begin time.Time) int {
 	highest := carobward.Rate(0)
 
 	for n, rate := range f.highest {
-		at := start.Add(time.Duration(n+1) * coldStep)
+		at := start.Add(time.Duration(n+1) * simStep)
 		if !at.Before(begin.Add(-limitedFirst)) && !at.After(begin.Add(limitedWindow)) {
 			highest = max(highest, rate)
 		}
@@ -333,32 +335,32 @@
 	return int(limitedFactor*float64(highest)*limitedWindow.Seconds()) + limitedSlack
 }
 
-// playLimits plays a fleet whose first servers name limits one after the other, after a
-// time in which all get what they may, and returns the mean that those got.
-func playLimits(t *testing.T, f *limitFleet, named int, says []carobward.Limit, span time.Duration, trouble bool) float64 {
+// runLimits simulates a fleet whose first servers announce limits one after the other, after a
+// time without limits, and returns their mean request rate.
+func runLimits(t *testing.T, f *limitFleet, named int, limits []carobward.Limit, span time.Duration, faults bool) float64 {
 	t.Helper()
 
 	for f.now.Sub(start) < 3*time.Second {
-		f.step(trouble)
+		f.step(faults)
 	}
 
 	begin := f.now
-	turn := span / time.Duration(max(len(says), 1))
+	turn := span / time.Duration(max(len(limits), 1))
 	readable := carobward.Limit{}
 
-	for n, l := range says {
-		f.name(named, l)
+	for n, l := range limits {
+		f.announce(named, l)
 
-		// What is allowed while a limit can't be read is what was named before.
+		// While the limit is unreadable, the last readable one applies.
 		if l.Readable || !l.Named {
 			readable = l
 		}
 
 		for f.now.Sub(begin) < time.Duration(n+1)*turn {
-			f.step(trouble)
+			f.step(faults)
 
 			if !l.Named {
-				f.highest[len(f.highest)-1] = limitRateMost
+				f.highest[len(f.highest)-1] = maxLimitRate
 			} else {
 				f.highest[len(f.highest)-1] = readable.Rate
 			}
--- a/internal/cwbackend/limit_test.go
+++ b/internal/cwbackend/limit_test.go
@@ -15,58 +15,59 @@
 	return carobward.Limit{Named: true, Readable: true, Rate: r}
 }
 
-// TestLimitHistory plays fleets of 17 to 472 entry VMs, of which those in the failure domain
-// of the servers and some of another one are there, as they send as much as they may. No server
-// that names a limit may get more than the users allow, and in calm none more than the
-// limit in the mean, from those that were told or not, and a good part of it.
+// TestLimitHistory simulates fleets of 17 to 472 entry VMs that send as much as they may.
+// Included are those in the failure domain of the servers and some of another one. No server
+// with a limit may get more than allowed. Without faults its mean rate must not exceed the
+// limit, counting all entry VMs, and must reach a good part of it.
 func TestLimitHistory(t *testing.T) {
 	const span = 12 * time.Second
 
-	few := carobward.Limit{Named: true}
+	unreadable := carobward.Limit{Named: true}
 
 	for name, c := range map[string]struct {
 		near, far, servers int
-		// named is how many servers name a limit, and says what, one after the other, in parts of span.
-		named int
-		says  []carobward.Limit
-		// least is the part of the limit that a server must get in the mean in calm.
+		// named is how many servers announce limits, limits has these in turn, each for an
+		// equal part of span.
+		named  int
+		limits []carobward.Limit
+		// least is the part of the limit that the mean rate must reach without faults.
 		least float64
 	}{
-		"17 entry VMs":             {6, 11, 12, 1, []carobward.Limit{rate(1.4)}, 0.5},
-		"19, all servers":          {7, 12, 11, 11, []carobward.Limit{rate(1)}, 0.4},
-		"126":                      {42, 30, 71, 5, []carobward.Limit{rate(1.4)}, 0.5},
-		"126, a small service":     {42, 30, 5, 5, []carobward.Limit{rate(2)}, 0.5},
-		"472":                      {95, 30, 144, 10, []carobward.Limit{rate(1.4)}, 0.5},
-		"472, a single server":     {95, 30, 1, 1, []carobward.Limit{rate(1)}, 0.4},
-		"one entry VM is left":     {1, 6, 4, 2, []carobward.Limit{rate(2)}, 0.5},
-		"none is near":             {0, 12, 4, 2, []carobward.Limit{rate(2)}, 0},
-		"high":                     {7, 12, 11, 2, []carobward.Limit{rate(25)}, 0.5},
-		"hardly any":               {42, 30, 71, 5, []carobward.Limit{rate(0.1)}, 0},
-		"nothing":                  {42, 30, 71, 5, []carobward.Limit{rate(0)}, 0},
-		"lowered":                  {42, 30, 71, 5, []carobward.Limit{rate(20), rate(5), rate(1), rate(1)}, 0},
-		"raised":                   {7, 12, 11, 2, []carobward.Limit{rate(1), rate(5), rate(20), rate(20)}, 0},
-		"taken back, named again":  {42, 30, 71, 5, []carobward.Limit{rate(1), {}, rate(1), rate(1)}, 0},
-		"can't be read after some": {7, 12, 11, 2, []carobward.Limit{rate(2), few, few, few}, 0.5},
+		"17 entry VMs":            {6, 11, 12, 1, []carobward.Limit{rate(1.4)}, 0.5},
+		"19, all servers":         {7, 12, 11, 11, []carobward.Limit{rate(1)}, 0.4},
+		"126":                     {42, 30, 71, 5, []carobward.Limit{rate(1.4)}, 0.5},
+		"126, a small service":    {42, 30, 5, 5, []carobward.Limit{rate(2)}, 0.5},
+		"472":                     {95, 30, 144, 10, []carobward.Limit{rate(1.4)}, 0.5},
+		"472, a single server":    {95, 30, 1, 1, []carobward.Limit{rate(1)}, 0.4},
+		"one entry VM is left":    {1, 6, 4, 2, []carobward.Limit{rate(2)}, 0.5},
+		"none is near":            {0, 12, 4, 2, []carobward.Limit{rate(2)}, 0},
+		"high":                    {7, 12, 11, 2, []carobward.Limit{rate(25)}, 0.5},
+		"below one":               {42, 30, 71, 5, []carobward.Limit{rate(0.1)}, 0},
+		"nothing":                 {42, 30, 71, 5, []carobward.Limit{rate(0)}, 0},
+		"lowered":                 {42, 30, 71, 5, []carobward.Limit{rate(20), rate(5), rate(1), rate(1)}, 0},
+		"raised":                  {7, 12, 11, 2, []carobward.Limit{rate(1), rate(5), rate(20), rate(20)}, 0},
+		"lifted, announced again": {42, 30, 71, 5, []carobward.Limit{rate(1), {}, rate(1), rate(1)}, 0},
+		"unreadable after one":    {7, 12, 11, 2, []carobward.Limit{rate(2), unreadable, unreadable, unreadable}, 0.5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 
-			for seed, trouble := range []bool{false, true} {
-				mean := playLimits(t, newLimitFleet(uint64(seed), c.near, c.far, c.servers), c.named, c.says, span, trouble)
-				limit := float64(c.says[0].Rate)
+			for seed, faults := range []bool{false, true} {
+				mean := runLimits(t, newLimitFleet(uint64(seed), c.near, c.far, c.servers), c.named, c.limits, span, faults)
+				limit := float64(c.limits[0].Rate)
 
-				if steady := len(c.says) == 1; steady && !trouble && (mean > max(limit, 0.3) || mean < c.least*limit) {
+				if steady := len(c.limits) == 1; steady && !faults && (mean > max(limit, 0.3) || mean < c.least*limit) {
 					t.Errorf("%.2f requests a second and server, the limit is %.2f", mean, limit)
 				}
 
-				t.Logf("trouble %v: %.2f requests a second and server", trouble, mean)
+				t.Logf("faults %v: %.2f requests a second and server", faults, mean)
 			}
 		})
 	}
 }
 
-// TestLimitWays has what ways of keeping limits that were not taken let through: each entry
-// VM by itself, and a part for each of them, however small.
+// TestLimitWays compares the method in use with alternatives that exceed the limit: each entry
+// VM enforces the limit by itself, or each has a share, however small.
 func TestLimitWays(t *testing.T) {
 	const limit = 2
 
@@ -78,22 +79,23 @@
 	}{
 		"the first by hash": {nil, true},
 		"each by itself": {func(_ *limitFleet, v View, now time.Time) bool {
-			return v.Server.admit(&allowances{{most: 1, window: window(limit)}}, now)
+			return v.Server.admit(&allowances{{maxRequests: 1, window: window(limit)}}, now)
 		}, false},
-		"a part for each": {func(f *limitFleet, v View, now time.Time) bool {
-			return v.Server.admit(&allowances{{most: 1, window: window(sharePart * limit / float64(f.size))}}, now)
+		"a share for each": {func(f *limitFleet, v View, now time.Time) bool {
+			return v.Server.admit(&allowances{{maxRequests: 1, window: window(dividedShare * limit / float64(f.size))}}, now)
 		}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newLimitFleet(1, 42, 0, 5)
-			f.other = c.other
+			f.admitOther = c.other
 
 			for f.now.Sub(start) < 2*time.Second {
 				f.step(false)
 			}
 
-			// All turn to the servers at once when their own load has been elsewhere.
-			f.name(5, rate(limit))
+			// All entry VMs may send at once, since they have no recent requests at the
+			// servers.
+			f.announce(5, rate(limit))
 
 			for f.now.Sub(start) < 60*time.Second {
 				f.step(false)
@@ -109,24 +111,25 @@
 	}
 }
 
-// TestLimitTaken wants all entry VMs of the failure domain to use a server again that has
-// taken its limit back, soon after one of them had its reply.
+// TestLimitTaken checks that all entry VMs of the failure domain use a server without a limit
+// again soon after one of them had the reply that lifted it.
 func TestLimitTaken(t *testing.T) {
 	f := newLimitFleet(1, 42, 20, 10)
 	for f.now.Sub(start) < 2*time.Second {
 		f.step(false)
 	}
 
-	f.name(1, rate(1))
+	f.announce(1, rate(1))
 
 	for f.now.Sub(start) < 10*time.Second {
 		f.step(false)
 	}
 
 	limited := f.servers[0].Instance
-	f.says[limited] = carobward.Limit{}
+	f.limits[limited] = carobward.Limit{}
 
-	// One of limitOwners comes each few seconds, and its word goes with two heartbeats.
+	// One of limitOwners sends a request every few seconds and passes the reply on in two
+	// heartbeats.
 	for f.now.Sub(start) < 19*time.Second {
 		f.step(false)
 	}
@@ -138,8 +141,9 @@
 	}
 }
 
-// TestLimitAsked wants an entry VM without a part to ask a server again, by one request,
-// once nobody has said anything of its limit for a time, and to use it if there is none.
+// TestLimitAsked checks that an entry VM without a share sends one request to a server to
+// check its limit after some time without announcements, and uses the server if the limit was
+// lifted.
 func TestLimitAsked(t *testing.T) {
 	table := New(VM{ID: "vm-1", Domain: "d1"})
 	table.Put([]carobward.Backend{backend(1, "d0")}, nil, start)
@@ -153,69 +157,69 @@
 
 	sent := 0
 
-	for at := start; at.Before(start.Add(3 * limitKeep)); at = at.Add(coldStep) {
+	for at := start; at.Before(start.Add(3 * limitRecheck)); at = at.Add(simStep) {
 		if table.Admit(server, at) {
 			sent++
 		}
 	}
 
 	if sent != 2 {
-		t.Errorf("asked %d times in %s", sent, 3*limitKeep)
+		t.Errorf("%d requests in %s", sent, 3*limitRecheck)
 	}
 
-	now := start.Add(3 * limitKeep)
+	now := start.Add(3 * limitRecheck)
 	server.TakeLimit(word(carobward.Limit{}, now), ByReply)
 
 	for range 2 {
 		if !table.Admit(server, now) {
-			t.Error("not used after its limit is gone")
+			t.Error("not used after its limit was lifted")
 		}
 	}
 }
 
-// TestTakeLimit has words on a limit one after the other, and what is believed then.
+// TestTakeLimit checks the known limit after a sequence of announcements.
 func TestTakeLimit(t *testing.T) {
-	type word struct {
-		says carobward.Limit
-		from Source
-		// passed tells that it went by way of a third entry VM.
+	type announcement struct {
+		value carobward.Limit
+		from  Source
+		// passed is set if it was relayed by a third entry VM.
 		passed bool
-		// at is when it came, in seconds.
-		at   int
-		news bool
+		// at is when it arrived, in seconds.
+		at      int
+		changed bool
 	}
 
-	few := carobward.Limit{Named: true}
+	unreadable := carobward.Limit{Named: true}
 
 	for name, c := range map[string]struct {
-		words []word
-		want  carobward.Limit
+		announcements []announcement
+		want          carobward.Limit
 	}{
-		"named":                       {[]word{{rate(2), ByReply, false, 1, true}}, rate(2)},
-		"by a health answer":          {[]word{{rate(2), ByLook, false, 1, true}}, rate(2)},
-		"by a peer":                   {[]word{{rate(2), ByPeer, false, 1, true}}, rate(2)},
-		"once more":                   {[]word{{rate(2), ByReply, false, 1, true}, {rate(2), ByReply, false, 2, false}}, rate(2)},
-		"changed":                     {[]word{{rate(2), ByReply, false, 1, true}, {rate(3), ByReply, false, 2, true}}, rate(3)},
-		"taken back":                  {[]word{{rate(2), ByReply, false, 1, true}, {carobward.Limit{}, ByReply, false, 2, true}}, carobward.Limit{}},
-		"taken back, by a peer":       {[]word{{rate(2), ByReply, false, 1, true}, {carobward.Limit{}, ByPeer, false, 2, true}}, carobward.Limit{}},
-		"an older word":               {[]word{{rate(2), ByReply, false, 2, true}, {rate(3), ByPeer, false, 1, false}}, rate(2)},
-		"a health answer is silent":   {[]word{{rate(2), ByReply, false, 1, true}, {carobward.Limit{}, ByLook, false, 2, false}}, rate(2)},
-		"one that named it is silent": {[]word{{rate(2), ByLook, false, 1, true}, {carobward.Limit{}, ByLook, false, 2, true}}, carobward.Limit{}},
-		"can't be read, after one":    {[]word{{rate(2), ByReply, false, 1, true}, {few, ByReply, false, 2, false}}, rate(2)},
-		"can't be read, first":        {[]word{{few, ByReply, false, 1, true}}, few},
-		"on the process before":       {[]word{{rate(2), ByPeer, false, -1, false}}, carobward.Limit{}},
-		"passed on, the first word":   {[]word{{rate(2), ByPeer, true, 1, true}}, rate(2)},
-		"passed on, with one known":   {[]word{{rate(2), ByReply, false, 1, true}, {rate(3), ByPeer, true, 2, false}}, rate(2)},
-		"passed on, after it is gone": {[]word{{carobward.Limit{}, ByReply, false, 1, false}, {rate(3), ByPeer, true, 2, false}}, carobward.Limit{}},
+		"named":                        {[]announcement{{rate(2), ByReply, false, 1, true}}, rate(2)},
+		"by a health check":            {[]announcement{{rate(2), ByLook, false, 1, true}}, rate(2)},
+		"by a peer":                    {[]announcement{{rate(2), ByPeer, false, 1, true}}, rate(2)},
+		"once more":                    {[]announcement{{rate(2), ByReply, false, 1, true}, {rate(2), ByReply, false, 2, false}}, rate(2)},
+		"changed":                      {[]announcement{{rate(2), ByReply, false, 1, true}, {rate(3), ByReply, false, 2, true}}, rate(3)},
+		"lifted":                       {[]announcement{{rate(2), ByReply, false, 1, true}, {carobward.Limit{}, ByReply, false, 2, true}}, carobward.Limit{}},
+		"lifted, by a peer":            {[]announcement{{rate(2), ByReply, false, 1, true}, {carobward.Limit{}, ByPeer, false, 2, true}}, carobward.Limit{}},
+		"an older announcement":        {[]announcement{{rate(2), ByReply, false, 2, true}, {rate(3), ByPeer, false, 1, false}}, rate(2)},
+		"none in a health check":       {[]announcement{{rate(2), ByReply, false, 1, true}, {carobward.Limit{}, ByLook, false, 2, false}}, rate(2)},
+		"none in a later health check": {[]announcement{{rate(2), ByLook, false, 1, true}, {carobward.Limit{}, ByLook, false, 2, true}}, carobward.Limit{}},
+		"unreadable, after one":        {[]announcement{{rate(2), ByReply, false, 1, true}, {unreadable, ByReply, false, 2, false}}, rate(2)},
+		"unreadable, first":            {[]announcement{{unreadable, ByReply, false, 1, true}}, unreadable},
+		"of the previous process":      {[]announcement{{rate(2), ByPeer, false, -1, false}}, carobward.Limit{}},
+		"relayed, first":               {[]announcement{{rate(2), ByPeer, true, 1, true}}, rate(2)},
+		"relayed, with one known":      {[]announcement{{rate(2), ByReply, false, 1, true}, {rate(3), ByPeer, true, 2, false}}, rate(2)},
+		"relayed, after it was lifted": {[]announcement{{carobward.Limit{}, ByReply, false, 1, false}, {rate(3), ByPeer, true, 2, false}}, carobward.Limit{}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newServer(backend(1, "a"), newSpeakers(), start)
-			s.follows = start
+			s := newServer(backend(1, "a"), newAnnouncers(), start)
+			s.replacedAt = start
 
-			for i, w := range c.words {
+			for i, w := range c.announcements {
 				at := start.Add(time.Duration(w.at) * time.Second)
-				if news := s.TakeLimit(carobward.LimitWord{Limit: w.says, At: at, Passed: w.passed}, w.from); news != w.news {
-					t.Errorf("word %d: news %v", i, news)
+				if changed := s.TakeLimit(carobward.LimitWord{Limit: w.value, At: at, Passed: w.passed}, w.from); changed != w.changed {
+					t.Errorf("announcement %d: new %v", i, changed)
 				}
 			}
 
@@ -226,9 +230,9 @@
 	}
 }
 
-// TestLimits wants what a server said lately to be passed on, also that it took a limit
-// back, and nothing that is old, that peers said, or that names no limit.
-// A newcomer gets all that stand.
+// TestLimits checks that limits announced or lifted recently are passed on, and neither old
+// ones, ones received from peers, nor the absence of a limit. A newcomer gets all limits that
+// hold.
 func TestLimits(t *testing.T) {
 	table := New(VM{ID: "vm-1", Domain: "a"})
 
@@ -239,18 +243,18 @@
 
 	table.Put(list, nil, start)
 
-	say := func(i int, l carobward.Limit, from Source, after time.Duration) {
+	announce := func(i int, l carobward.Limit, from Source, after time.Duration) {
 		instance := list[i].Instance
 		table.byInstance[instance].TakeLimit(carobward.LimitWord{Server: instance, Limit: l, At: start.Add(after)}, from)
 	}
 
-	say(0, rate(1), ByReply, 0)
-	say(1, rate(1), ByReply, 9*time.Second)
-	say(2, rate(1), ByReply, 0)
-	say(2, carobward.Limit{}, ByReply, 9*time.Second)
-	say(3, rate(1), ByPeer, 9*time.Second)
-	say(4, carobward.Limit{}, ByReply, 9*time.Second)
-	say(5, carobward.Limit{Named: true}, ByReply, 9*time.Second)
+	announce(0, rate(1), ByReply, 0)
+	announce(1, rate(1), ByReply, 9*time.Second)
+	announce(2, rate(1), ByReply, 0)
+	announce(2, carobward.Limit{}, ByReply, 9*time.Second)
+	announce(3, rate(1), ByPeer, 9*time.Second)
+	announce(4, carobward.Limit{}, ByReply, 9*time.Second)
+	announce(5, carobward.Limit{Named: true}, ByReply, 9*time.Second)
 
 	want := map[carobward.Instance]carobward.Limit{list[1].Instance: rate(1), list[2].Instance: {}}
 	got := map[carobward.Instance]carobward.Limit{}
@@ -263,27 +267,28 @@
 		t.Error(diff)
 	}
 
-	// The one that is taken back goes along, since it is news.
+	// The lifted one is included since it is recent.
 	if n := len(table.Words(start.Add(10*time.Second), true).Limits); n != 4 {
-		t.Errorf("%d words for a newcomer", n)
+		t.Errorf("%d limits for a newcomer", n)
 	}
 
-	// After a time that the clock did not count they are old.
+	// After a suspension, during which the clock did not advance, they are old.
 	table.Suspended(10 * time.Second)
 
 	if diff := cmp.Diff([]carobward.LimitWord(nil), table.Words(start.Add(10*time.Second), false).Limits, cmpopts.EquateEmpty()); diff != "" {
 		t.Error(diff)
 	}
 
-	// Of a server that has never said anything it still knows nothing.
+	// It knows nothing yet about a server that has never announced anything.
 	last := carobward.LimitWord{Server: list[6].Instance, Limit: rate(1), At: start, Passed: true}
-	if news := table.TakeLimits([]carobward.LimitWord{last}); len(news) != 1 {
-		t.Error("the first word on a server was passed over")
+	if changed := table.TakeLimits([]carobward.LimitWord{last}); len(changed) != 1 {
+		t.Error("the first announcement of a server was ignored")
 	}
 }
 
-// TestLimitStartedAgain wants a limit to go with the process that named it: the next one under
-// its instance has none until it names one, and words on the one before are passed over.
+// TestLimitStartedAgain checks that a limit ends with the process that announced it: the next
+// process under its instance has none until it announces one, and announcements of the
+// previous one are ignored.
 func TestLimitStartedAgain(t *testing.T) {
 	table := New(VM{ID: "vm-1", Domain: "a"})
 	b := backend(1, "a")
@@ -312,7 +317,7 @@
 	}
 }
 
-// TestPart wants the parts of all entry VMs to be the whole, whatever it is.
+// TestPart checks that the shares of all entry VMs add up to the whole.
 func TestPart(t *testing.T) {
 	for _, vms := range []int{1, 2, 5, 17, 95} {
 		for _, most := range []int{1, 4, 12, 100} {
@@ -328,7 +333,7 @@
 					for i, id := range ids {
 						others := append(append([]carobward.VMID(nil), ids[:i]...), ids[i+1:]...)
 						s := sharers{hashes: hashesOf(others), size: vms}
-						n := s.part(hashesOf([]carobward.VMID{id})[id], 7, most, first)
+						n := s.share(hashesOf([]carobward.VMID{id})[id], 7, most, first)
 						sum += n
 
 						if n > 0 {
@@ -337,7 +342,7 @@
 					}
 
 					if sum != most || parts > first {
-						t.Errorf("%d of %d, in %d parts of %d", sum, most, parts, first)
+						t.Errorf("%d of %d, in %d shares of at most %d", sum, most, parts, first)
 					}
 				})
 			}
--- a/internal/cwbackend/server.go
+++ b/internal/cwbackend/server.go
@@ -7,23 +7,22 @@
 	"carobward.example/carobward"
 )
 
-// Outcome is how a request or a health check at a server ended.
+// Outcome is how a request or a health check ended.
 type Outcome uint8
 
 // The outcomes.
 const (
-	// Answered: a whole answer came.
+	// Answered: a complete response arrived.
 	Answered Outcome = iota
-	// Refused: the server said that the request did not run.
+	// Refused: the server reported that it did not run the request.
 	Refused
-	// Failed: an answer that blames the server came, such as a status 500.
+	// Failed: a response arrived that shows a fault of the server, such as status 500.
 	Failed
-	// Broken: no whole answer came; the connection ended or it was no answer.
+	// Broken: the connection ended before a complete response, or the response was invalid.
 	Broken
-	// Silent: no answer came in time.
+	// Silent: no response arrived in time.
 	Silent
-	// Abandoned: we gave the request up ourselves, which says nothing of the
-	// server.
+	// Abandoned: this entry VM canceled the request, which shows nothing about the server.
 	Abandoned
 )
 
@@ -35,127 +34,126 @@
 // String returns the outcome's name.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// The bounds of blocking a server for its failures.
+// The parameters for blocking a server after failures.
 const (
-	// blockFirst is the time for which a server gets no requests after a
-	// failure in a row of failures; it doubles with each further one up to
-	// blockMost. The first is a few request times long: a failure that was
-	// chance costs little, and a server that fails all is tried rarely.
-	blockFirst = 250 * time.Millisecond
-	blockMost  = 4 * time.Second
-	// refusedTime is for how long a server gets no requests after it refused
-	// one: less than a usual answer takes.
-	refusedTime = 100 * time.Millisecond
-	// trustShare is the weight of one outcome in the share of failures.
-	trustShare = 0.2
-	// overdueFactor is how many usual times without an answer make a request
-	// at a server overdue, which speaks against sending another one there.
+	// minBlock is how long a server gets no requests after the first of consecutive failures.
+	// It doubles with each further one up to maxBlock. The first is a few request durations
+	// long: a chance failure costs little, and a server that fails every request is rarely
+	// tried.
+	minBlock = 250 * time.Millisecond
+	maxBlock = 4 * time.Second
+	// refusedBlock is how long a server gets no requests after it refused one. It is shorter
+	// than a usual response takes.
+	refusedBlock = 100 * time.Millisecond
+	// failureWeight is the weight of one outcome in the moving average of failures.
+	failureWeight = 0.2
+	// overdueFactor is after how many usual durations a request without a response is overdue,
+	// which makes the server a worse choice for others.
 	overdueFactor = 4
 )
 
-// Server is one run of a backend server and what this entry VM knows of it.
+// Server is one process of a backend server and the state that this entry VM keeps of it.
 type Server struct {
 	mutex   sync.Mutex
 	backend carobward.Backend
-	// follows is when it followed another process under its instance, zero if none was
+	// replacedAt is when it replaced another process under its instance, zero if none was
 	// known.
-	follows time.Time
-	// limit is what it says of the requests that it takes, leaving since when it says that
-	// it leaves, and paused until when it wants no requests of this entry VM.
-	limit   limit
-	leaving time.Time
-	paused  time.Time
-	// speakers has the server once it has said something that others may lack.
-	speakers *speakers
-	// warm is until when it is cold.
-	warm time.Time
-	// sends has when the last of our requests to it were sent: one, or as many as the
-	// bounds on it look back.
+	replacedAt time.Time
+	// limit is the request rate that it announced, leavingSince when it announced that it is
+	// leaving, and pausedUntil the end of the pause that it asked this entry VM for.
+	limit        limit
+	leavingSince time.Time
+	pausedUntil  time.Time
+	// announcers gets the server once it has an announcement that others may lack.
+	announcers *announcers
+	// warmupEnd is when it is warmed up.
+	warmupEnd time.Time
+	// sends has the times of the latest requests to it: one, or as many as its allowances look
+	// back.
 	sends  []time.Time
 	report carobward.Report
-	// failures counts the failures in a row, trouble is the moving share of
+	// failures counts consecutive failures, failureRate is the moving average of the share of
 	// requests that failed.
-	failures int
-	trouble  float64
-	blocked  time.Time
-	// out has each of our requests at the server.
-	out map[int64]flight
-	seq int64
+	failures     int
+	failureRate  float64
+	blockedUntil time.Time
+	// inFlight has the requests of this entry VM at the server.
+	inFlight map[int64]flight
+	seq      int64
 }
 
-// flight is one of our requests at a server.
+// flight is a request in flight at a server.
 type flight struct {
-	began time.Time
-	// cancel breaks it off.
+	began  time.Time
 	cancel func()
 }
 
-func newServer(b carobward.Backend, p *speakers, now time.Time) *Server {
-	return &Server{backend: b, warm: now.Add(b.Warmup), out: map[int64]flight{}, speakers: p}
+func newServer(b carobward.Backend, p *announcers, now time.Time) *Server {
+	return &Server{backend: b, warmupEnd: now.Add(b.Warmup), inFlight: map[int64]flight{}, announcers: p}
 }
 
-// end breaks off what is in flight: the process has ended. Behind a cut nothing else
-// would show it before the time of each request is over.
+// end cancels the requests in flight because the process has ended. Across a network
+// partition, they would otherwise only end at their deadlines.
 func (s *Server) end() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
-	for _, f := range s.out {
+	for _, f := range s.inFlight {
 		f.cancel()
 	}
 }
 
-// Backend returns the server as the platform's list shows it, and as leaving also where it
-// says so itself.
+// Backend returns the server's entry in the platform's list, marked as leaving also if the
+// server announced that itself.
 func (s *Server) Backend() carobward.Backend {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
 	b := s.backend
-	b.Leaving = s.leaves()
+	b.Leaving = s.isLeaving()
 
 	return b
 }
 
-// leaves tells whether the server leaves; the mutex is held.
-func (s *Server) leaves() bool { return s.backend.Leaving || !s.leaving.IsZero() }
+// isLeaving reports whether the server is leaving. The mutex must be held.
+func (s *Server) isLeaving() bool { return s.backend.Leaving || !s.leavingSince.IsZero() }
 
-// update takes a new entry of the list.
+// update applies a changed entry of the list.
 func (s *Server) update(b carobward.Backend, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
 	s.backend = b
 
-	// The entry may be older than the server's own word that it is cold again.
-	if warm := now.Add(b.Warmup); warm.After(s.warm) {
-		s.warm = warm
+	// The entry may be older than the server's own report that it is warming up again.
+	if warm := now.Add(b.Warmup); warm.After(s.warmupEnd) {
+		s.warmupEnd = warm
 	}
 }
 
-// Begin notes a request that is sent. Cancel is called if the process ends. End must
-// be called once with what it returns.
+// Begin records a request that is sent. Cancel is called if the process ends. End must be
+// called once with the number that Begin returns.
 func (s *Server) Begin(now time.Time, cancel func()) int64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
 	s.seq++
-	s.out[s.seq] = flight{now, cancel}
+	s.inFlight[s.seq] = flight{now, cancel}
 
 	return s.seq
 }
 
-// End notes how a request ended.
+// End records the outcome of a request.
 func (s *Server) End(number int64, now time.Time, o Outcome) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
-	delete(s.out, number)
-	s.learn(now, o)
+	delete(s.inFlight, number)
+	s.recordOutcome(now, o)
 }
 
-// Looked notes how a health check ended. Its success does not excuse failed
-// requests: a server may fail those while its health check is good.
+// Looked records the outcome of a health check. Success does not clear earlier failures: a
+// server may pass health checks and still fail requests.
 func (s *Server) Looked(now time.Time, o Outcome) {
 	if o != Broken && o != Silent {
 		return
@@ -167,24 +165,25 @@
 	s.block(now)
 }
 
-func (s *Server) learn(now time.Time, o Outcome) {
+func (s *Server) recordOutcome(now time.Time, o Outcome) {
 	switch o {
 	case Answered:
 		s.failures = 0
-		s.trouble -= trustShare * s.trouble
+		s.failureRate -= failureWeight * s.failureRate
 	case Refused:
-		// It lives and says how it is; the next request may find room.
-		s.trouble += trustShare * (1 - s.trouble)
-		s.blocked = now.Add(refusedTime)
+		// The server is alive and reports its load; it may have a free slot for the next
+		// request.
+		s.failureRate += failureWeight * (1 - s.failureRate)
+		s.blockedUntil = now.Add(refusedBlock)
 	case Failed, Broken, Silent:
-		s.trouble += trustShare * (1 - s.trouble)
+		s.failureRate += failureWeight * (1 - s.failureRate)
 		s.block(now)
 	case Abandoned:
 	}
 }
 
-// block takes the server out of the choice for a time.
+// block excludes the server from the choice, longer with each consecutive failure.
 func (s *Server) block(now time.Time) {
-	s.blocked = now.Add(min(blockMost, blockFirst<<min(s.failures, 8)))
+	s.blockedUntil = now.Add(min(maxBlock, minBlock<<min(s.failures, 8)))
 	s.failures++
 }
--- a/internal/cwbackend/share.go
+++ b/internal/cwbackend/share.go
@@ -7,56 +7,56 @@
 	"carobward.example/carobward/internal/cwrank"
 )
 
-// shares tells which servers an entry VM gets where the entry VMs of a failure
-// domain share them by rendezvous hashing. The place of this entry VM for each
-// server is kept and follows changes: a neighbour that comes or goes costs a step
-// a server, a server that comes a step a neighbour. It is not safe for use by
-// several goroutines.
-type shares struct {
+// placement ranks this entry VM among those of its failure domain for each server by
+// rendezvous hashing; the ranks decide on its subset. They are kept and updated: a change of a
+// neighbour costs one step per server, a new server one step per neighbour. It is not safe for
+// concurrent use.
+type placement struct {
 	self uint64
-	// neighbours has the hash of each other entry VM of the failure domain.
+	// neighbours has the hashes of the other entry VMs of the failure domain.
 	neighbours map[carobward.VMID]uint64
 	places     map[carobward.Instance]*place
 }
 
-// place is where this entry VM stands for one server.
+// place is the rank of this entry VM for one server.
 type place struct {
-	// hash is the server's, own the weight of this entry VM for it.
+	// hash is the server's hash, own the weight of this entry VM for the server.
 	hash uint64
 	own  uint64
-	// before is how many neighbours have a higher weight.
-	before int
+	// rank is how many neighbours have a higher weight.
+	rank int
 }
 
-func newShares(self carobward.VMID) *shares {
-	return &shares{
+func newPlacement(self carobward.VMID) *placement {
+	return &placement{
 		self: cwrank.Hash(string(self)), neighbours: map[carobward.VMID]uint64{},
 		places: map[carobward.Instance]*place{},
 	}
 }
 
-// count returns the number of entry VMs that share, this one among them.
-func (s *shares) count() int { return 1 + len(s.neighbours) }
+// count returns the number of entry VMs in the failure domain, including this one.
+func (s *placement) count() int { return 1 + len(s.neighbours) }
 
-// add takes a server.
-func (s *shares) add(i carobward.Instance) {
+// add adds a server.
+func (s *placement) add(i carobward.Instance) {
 	p := &place{hash: cwrank.Hash(string(i))}
 	p.own = cwrank.Mix(s.self, p.hash)
 
 	for _, n := range s.neighbours {
 		if cwrank.Mix(n, p.hash) > p.own {
-			p.before++
+			p.rank++
 		}
 	}
 
 	s.places[i] = p
 }
 
-// remove forgets a server.
-func (s *shares) remove(i carobward.Instance) { delete(s.places, i) }
+// remove removes a server.
+func (s *placement) remove(i carobward.Instance) { delete(s.places, i) }
 
-// set takes the other entry VMs that share. It tells whether that is a change.
-func (s *shares) set(list []carobward.VMID) bool {
+// setNeighbours sets the other entry VMs of the failure domain. It reports whether they
+// changed.
+func (s *placement) setNeighbours(list []carobward.VMID) bool {
 	stay := make(map[carobward.VMID]bool, len(list))
 	changed := false
 
@@ -65,7 +65,7 @@
 
 		if _, ok := s.neighbours[id]; !ok {
 			s.neighbours[id] = cwrank.Hash(string(id))
-			s.move(s.neighbours[id], 1)
+			s.updateRanks(s.neighbours[id], 1)
 
 			changed = true
 		}
@@ -73,7 +73,7 @@
 
 	for id, hash := range s.neighbours {
 		if !stay[id] {
-			s.move(hash, -1)
+			s.updateRanks(hash, -1)
 			delete(s.neighbours, id)
 
 			changed = true
@@ -83,16 +83,16 @@
 	return changed
 }
 
-// move follows a neighbour that comes (1) or goes (-1).
-func (s *shares) move(hash uint64, by int) {
+// updateRanks updates the ranks for a neighbour that was added (1) or removed (-1).
+func (s *placement) updateRanks(hash uint64, by int) {
 	for _, p := range s.places {
 		if cwrank.Mix(hash, p.hash) > p.own {
-			p.before += by
+			p.rank += by
 		}
 	}
 }
 
-// compare orders servers by how much this entry VM comes first for them.
+// compare orders servers by the rank of this entry VM, best first.
 func (p *place) compare(q *place) int {
-	return cmp.Or(cmp.Compare(p.before, q.before), cmp.Compare(q.own, p.own), cmp.Compare(p.hash, q.hash))
+	return cmp.Or(cmp.Compare(p.rank, q.rank), cmp.Compare(q.own, p.own), cmp.Compare(p.hash, q.hash))
 }
--- a/internal/cwbackend/share_test.go
+++ b/internal/cwbackend/share_test.go
@@ -11,13 +11,13 @@
 	"carobward.example/carobward"
 )
 
-// TestShares wants places that follow a random history of servers and neighbours
-// to be those that are worked out at once.
+// TestShares checks that ranks updated through random changes of servers and neighbours equal
+// those of a placement that is built at once.
 func TestShares(t *testing.T) {
 	const steps = 300
 
 	rnd := rand.New(rand.NewPCG(1, 2))
-	kept := newShares("self")
+	kept := newPlacement("self")
 	instances, neighbours := map[carobward.Instance]bool{}, map[carobward.VMID]bool{}
 
 	for range steps {
@@ -27,7 +27,7 @@
 		switch {
 		case rnd.IntN(2) == 0:
 			neighbours[id] = !neighbours[id]
-			kept.set(chosen(neighbours))
+			kept.setNeighbours(chosen(neighbours))
 		case instances[i]:
 			kept.remove(i)
 			delete(instances, i)
@@ -37,14 +37,14 @@
 			instances[i] = true
 		}
 
-		anew := newShares("self")
-		anew.set(chosen(neighbours))
+		fresh := newPlacement("self")
+		fresh.setNeighbours(chosen(neighbours))
 
 		for i := range instances {
-			anew.add(i)
+			fresh.add(i)
 		}
 
-		if diff := cmp.Diff(befores(anew), befores(kept)); diff != "" {
+		if diff := cmp.Diff(ranks(fresh), ranks(kept)); diff != "" {
 			t.Fatal(diff)
 		}
 	}
@@ -62,17 +62,17 @@
 	return list
 }
 
-func befores(s *shares) map[carobward.Instance]int {
+func ranks(s *placement) map[carobward.Instance]int {
 	all := map[carobward.Instance]int{}
 	for i, p := range s.places {
-		all[i] = p.before
+		all[i] = p.rank
 	}
 
 	return all
 }
 
-// fleetSize is a fleet of five failure domains and its servers, in the proportion
-// of 530 entry VMs to 809 servers.
+// fleetSize is the size of a fleet in five failure domains, with 809 servers per 530 entry
+// VMs.
 type fleetSize struct{ vms, servers int }
 
 var fleetSizes = []fleetSize{{30, 46}, {145, 221}, {530, 809}, {1000, 1527}}
@@ -97,9 +97,9 @@
 	return neighbours, list
 }
 
-// TestFleetBalance wants each server of a large fleet to be known to enough entry
-// VMs of its failure domain and to few more, and each entry VM to know as many
-// servers of others as it needs.
+// TestFleetBalance checks that each server of a large fleet is in the subsets of enough entry
+// VMs of its failure domain and few more, and that each entry VM has as many servers of other
+// failure domains as it needs.
 func TestFleetBalance(t *testing.T) {
 	for _, size := range fleetSizes[1:] {
 		t.Run(fmt.Sprint(size.vms), func(t *testing.T) {
@@ -127,15 +127,15 @@
 				least, most = min(least, n), max(most, n)
 			}
 
-			if least < knownBy || most > 2*least || far != len(all)*knownFar {
-				t.Errorf("servers known to %d to %d entry VMs of theirs, %d of others by %d", least, most, far, len(all))
+			if least < minHolders || most > 2*least || far != len(all)*subsetFar {
+				t.Errorf("servers are in %d to %d subsets of their failure domain, %d of other ones in %d subsets", least, most, far, len(all))
 			}
 		})
 	}
 }
 
-// BenchmarkNeighbour has the cost of one entry VM that comes and goes, at one
-// other: 23.9 ms at 530 entry VMs before places were kept, 0.34 ms since.
+// BenchmarkNeighbour adds and removes one entry VM. With 530 entry VMs this takes 0.34 ms, and
+// 23.9 ms if ranks are computed anew.
 func BenchmarkNeighbour(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprint(size.vms), func(b *testing.B) {
@@ -153,9 +153,9 @@
 	}
 }
 
-// BenchmarkFormation has the cost of a fleet that forms, at one entry VM: the
-// servers come first, then the neighbours one by one: 4,217 ms at 530 entry VMs
-// before places were kept, 14 ms since.
+// BenchmarkFormation builds the table of one entry VM while a fleet starts: the servers come
+// first, then the neighbours one by one. With 530 entry VMs this takes 14 ms, and 4,217 ms if
+// ranks are computed anew.
 func BenchmarkFormation(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprint(size.vms), func(b *testing.B) {
@@ -174,9 +174,9 @@
 	}
 }
 
-// TestEvacuatedBalance wants the entry VMs of an evacuated failure domain to know as many
-// servers elsewhere as they did at home, with no server there known to many more than
-// another, and none of them to know an evacuated server.
+// TestEvacuatedBalance checks that the entry VMs of an evacuated failure domain have as many
+// servers elsewhere in their subsets as they normally have in all, that these are evenly
+// loaded, and that no evacuated server is among them.
 func TestEvacuatedBalance(t *testing.T) {
 	for _, size := range fleetSizes[1:] {
 		t.Run(fmt.Sprint(size.vms), func(t *testing.T) {
@@ -191,8 +191,8 @@
 				table.SetEvacuated("d0", true)
 
 				views := table.Views("records", start, usual)
-				if len(views) != knownNear+knownFar {
-					t.Errorf("%s knows %d servers", id, len(views))
+				if len(views) != subsetNear+subsetFar {
+					t.Errorf("%s has %d servers in its subset", id, len(views))
 				}
 
 				for _, v := range views {
@@ -213,8 +213,8 @@
 				most = max(most, n)
 			}
 
-			if mean := len(all) * (knownNear + knownFar) / len(knownBy); most > 4*mean+4 {
-				t.Errorf("a server is known to %d, in the mean to %d", most, mean)
+			if mean := len(all) * (subsetNear + subsetFar) / len(knownBy); most > 4*mean+4 {
+				t.Errorf("a server is in %d subsets, %d in the mean", most, mean)
 			}
 		})
 	}
--- a/internal/cwbackend/sharer.go
+++ b/internal/cwbackend/sharer.go
@@ -8,61 +8,62 @@
 	"carobward.example/carobward/internal/cwrank"
 )
 
-// Some bounds on what one server gets are those of all entry VMs together, and nobody
-// counts the requests of all. The entry VMs of the server's failure domain divide such a
-// bound by rendezvous hashing: those that come first for the server send their parts in
-// each window and the others nothing. An order over entry VMs bounds the sum whoever else
-// sends, and without a clock in common; what entry VMs report of each other or see of the
-// server's load is too old for a window of a second.
-
-// The figures of dividing a bound.
+// Some bounds on the requests to a server hold for all entry VMs together, and no component
+// counts all of them. The entry VMs of the server's failure domain divide such a bound by
+// rendezvous hashing: the first ones for the server send their shares in each window, the
+// others nothing. An order of entry VMs bounds the sum without a shared clock, whichever of
+// them send. Reports of entry VMs about each other and of the server's load are too old for a
+// window of one second.
+
+// The parameters of dividing a bound.
 const (
-	// sharePart is the part of a bound that is divided. The rest is for entry VMs that
-	// have just joined, of which others do not know yet, and for those that ask a server
-	// again whose limit nobody has heard of for a time.
-	sharePart = 0.8
-	// shareKnown is the part of the entry VMs of the failure domain that one must know to
-	// have a part. Those who know fewer err by too much: 19 requests in a second where
-	// 15.2 are allowed, none above with this (TestColdHistory).
-	shareKnown = 0.75
-	// shareSettle is how long an entry VM has no part after its start: ten heartbeats of
-	// others may come meanwhile. One that has heard nobody yet takes itself for the only
-	// one.
-	shareSettle = time.Second
-	// shareWindow is the shortest window: the second of the bounds, and a little more,
-	// since requests sent later may be on their way for less time.
-	shareWindow = 1050 * time.Millisecond
+	// dividedShare is the part of a bound that is divided. The rest is for entry VMs that have
+	// just joined and that others do not know yet, and for those that check whether a limit
+	// still holds.
+	dividedShare = 0.8
+	// minKnownShare is the part of the entry VMs of its failure domain that an entry VM must
+	// know to have a share. With fewer its rank is too inaccurate: without this rule servers
+	// get up to 19 requests in a second where 15.2 are allowed, with it none gets more than
+	// allowed (TestWarmupHistory).
+	minKnownShare = 0.75
+	// settleTime is how long an entry VM has no share after its start. About ten heartbeats of
+	// others may arrive in that time; an entry VM that has received none would take itself for
+	// the only one.
+	settleTime = time.Second
+	// minWindow is the shortest window: the one second for which bounds are defined, and a
+	// margin, since later requests may take less time to arrive.
+	minWindow = 1050 * time.Millisecond
 )
 
-// allowance is this entry VM's part of what a server takes: at most so many requests in any
-// window. There is no bound where the window is 0.
+// allowance is this entry VM's share of what a server takes: at most so many requests in any
+// window. A window of 0 means no bound.
 type allowance struct {
-	most   int
-	window time.Duration
-	// from is before when there is none, until when the bound ends where there is no
-	// part; zero: it is not known.
+	maxRequests int
+	window      time.Duration
+	// from is the time before which no request is allowed. until is when the bound ends, for
+	// an entry VM without a share; zero if it is not known.
 	from, until time.Time
 }
 
-// allowances are those by each bound; all of them hold.
+// allowances has one allowance for each kind of bound. All of them apply.
 type allowances [2]allowance
 
-// most returns how many earlier requests have to be known for all of them.
-func (l *allowances) most() int { return max(1, l[0].most, l[1].most) }
+// historySize returns how many past requests must be kept to check all allowances.
+func (l *allowances) historySize() int { return max(1, l[0].maxRequests, l[1].maxRequests) }
 
-// open returns when a server that got requests at some times may get the next one by an
-// allowance, the zero time where there is no bound.
-func (a *allowance) open(sends []time.Time) time.Time {
+// nextAt returns when the server may get the next request by the allowance, given the times of
+// earlier ones. It is the zero time if there is no bound.
+func (a *allowance) nextAt(sends []time.Time) time.Time {
 	switch {
 	case a.window == 0:
 		return time.Time{}
-	case a.most == 0:
+	case a.maxRequests == 0:
 		return a.until
-	case len(sends) < a.most:
+	case len(sends) < a.maxRequests:
 		return a.from
 	}
 
-	next := sends[len(sends)-a.most].Add(a.window)
+	next := sends[len(sends)-a.maxRequests].Add(a.window)
 	if next.Before(a.from) {
 		return a.from
 	}
@@ -70,39 +71,39 @@
 	return next
 }
 
-// open returns when the server may get the next request of this entry VM; the mutex is
-// held.
-func (s *Server) open(l *allowances) time.Time {
-	open := s.paused
+// availableAt returns when the server may get the next request from this entry VM. The mutex
+// must be held.
+func (s *Server) availableAt(l *allowances) time.Time {
+	next := s.pausedUntil
 
 	for i := range l {
-		if at := l[i].open(s.sends); at.After(open) {
-			open = at
+		if at := l[i].nextAt(s.sends); at.After(next) {
+			next = at
 		}
 	}
 
-	return open
+	return next
 }
 
-// admit counts a request to the server as sent if it may get one now.
+// admit records a request as sent if the server may get one now, and reports whether it may.
 func (s *Server) admit(l *allowances, now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
-	if now.Before(s.open(l)) {
+	if now.Before(s.availableAt(l)) {
 		return false
 	}
 
 	s.sends = append(s.sends, now)
-	if extra := len(s.sends) - l.most(); extra > 0 {
+	if extra := len(s.sends) - l.historySize(); extra > 0 {
 		s.sends = slices.Delete(s.sends, 0, extra)
 	}
 
 	return true
 }
 
-// Admit tells whether a server that was chosen may get a request now, and counts it as
-// sent. It must be asked right before each send.
+// Admit reports whether a chosen server may get a request now, and records it as sent. It must
+// be called right before each send.
 func (t *Table) Admit(s *Server, now time.Time) bool {
 	b := s.Backend()
 	if !t.Has(b) {
@@ -116,41 +117,41 @@
 	return s.admit(&l, now)
 }
 
-// allowances returns this entry VM's parts of what a server takes; the mutex is held.
+// allowances returns this entry VM's shares of what a server takes. The mutex must be held.
 func (t *Table) allowances(s *Server, b *carobward.Backend, now time.Time) allowances {
 	s.mutex.Lock()
-	warm, limit := s.warm, s.limit
+	warm, limit := s.warmupEnd, s.limit
 	s.mutex.Unlock()
 
-	return allowances{t.coldAllowance(b, warm, now), t.limitAllowance(b, &limit, now)}
+	return allowances{t.warmupAllowance(b, warm, now), t.limitAllowance(b, &limit, now)}
 }
 
-// part returns this entry VM's part of what a server takes in a window from all, of which
-// the first by hash have one; the mutex is held.
-func (t *Table) part(b *carobward.Backend, most, first int, now time.Time) int {
-	place := t.shares.places[b.Instance]
-	if place == nil || b.Domain != t.self.Domain || t.sharers.since.IsZero() || now.Sub(t.sharers.since) < shareSettle {
+// share returns how many of the requests that a server takes in a window are this entry VM's,
+// divided among the first ones by hash. The mutex must be held.
+func (t *Table) share(b *carobward.Backend, most, first int, now time.Time) int {
+	place := t.placement.places[b.Instance]
+	if place == nil || b.Domain != t.self.Domain || t.sharers.since.IsZero() || now.Sub(t.sharers.since) < settleTime {
 		return 0
 	}
 
-	return t.sharers.part(t.shares.self, place.hash, most, first)
+	return t.sharers.share(t.placement.self, place.hash, most, first)
 }
 
 // sharers are the entry VMs that divide the bounds.
 type sharers struct {
-	// hashes has the hash of each other entry VM of the failure domain that was alive
-	// lately. One that is out of sight may still send.
+	// hashes has the hashes of the other entry VMs of the failure domain that were alive
+	// recently. One that is not seen now may still be sending.
 	hashes map[carobward.VMID]uint64
-	// size is the number of entry VMs of the failure domain lately, by all that is
-	// known: more than hashes has where this one has just started or is cut off.
+	// size is the recent number of entry VMs in the failure domain from all sources. It
+	// exceeds the number of hashes where this entry VM has just started or is partitioned.
 	size int
-	// since is when this entry VM began to hear of others.
+	// since is the time of the first call to SetSharers.
 	since time.Time
 }
 
-// SetSharers tells which other entry VMs of the failure domain were alive lately, and how
-// many there are with this one. Until shareSettle after the first call this entry VM has
-// no part of any bound.
+// SetSharers sets the other entry VMs of the failure domain that were alive recently, and
+// their number including this one. Until settleTime after the first call this entry VM has no
+// share of any bound.
 func (t *Table) SetSharers(list []carobward.VMID, size int, now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -166,7 +167,7 @@
 	}
 }
 
-// has tells whether a list has just these entry VMs, as it does nearly each time.
+// has reports whether the list has exactly the known entry VMs, as it nearly always does.
 func (s *sharers) has(list []carobward.VMID) bool {
 	for _, id := range list {
 		if _, ok := s.hashes[id]; !ok {
@@ -186,7 +187,8 @@
 	return hashes
 }
 
-// Sharers returns the number of entry VMs that divide the bounds, as this one knows them.
+// Sharers returns the number of entry VMs that divide the bounds, as far as this one knows
+// them.
 func (t *Table) Sharers() int {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
@@ -194,33 +196,34 @@
 	return 1 + len(t.sharers.hashes)
 }
 
-// part returns this entry VM's part of the most requests that a server may get in a window,
-// which are divided among the first ones by hash. Who knows only a part of the others has
-// none, or takes itself for one of fewer in that proportion: without that each of many that
-// have just started, or that are cut off alone, would take itself for the first.
-func (s *sharers) part(self, server uint64, most, first int) int {
+// share returns this entry VM's share of the most requests that a server may get in a window,
+// which are divided among the first ones by hash. An entry VM that knows too few of the others
+// has none. One that does not know all of them scales the requests and the number of shares
+// down in that proportion: otherwise each of many that have just started, or that are
+// partitioned, would take itself for the first.
+func (s *sharers) share(self, server uint64, most, first int) int {
 	known := 1 + len(s.hashes)
-	if float64(known) < shareKnown*float64(s.size) {
+	if float64(known) < minKnownShare*float64(s.size) {
 		return 0
 	}
 
-	own, before := cwrank.Mix(self, server), 0
+	own, rank := cwrank.Mix(self, server), 0
 
 	for _, hash := range s.hashes {
 		if cwrank.Mix(hash, server) > own {
-			before++
+			rank++
 		}
 	}
 
 	most = most * known / s.size
 	first = max(1, min(first, s.size)*known/s.size)
 
-	if before >= first {
+	if rank >= first {
 		return 0
 	}
 
 	part := most / first
-	if before < most%first {
+	if rank < most%first {
 		part++
 	}
 
--- a/internal/cwbackend/table.go
+++ b/internal/cwbackend/table.go
@@ -1,6 +1,6 @@
-// Package cwbackend has the table of backend servers: which there are, which
-// of them this entry VM sends requests to, and what its own requests and
-// health checks told it of each.
+// Package cwbackend keeps the table of backend servers: which servers exist, which subset of
+// them this entry VM sends requests to, and what its requests and health checks show about
+// each server.
 package cwbackend
 
 import (
@@ -13,20 +13,20 @@
 	"carobward.example/carobward"
 )
 
-// The sets of servers that an entry VM sends to. They keep the connections of
-// all entry VMs few, and are wide enough that a look at some of them finds one
-// that is fast and has room.
+// The sizes of the subsets of servers that entry VMs send to. They keep the number of
+// connections from all entry VMs low, but are large enough that a random sample contains a
+// fast server with free slots.
 const (
-	// knownNear is how many servers of its own failure domain an entry VM
-	// knows at least, if there are as many. Bytes between failure domains are
-	// paid for.
-	knownNear = 8
-	// knownFar is how many of the others it knows, if there are as many, for when
-	// the near ones have no room or are lost.
-	knownFar = 4
-	// knownBy is how many entry VMs of its failure domain know a server at
-	// least, so that it stays in use when some of them are lost.
-	knownBy = 4
+	// subsetNear is the least number of servers from its own failure domain in an entry VM's
+	// subset, if that many exist. Near servers are preferred since traffic between failure
+	// domains is billed.
+	subsetNear = 8
+	// subsetFar is the number of servers from other failure domains in the subset, if that
+	// many exist, for when the near ones have no free slots or are lost.
+	subsetFar = 4
+	// minHolders is the least number of entry VMs of its failure domain that have a server in
+	// their subset, so that the server stays in use when some of them are lost.
+	minHolders = 4
 )
 
 // VM is an entry VM.
@@ -43,40 +43,41 @@
 
 	mutex      sync.RWMutex
 	byInstance map[carobward.Instance]*Server
-	shares     *shares
-	// now is when entries were last taken.
+	placement  *placement
+	// now is the time of the last Put.
 	now time.Time
-	// alone tells that no other entry VM is known to share the servers yet.
+	// alone is set until the first call to SetNeighbours.
 	alone bool
-	// groups has the servers of each service, and mine those that this entry VM sends to.
-	groups map[carobward.Service]*group
-	mine   map[carobward.Service]*known
-	// speakers are servers that have said something that other entry VMs may lack.
-	speakers *speakers
+	// groups has all servers of each service, subsets those that this entry VM sends to.
+	groups  map[carobward.Service]*group
+	subsets map[carobward.Service]*subset
+	// announcers are the servers whose announcements other entry VMs may lack.
+	announcers *announcers
 	// addresses counts the servers at each address.
 	addresses map[carobward.Address]int
-	// cold has what cold servers of each service bear, sharers who divides that and the
-	// limits that servers name, near the number of near servers of each service.
-	cold    map[carobward.Service]ColdBound
-	sharers sharers
-	near    map[carobward.Service]int
-	// evacuated has the failure domains whose servers get nothing.
+	// warmupBounds has the rates for servers that are warming up, by service. sharers are the
+	// entry VMs that divide these rates and the limits that servers announce. nearCounts has
+	// the number of near servers of each service.
+	warmupBounds map[carobward.Service]ColdBound
+	sharers      sharers
+	nearCounts   map[carobward.Service]int
+	// evacuated has the failure domains whose servers get no traffic.
 	evacuated map[carobward.Domain]bool
 }
 
-// New returns an empty table for an entry VM, which sends to all servers before
+// New returns an empty table for an entry VM. All servers are in its subsets until
 // SetNeighbours is called.
 func New(self VM) *Table {
 	return &Table{
-		self: self, byInstance: map[carobward.Instance]*Server{}, shares: newShares(self.ID), alone: true,
-		groups: map[carobward.Service]*group{}, mine: map[carobward.Service]*known{}, addresses: map[carobward.Address]int{},
-		speakers: newSpeakers(),
-		near:     map[carobward.Service]int{}, evacuated: map[carobward.Domain]bool{},
+		self: self, byInstance: map[carobward.Instance]*Server{}, placement: newPlacement(self.ID), alone: true,
+		groups: map[carobward.Service]*group{}, subsets: map[carobward.Service]*subset{}, addresses: map[carobward.Address]int{},
+		announcers: newAnnouncers(),
+		nearCounts: map[carobward.Service]int{}, evacuated: map[carobward.Domain]bool{},
 	}
 }
 
-// Put takes new and changed entries, and the instances that are gone. It returns the
-// servers that started again under their instance, as they were before.
+// Put applies new and changed entries and removes the instances that are gone. It returns the
+// previous entries of servers whose process restarted under the same instance.
 func (t *Table) Put(list []carobward.Backend, gone []carobward.Instance, now time.Time) []carobward.Backend {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -89,22 +90,22 @@
 	for _, b := range list {
 		s := t.byInstance[b.Instance]
 		if s == nil {
-			t.add(newServer(b, t.speakers, now), changed)
+			t.add(newServer(b, t.announcers, now), changed)
 
 			continue
 		}
 
 		switch old := s.Backend(); compareStart(b, old) {
 		case older:
-			// A late word of a process that has ended.
+			// A late entry of a process that has ended.
 		case same:
 			t.update(s, b, changed)
 		case newer:
-			// Nothing that was known of the process before holds for this one.
+			// State of the previous process does not apply to the new one.
 			t.remove(s, changed)
 
-			next := newServer(b, t.speakers, now)
-			next.follows = now
+			next := newServer(b, t.announcers, now)
+			next.replacedAt = now
 			t.add(next, changed)
 
 			ended = append(ended, old)
@@ -120,72 +121,72 @@
 	}
 
 	for service, g := range t.groups {
-		if !g.warms.IsZero() && !now.Before(g.warms) {
+		if !g.warmAt.IsZero() && !now.Before(g.warmAt) {
 			changed[service] = true
 		}
 	}
 
 	for service := range changed {
-		t.arrange(service)
+		t.selectSubset(service)
 	}
 
 	return ended
 }
 
-// add takes a server and notes its service as changed; the mutex is held.
+// add adds a server and marks its service as changed. The mutex must be held.
 func (t *Table) add(s *Server, changed map[carobward.Service]bool) {
 	b := s.Backend()
 	t.byInstance[b.Instance] = s
-	t.shares.add(b.Instance)
+	t.placement.add(b.Instance)
 	t.addresses[b.Address]++
-	t.join(s, &b)
+	t.addToGroup(s, &b)
 
 	changed[b.Service] = true
 }
 
-// remove forgets a server and notes its service as changed; the mutex is held.
+// remove removes a server and marks its service as changed. The mutex must be held.
 func (t *Table) remove(s *Server, changed map[carobward.Service]bool) {
 	b := s.Backend()
-	t.leave(s, &b)
+	t.removeFromGroup(s, &b)
 	delete(t.byInstance, b.Instance)
-	t.shares.remove(b.Instance)
-	t.forget(b.Address)
+	t.placement.remove(b.Instance)
+	t.removeAddress(b.Address)
 
 	changed[b.Service] = true
 }
 
-// update takes a changed entry of the same process. Most changes, as of its state, move no
-// server from one entry VM to another; the mutex is held.
+// update applies a changed entry of the same process. Most changes, such as of the state,
+// leave the subsets as they are. The mutex must be held.
 func (t *Table) update(s *Server, b carobward.Backend, changed map[carobward.Service]bool) {
-	old, cold := s.Backend(), s.isCold(t.now)
+	old, warming := s.Backend(), s.isWarming(t.now)
 
 	if moves := old.Service != b.Service || old.Domain != b.Domain; moves {
-		t.leave(s, &old)
-		defer t.join(s, &b)
+		t.removeFromGroup(s, &old)
+		defer t.addToGroup(s, &b)
 
 		changed[old.Service], changed[b.Service] = true, true
 	}
 
 	if old.Address != b.Address {
-		t.forget(old.Address)
+		t.removeAddress(old.Address)
 		t.addresses[b.Address]++
 	}
 
 	s.update(b, t.now)
 
-	if s.isCold(t.now) != cold {
+	if s.isWarming(t.now) != warming {
 		changed[b.Service] = true
 	}
 }
 
-// forget counts a server at an address less; the mutex is held.
-func (t *Table) forget(a carobward.Address) {
+// removeAddress removes a server from the count of its address. The mutex must be held.
+func (t *Table) removeAddress(a carobward.Address) {
 	if t.addresses[a]--; t.addresses[a] <= 0 {
 		delete(t.addresses, a)
 	}
 }
 
-// HasAddress tells whether a server is at an address.
+// HasAddress reports whether any server listens at the address.
 func (t *Table) HasAddress(a carobward.Address) bool {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
@@ -193,15 +194,15 @@
 	return t.addresses[a] > 0
 }
 
-// The order of two entries of an instance by the start of their processes.
+// The results of compareStart.
 const (
 	older = iota - 1
 	same
 	newer
 )
 
-// compareStart tells whether an entry is of the same process as another one. An entry
-// that does not say when its process started is of the same.
+// compareStart compares the start times of the processes of two entries of an instance.
+// Entries without a start time count as the same process.
 func compareStart(b, than carobward.Backend) int {
 	if b.Start == 0 || than.Start == 0 {
 		return same
@@ -210,21 +211,21 @@
 	return cmp.Compare(b.Start, than.Start)
 }
 
-// SetNeighbours tells which other entry VMs of the failure domain share the
-// servers. Those of other failure domains share them among themselves.
+// SetNeighbours sets the other entry VMs of the failure domain, among which its servers are
+// divided into subsets. Each failure domain divides the servers on its own.
 func (t *Table) SetNeighbours(list []carobward.VMID) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
-	if t.shares.set(list) || t.alone {
+	if t.placement.setNeighbours(list) || t.alone {
 		t.alone = false
-		t.arrangeAll()
+		t.selectAll()
 	}
 }
 
-// SetEvacuated tells whether the operators evacuate a failure domain. Its servers get
-// nothing then: no request, no second one, no look. What is under way there ends as it
-// would. It returns how many servers that concerns.
+// SetEvacuated starts or ends the evacuation of a failure domain by the operators. Its servers
+// get no new requests, retries, hedges or health checks during that time; what is in flight
+// there runs to its end. It returns the number of servers in the failure domain.
 func (t *Table) SetEvacuated(d carobward.Domain, evacuated bool) int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -248,7 +249,7 @@
 	return count
 }
 
-// Emptied tells whether a service has servers, all of them in evacuated failure
+// Emptied reports whether a service has servers and all of them are in evacuated failure
 // domains.
 func (t *Table) Emptied(service carobward.Service) bool {
 	t.mutex.RLock()
@@ -256,7 +257,7 @@
 
 	g := t.groups[service]
 
-	return g != nil && g.count == 0 && g.emptied > 0
+	return g != nil && g.count == 0 && g.evacuatedCount > 0
 }
 
 // candidate is a server that this entry VM may send to.
@@ -266,24 +267,24 @@
 	server *Server
 }
 
-// group has the servers of a service, kept apart as entries come and go: sorting all servers
-// anew at each change would cost the more the more servers there are and the more of them
-// change.
+// group has the servers of a service. It is updated as entries come and go: rebuilding it at
+// each change would cost time in proportion to the number of servers times the number of
+// changes.
 type group struct {
 	near []candidate
-	// far has those of other failure domains by their region. An entry VM knows some in each,
-	// since requests may have their homes in any.
+	// far has the servers of other failure domains by region. A subset has some of each
+	// region, since the allowed regions of a route may be any.
 	far map[carobward.Region][]candidate
-	// count is the number of those that may get requests, emptied of those in evacuated
-	// failure domains, which are in neither list.
-	count, emptied int
-	// warms is when the last of the near ones that were cold when ours were picked is not any
-	// more: then fewer entry VMs need to know them.
-	warms time.Time
+	// count is the number of servers that may get requests, evacuatedCount that of servers in
+	// evacuated failure domains, which are in neither list.
+	count, evacuatedCount int
+	// warmAt is when the last near server that was warming up at the selection of the subset
+	// is warmed up. From then on fewer entry VMs need to have it in their subset.
+	warmAt time.Time
 }
 
-// join puts a server with an entry into its group; the mutex is held.
-func (t *Table) join(s *Server, b *carobward.Backend) {
+// addToGroup adds a server with its entry to the group of its service. The mutex must be held.
+func (t *Table) addToGroup(s *Server, b *carobward.Backend) {
 	g := t.groups[b.Service]
 	if g == nil {
 		g = &group{far: map[carobward.Region][]candidate{}}
@@ -291,7 +292,7 @@
 	}
 
 	if t.evacuated[b.Domain] {
-		g.emptied++
+		g.evacuatedCount++
 
 		return
 	}
@@ -299,16 +300,17 @@
 	g.count++
 
 	list := g.list(t, b)
-	*list = append(*list, candidate{t.shares.places[b.Instance], s})
+	*list = append(*list, candidate{t.placement.places[b.Instance], s})
 	g.put(t, b, *list)
 }
 
-// leave takes a server with an entry out of its group; the mutex is held.
-func (t *Table) leave(s *Server, b *carobward.Backend) {
+// removeFromGroup removes a server with its entry from the group of its service. The mutex
+// must be held.
+func (t *Table) removeFromGroup(s *Server, b *carobward.Backend) {
 	g := t.groups[b.Service]
 
 	if t.evacuated[b.Domain] {
-		g.emptied--
+		g.evacuatedCount--
 	} else {
 		g.count--
 	}
@@ -320,12 +322,12 @@
 		g.put(t, b, list[:last])
 	}
 
-	if g.count == 0 && g.emptied == 0 {
+	if g.count == 0 && g.evacuatedCount == 0 {
 		delete(t.groups, b.Service)
 	}
 }
 
-// list returns the list of a group that an entry belongs to.
+// list returns the list of the group that an entry belongs to.
 func (g *group) list(t *Table, b *carobward.Backend) *[]candidate {
 	if b.Domain == t.self.Domain {
 		return &g.near
@@ -336,7 +338,7 @@
 	return &list
 }
 
-// put stores that list after it was changed.
+// put stores the changed list of the group that an entry belongs to.
 func (g *group) put(t *Table, b *carobward.Backend, list []candidate) {
 	if b.Domain == t.self.Domain {
 		g.near = list
@@ -347,54 +349,55 @@
 	g.far[t.self.Regions[b.Domain]] = list
 }
 
-// regroup sorts all servers anew, as where failure domains are evacuated; the mutex is held.
+// regroup rebuilds all groups, as needed when a failure domain is evacuated. The mutex must be
+// held.
 func (t *Table) regroup() {
 	t.groups = map[carobward.Service]*group{}
 
 	for _, s := range t.byInstance {
 		b := s.Backend()
-		t.join(s, &b)
+		t.addToGroup(s, &b)
 	}
 
-	t.arrangeAll()
+	t.selectAll()
 }
 
-// arrangeAll picks ours of all services; the mutex is held.
-func (t *Table) arrangeAll() {
+// selectAll selects the subsets of all services. The mutex must be held.
+func (t *Table) selectAll() {
 	for service := range t.groups {
-		t.arrange(service)
+		t.selectSubset(service)
 	}
 }
 
-// arrange picks ours of the servers of a service; the mutex is held.
-func (t *Table) arrange(service carobward.Service) {
+// selectSubset selects the subset of a service. The mutex must be held.
+func (t *Table) selectSubset(service carobward.Service) {
 	g := t.groups[service]
 	if g == nil {
-		delete(t.mine, service)
-		delete(t.near, service)
+		delete(t.subsets, service)
+		delete(t.nearCounts, service)
 
 		return
 	}
 
-	g.warms = time.Time{}
-	if t.cold[service].Rate > 0 {
-		g.warms = t.warms(g.near)
+	g.warmAt = time.Time{}
+	if t.warmupBounds[service].Rate > 0 {
+		g.warmAt = t.lastWarmAt(g.near)
 	}
 
-	t.near[service] = len(g.near)
-	m := &known{near: t.pickNear(g.near, t.cold[service])}
+	t.nearCounts[service] = len(g.near)
+	m := &subset{near: t.pickNear(g.near, t.warmupBounds[service])}
 
 	for _, list := range g.far {
 		usual, spare := t.pickFar(list, t.farCount(len(g.near)))
 		m.far, m.spare = append(m.far, usual...), append(m.spare, spare...)
 	}
 
-	t.mine[service] = m
+	t.subsets[service] = m
 }
 
-// warms returns when the last of the cold ones of some servers is not cold any more, zero where
-// none is cold; the mutex is held.
-func (t *Table) warms(list []candidate) time.Time {
+// lastWarmAt returns when the last of the servers is warmed up, or the zero time if all are.
+// The mutex must be held.
+func (t *Table) lastWarmAt(list []candidate) time.Time {
 	last := time.Time{}
 
 	for i := range list {
@@ -406,52 +409,52 @@
 	return last
 }
 
-// known are the servers of a service that an entry VM sends to: near ones, some of other
-// failure domains, and more of those for when few of the near ones can be used.
-type known struct{ near, far, spare []*Server }
+// subset has the servers of a service that this entry VM sends to: near ones, some of other
+// failure domains, and spare ones of other failure domains for when few near ones are usable.
+type subset struct{ near, far, spare []*Server }
 
-// farCount returns how many servers of other failure domains this entry VM knows
-// beside so many near ones. Where its own failure domain has none (it may be
-// evacuated), the others take the place of those: by knownFar alone the requests of
-// two other failure domains would crowd on a few servers each.
+// farCount returns the number of servers of other failure domains in the subset, given the
+// number of near ones. If this failure domain has no servers, for example because it is
+// evacuated, servers of others take their place: with subsetFar alone, its requests would
+// concentrate on a few servers of the other failure domains.
 func (t *Table) farCount(near int) int {
 	if near == 0 {
-		return knownNear + knownFar
+		return subsetNear + subsetFar
 	}
 
-	return knownFar
+	return subsetFar
 }
 
-// knowers returns how many entry VMs of the failure domain know one of so many near
-// servers of a service, the first ones by hash.
-func (t *Table) knowers(servers int) int {
-	if t.alone || servers <= knownNear {
+// holders returns how many entry VMs of the failure domain, the first by hash, have a server
+// in their subset, given the number of near servers of the service.
+func (t *Table) holders(servers int) int {
+	if t.alone || servers <= subsetNear {
 		return math.MaxInt
 	}
 
-	return max(knownBy, (t.shares.count()*knownNear+servers-1)/servers)
+	return max(minHolders, (t.placement.count()*subsetNear+servers-1)/servers)
 }
 
-// pickNear returns the servers of the own failure domain that this entry VM sends
-// to. Each server is known to the same number of the entry VMs there, so that no
-// server is left out, and a change of either side moves few. That number is
-// knownBy, or more where it takes that for an entry VM to know so many servers. A cold
-// server is known to as many as may send to it, so that what it bears can be used.
-func (t *Table) pickNear(list []candidate, cold ColdBound) []*Server {
-	each, first := t.knowers(len(list)), 0
+// pickNear returns the near servers of the subset. Each server is in the subsets of the same
+// number of entry VMs, so that none is left out and a change on either side moves few. That
+// number is minHolders, or more where subsets would otherwise have fewer than subsetNear
+// servers. A server that is warming up is in the subset of each entry VM that may send to it,
+// so that its rate can be used.
+func (t *Table) pickNear(list []candidate, bound ColdBound) []*Server {
+	each, first := t.holders(len(list)), 0
 	if each == math.MaxInt {
 		return servers(list)
 	}
 
 	for i := range list {
-		if before := list[i].before; before < each || before < cold.most() && list[i].server.isCold(t.now) {
+		if rank := list[i].rank; rank < each || rank < bound.budget() && list[i].server.isWarming(t.now) {
 			list[i], list[first] = list[first], list[i]
 			first++
 		}
 	}
 
-	// Chance may leave this entry VM with few.
-	if lack := knownNear/2 - first; lack > 0 {
+	// The hash may leave this entry VM with too few.
+	if lack := subsetNear/2 - first; lack > 0 {
 		toFront(list[first:], lack)
 		first += lack
 	}
@@ -459,21 +462,21 @@
 	return servers(list[:first])
 }
 
-// pickFar returns the servers of the other failure domains that this entry VM
-// sends to, and further ones in spare: those that it is the first for of its own.
-func (t *Table) pickFar(list []candidate, most int) (usual, spare []*Server) {
-	if t.alone || len(list) <= most {
+// pickFar returns the servers of other failure domains in the subset, and further ones as
+// spares: those for which this entry VM ranks best among its neighbours.
+func (t *Table) pickFar(list []candidate, count int) (usual, spare []*Server) {
+	if t.alone || len(list) <= count {
 		return servers(list), nil
 	}
 
-	all := min(len(list), knownNear+knownFar)
+	all := min(len(list), subsetNear+subsetFar)
 	toFront(list, all)
 
-	return servers(list[:most]), servers(list[most:all])
+	return servers(list[:count]), servers(list[count:all])
 }
 
-// toFront brings those few of a list to its front, in their order, that this entry VM comes
-// first for the most. It takes one pass.
+// toFront moves the given number of servers for which this entry VM ranks best to the front of
+// the list, in order. It takes one pass.
 func toFront(list []candidate, few int) {
 	before := func(a, b candidate) int { return a.compare(b.place) }
 	slices.SortFunc(list[:few], before)
@@ -499,10 +502,10 @@
 	return all
 }
 
-// Has tells whether a server is still in the table as the same process, and neither
-// leaving nor in an evacuated failure domain: whether it may get a request now.
+// Has reports whether a server may get a request: it is in the table as the same process, is
+// not leaving, and its failure domain is not evacuated.
 func (t *Table) Has(b carobward.Backend) bool {
-	now, ok := t.present(b.Instance)
+	now, ok := t.lookup(b.Instance)
 
 	return ok && !now.Leaving && compareStart(now, b) == same && !t.isEvacuated(now.Domain)
 }
@@ -514,22 +517,22 @@
 	return t.evacuated[d]
 }
 
-// HasNewer tells whether a server has started again since.
+// HasNewer reports whether the process of a server was replaced by a newer one.
 func (t *Table) HasNewer(b carobward.Backend) bool {
-	now, ok := t.present(b.Instance)
+	now, ok := t.lookup(b.Instance)
 
 	return ok && compareStart(now, b) == newer
 }
 
-// Start returns the start of a server's process as the table has it, or 0.
+// Start returns the start time of a server's process, or 0 if it is not known.
 func (t *Table) Start(i carobward.Instance) carobward.Start {
-	now, _ := t.present(i)
+	now, _ := t.lookup(i)
 
 	return now.Start
 }
 
-// present returns a server as the table has it.
-func (t *Table) present(i carobward.Instance) (carobward.Backend, bool) {
+// lookup returns the current entry of an instance.
+func (t *Table) lookup(i carobward.Instance) (carobward.Backend, bool) {
 	t.mutex.RLock()
 	s := t.byInstance[i]
 	t.mutex.RUnlock()
@@ -541,8 +544,7 @@
 	return s.Backend(), true
 }
 
-// CountOf returns the number of servers of a service that are not in evacuated failure
-// domains.
+// CountOf returns the number of servers of a service outside evacuated failure domains.
 func (t *Table) CountOf(service carobward.Service) int {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
--- a/internal/cwbackend/view.go
+++ b/internal/cwbackend/view.go
@@ -6,44 +6,45 @@
 	"carobward.example/carobward"
 )
 
-// View is what the choice of a server sees of one.
+// View is the state of a server that the choice between servers uses.
 type View struct {
 	Server *Server
-	// Leaving tells that it takes no new work.
+	// Leaving is set if the server takes no new work.
 	Leaving bool
-	// Blocked tells that it failed lately.
+	// Blocked is set for some time after a failure or a refusal.
 	Blocked bool
-	// Failing tells that it has not answered a request since it failed.
+	// Failing is set from a failure until the next successful request.
 	Failing bool
-	// Spare tells that it is known for when near servers can't be used.
+	// Spare is set if the server is only used while near servers are not usable.
 	Spare bool
-	// Warming tells that it is cold, and slow for that.
+	// Warming is set if the server is warming up, and slow because of that.
 	Warming bool
-	// Limit is what it says of the requests a second that it takes from all entry VMs.
+	// Limit is the request rate that the server announced as its limit for all entry VMs
+	// together.
 	Limit carobward.Limit
-	// Barred tells that it gets no request of this entry VM before Open, since it is
-	// cold, names a limit or wants a pause.
+	// Barred is set if this entry VM may not send the server a request before ThrottledUntil, because it
+	// is warming up, has a limit or asked for a pause.
 	Barred bool
 	Open   time.Time
-	// Slots is how many requests it runs at once.
+	// Slots is the number of requests that it runs at once, by its entry.
 	Slots int
-	// Own is how many of our requests it has.
+	// Own is the number of requests that this entry VM has in flight at the server.
 	Own int
-	// Overdue tells that one of ours has been there for too long.
+	// Overdue is set if one of these requests has been in flight for too long.
 	Overdue bool
-	// Trouble is the share of our requests that failed lately.
+	// Trouble is the moving average of the share of requests that failed or were refused.
 	Trouble float64
 	// Domain is its failure domain, Address where it listens.
 	Domain  carobward.Domain
 	Address carobward.Address
-	// Idle tells that there is an idle connection to it.
+	// Idle is set if there is an idle connection to the server.
 	Idle bool
-	// Report is its last word on its load.
+	// Report is its latest load report.
 	Report carobward.Report
 }
 
-// SlotCount returns how many requests the server runs at once, by its last
-// word or else by the list.
+// SlotCount returns how many requests the server runs at once, by its latest report or else by
+// its entry.
 func (v *View) SlotCount() int {
 	if v.Report.Slots > 0 {
 		return v.Report.Slots
@@ -52,8 +53,8 @@
 	return max(1, v.Slots)
 }
 
-// Expected returns the load that the server is expected to have without a
-// look: our own requests there, and its last word as far as it was more.
+// Expected returns the assumed load of a server without a health check: its latest report,
+// with at least the requests that this entry VM has in flight there.
 func (v *View) Expected() carobward.Report {
 	r := v.Report
 	r.Running = max(v.Own, r.Running)
@@ -61,18 +62,17 @@
 	return r
 }
 
-// View returns what is known of the server. Usual is the usual time of a
-// request.
+// View returns the state of the server. Usual is the usual duration of a request.
 func (s *Server) View(now time.Time, usual time.Duration) View {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
 	v := View{
-		Server: s, Leaving: s.leaves(), Barred: now.Before(s.paused), Open: s.paused, Blocked: now.Before(s.blocked), Failing: s.failures > 0, Warming: now.Before(s.warm),
-		Slots: max(1, s.backend.Slots), Own: len(s.out), Trouble: s.trouble, Domain: s.backend.Domain, Address: s.backend.Address, Report: s.report, Limit: s.limit.Limit,
+		Server: s, Leaving: s.isLeaving(), Barred: now.Before(s.pausedUntil), Open: s.pausedUntil, Blocked: now.Before(s.blockedUntil), Failing: s.failures > 0, Warming: now.Before(s.warmupEnd),
+		Slots: max(1, s.backend.Slots), Own: len(s.inFlight), Trouble: s.failureRate, Domain: s.backend.Domain, Address: s.backend.Address, Report: s.report, Limit: s.limit.Limit,
 	}
 
-	for _, f := range s.out {
+	for _, f := range s.inFlight {
 		if now.Sub(f.began) > overdueFactor*usual {
 			v.Overdue = true
 		}
@@ -81,20 +81,19 @@
 	return v
 }
 
-// Views returns what is known of the servers of a service that this entry VM
-// sends to and that are not leaving. Usual is the usual time of a request.
+// Views returns the servers of a service that are in this entry VM's subset and not leaving.
+// Usual is the usual duration of a request.
 //
-// While over half of the near servers fail or may get nothing, further servers of other
-// failure domains are among them, marked as spare. It answers the loss of all servers of
-// a failure domain whose entry VMs still get callers: with knownFar alone these crowd on
-// few servers, and refuse what others have room for. 0.896 of all requests are in time
-// with it while that lasts, 0.886 without (carobward bench worst, pattern fallen, 17 entry
-// VMs, twelve seeds).
+// While over half of the near servers fail or may not get requests, the spare servers of other
+// failure domains are included. This handles the loss of all servers of a failure domain whose
+// entry VMs still receive callers: with subsetFar servers alone, these requests concentrate on
+// few servers and are refused while others have free slots. With 17 entry VMs, 0.896 of all
+// requests finish in time with spare servers during such a loss, 0.886 without.
 func (t *Table) Views(service carobward.Service, now time.Time, usual time.Duration) []View {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
 
-	m := t.mine[service]
+	m := t.subsets[service]
 	if m == nil {
 		return nil
 	}
@@ -123,7 +122,7 @@
 	return views
 }
 
-// View returns what is known of one server, see Views.
+// View returns the state of one server, see Views.
 func (t *Table) View(s *Server, now time.Time, usual time.Duration) View {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
@@ -131,7 +130,7 @@
 	return t.view(s, now, usual)
 }
 
-// view is View; the mutex is held.
+// view is View with the mutex held.
 func (t *Table) view(s *Server, now time.Time, usual time.Duration) View {
 	v := s.View(now, usual)
 	if !v.Warming && !v.Limit.Named {
@@ -142,7 +141,7 @@
 	l := t.allowances(s, &b, now)
 
 	s.mutex.Lock()
-	v.Open = s.open(&l)
+	v.Open = s.availableAt(&l)
 	s.mutex.Unlock()
 
 	v.Barred = now.Before(v.Open)
@@ -150,8 +149,8 @@
 	return v
 }
 
-// Opens returns when the first of some servers may get a request, or the zero time where
-// one of them may get one now, or there is none.
+// Opens returns the earliest time at which one of the servers may get a request, or the zero
+// time if one may now or the list is empty.
 func Opens(views []View) time.Time {
 	var first time.Time
 
@@ -168,7 +167,7 @@
 	return first
 }
 
-// appendViews appends what is known of servers that are not leaving; the mutex is held.
+// appendViews appends the state of the servers that are not leaving. The mutex must be held.
 func (t *Table) appendViews(to []View, list []*Server, now time.Time, usual time.Duration) []View {
 	for _, s := range list {
 		if v := t.view(s, now, usual); !v.Leaving {
--- a/internal/cwbackend/words.go
+++ b/internal/cwbackend/words.go
@@ -11,20 +11,20 @@
 	"carobward.example/carobward"
 )
 
-// newsTime is for how long after it came a server's word is passed on to other entry VMs:
-// two heartbeats, one of which may be lost.
-const newsTime = 2500 * time.Millisecond
+// announceTime is how long an entry VM passes on what a server announced to it: two
+// heartbeats, one of which may be lost.
+const announceTime = 2500 * time.Millisecond
 
-// Source is where a word of a server comes from.
+// Source is how this entry VM learned what a server announces.
 type Source uint8
 
-// The sources of words.
+// The sources of announcements.
 const (
 	// ByReply: the server's reply to a request.
 	ByReply Source = iota
-	// ByLook: its answer to a health check.
+	// ByLook: the server's answer to a health check.
 	ByLook
-	// ByPeer: another entry VM, which had the server's reply.
+	// ByPeer: another entry VM, to which the server replied.
 	ByPeer
 )
 
@@ -33,57 +33,56 @@
 // String returns the source's name.
 func (s Source) String() string { return sourceNames[s] }
 
-// speakers are the servers that have said something that other entry VMs may lack. They are
-// few, where looking at all servers for each heartbeat would cost the more the more there are.
-type speakers struct {
+// announcers is the set of servers whose announcements other entry VMs may lack. It is small;
+// going through all servers for each heartbeat would cost more with every server.
+type announcers struct {
 	mutex sync.Mutex
 	all   map[*Server]struct{}
 }
 
-func newSpeakers() *speakers { return &speakers{all: map[*Server]struct{}{}} }
+func newAnnouncers() *announcers { return &announcers{all: map[*Server]struct{}{}} }
 
-// add notes a server.
-func (p *speakers) add(s *Server) {
+func (p *announcers) add(s *Server) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 
 	p.all[s] = struct{}{}
 }
 
-// list returns the servers in any order.
-func (p *speakers) list() []*Server {
+// list returns the servers in no particular order.
+func (p *announcers) list() []*Server {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 
 	return slices.Collect(maps.Keys(p.all))
 }
 
-// remove forgets a server.
-func (p *speakers) remove(s *Server) {
+func (p *announcers) remove(s *Server) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 
 	delete(p.all, s)
 }
 
-// speaks tells whether a server has said something that stands or that is still passed on.
-func (s *Server) speaks(now time.Time) bool {
+// hasAnnouncement reports whether the server has announced something that still holds or that
+// is still passed on.
+func (s *Server) hasAnnouncement(now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
-	return !s.leaving.IsZero() || s.limit.Named || now.Sub(s.limit.since) < newsTime
+	return !s.leavingSince.IsZero() || s.limit.Named || now.Sub(s.limit.changedAt) < announceTime
 }
 
-// News is what a reply changes of what is believed of its server.
+// News is what a reply changed in the state that is kept of its server.
 type News struct {
 	Limit   bool
 	Leaving bool
-	// Pause tells that it gets no requests for longer.
+	// Pause is set if the server asks for a pause that ends later than the one known.
 	Pause bool
 }
 
-// Hear takes what a reply to a request or a health check says of the server. A reply of
-// another server at the address says nothing.
+// Hear updates the state of the server from a reply to a request or a health check. A reply
+// from another server at the same address is ignored.
 func (s *Server) Hear(r *carobward.Reply, from Source, now time.Time) News {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -97,90 +96,90 @@
 	}
 
 	if r.SaysWarmup {
-		s.warm = now.Add(r.Warmup) // Newer than any entry of the list.
+		s.warmupEnd = now.Add(r.Warmup) // Newer than any entry in the list of servers.
 	}
 
-	news := News{Leaving: r.Leaving.Says() && s.leaving.IsZero(), Pause: s.hearPause(r, from, now)}
+	changes := News{Leaving: r.Leaving.Says() && s.leavingSince.IsZero(), Pause: s.extendPause(r, from, now)}
 
-	if news.Leaving {
-		s.leaving = now
-		s.speakers.add(s)
+	if changes.Leaving {
+		s.leavingSince = now
+		s.announcers.add(s)
 	}
 
-	if speaksOfLimit(r, from) {
-		news.Limit = s.takeLimit(carobward.LimitWord{Limit: r.Limit, At: now}, from)
+	if statesLimit(r, from) {
+		changes.Limit = s.mergeLimit(carobward.LimitWord{Limit: r.Limit, At: now}, from)
 	}
 
-	return news
+	return changes
 }
 
-// speaksOfLimit tells whether a reply says whether there is a limit. A refusal or a failure
-// that names none does not: it may leave out all but that, and each failure of a server in
-// need would let all entry VMs loose on it.
-func speaksOfLimit(r *carobward.Reply, from Source) bool {
+// statesLimit reports whether a reply says if the server has a limit. A refusal or a failure
+// without a limit does not: such replies may lack the header, and if each failure of an
+// overloaded server lifted its limit, all entry VMs would send to it at full rate.
+func statesLimit(r *carobward.Reply, from Source) bool {
 	return from == ByLook || r.Limit.Named || !r.Shed && r.Status < fasthttp.StatusInternalServerError
 }
 
-// hearPause takes for how long the server wants no requests, of which the latest end holds.
-// Health checks turn nobody away. The mutex is held.
-func (s *Server) hearPause(r *carobward.Reply, from Source, now time.Time) bool {
+// extendPause applies the pause that a reply asks for. The latest end counts. Replies to
+// health checks cannot pause a server. The mutex must be held.
+func (s *Server) extendPause(r *carobward.Reply, from Source, now time.Time) bool {
 	until := now.Add(r.Pause.For)
-	if from != ByReply || !r.Pause.Readable || !until.After(s.paused) || !until.After(now) {
+	if from != ByReply || !r.Pause.Readable || !until.After(s.pausedUntil) || !until.After(now) {
 		return false
 	}
 
-	s.paused = until
+	s.pausedUntil = until
 
 	return true
 }
 
-// TakeLeaving takes words of processes that leave, which other entry VMs had from them. It
-// returns those that were news.
+// TakeLeaving merges the leaving notices that other entry VMs received from servers. It
+// returns those that were new.
 func (t *Table) TakeLeaving(list []carobward.LeavingWord, now time.Time) []carobward.LeavingWord {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
 
-	var news []carobward.LeavingWord
+	var added []carobward.LeavingWord
 
 	for _, w := range list {
-		if s := t.byInstance[w.Server]; s != nil && s.takeLeaving(w, now) {
-			news = append(news, w)
+		if s := t.byInstance[w.Server]; s != nil && s.mergeLeaving(w, now) {
+			added = append(added, w)
 		}
 	}
 
-	return news
+	return added
 }
 
-func (s *Server) takeLeaving(w carobward.LeavingWord, now time.Time) bool {
+func (s *Server) mergeLeaving(w carobward.LeavingWord, now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
-	if s.backend.Start != w.Start || !s.leaving.IsZero() {
+	if s.backend.Start != w.Start || !s.leavingSince.IsZero() {
 		return false
 	}
 
-	// Long ago, so that it is not passed on as this entry VM's own.
-	s.leaving = now.Add(-newsTime)
-	s.speakers.add(s)
+	// Backdated, so that this entry VM does not pass it on as received from the server.
+	s.leavingSince = now.Add(-announceTime)
+	s.announcers.add(s)
 
 	return true
 }
 
-// Words returns what servers said that other entry VMs lack: lately to this one, or for a
-// newcomer all that stands.
+// Words returns what servers announced that other entry VMs may lack: what they announced to
+// this entry VM recently, or for a newcomer everything that holds.
 func (t *Table) Words(now time.Time, newcomer bool) carobward.ServerWords {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
 
-	said := t.said(now)
-	words := carobward.ServerWords{Limits: limits(said, now, newcomer)}
+	announcing := t.announcing(now)
+	words := carobward.ServerWords{Limits: limits(announcing, now, newcomer)}
 
-	for i, s := range said {
+	for i, s := range announcing {
 		s.mutex.Lock()
-		leaving, start := s.leaving, s.backend.Start
+		leaving, start := s.leavingSince, s.backend.Start
 		s.mutex.Unlock()
 
-		if !leaving.IsZero() && (newcomer || now.Sub(leaving) < newsTime) {
+		if !leaving.IsZero() && (newcomer || now.Sub(leaving) < announceTime) {
 			words.Leaving = append(words.Leaving, carobward.LeavingWord{Server: i, Start: start})
 		}
 	}
@@ -188,16 +187,16 @@
 	return words
 }
 
-// said returns the servers that have said something, and forgets those that have not any more;
-// the mutex is held.
-func (t *Table) said(now time.Time) map[carobward.Instance]*Server {
+// announcing returns the servers with announcements and drops those whose announcements have
+// expired. The mutex must be held.
+func (t *Table) announcing(now time.Time) map[carobward.Instance]*Server {
 	all := map[carobward.Instance]*Server{}
 
-	for _, s := range t.speakers.list() {
+	for _, s := range t.announcers.list() {
 		i := s.Backend().Instance
 
-		if t.byInstance[i] != s || !s.speaks(now) {
-			t.speakers.remove(s)
+		if t.byInstance[i] != s || !s.hasAnnouncement(now) {
+			t.announcers.remove(s)
 
 			continue
 		}
@@ -208,19 +207,19 @@
 	return all
 }
 
-// Said returns how many servers say that they leave, and how many want no requests of this
-// entry VM now.
+// Said returns how many servers announced that they are leaving, and how many currently ask
+// this entry VM to pause.
 func (t *Table) Said(now time.Time) (leaving, paused int) {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
 
 	for _, s := range t.byInstance {
 		s.mutex.Lock()
-		if !s.leaving.IsZero() {
+		if !s.leavingSince.IsZero() {
 			leaving++
 		}
 
-		if now.Before(s.paused) {
+		if now.Before(s.pausedUntil) {
 			paused++
 		}
 		s.mutex.Unlock()
@@ -229,8 +228,8 @@
 	return leaving, paused
 }
 
-// Suspended sets back when requests were sent and words of servers came, by a time that the
-// VM's clock did not count. Without it this entry VM would pass on words that are old.
+// Suspended moves back all recorded times by a period in which the VM was suspended and its
+// clock did not advance. Otherwise this entry VM would pass on outdated announcements.
 func (t *Table) Suspended(by time.Duration) {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
@@ -244,7 +243,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
-	for _, at := range []*time.Time{&s.follows, &s.limit.at, &s.limit.own, &s.limit.since, &s.leaving, &s.paused} {
+	for _, at := range []*time.Time{&s.replacedAt, &s.limit.at, &s.limit.ownAt, &s.limit.changedAt, &s.leavingSince, &s.pausedUntil} {
 		*at = carobward.SetBack(*at, by)
 	}
 
--- a/internal/cwbackend/words_fleet_test.go
+++ b/internal/cwbackend/words_fleet_test.go
@@ -11,49 +11,51 @@
 	"carobward.example/carobward"
 )
 
-// The figures of fleets that servers speak to.
+// The parameters of simulated fleets whose servers announce leaving and pauses.
 const (
-	wordsStep    = 50 * time.Millisecond
-	wordsServers = 12
-	wordsTime    = 30 * time.Second
+	announceStep    = 50 * time.Millisecond
+	announceServers = 12
+	announceSpan    = 30 * time.Second
 )
 
-// wordsVM is one entry VM of a wordsFleet.
-type wordsVM struct {
+// announceVM is an entry VM of an announceFleet.
+type announceVM struct {
 	table *Table
-	// asleep is until when it is suspended, nap for how long it was this time, slept in all.
+	// asleep is the end of its suspension, nap the length of the current one so far, slept the
+	// total.
 	asleep time.Time
 	nap    time.Duration
 	slept  time.Duration
-	// left has the processes that said to it that they leave, pauses until when servers
-	// want nothing of it.
+	// left has the processes that announced to it that they are leaving, pauses the ends of
+	// the pauses that servers asked it for.
 	left   map[carobward.LeavingWord]bool
 	pauses map[carobward.LeavingWord]time.Time
 }
 
-// wordsServer is one server.
-type wordsServer struct {
-	word    carobward.LeavingWord
+// announceServer is a simulated server.
+type announceServer struct {
+	notice  carobward.LeavingWord
 	leaving bool
 	pause   time.Duration
 }
 
-// wordsFleet is a fleet of entry VMs whose servers say that they leave and want pauses.
-type wordsFleet struct {
+// announceFleet simulates entry VMs and servers that announce that they are leaving and ask
+// for pauses.
+type announceFleet struct {
 	t       *testing.T
 	rnd     *rand.Rand
 	now     time.Time
-	vms     []*wordsVM
-	servers []*wordsServer
+	vms     []*announceVM
+	servers []*announceServer
 	sends   int
 }
 
-func newWordsFleet(t *testing.T, seed uint64, vms int) *wordsFleet {
+func newAnnounceFleet(t *testing.T, seed uint64, vms int) *announceFleet {
 	t.Helper()
 
-	f := &wordsFleet{t: t, rnd: rand.New(rand.NewPCG(seed, 1)), now: start}
-	for i := range wordsServers {
-		f.servers = append(f.servers, &wordsServer{word: carobward.LeavingWord{Server: carobward.Instance(fmt.Sprint("i-", i)), Start: 1}})
+	f := &announceFleet{t: t, rnd: rand.New(rand.NewPCG(seed, 1)), now: start}
+	for i := range announceServers {
+		f.servers = append(f.servers, &announceServer{notice: carobward.LeavingWord{Server: carobward.Instance(fmt.Sprint("i-", i)), Start: 1}})
 	}
 
 	for range vms {
@@ -63,31 +65,31 @@
 	return f
 }
 
-func (f *wordsFleet) newVM() *wordsVM {
-	v := &wordsVM{
+func (f *announceFleet) newVM() *announceVM {
+	v := &announceVM{
 		table: New(VM{ID: carobward.VMID(fmt.Sprint("vm-", f.rnd.Uint64())), Domain: "a"}),
 		left:  map[carobward.LeavingWord]bool{}, pauses: map[carobward.LeavingWord]time.Time{},
 	}
-	f.list(v)
+	f.putList(v)
 
 	return v
 }
 
-// list has an entry VM take the list of servers, which says of none that it leaves.
-func (f *wordsFleet) list(v *wordsVM) {
+// putList puts the list of servers into an entry VM's table. None is leaving by its entry.
+func (f *announceFleet) putList(v *announceVM) {
 	var list []carobward.Backend
 	for _, s := range f.servers {
-		list = append(list, carobward.Backend{Instance: s.word.Server, Start: s.word.Start, Domain: "a", Service: "records", Slots: 4})
+		list = append(list, carobward.Backend{Instance: s.notice.Server, Start: s.notice.Start, Domain: "a", Service: "records", Slots: 4})
 	}
 
 	v.table.Put(list, nil, v.clock(f.now))
 }
 
-// clock returns the time by the entry VM's clock, which stands still while it is suspended.
-func (v *wordsVM) clock(now time.Time) time.Time { return now.Add(-v.slept) }
+// clock returns the time by the entry VM's clock, which stops while it is suspended.
+func (v *announceVM) clock(now time.Time) time.Time { return now.Add(-v.slept) }
 
-// send has an entry VM send to a server that it may, and takes the answer.
-func (f *wordsFleet) send(v *wordsVM) {
+// send sends a request of an entry VM to a server that may get one.
+func (f *announceFleet) send(v *announceVM) {
 	now := v.clock(f.now)
 
 	views := v.table.Views("records", now, time.Second)
@@ -103,24 +105,24 @@
 	f.sends++
 
 	for _, s := range f.servers {
-		if s.word.Server == server.Backend().Instance {
+		if s.notice.Server == server.Backend().Instance {
 			f.arrive(v, s, server)
 		}
 	}
 }
 
-// arrive has a server answer an entry VM.
-func (f *wordsFleet) arrive(v *wordsVM, s *wordsServer, server *Server) {
-	if server.Backend().Start != s.word.Start {
+// arrive delivers a request at a server, and its reply.
+func (f *announceFleet) arrive(v *announceVM, s *announceServer, server *Server) {
+	if server.Backend().Start != s.notice.Start {
 		return // The process has ended.
 	}
 
-	if v.left[s.word] {
-		f.t.Errorf("a request at %v, which leaves", s.word)
+	if v.left[s.notice] {
+		f.t.Errorf("a request at %v, which is leaving", s.notice)
 	}
 
-	if until := v.pauses[s.word]; f.now.Before(until) {
-		f.t.Errorf("a request at %v, %s before the end of its pause", s.word, until.Sub(f.now))
+	if until := v.pauses[s.notice]; f.now.Before(until) {
+		f.t.Errorf("a request at %v, %s before the end of its pause", s.notice, until.Sub(f.now))
 	}
 
 	reply := &carobward.Reply{Status: fasthttp.StatusOK, Leaving: carobward.LeaveNotice{Named: s.leaving, Readable: s.leaving}}
@@ -128,15 +130,15 @@
 	if s.pause > 0 {
 		reply.Status, reply.Shed = fasthttp.StatusServiceUnavailable, true
 		reply.Pause = carobward.RetryNotice{Named: true, Readable: true, For: s.pause}
-		v.pauses[s.word] = f.now.Add(s.pause)
+		v.pauses[s.notice] = f.now.Add(s.pause)
 	}
 
-	v.left[s.word] = v.left[s.word] || s.leaving
+	v.left[s.notice] = v.left[s.notice] || s.leaving
 	server.Hear(reply, ByReply, v.clock(f.now))
 }
 
-// disturb changes what servers say, or harms an entry VM.
-func (f *wordsFleet) disturb() {
+// disturb changes what servers announce, or restarts or suspends an entry VM.
+func (f *announceFleet) disturb() {
 	s := f.servers[f.rnd.IntN(len(f.servers))]
 	i := f.rnd.IntN(len(f.vms))
 	pause := time.Duration(f.rnd.Int64N(int64(4 * time.Second)))
@@ -157,11 +159,11 @@
 			s.pause = 0
 		}
 	case 5:
-		s.word.Start++
+		s.notice.Start++
 		s.leaving, s.pause = false, 0
 
 		for _, v := range f.vms {
-			f.list(v)
+			f.putList(v)
 		}
 	case 6:
 		f.vms[i] = f.newVM()
@@ -170,12 +172,12 @@
 	}
 }
 
-// step has each entry VM that runs send once, and pass words on.
-func (f *wordsFleet) step() {
+// step lets each running entry VM send a request and sometimes pass on announcements.
+func (f *announceFleet) step() {
 	for i, v := range f.vms {
 		if f.now.Before(v.asleep) {
-			v.slept += wordsStep
-			v.nap += wordsStep
+			v.slept += announceStep
+			v.nap += announceStep
 
 			continue
 		}
@@ -192,19 +194,19 @@
 		}
 	}
 
-	f.now = f.now.Add(wordsStep)
+	f.now = f.now.Add(announceStep)
 }
 
-// TestWordsHistory plays fleets whose servers say that they leave, and want pauses, in series
-// and overlapping, beside entry VMs that start again and are suspended. No request may come
-// to a process that said to the same entry VM that it leaves, nor within a pause; servers
-// are used all the same.
+// TestWordsHistory simulates servers that announce leaving and ask for pauses, in turn and at
+// the same time, while entry VMs restart and are suspended. No process may get a request from
+// an entry VM to which it announced that it is leaving, nor during a pause that it asked for.
+// The servers must still be used.
 func TestWordsHistory(t *testing.T) {
 	for name, vms := range map[string]int{"17": 17, "127": 127, "472": 472} {
 		t.Run(name, func(t *testing.T) {
-			f := newWordsFleet(t, uint64(vms), vms)
+			f := newAnnounceFleet(t, uint64(vms), vms)
 
-			for end := f.now.Add(wordsTime); f.now.Before(end); {
+			for end := f.now.Add(announceSpan); f.now.Before(end); {
 				f.step()
 
 				if f.rnd.IntN(4) == 0 {
--- a/internal/cwbackend/words_test.go
+++ b/internal/cwbackend/words_test.go
@@ -10,9 +10,9 @@
 	"carobward.example/carobward"
 )
 
-// TestSpeaksOfLimit has replies against whether they say if their server has a limit: each
-// that names one, and of the others only good ones of the server itself. A failure that took
-// a limit back would let all entry VMs loose on a server in need, at each of its failures.
+// TestSpeaksOfLimit checks which replies state whether their server has a limit: each one with
+// a limit, and of the others only successful ones from the server itself. If failures lifted a
+// limit, all entry VMs would send to an overloaded server at full rate after each of them.
 func TestSpeaksOfLimit(t *testing.T) {
 	named := carobward.Limit{Named: true, Readable: true, Rate: 1.4}
 
@@ -20,23 +20,23 @@
 		reply carobward.Reply
 		want  bool
 	}{
-		"an answer":                     {carobward.Reply{Status: fasthttp.StatusOK}, true},
-		"an answer that names one":      {carobward.Reply{Status: fasthttp.StatusOK, Limit: named}, true},
+		"a success":                     {carobward.Reply{Status: fasthttp.StatusOK}, true},
+		"a success with a limit":        {carobward.Reply{Status: fasthttp.StatusOK, Limit: named}, true},
 		"not found, by the server":      {carobward.Reply{Status: fasthttp.StatusNotFound}, true},
 		"a refusal":                     {carobward.Reply{Status: fasthttp.StatusServiceUnavailable, Shed: true}, false},
-		"a refusal that names one":      {carobward.Reply{Status: fasthttp.StatusServiceUnavailable, Shed: true, Limit: named}, true},
+		"a refusal with a limit":        {carobward.Reply{Status: fasthttp.StatusServiceUnavailable, Shed: true, Limit: named}, true},
 		"a failure":                     {carobward.Reply{Status: fasthttp.StatusInternalServerError}, false},
-		"a failure that names one":      {carobward.Reply{Status: fasthttp.StatusInternalServerError, Limit: named}, true},
-		"its time limit":                {carobward.Reply{Status: fasthttp.StatusGatewayTimeout}, false},
+		"a failure with a limit":        {carobward.Reply{Status: fasthttp.StatusInternalServerError, Limit: named}, true},
+		"a timeout":                     {carobward.Reply{Status: fasthttp.StatusGatewayTimeout}, false},
 		"another server at the address": {carobward.Reply{Status: fasthttp.StatusMisdirectedRequest, Shed: true, Limit: named}, false},
 		"another instance":              {carobward.Reply{Status: fasthttp.StatusOK, Instance: "i-2", Limit: named}, false},
 		"its own instance":              {carobward.Reply{Status: fasthttp.StatusOK, Instance: "i-1", Limit: named}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newServer(carobward.Backend{Instance: "i-1"}, newSpeakers(), start)
+			s := newServer(carobward.Backend{Instance: "i-1"}, newAnnouncers(), start)
 			s.TakeLimit(carobward.LimitWord{Limit: carobward.Limit{Named: true, Readable: true, Rate: 9}, At: start}, ByReply)
 
-			// One that speaks of it names another one, or takes it back.
+			// A reply that states the limit changes or lifts it.
 			if got := s.Hear(&c.reply, ByReply, start.Add(time.Second)).Limit; got != c.want || (s.limit.Rate != 9) != c.want {
 				t.Errorf("%v, %v", got, s.limit.Limit)
 			}
@@ -44,24 +44,24 @@
 	}
 }
 
-// TestHearLeaving has what a server says against whether it may get a request: nothing once
-// it said that it leaves, until another process has its instance.
+// TestHearLeaving checks whether a server may get a request after a reply: none once it has
+// announced that it is leaving, until another process has its instance.
 func TestHearLeaving(t *testing.T) {
 	leaves := carobward.LeaveNotice{Named: true, Readable: true}
 
 	for name, c := range map[string]struct {
 		reply carobward.Reply
 		from  Source
-		// next is the start of the process whose entry comes after the reply.
+		// next is the start of the process in the entry that comes after the reply.
 		next carobward.Start
 		want bool
 	}{
 		"nothing":                       {carobward.Reply{Status: fasthttp.StatusOK}, ByReply, 1, true},
-		"in an answer":                  {carobward.Reply{Status: fasthttp.StatusOK, Leaving: leaves}, ByReply, 1, false},
+		"in a success":                  {carobward.Reply{Status: fasthttp.StatusOK, Leaving: leaves}, ByReply, 1, false},
 		"in a refusal":                  {carobward.Reply{Status: fasthttp.StatusServiceUnavailable, Shed: true, Leaving: leaves}, ByReply, 1, false},
 		"in a failure":                  {carobward.Reply{Status: fasthttp.StatusInternalServerError, Leaving: leaves}, ByReply, 1, false},
 		"in a health check":             {carobward.Reply{Status: fasthttp.StatusOK, Leaving: leaves}, ByLook, 1, false},
-		"a value that can't be read":    {carobward.Reply{Status: fasthttp.StatusOK, Leaving: carobward.LeaveNotice{Named: true}}, ByReply, 1, true},
+		"an unreadable value":           {carobward.Reply{Status: fasthttp.StatusOK, Leaving: carobward.LeaveNotice{Named: true}}, ByReply, 1, true},
 		"another server at the address": {carobward.Reply{Status: fasthttp.StatusMisdirectedRequest, Shed: true, Leaving: leaves}, ByReply, 1, true},
 		"another instance":              {carobward.Reply{Status: fasthttp.StatusOK, Instance: "i-2", Leaving: leaves}, ByLook, 1, true},
 		"before the next process":       {carobward.Reply{Status: fasthttp.StatusOK, Leaving: leaves}, ByReply, 2, true},
@@ -87,40 +87,40 @@
 	}
 }
 
-// TestHearPause has refusals one after the other against when the server may get the next
-// request: at the latest end of the times that it named.
+// TestHearPause checks when a server may get the next request after a sequence of refusals: at
+// the latest end of the pauses that it asked for.
 func TestHearPause(t *testing.T) {
-	type word struct {
-		after, pause time.Duration
-		readable     bool
-		from         Source
+	type pause struct {
+		after, length time.Duration
+		readable      bool
+		from          Source
 	}
 
 	for name, c := range map[string]struct {
-		words []word
-		want  time.Duration
+		pauses []pause
+		want   time.Duration
 	}{
 		"none":                 {nil, 0},
-		"a time":               {[]word{{0, 4 * time.Second, true, ByReply}}, 4 * time.Second},
-		"a fraction":           {[]word{{0, 1500 * time.Millisecond, true, ByReply}}, 1500 * time.Millisecond},
-		"zero":                 {[]word{{time.Second, 0, true, ByReply}}, 0},
-		"can't be read":        {[]word{{time.Second, 0, false, ByReply}}, 0},
-		"in a health check":    {[]word{{0, 4 * time.Second, true, ByLook}}, 0},
-		"a shorter one later":  {[]word{{0, 4 * time.Second, true, ByReply}, {time.Second, time.Second, true, ByReply}}, 4 * time.Second},
-		"a longer one later":   {[]word{{0, 4 * time.Second, true, ByReply}, {time.Second, 4 * time.Second, true, ByReply}}, 5 * time.Second},
-		"unreadable after one": {[]word{{0, 4 * time.Second, true, ByReply}, {time.Second, 0, false, ByReply}}, 4 * time.Second},
+		"a time":               {[]pause{{0, 4 * time.Second, true, ByReply}}, 4 * time.Second},
+		"a fraction":           {[]pause{{0, 1500 * time.Millisecond, true, ByReply}}, 1500 * time.Millisecond},
+		"zero":                 {[]pause{{time.Second, 0, true, ByReply}}, 0},
+		"unreadable":           {[]pause{{time.Second, 0, false, ByReply}}, 0},
+		"in a health check":    {[]pause{{0, 4 * time.Second, true, ByLook}}, 0},
+		"a shorter one later":  {[]pause{{0, 4 * time.Second, true, ByReply}, {time.Second, time.Second, true, ByReply}}, 4 * time.Second},
+		"a longer one later":   {[]pause{{0, 4 * time.Second, true, ByReply}, {time.Second, 4 * time.Second, true, ByReply}}, 5 * time.Second},
+		"unreadable after one": {[]pause{{0, 4 * time.Second, true, ByReply}, {time.Second, 0, false, ByReply}}, 4 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := New(VM{ID: "vm-1", Domain: "a"})
 			table.Put([]carobward.Backend{{Instance: "i-1", Domain: "a", Service: "records"}}, nil, start)
 			s := table.byInstance["i-1"]
 
-			for _, w := range c.words {
-				reply := &carobward.Reply{Status: fasthttp.StatusServiceUnavailable, Shed: true, Pause: carobward.RetryNotice{Named: true, Readable: w.readable, For: w.pause}}
+			for _, w := range c.pauses {
+				reply := &carobward.Reply{Status: fasthttp.StatusServiceUnavailable, Shed: true, Pause: carobward.RetryNotice{Named: true, Readable: w.readable, For: w.length}}
 				s.Hear(reply, w.from, start.Add(w.after))
 			}
 
-			// Two seconds later, and right at the end.
+			// Two seconds later, and just before and at the end.
 			for _, at := range []time.Duration{2 * time.Second, c.want - time.Millisecond, c.want} {
 				now := start.Add(at)
 				v := table.View(s, now, time.Second)
@@ -131,18 +131,18 @@
 			}
 
 			if c.want > 0 && table.Admit(s, start.Add(c.want-time.Millisecond)) {
-				t.Error("admitted before the end")
+				t.Error("admitted before the end of the pause")
 			}
 
 			if !table.Admit(s, start.Add(c.want)) {
-				t.Error("not admitted after the end")
+				t.Error("not admitted at the end of the pause")
 			}
 		})
 	}
 }
 
-// TestLeavingWords wants what a server said of its leaving to go to other entry VMs for a
-// while and to newcomers always, and to hold for just that process.
+// TestLeavingWords checks that a leaving notice is passed to other entry VMs for some time and
+// to newcomers always, and that it applies to that process only.
 func TestLeavingWords(t *testing.T) {
 	b := carobward.Backend{Instance: "i-1", Domain: "a", Service: "records", Start: 1}
 	from, to, next := New(VM{ID: "vm-1", Domain: "a"}), New(VM{ID: "vm-2", Domain: "a"}), New(VM{ID: "vm-3", Domain: "a"})
@@ -160,23 +160,23 @@
 		t.Error(diff)
 	}
 
-	if late := from.Words(start.Add(newsTime), false).Leaving; len(late) > 0 {
-		t.Errorf("%v long after", late)
+	if late := from.Words(start.Add(announceTime), false).Leaving; len(late) > 0 {
+		t.Errorf("%v still passed on later", late)
 	}
 
 	if diff := cmp.Diff(want, from.Words(start.Add(time.Hour), true).Leaving); diff != "" {
 		t.Error(diff)
 	}
 
-	if news := to.TakeLeaving(want, start); len(news) != 1 || to.Has(to.byInstance["i-1"].Backend()) {
-		t.Errorf("%v taken", news)
+	if added := to.TakeLeaving(want, start); len(added) != 1 || to.Has(to.byInstance["i-1"].Backend()) {
+		t.Errorf("%v were new", added)
 	}
 
 	if again := to.TakeLeaving(want, start); len(again) > 0 || len(to.Words(start, false).Leaving) > 0 {
-		t.Errorf("%v taken again, or passed on", again)
+		t.Errorf("%v new again, or passed on", again)
 	}
 
-	if news := next.TakeLeaving(want, start); len(news) > 0 || !next.Has(next.byInstance["i-1"].Backend()) {
-		t.Errorf("%v taken for the next process", news)
+	if added := next.TakeLeaving(want, start); len(added) > 0 || !next.Has(next.byInstance["i-1"].Backend()) {
+		t.Errorf("%v new for the next process", added)
 	}
 }
