--- a/internal/cwpick/pick.go
+++ b/internal/cwpick/pick.go
@@ -1,6 +1,6 @@
-// Package cwpick decides which server gets a request: whom to look at, and
-// which of those that were looked at is the best. It is pure over the table's
-// views.
+// Package cwpick chooses the server for a request: which servers to health check, and which of
+// those is the best. It works on views of the server table only and keeps no state of its own
+// beside Times.
 package cwpick
 
 import (
@@ -11,34 +11,34 @@
 	"carobward.example/carobward/internal/cwbackend"
 )
 
-// The weights of the choice.
+// The weights of the cost function, in usual request durations unless noted.
 const (
-	// kneeShare is the part of the slots in use above which some servers slow
-	// down. By how much is learned.
+	// kneeShare is the share of a server's slots in use above which some servers slow down. By
+	// how much is learned, see Times.
 	kneeShare = 0.8
-	// awayCost is the cost of another failure domain, in usual times: less for
-	// the way than for the bytes, which are paid for.
-	awayCost = 0.3
-	// fillCost is the cost of a server's slots in use. Among servers alike,
-	// the one with more free slots stays good for longer.
+	// crossDomainCost is the cost of a server in another failure domain. It stands less for
+	// the latency than for the traffic, which is billed.
+	crossDomainCost = 0.3
+	// fillCost is the cost of a server with all slots in use. Among equal servers, one with
+	// more free slots stays a good choice for longer.
 	fillCost = 0.1
-	// troubleCost is the cost of a server all of whose requests failed lately.
-	troubleCost = 4
-	// overdueCost is the cost of a server where one of ours is overdue.
+	// failureCost is the cost of a server all of whose recent requests failed.
+	failureCost = 4
+	// overdueCost is the cost of a server with an overdue request of this entry VM.
 	overdueCost = 4
 )
 
-// Crowded tells whether one more request takes a server above the part of its
-// slots at which some servers slow down.
+// Crowded reports whether one more request takes a server above the share of its slots at
+// which some servers slow down.
 func Crowded(r *carobward.Report, slots int) bool {
 	return float64(r.Running+1) > kneeShare*float64(slots)
 }
 
-// Time returns how long a request would take at a server, in usual times.
+// Time returns the expected duration of a request at a server, in usual durations.
 func Time(v *cwbackend.View, f Factors) float64 {
 	r := &v.Report
 	slots := v.SlotCount()
-	// A request keeps the pace that its server's machine has when it begins.
+	// The speed of the server's machine when a request begins applies to the whole request.
 	out := max(1, r.Slowness)
 
 	if Crowded(r, slots) {
@@ -49,7 +49,7 @@
 		out *= f.Cold
 	}
 
-	// Each request ahead beyond the free slots waits for one to be freed.
+	// Each request ahead of it beyond the free slots delays it until a slot is free.
 	if ahead := r.Running + r.Queued + 1 - slots; ahead > 0 {
 		out += out * float64(ahead) / float64(slots)
 	}
@@ -57,8 +57,9 @@
 	return out
 }
 
-// Alone returns how long a request would take at a server that had no other, in usual
-// times. A server of few slots may be crowded by one.
+// Alone returns the expected duration of a request at a server without other requests, in
+// usual durations. At a server with few slots, a single request may be enough for it to be
+// crowded.
 func Alone(v *cwbackend.View, f Factors) float64 {
 	empty := *v
 	empty.Report.Running, empty.Report.Queued = 0, 0
@@ -66,36 +67,36 @@
 	return Time(&empty, f)
 }
 
-// Cost returns what speaks against a server: the time that a request would
-// take there, in usual times, and what makes another one better all the same.
+// Cost returns the cost of choosing a server: the expected duration of the request, in usual
+// durations, plus penalties for other reasons against the server.
 func Cost(v *cwbackend.View, f Factors, home carobward.Domain) float64 {
 	cost := Time(v, f)
 	cost += fillCost * float64(v.Report.Running) / float64(v.SlotCount())
-	cost += troubleCost * v.Trouble
+	cost += failureCost * v.Trouble
 
 	if v.Overdue {
 		cost += overdueCost
 	}
 
 	if v.Domain != home {
-		cost += awayCost
+		cost += crossDomainCost
 	}
 
 	return cost
 }
 
-// newShare is the share of draws in which a server without an idle connection
-// may come before those with one. New connections are paid for, and without
-// any new one the choice would narrow to a few servers.
-const newShare = 0.1
+// newConnShare is the share of draws in which servers without an idle connection are equal to
+// those with one. New connections cost time and traffic, but without any the choice would
+// narrow to a few servers.
+const newConnShare = 0.1
 
-// Random is where random choices come from: a rand.Rand, or Global.
+// Random is a source of randomness: a rand.Rand, or Global.
 type Random interface {
 	Float64() float64
 	Shuffle(n int, swap func(i, j int))
 }
 
-// Global is the random source that all goroutines share.
+// Global is the random source shared by all goroutines.
 type Global struct{}
 
 // Float64 implements Random.
@@ -104,43 +105,41 @@
 // Shuffle implements Random.
 func (Global) Shuffle(n int, swap func(i, j int)) { rand.Shuffle(n, swap) }
 
-// The measures of looking at servers before a request is sent.
+// The parameters of health checks before a request is sent.
 const (
-	// Width is how many servers are looked at at once. Of four, with a quarter of
-	// the machines slowed at any moment, one is at its usual speed in 99.6 of 100
-	// looks.
+	// Width is the number of servers that are health checked at once. With a quarter of the
+	// machines slow at any moment, at least one of four is at its usual speed in 99.6 % of
+	// cases.
 	Width = 4
-	// Rounds bounds the rounds of looking for a better server.
+	// Rounds is the largest number of rounds of health checks for one request.
 	Rounds = 2
 )
 
-// FirstRound returns the round of looks that a request begins with. One for which
-// servers were looked at in vain makes only the last one: where all are full more
-// looks at once find no more room, and looks are few. While a third of the servers
-// is slow 0.852 are in time, 0.837 with both rounds each time, and in bursts of a
-// fleet of 127 entry VMs 0.798, and 0.781 (carobward bench worst, patterns slow and
-// bursts, twelve and two seeds).
-func FirstRound(vain bool) int {
-	if vain {
+// FirstRound returns the first round of health checks for a request. After health checks for
+// it that found no server, only the last round is made: where all servers are full, more
+// checks find no free slots and only add load. While a third of the servers is slow, 0.852 of
+// requests finish in time with this rule and 0.837 if both rounds are always made; in bursts
+// with 127 entry VMs, 0.798 and 0.781.
+func FirstRound(failed bool) int {
+	if failed {
 		return Rounds - 1
 	}
 
 	return 0
 }
 
-// Draw returns up to n servers to look at, at random among those that may get
-// a request: those of the home domain before the others, and of these those
-// with an idle connection before the others. Blocked ones are looked at only
-// where there is no other. In rounds after the first one half of the places goes to
-// other failure domains: where two thirds of the callers are in one of three, 0.99
-// of the requests are in time, 0.93 where near servers come first in each round
-// (carobward bench worst, pattern lean, 127 entry VMs, four seeds).
+// Draw returns up to n servers to health check, at random among those that may get a request:
+// those of the home domain first, and of these those with an idle connection first. Blocked
+// ones are only drawn if there are no others. In rounds after the first, half of the places go
+// to other failure domains: where two thirds of the callers are in one of three failure
+// domains, 0.99 of requests finish in time, and 0.93 if near servers come first in every round
+// (127 entry VMs).
 func Draw(
 	random Random, views []cwbackend.View, n int, home carobward.Domain, seen map[*cwbackend.Server]bool, round int,
 ) []cwbackend.View {
 	var idle, near, far, blocked []cwbackend.View
 
-	fresh := random.Float64() < newShare
+	fresh := random.Float64() < newConnShare
 
 	for i := range views {
 		v := &views[i]
@@ -181,11 +180,11 @@
 	random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 }
 
-// Free returns how many more requests of a rank, out of so many ranks, a
-// server takes, below zero where it has more already. The most urgent ones may
-// queue for a while, the least urgent ones leave a slot free for others. Spared
-// slots are left to others beside that, if the server has more. Crowd is how many
-// times longer requests take at a crowded server.
+// Free returns how many more requests of a rank, out of so many ranks, a server takes, or a
+// number below zero if it has too many. Requests of the most urgent rank may queue for a
+// while, those of the least urgent leave a slot free for others. Spared slots are left to
+// others in addition, but at least one is used. Crowd is the factor by which requests take
+// longer at a crowded server.
 func Free(v *cwbackend.View, rank, ranks, spared int, crowd float64) int {
 	if v.Barred {
 		return 0
@@ -207,8 +206,8 @@
 	return max(1, most-spared) - r.Running - r.Queued
 }
 
-// usefulSlots returns how many of a server's slots add to its throughput:
-// where crowding costs more than the last slots bring, those are left empty.
+// usefulSlots returns how many of a server's slots add to its throughput. Where crowding costs
+// more throughput than the last slots add, those are left free.
 func usefulSlots(slots int, crowd float64) int {
 	below := max(1, int(kneeShare*float64(slots)))
 	if float64(slots)/crowd < float64(below) {
--- a/internal/cwpick/pick_bench_test.go
+++ b/internal/cwpick/pick_bench_test.go
@@ -9,9 +9,8 @@
 	"carobward.example/carobward/internal/cwbackend"
 )
 
-// BenchmarkChoice has the cost of one choice without the looks themselves: the
-// views of the servers that an entry VM knows, a draw of four of them, and what
-// speaks against each.
+// BenchmarkChoice makes one choice without the health checks themselves: the views of an entry
+// VM's subset, a draw of four servers, and the cost of each.
 func BenchmarkChoice(b *testing.B) {
 	const (
 		servers = 12
--- a/internal/cwpick/pick_test.go
+++ b/internal/cwpick/pick_test.go
@@ -12,7 +12,7 @@
 
 const home = carobward.Domain("a")
 
-// view returns a server at home with a report.
+// view returns a server in the home domain with a report.
 func view(running, queued int, slowness float64) cwbackend.View {
 	return cwbackend.View{
 		Server: &cwbackend.Server{}, Slots: 4, Domain: home,
@@ -20,7 +20,7 @@
 	}
 }
 
-// TestCost has pairs of which the first must be preferred.
+// TestCost checks pairs of servers of which the first must have the lower cost.
 func TestCost(t *testing.T) {
 	factors := Factors{Crowd: 1.5, Cold: 2}
 
@@ -36,10 +36,10 @@
 		"a crowded one to a slow one":   {view(3, 0, 1), view(0, 0, 5)},
 		"a queue to a slow machine":     {view(4, 1, 1), view(0, 0, 5)},
 		"no queue":                      {view(3, 0, 1), view(4, 2, 1)},
-		"home":                          {view(1, 0, 1), with(view(1, 0, 1), func(v *cwbackend.View) { v.Domain = "b" })},
-		"away to a slow one at home":    {with(view(1, 0, 1), func(v *cwbackend.View) { v.Domain = "b" }), view(1, 0, 2)},
-		"a warm one":                    {view(2, 0, 1), with(view(0, 0, 1), func(v *cwbackend.View) { v.Warming = true })},
-		"one that answers":              {view(3, 0, 1), with(view(0, 0, 1), func(v *cwbackend.View) { v.Trouble = 0.5 })},
+		"the home domain":               {view(1, 0, 1), with(view(1, 0, 1), func(v *cwbackend.View) { v.Domain = "b" })},
+		"another domain to a slow one":  {with(view(1, 0, 1), func(v *cwbackend.View) { v.Domain = "b" }), view(1, 0, 2)},
+		"a warmed-up one":               {view(2, 0, 1), with(view(0, 0, 1), func(v *cwbackend.View) { v.Warming = true })},
+		"one without failures":          {view(3, 0, 1), with(view(0, 0, 1), func(v *cwbackend.View) { v.Trouble = 0.5 })},
 		"one where nothing is overdue":  {view(3, 0, 1), with(view(0, 0, 1), func(v *cwbackend.View) { v.Overdue = true })},
 		"one without a report to a bad": {cwbackend.View{Slots: 4, Domain: home}, view(3, 0, 1)},
 	} {
@@ -51,7 +51,7 @@
 	}
 }
 
-// TestFree wants urgent work to have room longer than other work.
+// TestFree checks that urgent requests are accepted when others are not.
 func TestFree(t *testing.T) {
 	for name, c := range map[string]struct {
 		running, rank, ranks int
@@ -60,18 +60,18 @@
 		spared               int
 	}{
 		"the least urgent leaves a slot": {3, 2, 3, false, 1, 0},
-		"and takes the others":           {2, 2, 3, true, 1, 0},
-		"the next takes all slots":       {3, 1, 3, true, 1, 0},
+		"but takes the others":           {2, 2, 3, true, 1, 0},
+		"the next one takes all slots":   {3, 1, 3, true, 1, 0},
 		"and no more":                    {4, 1, 3, false, 1, 0},
 		"the most urgent may queue":      {5, 0, 3, true, 1, 0},
-		"for a while":                    {6, 0, 3, false, 1, 0},
-		"one kind of work alone":         {3, 0, 1, true, 1, 0},
-		"does not queue":                 {4, 0, 1, false, 1, 0},
-		"where crowding costs more":      {3, 1, 3, false, 1.6, 0},
-		"than the last slot brings":      {2, 1, 3, true, 1.6, 0},
-		"and where it costs less":        {3, 1, 3, true, 1.2, 0},
+		"but not without bound":          {6, 0, 3, false, 1, 0},
+		"a single rank":                  {3, 0, 1, true, 1, 0},
+		"a single rank does not queue":   {4, 0, 1, false, 1, 0},
+		"crowding costs more":            {3, 1, 3, false, 1.6, 0},
+		"crowding costs more, one less":  {2, 1, 3, true, 1.6, 0},
+		"crowding costs less":            {3, 1, 3, true, 1.2, 0},
 		"a slot is spared":               {3, 0, 1, false, 1, 1},
-		"and the others are not":         {2, 0, 1, true, 1, 1},
+		"the other slots are not":        {2, 0, 1, true, 1, 1},
 		"one slot at least is used":      {0, 0, 1, true, 1, 9},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -83,8 +83,8 @@
 	}
 }
 
-// TestAlone wants the time at a server without other requests: those that it has
-// count for nothing, its speed and a crowding by one alone do.
+// TestAlone checks the expected duration at a server without other requests: requests that it
+// already has do not count, but its speed does, and so does crowding by the request itself.
 func TestAlone(t *testing.T) {
 	const crowd = 1.8
 
@@ -95,14 +95,14 @@
 		"one of four slots":  {4, 4, 3, 1, 1},
 		"a slow machine":     {4, 0, 0, 5, 5},
 		"its only slot":      {1, 1, 2, 1, crowd},
-		"its only, and slow": {1, 0, 0, 2, 2 * crowd},
+		"its only one, slow": {1, 0, 0, 2, 2 * crowd},
 	} {
 		t.Run(name, func(t *testing.T) {
 			v := view(c.running, c.queued, c.slowness)
 			v.Report.Slots = c.slots
 
 			if got := Alone(&v, Factors{Crowd: crowd}); got != c.want {
-				t.Errorf("%.2f usual times, want %.2f", got, c.want)
+				t.Errorf("%.2f usual durations, want %.2f", got, c.want)
 			}
 
 			if v.Report.Running != c.running || v.Report.Queued != c.queued {
@@ -112,7 +112,7 @@
 	}
 }
 
-// TestDraw checks who is looked at.
+// TestDraw checks which servers are drawn for health checks.
 func TestDraw(t *testing.T) {
 	near, far, blocked, cold := view(0, 0, 1), view(0, 0, 1), view(0, 0, 1), view(0, 0, 1)
 	near.Idle = true
@@ -149,16 +149,16 @@
 	}
 
 	if got := draw(all, 4, near.Server, cold.Server, far.Server); len(got) != 1 || got[0] != blocked.Server {
-		t.Error("the blocked one is not the last resort")
+		t.Error("the blocked server is not drawn when there is no other")
 	}
 
 	if got := draw(nil, 4); len(got) != 0 {
-		t.Error("drawn from nothing")
+		t.Error("servers drawn from an empty list")
 	}
 }
 
-// TestDrawRounds wants later rounds to look at other failure domains, too: near ones
-// may have no room for as long as the callers of their own are many.
+// TestDrawRounds checks that later rounds also draw servers of other failure domains: near
+// ones may be full for as long as their own failure domain has many callers.
 func TestDrawRounds(t *testing.T) {
 	var views []cwbackend.View
 
--- a/internal/cwpick/times.go
+++ b/internal/cwpick/times.go
@@ -2,91 +2,90 @@
 
 import "time"
 
-// The figures of what is learned from answers.
+// The parameters of learning from response times.
 const (
-	// usualFirst is the time of an answer where none is known, as a part of
-	// the objective: servers are fit for their objectives.
-	usualFirst = 0.4
-	// usualShare is the weight of one answer in a moving average.
-	usualShare = 0.05
-	// crowdShare is the least weight of one answer of a crowded server. They are
-	// few, and a burst is over in seconds, so that the first ones weigh more: with 60
-	// entry VMs 0.73 of the requests are in time in bursts, 0.68 with 0.1 for each
-	// (carobward bench worst --pattern bursts --vms 60 --seeds 12).
-	crowdShare = 0.1
-	// crowdFirst is how many times longer answers take at crowded servers
-	// where it is not known, coldFirst at cold ones, and factorMost bounds what is
-	// learned.
-	crowdFirst = 1.3
-	coldFirst  = 2
-	factorMost = 4
+	// usualDefault is the assumed duration of a request before any is known, as a part of the
+	// objective: servers are expected to meet their objectives.
+	usualDefault = 0.4
+	// usualWeight is the weight of one response in a moving average.
+	usualWeight = 0.05
+	// minFactorWeight is the least weight of one response in the average of a factor.
+	// Responses of slowed servers are few and a burst is over in seconds, so the first ones
+	// weigh more: with 60 entry VMs, 0.73 of requests in bursts finish in time, and 0.68 with
+	// a weight of 0.1 for each.
+	minFactorWeight = 0.1
+	// crowdDefault is the assumed factor by which responses take longer at crowded servers
+	// before any is known, warmupDefault that at servers that are warming up. maxFactor bounds
+	// the learned factors.
+	crowdDefault  = 1.3
+	warmupDefault = 2
+	maxFactor     = 4
 )
 
-// Factors are how many times longer answers take where something slows a server down,
-// beside the slowness of its machine.
+// Factors are the factors by which responses take longer at servers that are slowed, in
+// addition to the slowness of the machine.
 type Factors struct {
-	// Crowd is for servers above the part of their slots at which some slow down, Cold
-	// for those that have just started.
+	// Crowd is for servers above the share of their slots in use at which some slow down, Cold
+	// for servers that are warming up.
 	Crowd, Cold float64
 }
 
-// factor is a moving average of how many times longer answers take, and how many it is
-// of.
+// factor is a moving average of the factor by which responses take longer, and the number of
+// responses in it.
 type factor struct {
 	mean    float64
 	answers int
 }
 
-// learn takes how many times longer one answer took.
+// learn adds the factor of one response.
 func (f *factor) learn(times float64) {
 	f.answers++
-	f.mean += max(crowdShare, 1/float64(1+f.answers)) * (min(factorMost, max(1, times)) - f.mean)
+	f.mean += max(minFactorWeight, 1/float64(1+f.answers)) * (min(maxFactor, max(1, times)) - f.mean)
 }
 
-// Times is what the answers of one service tell of how long its servers take. It
-// is not safe for use by several goroutines.
+// Times has the learned response times of the servers of one service. It is not safe for
+// concurrent use.
 type Times struct {
-	// usual is the moving average of the time of an answer on a machine at its
-	// usual speed, by the objective of the route: routes with other objectives
-	// ask for other work.
-	usual       map[time.Duration]float64
-	crowd, cold factor
+	// usual is the moving average of the response time on a machine at its usual speed, by the
+	// objective of the route: routes with other objectives are for other kinds of requests.
+	usual         map[time.Duration]float64
+	crowd, warmup factor
 }
 
-// NewTimes returns what is assumed where nothing is known.
+// NewTimes returns Times with the defaults.
 func NewTimes() *Times {
-	return &Times{usual: map[time.Duration]float64{}, crowd: factor{mean: crowdFirst}, cold: factor{mean: coldFirst}}
+	return &Times{usual: map[time.Duration]float64{}, crowd: factor{mean: crowdDefault}, warmup: factor{mean: warmupDefault}}
 }
 
-// Usual returns the usual time of an answer on routes with an objective.
+// Usual returns the usual response time on routes with an objective.
 func (t *Times) Usual(objective time.Duration) time.Duration {
 	if u := t.usual[objective]; u > 0 {
 		return time.Duration(u)
 	}
 
-	return time.Duration(usualFirst * float64(objective))
+	return time.Duration(usualDefault * float64(objective))
 }
 
-// Crowding returns how many times longer answers take at crowded servers.
+// Crowding returns the factor by which responses take longer at crowded servers.
 func (t *Times) Crowding() float64 { return t.crowd.mean }
 
-// Factors returns how many times longer answers take at slowed servers.
-func (t *Times) Factors() Factors { return Factors{Crowd: t.crowd.mean, Cold: t.cold.mean} }
+// Factors returns the factors by which responses take longer at slowed servers.
+func (t *Times) Factors() Factors { return Factors{Crowd: t.crowd.mean, Cold: t.warmup.mean} }
 
-// Learn takes the time of one answer, with the slowness of the server's machine
-// when the request was sent, and whether the server was crowded or cold then. One that
-// was both tells nothing of either.
-func (t *Times) Learn(objective, took time.Duration, slowness float64, crowded, cold bool) {
+// Learn adds the duration of one response, with the slowness of the server's machine when the
+// request was sent and whether the server was crowded or warming up then. If it was both, the
+// duration cannot be attributed to either and is ignored.
+func (t *Times) Learn(objective, took time.Duration, slowness float64, crowded, warming bool) {
 	usual := float64(t.Usual(objective))
 	own := float64(took) / max(1, slowness)
 
 	switch {
-	case crowded && cold:
+	case crowded && warming:
 	case crowded:
 		t.crowd.learn(own / usual)
-	case cold:
-		t.cold.learn(own / usual)
+	case warming:
+		t.warmup.learn(own / usual)
 	default:
-		t.usual[objective] = usual + usualShare*(own-usual)
+		t.usual[objective] = usual + usualWeight*(own-usual)
 	}
 }
