--- a/internal/cwrank/compare.go
+++ b/internal/cwrank/compare.go
@@ -1,6 +1,6 @@
 package cwrank
 
-// CompareBool orders false before true, as cmp.Compare does numbers.
+// CompareBool orders false before true, like cmp.Compare does numbers.
 func CompareBool(a, b bool) int {
 	switch {
 	case a == b:
--- a/internal/cwrank/compare_test.go
+++ b/internal/cwrank/compare_test.go
@@ -9,7 +9,7 @@
 	"carobward.example/carobward/internal/cwrank"
 )
 
-// TestCompareBool sorts by it.
+// TestCompareBool checks the order by sorting a list.
 func TestCompareBool(t *testing.T) {
 	got := []bool{true, false, true, false}
 	slices.SortFunc(got, cwrank.CompareBool)
--- a/internal/cwrank/rank_test.go
+++ b/internal/cwrank/rank_test.go
@@ -5,19 +5,19 @@
 	"testing"
 )
 
-// TestWeight wants similar names to share things evenly, and one that goes to
-// move only its own.
+// TestWeight checks that similar names share keys evenly, and that removing a name only moves
+// its own keys.
 func TestWeight(t *testing.T) {
 	const (
-		names  = 20
-		things = 20_000
-		even   = things / names
+		names = 20
+		keys  = 20_000
+		even  = keys / names
 	)
 
-	first := func(n int, thing string) int {
+	first := func(n int, key string) int {
 		best := 0
 		for i := range n {
-			if Weight(fmt.Sprintf("front-hall-%d", i), thing) > Weight(fmt.Sprintf("front-hall-%d", best), thing) {
+			if Weight(fmt.Sprintf("front-hall-%d", i), key) > Weight(fmt.Sprintf("front-hall-%d", best), key) {
 				best = i
 			}
 		}
@@ -25,33 +25,33 @@
 		return best
 	}
 
-	had := map[int]int{}
+	counts := map[int]int{}
 
-	for i := range things {
-		thing := fmt.Sprintf("i-%04x", i)
-		all := first(names, thing)
-		had[all]++
+	for i := range keys {
+		key := fmt.Sprintf("i-%04x", i)
+		all := first(names, key)
+		counts[all]++
 
-		if less := first(names-1, thing); all != names-1 && less != all {
-			t.Fatalf("%s moved from %d to %d, which had nothing to do with it", thing, all, less)
+		if less := first(names-1, key); all != names-1 && less != all {
+			t.Fatalf("%s moved from %d to %d, though neither is the removed name", key, all, less)
 		}
 	}
 
 	for i := range names {
-		if n := had[i]; n < even*8/10 || n > even*12/10 {
-			t.Errorf("name %d got %d things of %d each", i, n, even)
+		if n := counts[i]; n < even*8/10 || n > even*12/10 {
+			t.Errorf("name %d got %d keys, an even share is %d", i, n, even)
 		}
 	}
 }
 
-// TestMix wants names to share things as evenly as Weight has them: of 20 names
-// each is among the first 4 for a fifth of the things.
+// TestMix checks that names share keys as evenly as with Weight: each of 20 names is among the
+// first 4 for a fifth of the keys.
 func TestMix(t *testing.T) {
 	const (
-		names  = 20
-		things = 20_000
-		first  = 4
-		even   = things * first / names
+		names = 20
+		keys  = 20_000
+		first = 4
+		even  = keys * first / names
 	)
 
 	var hashes [names]uint64
@@ -59,49 +59,49 @@
 		hashes[n] = Hash(fmt.Sprintf("front-hall-%d", n))
 	}
 
-	had := map[int]int{}
+	counts := map[int]int{}
 
-	for i := range things {
-		thing := Hash(fmt.Sprintf("i-%04x", i))
+	for i := range keys {
+		key := Hash(fmt.Sprintf("i-%04x", i))
 
 		for n := range names {
-			own, before := Mix(hashes[n], thing), 0
+			own, rank := Mix(hashes[n], key), 0
 
 			for other := range names {
-				if Mix(hashes[other], thing) > own {
-					before++
+				if Mix(hashes[other], key) > own {
+					rank++
 				}
 			}
 
-			if before < first {
-				had[n]++
+			if rank < first {
+				counts[n]++
 			}
 		}
 	}
 
 	for n := range names {
-		if got := had[n]; got < even*95/100 || got > even*105/100 {
-			t.Errorf("name %d is among the first for %d things, %d are even", n, got, even)
+		if got := counts[n]; got < even*95/100 || got > even*105/100 {
+			t.Errorf("name %d is among the first for %d keys, an even share is %d", n, got, even)
 		}
 	}
 }
 
-// TestMixStays wants the weight to be the same in each build, as TestWeightStays.
+// TestMixStays checks that the weight is the same in each build, like TestWeightStays.
 func TestMixStays(t *testing.T) {
 	if got := Mix(Hash("front-1"), Hash("i-1")); got != 0xf284042301cb3706 {
 		t.Errorf("%#x", got)
 	}
 }
 
-// TestWeightKeepsApart wants the two texts not to run together.
+// TestWeightKeepsApart checks that the two strings are separated.
 func TestWeightKeepsApart(t *testing.T) {
 	if Weight("ab", "c") == Weight("a", "bc") || Weight("a", "") == Weight("", "a") {
-		t.Error("different pairs have one weight")
+		t.Error("different pairs have the same weight")
 	}
 }
 
-// TestWeightStays wants the weight to be the same in each build: entry VMs of two
-// versions run side by side while they are replaced.
+// TestWeightStays checks that the weight is the same in each build: entry VMs of two versions
+// run side by side during a rollout.
 func TestWeightStays(t *testing.T) {
 	if got := Weight("front-1", "i-1"); got != 0x2fe1c82514b0120 {
 		t.Errorf("%#x", got)
@@ -117,11 +117,11 @@
 }
 
 func BenchmarkMix(b *testing.B) {
-	name, thing := Hash("front-ifrane-hall-12"), Hash("i-7f3a91c2")
+	name, key := Hash("front-ifrane-hall-12"), Hash("i-7f3a91c2")
 
 	b.ReportAllocs()
 
 	for b.Loop() {
-		thing = Mix(name, thing)
+		key = Mix(name, key)
 	}
 }
