--- a/internal/cwbackend/limit.go
+++ b/internal/cwbackend/limit.go
@@ -82,7 +82,7 @@
 
 	l.at = w.At
 
-	if from == ByLook {
+	if from == ByHealthCheck {
 		l.inHealth = w.Limit.Named
 	}
 
@@ -111,7 +111,7 @@
 		// Announcements relayed by third entry VMs would circulate without ever expiring. They
 		// only count where no limit is known yet.
 		return false
-	case from == ByLook && !w.Limit.Named:
+	case from == ByHealthCheck && !w.Limit.Named:
 		// If its answers to health checks have not stated the limit, their silence does not
 		// lift it.
 		return l.inHealth
--- a/internal/cwbackend/limit_test.go
+++ b/internal/cwbackend/limit_test.go
@@ -196,15 +196,15 @@
 		want          carobward.Limit
 	}{
 		"named":                        {[]announcement{{rate(2), ByReply, false, 1, true}}, rate(2)},
-		"by a health check":            {[]announcement{{rate(2), ByLook, false, 1, true}}, rate(2)},
+		"by a health check":            {[]announcement{{rate(2), ByHealthCheck, false, 1, true}}, rate(2)},
 		"by a peer":                    {[]announcement{{rate(2), ByPeer, false, 1, true}}, rate(2)},
 		"once more":                    {[]announcement{{rate(2), ByReply, false, 1, true}, {rate(2), ByReply, false, 2, false}}, rate(2)},
 		"changed":                      {[]announcement{{rate(2), ByReply, false, 1, true}, {rate(3), ByReply, false, 2, true}}, rate(3)},
 		"lifted":                       {[]announcement{{rate(2), ByReply, false, 1, true}, {carobward.Limit{}, ByReply, false, 2, true}}, carobward.Limit{}},
 		"lifted, by a peer":            {[]announcement{{rate(2), ByReply, false, 1, true}, {carobward.Limit{}, ByPeer, false, 2, true}}, carobward.Limit{}},
 		"an older announcement":        {[]announcement{{rate(2), ByReply, false, 2, true}, {rate(3), ByPeer, false, 1, false}}, rate(2)},
-		"none in a health check":       {[]announcement{{rate(2), ByReply, false, 1, true}, {carobward.Limit{}, ByLook, false, 2, false}}, rate(2)},
-		"none in a later health check": {[]announcement{{rate(2), ByLook, false, 1, true}, {carobward.Limit{}, ByLook, false, 2, true}}, carobward.Limit{}},
+		"none in a health check":       {[]announcement{{rate(2), ByReply, false, 1, true}, {carobward.Limit{}, ByHealthCheck, false, 2, false}}, rate(2)},
+		"none in a later health check": {[]announcement{{rate(2), ByHealthCheck, false, 1, true}, {carobward.Limit{}, ByHealthCheck, false, 2, true}}, carobward.Limit{}},
 		"unreadable, after one":        {[]announcement{{rate(2), ByReply, false, 1, true}, {unreadable, ByReply, false, 2, false}}, rate(2)},
 		"unreadable, first":            {[]announcement{{unreadable, ByReply, false, 1, true}}, unreadable},
 		"of the previous process":      {[]announcement{{rate(2), ByPeer, false, -1, false}}, carobward.Limit{}},
--- a/internal/cwbackend/words.go
+++ b/internal/cwbackend/words.go
@@ -22,13 +22,13 @@
 const (
 	// ByReply: the server's reply to a request.
 	ByReply Source = iota
-	// ByLook: the server's answer to a health check.
-	ByLook
+	// ByHealthCheck: the server's answer to a health check.
+	ByHealthCheck
 	// ByPeer: another entry VM, to which the server replied.
 	ByPeer
 )
 
-var sourceNames = [...]string{ByReply: "reply", ByLook: "look", ByPeer: "peer"}
+var sourceNames = [...]string{ByReply: "reply", ByHealthCheck: "look", ByPeer: "peer"}
 
 // String returns the source's name.
 func (s Source) String() string { return sourceNames[s] }
@@ -117,7 +117,7 @@
 // without a limit does not: such replies may lack the header, and if each failure of an
 // overloaded server lifted its limit, all entry VMs would send to it at full rate.
 func statesLimit(r *carobward.Reply, from Source) bool {
-	return from == ByLook || r.Limit.Named || !r.Shed && r.Status < fasthttp.StatusInternalServerError
+	return from == ByHealthCheck || r.Limit.Named || !r.Shed && r.Status < fasthttp.StatusInternalServerError
 }
 
 // extendPause applies the pause that a reply asks for. The latest end counts. Replies to
--- a/internal/cwbackend/words_test.go
+++ b/internal/cwbackend/words_test.go
@@ -60,10 +60,10 @@
 		"in a success":                  {carobward.Reply{Status: fasthttp.StatusOK, Leaving: leaves}, ByReply, 1, false},
 		"in a refusal":                  {carobward.Reply{Status: fasthttp.StatusServiceUnavailable, Shed: true, Leaving: leaves}, ByReply, 1, false},
 		"in a failure":                  {carobward.Reply{Status: fasthttp.StatusInternalServerError, Leaving: leaves}, ByReply, 1, false},
-		"in a health check":             {carobward.Reply{Status: fasthttp.StatusOK, Leaving: leaves}, ByLook, 1, false},
+		"in a health check":             {carobward.Reply{Status: fasthttp.StatusOK, Leaving: leaves}, ByHealthCheck, 1, false},
 		"an unreadable value":           {carobward.Reply{Status: fasthttp.StatusOK, Leaving: carobward.LeaveNotice{Named: true}}, ByReply, 1, true},
 		"another server at the address": {carobward.Reply{Status: fasthttp.StatusMisdirectedRequest, Shed: true, Leaving: leaves}, ByReply, 1, true},
-		"another instance":              {carobward.Reply{Status: fasthttp.StatusOK, Instance: "i-2", Leaving: leaves}, ByLook, 1, true},
+		"another instance":              {carobward.Reply{Status: fasthttp.StatusOK, Instance: "i-2", Leaving: leaves}, ByHealthCheck, 1, true},
 		"before the next process":       {carobward.Reply{Status: fasthttp.StatusOK, Leaving: leaves}, ByReply, 2, true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -105,7 +105,7 @@
 		"a fraction":           {[]pause{{0, 1500 * time.Millisecond, true, ByReply}}, 1500 * time.Millisecond},
 		"zero":                 {[]pause{{time.Second, 0, true, ByReply}}, 0},
 		"unreadable":           {[]pause{{time.Second, 0, false, ByReply}}, 0},
-		"in a health check":    {[]pause{{0, 4 * time.Second, true, ByLook}}, 0},
+		"in a health check":    {[]pause{{0, 4 * time.Second, true, ByHealthCheck}}, 0},
 		"a shorter one later":  {[]pause{{0, 4 * time.Second, true, ByReply}, {time.Second, time.Second, true, ByReply}}, 4 * time.Second},
 		"a longer one later":   {[]pause{{0, 4 * time.Second, true, ByReply}, {time.Second, 4 * time.Second, true, ByReply}}, 5 * time.Second},
 		"unreadable after one": {[]pause{{0, 4 * time.Second, true, ByReply}, {time.Second, 0, false, ByReply}}, 4 * time.Second},
--- a/internal/cwfront/health_check.go
+++ b/internal/cwfront/health_check.go
@@ -37,7 +37,7 @@
 	}
 
 	r.state.recordCheckTime(r.front.Clock.Now().Sub(began))
-	r.recordNotices(v.Server, reply, cwbackend.ByLook)
+	r.recordNotices(v.Server, reply, cwbackend.ByHealthCheck)
 
 	if reply.Leaving.Says() {
 		return c
