--- a/internal/cwbackend/words.go
+++ b/internal/cwbackend/words.go
@@ -73,8 +73,8 @@
 	return !s.leavingSince.IsZero() || s.limit.Named || now.Sub(s.limit.changedAt) < announceTime
 }
 
-// News is what a reply changed in the state that is kept of its server.
-type News struct {
+// Changes is what a reply changed in the state that is kept of its server.
+type Changes struct {
 	Limit   bool
 	Leaving bool
 	// Pause is set if the server asks for a pause that ends later than the one known.
@@ -83,12 +83,12 @@
 
 // Hear updates the state of the server from a reply to a request or a health check. A reply
 // from another server at the same address is ignored.
-func (s *Server) Hear(r *carobward.Reply, from Source, now time.Time) News {
+func (s *Server) Hear(r *carobward.Reply, from Source, now time.Time) Changes {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
 	if r.Status == fasthttp.StatusMisdirectedRequest || r.Instance != "" && r.Instance != s.backend.Instance {
-		return News{}
+		return Changes{}
 	}
 
 	if !r.Report.At.IsZero() && r.Report.At.After(s.report.At) {
@@ -99,7 +99,7 @@
 		s.warmupEnd = now.Add(r.Warmup) // Newer than any entry in the list of servers.
 	}
 
-	changes := News{Leaving: r.Leaving.Says() && s.leavingSince.IsZero(), Pause: s.extendPause(r, from, now)}
+	changes := Changes{Leaving: r.Leaving.Says() && s.leavingSince.IsZero(), Pause: s.extendPause(r, from, now)}
 
 	if changes.Leaving {
 		s.leavingSince = now
