--- a/internal/cwbackend/cold_test.go
+++ b/internal/cwbackend/cold_test.go
@@ -314,7 +314,7 @@
 
 				if c.answers[i] != none {
 					reply := &carobward.Reply{Warmup: time.Duration(c.answers[i]) * time.Second, SaysWarmup: true}
-					table.byInstance[b.Instance].Hear(reply, ByHealthCheck, now)
+					table.byInstance[b.Instance].ApplyReply(reply, ByHealthCheck, now)
 				}
 			}
 
--- a/internal/cwbackend/words.go
+++ b/internal/cwbackend/words.go
@@ -81,9 +81,9 @@
 	Pause bool
 }
 
-// Hear updates the state of the server from a reply to a request or a health check. A reply
+// ApplyReply updates the state of the server from a reply to a request or a health check. A reply
 // from another server at the same address is ignored.
-func (s *Server) Hear(r *carobward.Reply, from Source, now time.Time) Changes {
+func (s *Server) ApplyReply(r *carobward.Reply, from Source, now time.Time) Changes {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
--- a/internal/cwbackend/words_fleet_test.go
+++ b/internal/cwbackend/words_fleet_test.go
@@ -134,7 +134,7 @@
 	}
 
 	v.left[s.notice] = v.left[s.notice] || s.leaving
-	server.Hear(reply, ByReply, v.clock(f.now))
+	server.ApplyReply(reply, ByReply, v.clock(f.now))
 }
 
 // disturb changes what servers announce, or restarts or suspends an entry VM.
--- a/internal/cwbackend/words_test.go
+++ b/internal/cwbackend/words_test.go
@@ -37,7 +37,7 @@
 			s.TakeLimit(carobward.LimitWord{Limit: carobward.Limit{Named: true, Readable: true, Rate: 9}, At: start}, ByReply)
 
 			// A reply that states the limit changes or lifts it.
-			if got := s.Hear(&c.reply, ByReply, start.Add(time.Second)).Limit; got != c.want || (s.limit.Rate != 9) != c.want {
+			if got := s.ApplyReply(&c.reply, ByReply, start.Add(time.Second)).Limit; got != c.want || (s.limit.Rate != 9) != c.want {
 				t.Errorf("%v, %v", got, s.limit.Limit)
 			}
 		})
@@ -70,7 +70,7 @@
 			table := New(VM{ID: "vm-1", Domain: "a"})
 			b := carobward.Backend{Instance: "i-1", Domain: "a", Service: "records", Start: 1}
 			table.Put([]carobward.Backend{b}, nil, start)
-			table.byInstance["i-1"].Hear(&c.reply, c.from, start)
+			table.byInstance["i-1"].ApplyReply(&c.reply, c.from, start)
 
 			b.Start = c.next
 			table.Put([]carobward.Backend{b}, nil, start.Add(time.Second))
@@ -117,7 +117,7 @@
 
 			for _, w := range c.pauses {
 				reply := &carobward.Reply{Status: fasthttp.StatusServiceUnavailable, Shed: true, Pause: carobward.RetryNotice{Named: true, Readable: w.readable, For: w.length}}
-				s.Hear(reply, w.from, start.Add(w.after))
+				s.ApplyReply(reply, w.from, start.Add(w.after))
 			}
 
 			// Two seconds later, and just before and at the end.
@@ -153,7 +153,7 @@
 
 	b.Start = 2
 	next.Put([]carobward.Backend{b}, nil, start)
-	from.byInstance["i-1"].Hear(&carobward.Reply{Status: fasthttp.StatusOK, Leaving: carobward.LeaveNotice{Named: true, Readable: true}}, ByReply, start)
+	from.byInstance["i-1"].ApplyReply(&carobward.Reply{Status: fasthttp.StatusOK, Leaving: carobward.LeaveNotice{Named: true, Readable: true}}, ByReply, start)
 
 	want := []carobward.LeavingWord{{Server: "i-1", Start: 1}}
 	if diff := cmp.Diff(want, from.Words(start.Add(time.Second), false).Leaving); diff != "" {
--- a/internal/cwfront/notice.go
+++ b/internal/cwfront/notice.go
@@ -10,7 +10,7 @@
 func (r *request) recordNotices(s *cwbackend.Server, reply *carobward.Reply, from cwbackend.Source) {
 	f := r.front
 	b := s.Backend()
-	news := s.Hear(reply, from, f.Clock.Now())
+	news := s.ApplyReply(reply, from, f.Clock.Now())
 
 	if news.Limit {
 		l := reply.Limit
--- a/internal/lab/cwbench/worst_choice.go
+++ b/internal/lab/cwbench/worst_choice.go
@@ -94,7 +94,7 @@
 			continue
 		} else if looks {
 			view.Report = s.report()
-			view.Server.Hear(&carobward.Reply{Report: view.Report}, cwbackend.ByHealthCheck, v.run.now())
+			view.Server.ApplyReply(&carobward.Reply{Report: view.Report}, cwbackend.ByHealthCheck, v.run.now())
 			v.pace.Add(cwpick.Alone(&view, v.times.Factors()))
 
 			if v.run.way.Central { // It knows what is on its way.
--- a/internal/lab/cwbench/worst_vm.go
+++ b/internal/lab/cwbench/worst_vm.go
@@ -266,7 +266,7 @@
 	}
 
 	server.End(q.number, w.now(), cwbackend.Answered)
-	server.Hear(&carobward.Reply{Report: report}, cwbackend.ByReply, w.now())
+	server.ApplyReply(&carobward.Reply{Report: report}, cwbackend.ByReply, w.now())
 	v.times.Learn(w.pattern.Objective, w.now().Sub(q.at), q.report.Slowness, cwpick.Crowded(&q.report, w.pattern.Slots), false)
 	w.finish(r, true, false)
 
