--- a/internal/cwbackend/backend_test.go
+++ b/internal/cwbackend/backend_test.go
@@ -81,14 +81,14 @@
 func TestLooked(t *testing.T) {
 	s := newServer(backend(1, "a"), newAnnouncers(), start)
 	s.End(s.Begin(start, func() {}), start, Broken)
-	s.Looked(start, Answered)
+	s.RecordHealthCheck(start, Answered)
 
 	if !s.View(start, usual).Blocked {
 		t.Error("a successful health check cleared a failure")
 	}
 
 	s = newServer(backend(1, "a"), newAnnouncers(), start)
-	s.Looked(start, Silent)
+	s.RecordHealthCheck(start, Silent)
 
 	if !s.View(start, usual).Blocked {
 		t.Error("a health check without a response did not block")
@@ -303,7 +303,7 @@
 	}
 
 	for i, s := range near {
-		s.Looked(start, Silent)
+		s.RecordHealthCheck(start, Silent)
 
 		if _, got := spare(); got > 0 != (2*(len(near)-i-1) < len(near)) {
 			t.Errorf("%d spare servers with %d of %d near ones not responding", got, i+1, len(near))
--- a/internal/cwbackend/server.go
+++ b/internal/cwbackend/server.go
@@ -152,9 +152,9 @@
 	s.recordOutcome(now, o)
 }
 
-// Looked records the outcome of a health check. Success does not clear earlier failures: a
+// RecordHealthCheck records the outcome of a health check. Success does not clear earlier failures: a
 // server may pass health checks and still fail requests.
-func (s *Server) Looked(now time.Time, o Outcome) {
+func (s *Server) RecordHealthCheck(now time.Time, o Outcome) {
 	if o != Broken && o != Silent {
 		return
 	}
--- a/internal/cwfront/forward.go
+++ b/internal/cwfront/forward.go
@@ -36,7 +36,7 @@
 		o = cwbackend.Silent
 	}
 
-	s.Looked(f.Clock.Now(), o)
+	s.RecordHealthCheck(f.Clock.Now(), o)
 	f.Log.Info("A health check of a server failed.", "id", r.id, "service", r.service, "server", i, "outcome", o.String(), "cause", err.Error())
 }
 
--- a/internal/cwfront/stream.go
+++ b/internal/cwfront/stream.go
@@ -73,7 +73,7 @@
 	cause := "the caller stopped reading"
 	if b.err != nil {
 		cause = b.err.Error()
-		b.server.Looked(f.Clock.Now(), cwbackend.Broken)
+		b.server.RecordHealthCheck(f.Clock.Now(), cwbackend.Broken)
 	}
 
 	f.Log.Info("A streamed reply ended early.", "id", b.id, "server", b.server.Backend().Instance,
--- a/internal/lab/cwbench/worst_choice.go
+++ b/internal/lab/cwbench/worst_choice.go
@@ -89,7 +89,7 @@
 		view.Report = view.Expected()
 
 		if s := v.servers[view.Address]; looks && s.gone() {
-			view.Server.Looked(v.run.now(), cwbackend.Silent)
+			view.Server.RecordHealthCheck(v.run.now(), cwbackend.Silent)
 
 			continue
 		} else if looks {
