--- a/internal/cwbackend/cost_test.go
+++ b/internal/cwbackend/cost_test.go
@@ -96,6 +96,6 @@
 	b.ReportAllocs()
 
 	for b.Loop() {
-		t.Words(now, false)
+		t.Announcements(now, false)
 	}
 }
--- a/internal/cwbackend/limit_fleet_test.go
+++ b/internal/cwbackend/limit_fleet_test.go
@@ -211,7 +211,7 @@
 	}
 
 	m.nextBeat = f.now.Add(time.Second)
-	list := v.table.Words(f.clock(v), false).Limits
+	list := v.table.Announcements(f.clock(v), false).Limits
 	f.requestLimits(v)
 
 	for _, o := range f.vms {
@@ -231,7 +231,7 @@
 	o := f.vms[f.rnd.IntN(len(f.vms))]
 	if o != v && o.domain == v.domain && o.alive && !v.cut && !o.cut && !f.now.Before(f.states[o].asleep) {
 		f.wake(o)
-		f.passLimits(o, v, o.table.Words(f.clock(o), true).Limits)
+		f.passLimits(o, v, o.table.Announcements(f.clock(o), true).Limits)
 	}
 }
 
--- a/internal/cwbackend/limit_test.go
+++ b/internal/cwbackend/limit_test.go
@@ -259,7 +259,7 @@
 	want := map[carobward.Instance]carobward.Limit{list[1].Instance: rate(1), list[2].Instance: {}}
 	got := map[carobward.Instance]carobward.Limit{}
 
-	for _, w := range table.Words(start.Add(10*time.Second), false).Limits {
+	for _, w := range table.Announcements(start.Add(10*time.Second), false).Limits {
 		got[w.Server] = w.Limit
 	}
 
@@ -268,14 +268,14 @@
 	}
 
 	// The lifted one is included since it is recent.
-	if n := len(table.Words(start.Add(10*time.Second), true).Limits); n != 4 {
+	if n := len(table.Announcements(start.Add(10*time.Second), true).Limits); n != 4 {
 		t.Errorf("%d limits for a newcomer", n)
 	}
 
 	// After a suspension, during which the clock did not advance, they are old.
 	table.Suspended(10 * time.Second)
 
-	if diff := cmp.Diff([]carobward.LimitWord(nil), table.Words(start.Add(10*time.Second), false).Limits, cmpopts.EquateEmpty()); diff != "" {
+	if diff := cmp.Diff([]carobward.LimitWord(nil), table.Announcements(start.Add(10*time.Second), false).Limits, cmpopts.EquateEmpty()); diff != "" {
 		t.Error(diff)
 	}
 
--- a/internal/cwbackend/words.go
+++ b/internal/cwbackend/words.go
@@ -165,9 +165,9 @@
 	return true
 }
 
-// Words returns what servers announced that other entry VMs may lack: what they announced to
+// Announcements returns what servers announced that other entry VMs may lack: what they announced to
 // this entry VM recently, or for a newcomer everything that holds.
-func (t *Table) Words(now time.Time, newcomer bool) carobward.ServerWords {
+func (t *Table) Announcements(now time.Time, newcomer bool) carobward.ServerWords {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
 
--- a/internal/cwbackend/words_test.go
+++ b/internal/cwbackend/words_test.go
@@ -156,15 +156,15 @@
 	from.byInstance["i-1"].ApplyReply(&carobward.Reply{Status: fasthttp.StatusOK, Leaving: carobward.LeaveNotice{Named: true, Readable: true}}, ByReply, start)
 
 	want := []carobward.LeavingWord{{Server: "i-1", Start: 1}}
-	if diff := cmp.Diff(want, from.Words(start.Add(time.Second), false).Leaving); diff != "" {
+	if diff := cmp.Diff(want, from.Announcements(start.Add(time.Second), false).Leaving); diff != "" {
 		t.Error(diff)
 	}
 
-	if late := from.Words(start.Add(announceTime), false).Leaving; len(late) > 0 {
+	if late := from.Announcements(start.Add(announceTime), false).Leaving; len(late) > 0 {
 		t.Errorf("%v still passed on later", late)
 	}
 
-	if diff := cmp.Diff(want, from.Words(start.Add(time.Hour), true).Leaving); diff != "" {
+	if diff := cmp.Diff(want, from.Announcements(start.Add(time.Hour), true).Leaving); diff != "" {
 		t.Error(diff)
 	}
 
@@ -172,7 +172,7 @@
 		t.Errorf("%v were new", added)
 	}
 
-	if again := to.TakeLeaving(want, start); len(again) > 0 || len(to.Words(start, false).Leaving) > 0 {
+	if again := to.TakeLeaving(want, start); len(again) > 0 || len(to.Announcements(start, false).Leaving) > 0 {
 		t.Errorf("%v new again, or passed on", again)
 	}
 
