--- a/internal/cwbackend/words.go
+++ b/internal/cwbackend/words.go
@@ -207,9 +207,9 @@
 	return all
 }
 
-// Said returns how many servers announced that they are leaving, and how many currently ask
+// LeavingAndPaused returns how many servers announced that they are leaving, and how many currently ask
 // this entry VM to pause.
-func (t *Table) Said(now time.Time) (leaving, paused int) {
+func (t *Table) LeavingAndPaused(now time.Time) (leaving, paused int) {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
 
--- a/internal/cwgateway/tick.go
+++ b/internal/cwgateway/tick.go
@@ -121,12 +121,12 @@
 	})
 	g.metrics.Gauge("gateway", "limited", func() int64 { return int64(len(g.servers.Limited(g.Clock.Now()))) })
 	g.metrics.Gauge("gateway", "leaving", func() int64 {
-		leaving, _ := g.servers.Said(g.Clock.Now())
+		leaving, _ := g.servers.LeavingAndPaused(g.Clock.Now())
 
 		return int64(leaving)
 	})
 	g.metrics.Gauge("gateway", "paused", func() int64 {
-		_, paused := g.servers.Said(g.Clock.Now())
+		_, paused := g.servers.LeavingAndPaused(g.Clock.Now())
 
 		return int64(paused)
 	})
