--- a/internal/cwbackend/words.go
+++ b/internal/cwbackend/words.go
@@ -133,9 +133,9 @@
 	return true
 }
 
-// TakeLeaving merges the leaving notices that other entry VMs received from servers. It
+// MergeLeaving merges the leaving notices that other entry VMs received from servers. It
 // returns those that were new.
-func (t *Table) TakeLeaving(list []carobward.LeavingWord, now time.Time) []carobward.LeavingWord {
+func (t *Table) MergeLeaving(list []carobward.LeavingWord, now time.Time) []carobward.LeavingWord {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
 
--- a/internal/cwbackend/words_fleet_test.go
+++ b/internal/cwbackend/words_fleet_test.go
@@ -190,7 +190,7 @@
 		f.send(v)
 
 		if f.rnd.IntN(20) == 0 {
-			f.vms[(i+1)%len(f.vms)].table.TakeLeaving(v.table.Announcements(v.clock(f.now), false).Leaving, f.now)
+			f.vms[(i+1)%len(f.vms)].table.MergeLeaving(v.table.Announcements(v.clock(f.now), false).Leaving, f.now)
 		}
 	}
 
--- a/internal/cwbackend/words_test.go
+++ b/internal/cwbackend/words_test.go
@@ -168,15 +168,15 @@
 		t.Error(diff)
 	}
 
-	if added := to.TakeLeaving(want, start); len(added) != 1 || to.Has(to.byInstance["i-1"].Backend()) {
+	if added := to.MergeLeaving(want, start); len(added) != 1 || to.Has(to.byInstance["i-1"].Backend()) {
 		t.Errorf("%v were new", added)
 	}
 
-	if again := to.TakeLeaving(want, start); len(again) > 0 || len(to.Announcements(start, false).Leaving) > 0 {
+	if again := to.MergeLeaving(want, start); len(again) > 0 || len(to.Announcements(start, false).Leaving) > 0 {
 		t.Errorf("%v new again, or passed on", again)
 	}
 
-	if added := next.TakeLeaving(want, start); len(added) > 0 || !next.Has(next.byInstance["i-1"].Backend()) {
+	if added := next.MergeLeaving(want, start); len(added) > 0 || !next.Has(next.byInstance["i-1"].Backend()) {
 		t.Errorf("%v new for the next process", added)
 	}
 }
--- a/internal/cwgateway/limit.go
+++ b/internal/cwgateway/limit.go
@@ -10,7 +10,7 @@
 func (g *Gateway) takeWords(words carobward.ServerWords, from carobward.VMID) {
 	now := g.Clock.Now()
 
-	for _, w := range g.servers.TakeLeaving(words.Leaving, now) {
+	for _, w := range g.servers.MergeLeaving(words.Leaving, now) {
 		g.log.Info("A server says that it leaves, it gets nothing more.", "server", w.Server, "start", w.Start, "from", "peer", "vm", from)
 	}
 
