--- a/internal/cwbackend/limit.go
+++ b/internal/cwbackend/limit.go
@@ -152,9 +152,9 @@
 	return allowance{maxRequests: 1, window: recheck, from: l.at.Add(recheck)}
 }
 
-// TakeLimits merges the limits that other entry VMs received from servers. It returns those
+// MergeLimits merges the limits that other entry VMs received from servers. It returns those
 // that were new.
-func (t *Table) TakeLimits(list []carobward.LimitWord) []carobward.LimitWord {
+func (t *Table) MergeLimits(list []carobward.LimitWord) []carobward.LimitWord {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
 
--- a/internal/cwbackend/limit_fleet_test.go
+++ b/internal/cwbackend/limit_fleet_test.go
@@ -242,7 +242,7 @@
 		words[i].At = f.clock(to).Add(words[i].At.Sub(f.clock(from)))
 	}
 
-	to.table.TakeLimits(words)
+	to.table.MergeLimits(words)
 }
 
 // send sends requests of an entry VM to each server that may get one, to a server without a
--- a/internal/cwbackend/limit_test.go
+++ b/internal/cwbackend/limit_test.go
@@ -281,7 +281,7 @@
 
 	// It knows nothing yet about a server that has never announced anything.
 	last := carobward.LimitWord{Server: list[6].Instance, Limit: rate(1), At: start, Passed: true}
-	if changed := table.TakeLimits([]carobward.LimitWord{last}); len(changed) != 1 {
+	if changed := table.MergeLimits([]carobward.LimitWord{last}); len(changed) != 1 {
 		t.Error("the first announcement of a server was ignored")
 	}
 }
@@ -299,17 +299,17 @@
 		return []carobward.LimitWord{{Server: b.Instance, Limit: rate(r), At: start.Add(after)}}
 	}
 
-	table.TakeLimits(word(1, time.Second))
+	table.MergeLimits(word(1, time.Second))
 
 	b.Start = 2
 	table.Put([]carobward.Backend{b}, nil, start.Add(3*time.Second))
-	table.TakeLimits(word(2, 2*time.Second))
+	table.MergeLimits(word(2, 2*time.Second))
 
 	if list := table.Limited(start.Add(4 * time.Second)); len(list) > 0 {
 		t.Errorf("%+v", list)
 	}
 
-	table.TakeLimits(word(3, 5*time.Second))
+	table.MergeLimits(word(3, 5*time.Second))
 
 	list := table.Limited(start.Add(6 * time.Second))
 	if len(list) != 1 || list[0].Limit != rate(3) {
--- a/internal/cwgateway/limit.go
+++ b/internal/cwgateway/limit.go
@@ -14,7 +14,7 @@
 		g.log.Info("A server says that it leaves, it gets nothing more.", "server", w.Server, "start", w.Start, "from", "peer", "vm", from)
 	}
 
-	for _, w := range g.servers.TakeLimits(words.Limits) {
+	for _, w := range g.servers.MergeLimits(words.Limits) {
 		g.log.Info("A server's limit has changed.", "server", w.Server, "named", w.Limit.Named, "rate", w.Limit.Rate,
 			"from", "peer", "vm", from, "age", now.Sub(w.At).Milliseconds())
 	}
