--- a/internal/cwbackend/limit.go
+++ b/internal/cwbackend/limit.go
@@ -50,10 +50,10 @@
 	inHealth bool
 }
 
-// TakeLimit merges an announcement of the server's limit and reports whether it changed the
+// MergeLimit merges an announcement of the server's limit and reports whether it changed the
 // known limit. An unreadable value does not replace a known limit: the server still needs one,
 // but how high it is cannot be derived.
-func (s *Server) TakeLimit(w carobward.LimitWord, from Source) bool {
+func (s *Server) MergeLimit(w carobward.LimitWord, from Source) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
@@ -161,7 +161,7 @@
 	var added []carobward.LimitWord
 
 	for _, w := range list {
-		if s := t.byInstance[w.Server]; s != nil && s.TakeLimit(w, ByPeer) {
+		if s := t.byInstance[w.Server]; s != nil && s.MergeLimit(w, ByPeer) {
 			added = append(added, w)
 		}
 	}
--- a/internal/cwbackend/limit_fleet_test.go
+++ b/internal/cwbackend/limit_fleet_test.go
@@ -198,7 +198,7 @@
 		since[instance] = f.now
 	}
 
-	r.server.TakeLimit(carobward.LimitWord{Server: instance, Limit: l, At: f.clock(r.vm)}, ByReply)
+	r.server.MergeLimit(carobward.LimitWord{Server: instance, Limit: l, At: f.clock(r.vm)}, ByReply)
 }
 
 // sendHeartbeat sends a heartbeat with announced limits if one is due. 3 % are lost.
--- a/internal/cwbackend/limit_test.go
+++ b/internal/cwbackend/limit_test.go
@@ -153,7 +153,7 @@
 		return carobward.LimitWord{Server: server.Backend().Instance, Limit: l, At: at}
 	}
 
-	server.TakeLimit(word(rate(2), start), ByReply)
+	server.MergeLimit(word(rate(2), start), ByReply)
 
 	sent := 0
 
@@ -168,7 +168,7 @@
 	}
 
 	now := start.Add(3 * limitRecheck)
-	server.TakeLimit(word(carobward.Limit{}, now), ByReply)
+	server.MergeLimit(word(carobward.Limit{}, now), ByReply)
 
 	for range 2 {
 		if !table.Admit(server, now) {
@@ -218,7 +218,7 @@
 
 			for i, w := range c.announcements {
 				at := start.Add(time.Duration(w.at) * time.Second)
-				if changed := s.TakeLimit(carobward.LimitWord{Limit: w.value, At: at, Passed: w.passed}, w.from); changed != w.changed {
+				if changed := s.MergeLimit(carobward.LimitWord{Limit: w.value, At: at, Passed: w.passed}, w.from); changed != w.changed {
 					t.Errorf("announcement %d: new %v", i, changed)
 				}
 			}
@@ -245,7 +245,7 @@
 
 	announce := func(i int, l carobward.Limit, from Source, after time.Duration) {
 		instance := list[i].Instance
-		table.byInstance[instance].TakeLimit(carobward.LimitWord{Server: instance, Limit: l, At: start.Add(after)}, from)
+		table.byInstance[instance].MergeLimit(carobward.LimitWord{Server: instance, Limit: l, At: start.Add(after)}, from)
 	}
 
 	announce(0, rate(1), ByReply, 0)
