--- a/internal/cwbackend/cold.go
+++ b/internal/cwbackend/cold.go
@@ -10,8 +10,8 @@
 // crashes under more. Its rate is divided, see sharers. This protects many servers that return
 // at once during a burst, when each entry VM by itself would see idle servers.
 
-// ColdBound is the request rate that servers of a service tolerate while they are warming up.
-type ColdBound struct {
+// WarmupBound is the request rate that servers of a service tolerate while they are warming up.
+type WarmupBound struct {
 	// Rate is the tolerated number of requests a second, Overshoot the factor by which it may
 	// be exceeded, and Slack the number of additional requests in any one second. A Rate of 0
 	// means no bound.
@@ -22,7 +22,7 @@
 
 // budget returns how many requests the entry VMs divide for a server in one second, 0 if there
 // is no bound.
-func (b ColdBound) budget() int {
+func (b WarmupBound) budget() int {
 	if b.Rate <= 0 {
 		return 0
 	}
@@ -32,7 +32,7 @@
 }
 
 // SetColdBounds sets the rates for servers that are warming up, by service.
-func (t *Table) SetColdBounds(bounds map[carobward.Service]ColdBound) {
+func (t *Table) SetColdBounds(bounds map[carobward.Service]WarmupBound) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
--- a/internal/cwbackend/cold_test.go
+++ b/internal/cwbackend/cold_test.go
@@ -11,7 +11,7 @@
 )
 
 // warmupBound allows 15.2 requests in a second, as in a typical deployment.
-var warmupBound = ColdBound{Rate: 4.8, Overshoot: 1.5, Slack: 8}
+var warmupBound = WarmupBound{Rate: 4.8, Overshoot: 1.5, Slack: 8}
 
 // warmupMethod is a method of bounding the requests to servers that are warming up.
 type warmupMethod uint8
@@ -90,7 +90,7 @@
 // startVM starts an entry VM that has seen no other; the store tells it how many there are.
 func (f *simFleet) startVM(v *simVM) {
 	v.table = New(VM{ID: v.id, Domain: v.domain})
-	v.table.SetColdBounds(map[carobward.Service]ColdBound{"records": warmupBound})
+	v.table.SetColdBounds(map[carobward.Service]WarmupBound{"records": warmupBound})
 	v.table.Put(f.servers, nil, f.now)
 
 	v.lastSeen, v.alive, v.started = map[carobward.VMID]time.Time{}, true, f.now
@@ -332,14 +332,14 @@
 // servers that are warming up.
 func TestColdMost(t *testing.T) {
 	for name, c := range map[string]struct {
-		bound ColdBound
+		bound WarmupBound
 		want  int
 	}{
-		"no bound":            {ColdBound{Overshoot: 1.5, Slack: 8}, 0},
+		"no bound":            {WarmupBound{Overshoot: 1.5, Slack: 8}, 0},
 		"a typical setting":   {warmupBound, 12},
-		"no overshoot, slack": {ColdBound{Rate: 10}, 8},
-		"below one":           {ColdBound{Rate: 0.2, Overshoot: 1}, 1},
-		"many":                {ColdBound{Rate: 100, Overshoot: 2, Slack: 10}, 168},
+		"no overshoot, slack": {WarmupBound{Rate: 10}, 8},
+		"below one":           {WarmupBound{Rate: 0.2, Overshoot: 1}, 1},
+		"many":                {WarmupBound{Rate: 100, Overshoot: 2, Slack: 10}, 168},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := c.bound.budget(); got != c.want {
--- a/internal/cwbackend/table.go
+++ b/internal/cwbackend/table.go
@@ -58,7 +58,7 @@
 	// warmupBounds has the rates for servers that are warming up, by service. sharers are the
 	// entry VMs that divide these rates and the limits that servers announce. nearCounts has
 	// the number of near servers of each service.
-	warmupBounds map[carobward.Service]ColdBound
+	warmupBounds map[carobward.Service]WarmupBound
 	sharers      sharers
 	nearCounts   map[carobward.Service]int
 	// evacuated has the failure domains whose servers get no traffic.
@@ -440,7 +440,7 @@
 // number is minHolders, or more where subsets would otherwise have fewer than subsetNear
 // servers. A server that is warming up is in the subset of each entry VM that may send to it,
 // so that its rate can be used.
-func (t *Table) pickNear(list []candidate, bound ColdBound) []*Server {
+func (t *Table) pickNear(list []candidate, bound WarmupBound) []*Server {
 	each, first := t.holders(len(list)), 0
 	if each == math.MaxInt {
 		return servers(list)
--- a/internal/cwgateway/bounds.go
+++ b/internal/cwgateway/bounds.go
@@ -59,10 +59,10 @@
 	}
 
 	b := g.bounds.Load()
-	cold := map[carobward.Service]cwbackend.ColdBound{}
+	cold := map[carobward.Service]cwbackend.WarmupBound{}
 
 	for name, s := range t.Services() {
-		cold[name] = cwbackend.ColdBound{Rate: s.WarmupRate, Overshoot: b.ColdOvershoot, Slack: b.ColdSlack}
+		cold[name] = cwbackend.WarmupBound{Rate: s.WarmupRate, Overshoot: b.ColdOvershoot, Slack: b.ColdSlack}
 	}
 
 	g.servers.SetColdBounds(cold)
