--- a/internal/cwbackend/cold.go
+++ b/internal/cwbackend/cold.go
@@ -31,8 +31,8 @@
 	return max(1, int(dividedShare*(b.Rate*max(1, b.Overshoot)+b.Slack)))
 }
 
-// SetColdBounds sets the rates for servers that are warming up, by service.
-func (t *Table) SetColdBounds(bounds map[carobward.Service]WarmupBound) {
+// SetWarmupBounds sets the rates for servers that are warming up, by service.
+func (t *Table) SetWarmupBounds(bounds map[carobward.Service]WarmupBound) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
--- a/internal/cwbackend/cold_test.go
+++ b/internal/cwbackend/cold_test.go
@@ -90,7 +90,7 @@
 // startVM starts an entry VM that has seen no other; the store tells it how many there are.
 func (f *simFleet) startVM(v *simVM) {
 	v.table = New(VM{ID: v.id, Domain: v.domain})
-	v.table.SetColdBounds(map[carobward.Service]WarmupBound{"records": warmupBound})
+	v.table.SetWarmupBounds(map[carobward.Service]WarmupBound{"records": warmupBound})
 	v.table.Put(f.servers, nil, f.now)
 
 	v.lastSeen, v.alive, v.started = map[carobward.VMID]time.Time{}, true, f.now
--- a/internal/cwgateway/bounds.go
+++ b/internal/cwgateway/bounds.go
@@ -65,5 +65,5 @@
 		cold[name] = cwbackend.WarmupBound{Rate: s.WarmupRate, Overshoot: b.ColdOvershoot, Slack: b.ColdSlack}
 	}
 
-	g.servers.SetColdBounds(cold)
+	g.servers.SetWarmupBounds(cold)
 }
