--- a/internal/cwbackend/share_test.go
+++ b/internal/cwbackend/share_test.go
@@ -203,7 +203,7 @@
 					}
 				}
 
-				if table.CountOf("records") != size.servers-size.servers/fleetDomains-1 || table.Emptied("records") {
+				if table.CountOf("records") != size.servers-size.servers/fleetDomains-1 || table.AllEvacuated("records") {
 					t.Errorf("%d servers may get requests", table.CountOf("records"))
 				}
 			}
--- a/internal/cwbackend/table.go
+++ b/internal/cwbackend/table.go
@@ -249,9 +249,9 @@
 	return count
 }
 
-// Emptied reports whether a service has servers and all of them are in evacuated failure
+// AllEvacuated reports whether a service has servers and all of them are in evacuated failure
 // domains.
-func (t *Table) Emptied(service carobward.Service) bool {
+func (t *Table) AllEvacuated(service carobward.Service) bool {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
 
--- a/internal/cwfront/queue.go
+++ b/internal/cwfront/queue.go
@@ -196,7 +196,7 @@
 // noServerCause returns why there is no server at all for a request.
 func (r *request) noServerCause() error {
 	switch {
-	case r.front.Servers.Emptied(r.service):
+	case r.front.Servers.AllEvacuated(r.service):
 		return ErrEvacuated
 	case len(r.route.Homes) > 0 && r.front.Servers.CountOf(r.service) > 0:
 		return ErrRegions
