--- a/internal/cwbackend/limit_fleet_test.go
+++ b/internal/cwbackend/limit_fleet_test.go
@@ -273,7 +273,7 @@
 		return f.admitOther(f, view, now)
 	}
 
-	return !view.Barred && v.table.Admit(view.Server, now)
+	return !view.Throttled && v.table.Admit(view.Server, now)
 }
 
 // check checks that no server got more requests that count than allowed, and returns the mean
--- a/internal/cwbackend/view.go
+++ b/internal/cwbackend/view.go
@@ -22,10 +22,10 @@
 	// Limit is the request rate that the server announced as its limit for all entry VMs
 	// together.
 	Limit carobward.Limit
-	// Barred is set if this entry VM may not send the server a request before ThrottledUntil, because it
+	// Throttled is set if this entry VM may not send the server a request before ThrottledUntil, because it
 	// is warming up, has a limit or asked for a pause.
-	Barred bool
-	Open   time.Time
+	Throttled bool
+	Open      time.Time
 	// Slots is the number of requests that it runs at once, by its entry.
 	Slots int
 	// Own is the number of requests that this entry VM has in flight at the server.
@@ -68,7 +68,7 @@
 	defer s.mutex.Unlock()
 
 	v := View{
-		Server: s, Leaving: s.isLeaving(), Barred: now.Before(s.pausedUntil), Open: s.pausedUntil, Blocked: now.Before(s.blockedUntil), Failing: s.failures > 0, Warming: now.Before(s.warmupEnd),
+		Server: s, Leaving: s.isLeaving(), Throttled: now.Before(s.pausedUntil), Open: s.pausedUntil, Blocked: now.Before(s.blockedUntil), Failing: s.failures > 0, Warming: now.Before(s.warmupEnd),
 		Slots: max(1, s.backend.Slots), Own: len(s.inFlight), Trouble: s.failureRate, Domain: s.backend.Domain, Address: s.backend.Address, Report: s.report, Limit: s.limit.Limit,
 	}
 
@@ -103,7 +103,7 @@
 	usable := 0
 
 	for i := range views {
-		if !views[i].Failing && !views[i].Barred {
+		if !views[i].Failing && !views[i].Throttled {
 			usable++
 		}
 	}
@@ -144,7 +144,7 @@
 	v.Open = s.availableAt(&l)
 	s.mutex.Unlock()
 
-	v.Barred = now.Before(v.Open)
+	v.Throttled = now.Before(v.Open)
 
 	return v
 }
@@ -155,7 +155,7 @@
 	var first time.Time
 
 	for i := range views {
-		if !views[i].Barred {
+		if !views[i].Throttled {
 			return time.Time{}
 		}
 
--- a/internal/cwfront/health_check.go
+++ b/internal/cwfront/health_check.go
@@ -45,7 +45,7 @@
 
 	if reply.SaysWarmup { // A server can need another warm-up without a restart; its list entry shows that later.
 		fresh := r.front.Servers.View(v.Server, r.front.Clock.Now(), r.usualTime())
-		c.view.Warming, c.view.Barred = fresh.Warming, fresh.Barred
+		c.view.Warming, c.view.Throttled = fresh.Warming, fresh.Throttled
 	}
 
 	c.view.Report = reply.Report
--- a/internal/cwpick/pick.go
+++ b/internal/cwpick/pick.go
@@ -145,7 +145,7 @@
 		v := &views[i]
 
 		switch {
-		case seen[v.Server], v.Barred:
+		case seen[v.Server], v.Throttled:
 		case v.Blocked:
 			blocked = append(blocked, *v)
 		case v.Domain != home:
@@ -186,7 +186,7 @@
 // others in addition, but at least one is used. Crowd is the factor by which requests take
 // longer at a crowded server.
 func Free(v *cwbackend.View, rank, ranks, spared int, crowd float64) int {
-	if v.Barred {
+	if v.Throttled {
 		return 0
 	}
 
