--- a/internal/cwbackend/view.go
+++ b/internal/cwbackend/view.go
@@ -24,8 +24,8 @@
 	Limit carobward.Limit
 	// Throttled is set if this entry VM may not send the server a request before ThrottledUntil, because it
 	// is warming up, has a limit or asked for a pause.
-	Throttled bool
-	Open      time.Time
+	Throttled      bool
+	ThrottledUntil time.Time
 	// Slots is the number of requests that it runs at once, by its entry.
 	Slots int
 	// Own is the number of requests that this entry VM has in flight at the server.
@@ -68,7 +68,7 @@
 	defer s.mutex.Unlock()
 
 	v := View{
-		Server: s, Leaving: s.isLeaving(), Throttled: now.Before(s.pausedUntil), Open: s.pausedUntil, Blocked: now.Before(s.blockedUntil), Failing: s.failures > 0, Warming: now.Before(s.warmupEnd),
+		Server: s, Leaving: s.isLeaving(), Throttled: now.Before(s.pausedUntil), ThrottledUntil: s.pausedUntil, Blocked: now.Before(s.blockedUntil), Failing: s.failures > 0, Warming: now.Before(s.warmupEnd),
 		Slots: max(1, s.backend.Slots), Own: len(s.inFlight), Trouble: s.failureRate, Domain: s.backend.Domain, Address: s.backend.Address, Report: s.report, Limit: s.limit.Limit,
 	}
 
@@ -141,10 +141,10 @@
 	l := t.allowances(s, &b, now)
 
 	s.mutex.Lock()
-	v.Open = s.availableAt(&l)
+	v.ThrottledUntil = s.availableAt(&l)
 	s.mutex.Unlock()
 
-	v.Throttled = now.Before(v.Open)
+	v.Throttled = now.Before(v.ThrottledUntil)
 
 	return v
 }
@@ -159,8 +159,8 @@
 			return time.Time{}
 		}
 
-		if i == 0 || views[i].Open.Before(first) {
-			first = views[i].Open
+		if i == 0 || views[i].ThrottledUntil.Before(first) {
+			first = views[i].ThrottledUntil
 		}
 	}
 
--- a/internal/cwbackend/words_test.go
+++ b/internal/cwbackend/words_test.go
@@ -125,8 +125,8 @@
 				now := start.Add(at)
 				v := table.View(s, now, time.Second)
 
-				if want := at < c.want; at >= 0 && (v.Throttled != want || want && !v.Open.Equal(start.Add(c.want))) {
-					t.Errorf("after %s: %v, open at %s", at, v.Throttled, v.Open)
+				if want := at < c.want; at >= 0 && (v.Throttled != want || want && !v.ThrottledUntil.Equal(start.Add(c.want))) {
+					t.Errorf("after %s: %v, open at %s", at, v.Throttled, v.ThrottledUntil)
 				}
 			}
 
