--- a/internal/cwpick/pick.go
+++ b/internal/cwpick/pick.go
@@ -72,7 +72,7 @@
 func Cost(v *cwbackend.View, f Factors, home carobward.Domain) float64 {
 	cost := Time(v, f)
 	cost += fillCost * float64(v.Report.Running) / float64(v.SlotCount())
-	cost += failureCost * v.Trouble
+	cost += failureCost * v.FailureRate
 
 	if v.Overdue {
 		cost += overdueCost
--- a/internal/cwpick/pick_test.go
+++ b/internal/cwpick/pick_test.go
@@ -39,7 +39,7 @@
 		"the home domain":               {view(1, 0, 1), with(view(1, 0, 1), func(v *cwbackend.View) { v.Domain = "b" })},
 		"another domain to a slow one":  {with(view(1, 0, 1), func(v *cwbackend.View) { v.Domain = "b" }), view(1, 0, 2)},
 		"a warmed-up one":               {view(2, 0, 1), with(view(0, 0, 1), func(v *cwbackend.View) { v.Warming = true })},
-		"one without failures":          {view(3, 0, 1), with(view(0, 0, 1), func(v *cwbackend.View) { v.Trouble = 0.5 })},
+		"one without failures":          {view(3, 0, 1), with(view(0, 0, 1), func(v *cwbackend.View) { v.FailureRate = 0.5 })},
 		"one where nothing is overdue":  {view(3, 0, 1), with(view(0, 0, 1), func(v *cwbackend.View) { v.Overdue = true })},
 		"one without a report to a bad": {cwbackend.View{Slots: 4, Domain: home}, view(3, 0, 1)},
 	} {
