--- a/internal/cwbackend/backend_test.go
+++ b/internal/cwbackend/backend_test.go
@@ -248,8 +248,8 @@
 				t.Errorf("process %d, %d restarts", got, again)
 			}
 
-			if fresh := !view.Blocked && view.Own == 0 && broken == 1; fresh != c.fresh {
-				t.Errorf("blocked %v, %d in flight, %d canceled", view.Blocked, view.Own, broken)
+			if fresh := !view.Blocked && view.InFlight == 0 && broken == 1; fresh != c.fresh {
+				t.Errorf("blocked %v, %d in flight, %d canceled", view.Blocked, view.InFlight, broken)
 			}
 
 			old := b
--- a/internal/cwbackend/view.go
+++ b/internal/cwbackend/view.go
@@ -28,8 +28,8 @@
 	ThrottledUntil time.Time
 	// Slots is the number of requests that it runs at once, by its entry.
 	Slots int
-	// Own is the number of requests that this entry VM has in flight at the server.
-	Own int
+	// InFlight is the number of requests that this entry VM has in flight at the server.
+	InFlight int
 	// Overdue is set if one of these requests has been in flight for too long.
 	Overdue bool
 	// FailureRate is the moving average of the share of requests that failed or were refused.
@@ -57,7 +57,7 @@
 // with at least the requests that this entry VM has in flight there.
 func (v *View) Expected() carobward.Report {
 	r := v.Report
-	r.Running = max(v.Own, r.Running)
+	r.Running = max(v.InFlight, r.Running)
 
 	return r
 }
@@ -69,7 +69,7 @@
 
 	v := View{
 		Server: s, Leaving: s.isLeaving(), Throttled: now.Before(s.pausedUntil), ThrottledUntil: s.pausedUntil, Blocked: now.Before(s.blockedUntil), Failing: s.failures > 0, Warming: now.Before(s.warmupEnd),
-		Slots: max(1, s.backend.Slots), Own: len(s.inFlight), FailureRate: s.failureRate, Domain: s.backend.Domain, Address: s.backend.Address, Report: s.report, Limit: s.limit.Limit,
+		Slots: max(1, s.backend.Slots), InFlight: len(s.inFlight), FailureRate: s.failureRate, Domain: s.backend.Domain, Address: s.backend.Address, Report: s.report, Limit: s.limit.Limit,
 	}
 
 	for _, f := range s.inFlight {
