--- a/internal/cwbackend/view.go
+++ b/internal/cwbackend/view.go
@@ -149,9 +149,9 @@
 	return v
 }
 
-// Opens returns the earliest time at which one of the servers may get a request, or the zero
+// NextAvailable returns the earliest time at which one of the servers may get a request, or the zero
 // time if one may now or the list is empty.
-func Opens(views []View) time.Time {
+func NextAvailable(views []View) time.Time {
 	var first time.Time
 
 	for i := range views {
--- a/internal/cwfront/candidate.go
+++ b/internal/cwfront/candidate.go
@@ -58,7 +58,7 @@
 	f := r.front
 	now := f.Clock.Now()
 	views := r.allowedServers(f.Servers.Views(r.service, now, r.usualTime()))
-	r.availableAt = cwbackend.Opens(views)
+	r.availableAt = cwbackend.NextAvailable(views)
 
 	for i := range views {
 		views[i].Idle = f.Link.HasIdle(views[i].Address)
