--- a/internal/cwfront/candidate.go
+++ b/internal/cwfront/candidate.go
@@ -76,7 +76,7 @@
 	var best *candidate
 
 	for round := cwpick.FirstRound(r.schedule.NoRoom); round < cwpick.Rounds; round++ {
-		draw := cwpick.Draw(cwpick.Global{}, views, r.checkCount(now), f.Domain, seen, round)
+		draw := cwpick.Sample(cwpick.Global{}, views, r.checkCount(now), f.Domain, seen, round)
 		if len(draw) == 0 {
 			break
 		}
@@ -103,7 +103,7 @@
 
 	var best *candidate
 
-	for _, v := range cwpick.Draw(cwpick.Global{}, views, uncheckedWidth, f.Domain, tried, 0) {
+	for _, v := range cwpick.Sample(cwpick.Global{}, views, uncheckedWidth, f.Domain, tried, 0) {
 		v.Report = v.Expected()
 
 		if r.freeSlots(&v, now) > 0 {
--- a/internal/cwpick/pick.go
+++ b/internal/cwpick/pick.go
@@ -128,13 +128,13 @@
 	return 0
 }
 
-// Draw returns up to n servers to health check, at random among those that may get a request:
+// Sample returns up to n servers to health check, at random among those that may get a request:
 // those of the home domain first, and of these those with an idle connection first. Blocked
 // ones are only drawn if there are no others. In rounds after the first, half of the places go
 // to other failure domains: where two thirds of the callers are in one of three failure
 // domains, 0.99 of requests finish in time, and 0.93 if near servers come first in every round
 // (127 entry VMs).
-func Draw(
+func Sample(
 	random Random, views []cwbackend.View, n int, home carobward.Domain, seen map[*cwbackend.Server]bool, round int,
 ) []cwbackend.View {
 	var idle, near, far, blocked []cwbackend.View
--- a/internal/cwpick/pick_bench_test.go
+++ b/internal/cwpick/pick_bench_test.go
@@ -36,7 +36,7 @@
 		views := table.Views("records", now, usual)
 		best := 0.0
 
-		for _, v := range Draw(Global{}, views, looks, "a", nil, 0) {
+		for _, v := range Sample(Global{}, views, looks, "a", nil, 0) {
 			if Free(&v, 1, 3, 0, 1.3) > 0 {
 				best = max(best, Cost(&v, Factors{Crowd: 1.3, Cold: 2}, "a"))
 			}
--- a/internal/cwpick/pick_test.go
+++ b/internal/cwpick/pick_test.go
@@ -127,7 +127,7 @@
 		}
 
 		var out []*cwbackend.Server
-		for _, v := range Draw(Global{}, views, n, home, had, 0) {
+		for _, v := range Sample(Global{}, views, n, home, had, 0) {
 			out = append(out, v.Server)
 		}
 
@@ -174,7 +174,7 @@
 	count := func(round int) int {
 		far := 0
 
-		for _, v := range Draw(Global{}, views, Width, home, seen, round) {
+		for _, v := range Sample(Global{}, views, Width, home, seen, round) {
 			seen[v.Server] = true
 
 			if v.Domain != home {
