--- a/internal/cwfront/candidate.go
+++ b/internal/cwfront/candidate.go
@@ -64,7 +64,7 @@
 		views[i].Idle = f.Link.HasIdle(views[i].Address)
 	}
 
-	seen := make(map[*cwbackend.Server]bool, len(tried)+cwpick.Rounds*cwpick.Width)
+	seen := make(map[*cwbackend.Server]bool, len(tried)+cwpick.Rounds*cwpick.SampleSize)
 	for s := range tried {
 		seen[s] = true
 	}
@@ -135,7 +135,7 @@
 // checkCount returns how many servers may be checked now, and takes that many checks from
 // the rate limit.
 func (r *request) checkCount(now time.Time) int {
-	for n := cwpick.Width; n > 0; n-- {
+	for n := cwpick.SampleSize; n > 0; n-- {
 		if r.state.checks.AllowN(now, n) {
 			return n
 		}
--- a/internal/cwfront/front.go
+++ b/internal/cwfront/front.go
@@ -241,7 +241,7 @@
 func (f *Front) checkRate(name carobward.Service) (rate.Limit, int) {
 	most := checkFraction * f.limits.Load().ChecksPerSecond * float64(f.Servers.CountOf(name)) * f.TrafficShare()
 
-	return rate.Limit(most), int(checkBurstSeconds*most) + cwpick.Width
+	return rate.Limit(most), int(checkBurstSeconds*most) + cwpick.SampleSize
 }
 
 // Wait waits for all goroutines started for requests.
--- a/internal/cwfront/service_test.go
+++ b/internal/cwfront/service_test.go
@@ -55,7 +55,7 @@
 				checks += r.checkCount(start.Add(time.Duration(ms) * time.Millisecond))
 			}
 
-			most := limit*share*minute + cwpick.Width
+			most := limit*share*minute + cwpick.SampleSize
 			if float64(checks) > most || float64(checks) < 0.8*most {
 				t.Errorf("%d health checks in a minute, want at most %.0f and most of them", checks, most)
 			}
--- a/internal/cwpick/pick.go
+++ b/internal/cwpick/pick.go
@@ -107,10 +107,10 @@
 
 // The parameters of health checks before a request is sent.
 const (
-	// Width is the number of servers that are health checked at once. With a quarter of the
+	// SampleSize is the number of servers that are health checked at once. With a quarter of the
 	// machines slow at any moment, at least one of four is at its usual speed in 99.6 % of
 	// cases.
-	Width = 4
+	SampleSize = 4
 	// Rounds is the largest number of rounds of health checks for one request.
 	Rounds = 2
 )
--- a/internal/cwpick/pick_test.go
+++ b/internal/cwpick/pick_test.go
@@ -174,7 +174,7 @@
 	count := func(round int) int {
 		far := 0
 
-		for _, v := range Sample(Global{}, views, Width, home, seen, round) {
+		for _, v := range Sample(Global{}, views, SampleSize, home, seen, round) {
 			seen[v.Server] = true
 
 			if v.Domain != home {
@@ -186,7 +186,7 @@
 	}
 
 	got := []int{count(0), count(1), count(2)}
-	if diff := cmp.Diff([]int{0, Width / 2, Width / 2}, got); diff != "" {
+	if diff := cmp.Diff([]int{0, SampleSize / 2, SampleSize / 2}, got); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/lab/cwbench/worst_choice.go
+++ b/internal/lab/cwbench/worst_choice.go
@@ -37,7 +37,7 @@
 		return
 	}
 
-	if !v.looks.AllowN(v.run.now(), cwpick.Width) {
+	if !v.looks.AllowN(v.run.now(), cwpick.SampleSize) {
 		if best == nil {
 			best = v.best(r, draw, false)
 		}
@@ -78,7 +78,7 @@
 		round = 0
 	}
 
-	return cwpick.Sample(v.run.rng, v.views(), cwpick.Width, v.domain, seen, round)
+	return cwpick.Sample(v.run.rng, v.views(), cwpick.SampleSize, v.domain, seen, round)
 }
 
 // best returns the best of some servers with room, by a look or by what is known.
--- a/internal/lab/cwbench/worst_vm.go
+++ b/internal/lab/cwbench/worst_vm.go
@@ -92,7 +92,7 @@
 	}
 
 	most := worstLooks * float64(len(w.servers)) / float64(vms)
-	v.looks = rate.NewLimiter(rate.Limit(most), int(worstSave*most)+cwpick.Width)
+	v.looks = rate.NewLimiter(rate.Limit(most), int(worstSave*most)+cwpick.SampleSize)
 
 	v.extra = cwretry.NewWindow(worstExtraShare, worstExtraSpan, w.now())
 	v.slack = worstExtraFree * w.pattern.Rate / float64(vms)
