--- a/internal/cwfront/candidate.go
+++ b/internal/cwfront/candidate.go
@@ -64,7 +64,7 @@
 		views[i].Idle = f.Link.HasIdle(views[i].Address)
 	}
 
-	seen := make(map[*cwbackend.Server]bool, len(tried)+cwpick.Rounds*cwpick.SampleSize)
+	seen := make(map[*cwbackend.Server]bool, len(tried)+cwpick.MaxRounds*cwpick.SampleSize)
 	for s := range tried {
 		seen[s] = true
 	}
@@ -75,7 +75,7 @@
 
 	var best *candidate
 
-	for round := cwpick.FirstRound(r.schedule.NoRoom); round < cwpick.Rounds; round++ {
+	for round := cwpick.FirstRound(r.schedule.NoRoom); round < cwpick.MaxRounds; round++ {
 		draw := cwpick.Sample(cwpick.Global{}, views, r.checkCount(now), f.Domain, seen, round)
 		if len(draw) == 0 {
 			break
--- a/internal/cwpick/pick.go
+++ b/internal/cwpick/pick.go
@@ -111,8 +111,8 @@
 	// machines slow at any moment, at least one of four is at its usual speed in 99.6 % of
 	// cases.
 	SampleSize = 4
-	// Rounds is the largest number of rounds of health checks for one request.
-	Rounds = 2
+	// MaxRounds is the largest number of rounds of health checks for one request.
+	MaxRounds = 2
 )
 
 // FirstRound returns the first round of health checks for a request. After health checks for
@@ -122,7 +122,7 @@
 // with 127 entry VMs, 0.798 and 0.781.
 func FirstRound(failed bool) int {
 	if failed {
-		return Rounds - 1
+		return MaxRounds - 1
 	}
 
 	return 0
--- a/internal/lab/cwbench/worst_choice.go
+++ b/internal/lab/cwbench/worst_choice.go
@@ -31,7 +31,7 @@
 func (v *worstVM) lookOn(r *worstRequest, best *worstChoice, seen map[*cwbackend.Server]bool, round int) {
 	draw := v.draw(seen, round)
 
-	if round == cwpick.Rounds || len(draw) == 0 {
+	if round == cwpick.MaxRounds || len(draw) == 0 {
 		v.decide(r, best)
 
 		return
