--- a/internal/cwfront/candidate.go
+++ b/internal/cwfront/candidate.go
@@ -242,6 +242,6 @@
 // score sets the time and the cost of a candidate.
 func (r *request) score(c *candidate) {
 	factors := r.state.factors()
-	c.time = cwpick.Time(&c.view, factors)
+	c.time = cwpick.ExpectedTime(&c.view, factors)
 	c.cost = cwpick.Cost(&c.view, factors, r.front.Domain)
 }
--- a/internal/cwpick/pick.go
+++ b/internal/cwpick/pick.go
@@ -34,8 +34,8 @@
 	return float64(r.Running+1) > kneeShare*float64(slots)
 }
 
-// Time returns the expected duration of a request at a server, in usual durations.
-func Time(v *cwbackend.View, f Factors) float64 {
+// ExpectedTime returns the expected duration of a request at a server, in usual durations.
+func ExpectedTime(v *cwbackend.View, f Factors) float64 {
 	r := &v.Report
 	slots := v.SlotCount()
 	// The speed of the server's machine when a request begins applies to the whole request.
@@ -64,13 +64,13 @@
 	empty := *v
 	empty.Report.Running, empty.Report.Queued = 0, 0
 
-	return Time(&empty, f)
+	return ExpectedTime(&empty, f)
 }
 
 // Cost returns the cost of choosing a server: the expected duration of the request, in usual
 // durations, plus penalties for other reasons against the server.
 func Cost(v *cwbackend.View, f Factors, home carobward.Domain) float64 {
-	cost := Time(v, f)
+	cost := ExpectedTime(v, f)
 	cost += fillCost * float64(v.Report.Running) / float64(v.SlotCount())
 	cost += failureCost * v.FailureRate
 
--- a/internal/lab/cwbench/worst_choice.go
+++ b/internal/lab/cwbench/worst_choice.go
@@ -114,7 +114,7 @@
 
 func (v *worstVM) rate(view cwbackend.View) *worstChoice {
 	return &worstChoice{
-		view: view, time: cwpick.Time(&view, v.times.Factors()), cost: cwpick.Cost(&view, v.times.Factors(), v.domain),
+		view: view, time: cwpick.ExpectedTime(&view, v.times.Factors()), cost: cwpick.Cost(&view, v.times.Factors(), v.domain),
 	}
 }
 
