--- a/internal/cwfront/candidate.go
+++ b/internal/cwfront/candidate.go
@@ -218,7 +218,7 @@
 // compare returns the better of a candidate, if it has room, and the best one so far.
 func (r *request) compare(best, c *candidate) *candidate {
 	if c.ok {
-		r.state.addSlowdown(cwpick.Alone(&c.view, r.state.factors()))
+		r.state.addSlowdown(cwpick.UnloadedTime(&c.view, r.state.factors()))
 	}
 
 	switch {
--- a/internal/cwpick/pick.go
+++ b/internal/cwpick/pick.go
@@ -57,10 +57,10 @@
 	return out
 }
 
-// Alone returns the expected duration of a request at a server without other requests, in
+// UnloadedTime returns the expected duration of a request at a server without other requests, in
 // usual durations. At a server with few slots, a single request may be enough for it to be
 // crowded.
-func Alone(v *cwbackend.View, f Factors) float64 {
+func UnloadedTime(v *cwbackend.View, f Factors) float64 {
 	empty := *v
 	empty.Report.Running, empty.Report.Queued = 0, 0
 
--- a/internal/cwpick/pick_test.go
+++ b/internal/cwpick/pick_test.go
@@ -101,7 +101,7 @@
 			v := view(c.running, c.queued, c.slowness)
 			v.Report.Slots = c.slots
 
-			if got := Alone(&v, Factors{Crowd: crowd}); got != c.want {
+			if got := UnloadedTime(&v, Factors{Crowd: crowd}); got != c.want {
 				t.Errorf("%.2f usual durations, want %.2f", got, c.want)
 			}
 
--- a/internal/lab/cwbench/worst_choice.go
+++ b/internal/lab/cwbench/worst_choice.go
@@ -95,7 +95,7 @@
 		} else if looks {
 			view.Report = s.report()
 			view.Server.ApplyReply(&carobward.Reply{Report: view.Report}, cwbackend.ByHealthCheck, v.run.now())
-			v.pace.Add(cwpick.Alone(&view, v.times.Factors()))
+			v.pace.Add(cwpick.UnloadedTime(&view, v.times.Factors()))
 
 			if v.run.way.Central { // It knows what is on its way.
 				view.Report = view.Expected()
