--- a/internal/cwfront/queue.go
+++ b/internal/cwfront/queue.go
@@ -113,7 +113,7 @@
 func (r *request) freeSlots(v *cwbackend.View, now time.Time) int {
 	rank, ranks := r.routes.Rank(r.service, r.priority)
 
-	return cwpick.Free(v, rank, ranks, r.schedule.Spares(now), r.state.crowding())
+	return cwpick.FreeSlots(v, rank, ranks, r.schedule.Spares(now), r.state.crowding())
 }
 
 // choose returns a server for the request: one that its own health checks found, or one
--- a/internal/cwpick/pick.go
+++ b/internal/cwpick/pick.go
@@ -180,12 +180,12 @@
 	random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 }
 
-// Free returns how many more requests of a rank, out of so many ranks, a server takes, or a
+// FreeSlots returns how many more requests of a rank, out of so many ranks, a server takes, or a
 // number below zero if it has too many. Requests of the most urgent rank may queue for a
 // while, those of the least urgent leave a slot free for others. Spared slots are left to
 // others in addition, but at least one is used. Crowd is the factor by which requests take
 // longer at a crowded server.
-func Free(v *cwbackend.View, rank, ranks, spared int, crowd float64) int {
+func FreeSlots(v *cwbackend.View, rank, ranks, spared int, crowd float64) int {
 	if v.Throttled {
 		return 0
 	}
--- a/internal/cwpick/pick_bench_test.go
+++ b/internal/cwpick/pick_bench_test.go
@@ -37,7 +37,7 @@
 		best := 0.0
 
 		for _, v := range Sample(Global{}, views, looks, "a", nil, 0) {
-			if Free(&v, 1, 3, 0, 1.3) > 0 {
+			if FreeSlots(&v, 1, 3, 0, 1.3) > 0 {
 				best = max(best, Cost(&v, Factors{Crowd: 1.3, Cold: 2}, "a"))
 			}
 		}
--- a/internal/cwpick/pick_test.go
+++ b/internal/cwpick/pick_test.go
@@ -76,7 +76,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			v := view(c.running, 0, 1)
-			if got := Free(&v, c.rank, c.ranks, c.spared, c.crowd) > 0; got != c.room {
+			if got := FreeSlots(&v, c.rank, c.ranks, c.spared, c.crowd) > 0; got != c.room {
 				t.Errorf("room: %v", got)
 			}
 		})
--- a/internal/lab/cwbench/worst_choice.go
+++ b/internal/lab/cwbench/worst_choice.go
@@ -124,7 +124,7 @@
 		spared = 0
 	}
 
-	return cwpick.Free(view, 0, 1, spared, v.times.Crowding())
+	return cwpick.FreeSlots(view, 0, 1, spared, v.times.Crowding())
 }
 
 // takes tells whether a request takes the best server that it found.
