--- a/internal/cwpick/pick.go
+++ b/internal/cwpick/pick.go
@@ -46,7 +46,7 @@
 	}
 
 	if v.Warming {
-		out *= f.Cold
+		out *= f.Warmup
 	}
 
 	// Each request ahead of it beyond the free slots delays it until a slot is free.
--- a/internal/cwpick/pick_bench_test.go
+++ b/internal/cwpick/pick_bench_test.go
@@ -38,7 +38,7 @@
 
 		for _, v := range Sample(Global{}, views, looks, "a", nil, 0) {
 			if FreeSlots(&v, 1, 3, 0, 1.3) > 0 {
-				best = max(best, Cost(&v, Factors{Crowd: 1.3, Cold: 2}, "a"))
+				best = max(best, Cost(&v, Factors{Crowd: 1.3, Warmup: 2}, "a"))
 			}
 		}
 	}
--- a/internal/cwpick/pick_test.go
+++ b/internal/cwpick/pick_test.go
@@ -22,7 +22,7 @@
 
 // TestCost checks pairs of servers of which the first must have the lower cost.
 func TestCost(t *testing.T) {
-	factors := Factors{Crowd: 1.5, Cold: 2}
+	factors := Factors{Crowd: 1.5, Warmup: 2}
 
 	with := func(v cwbackend.View, change func(*cwbackend.View)) cwbackend.View {
 		change(&v)
--- a/internal/cwpick/times.go
+++ b/internal/cwpick/times.go
@@ -25,9 +25,9 @@
 // Factors are the factors by which responses take longer at servers that are slowed, in
 // addition to the slowness of the machine.
 type Factors struct {
-	// Crowd is for servers above the share of their slots in use at which some slow down, Cold
+	// Crowd is for servers above the share of their slots in use at which some slow down, Warmup
 	// for servers that are warming up.
-	Crowd, Cold float64
+	Crowd, Warmup float64
 }
 
 // factor is a moving average of the factor by which responses take longer, and the number of
@@ -70,7 +70,7 @@
 func (t *Times) Crowding() float64 { return t.crowd.mean }
 
 // Factors returns the factors by which responses take longer at slowed servers.
-func (t *Times) Factors() Factors { return Factors{Crowd: t.crowd.mean, Cold: t.warmup.mean} }
+func (t *Times) Factors() Factors { return Factors{Crowd: t.crowd.mean, Warmup: t.warmup.mean} }
 
 // Learn adds the duration of one response, with the slowness of the server's machine when the
 // request was sent and whether the server was crowded or warming up then. If it was both, the
