--- a/internal/cwbackend/arrange_test.go
+++ b/internal/cwbackend/arrange_test.go
@@ -32,10 +32,10 @@
 	return all
 }
 
-// TestArranged applies random changes of servers, entry VMs and evacuations to a table, and
+// TestIncrementalSubsets applies random changes of servers, entry VMs and evacuations to a table, and
 // checks that it selects the same subsets as a new table with the final state. It guards
 // against errors in incremental updates.
-func TestArranged(t *testing.T) {
+func TestIncrementalSubsets(t *testing.T) {
 	const (
 		steps   = 400
 		servers = 120
