--- a/internal/cwbackend/backend_test.go
+++ b/internal/cwbackend/backend_test.go
@@ -76,9 +76,9 @@
 	}
 }
 
-// TestLooked checks that a successful health check does not clear failures of requests, and
+// TestRecordHealthCheck checks that a successful health check does not clear failures of requests, and
 // that one without a response blocks the server.
-func TestLooked(t *testing.T) {
+func TestRecordHealthCheck(t *testing.T) {
 	s := newServer(backend(1, "a"), newAnnouncers(), start)
 	s.End(s.Begin(start, func() {}), start, Broken)
 	s.RecordHealthCheck(start, Answered)
