--- a/internal/cwbackend/backend_test.go
+++ b/internal/cwbackend/backend_test.go
@@ -142,10 +142,10 @@
 	}
 }
 
-// TestPick checks that each server is in the subsets of enough entry VMs of its failure
+// TestSubsets checks that each server is in the subsets of enough entry VMs of its failure
 // domain, that each subset has enough servers and not many more, and that a new entry VM moves
 // few servers.
-func TestPick(t *testing.T) {
+func TestSubsets(t *testing.T) {
 	var (
 		vms      []VM
 		backends []carobward.Backend
