--- a/internal/cwbackend/backend_test.go
+++ b/internal/cwbackend/backend_test.go
@@ -211,9 +211,9 @@
 	}
 }
 
-// TestStartedAgain checks for sequences of entries of a server which process the table ends up
+// TestRestart checks for sequences of entries of a server which process the table ends up
 // with, and that a restart discards the server's state and cancels its requests.
-func TestStartedAgain(t *testing.T) {
+func TestRestart(t *testing.T) {
 	for name, c := range map[string]struct {
 		starts []carobward.Start
 		want   carobward.Start
