--- a/internal/cwbackend/cold_test.go
+++ b/internal/cwbackend/cold_test.go
@@ -212,11 +212,11 @@
 	return worst, float64(all) / float64(len(f.servers)) / f.now.Sub(start).Seconds()
 }
 
-// TestColdHistory checks that no server that is warming up gets more requests than it
+// TestWarmupHistory checks that no server that is warming up gets more requests than it
 // tolerates in any one second, from entry VMs that join, crash and are partitioned at random
 // and all send as much as they may. Without faults, the servers must get a good part of the
 // bound.
-func TestColdHistory(t *testing.T) {
+func TestWarmupHistory(t *testing.T) {
 	const span = 8 * time.Second
 
 	allowed := int(warmupBound.Rate*warmupBound.Overshoot + warmupBound.Slack)
