--- a/internal/cwbackend/cold_test.go
+++ b/internal/cwbackend/cold_test.go
@@ -257,8 +257,8 @@
 	}
 }
 
-// TestColdWays compares the method in use with alternatives that exceed the bound.
-func TestColdWays(t *testing.T) {
+// TestWarmupMethods compares the method in use with alternatives that exceed the bound.
+func TestWarmupMethods(t *testing.T) {
 	allowed := int(warmupBound.Rate*warmupBound.Overshoot + warmupBound.Slack)
 
 	for name, c := range map[string]struct {
