--- a/internal/cwbackend/cold_test.go
+++ b/internal/cwbackend/cold_test.go
@@ -285,9 +285,9 @@
 	}
 }
 
-// TestColdView checks until when a server counts as warming up, given a sequence of entries
+// TestWarmupView checks until when a server counts as warming up, given a sequence of entries
 // and health check answers 1 s apart.
-func TestColdView(t *testing.T) {
+func TestWarmupView(t *testing.T) {
 	const none = -1
 
 	for name, c := range map[string]struct {
