--- a/internal/cwbackend/cold_test.go
+++ b/internal/cwbackend/cold_test.go
@@ -328,9 +328,9 @@
 	}
 }
 
-// TestColdMost checks how many requests in a second are divided, given the settings for
+// TestWarmupBudget checks how many requests in a second are divided, given the settings for
 // servers that are warming up.
-func TestColdMost(t *testing.T) {
+func TestWarmupBudget(t *testing.T) {
 	for name, c := range map[string]struct {
 		bound WarmupBound
 		want  int
