--- a/internal/cwbackend/cold_test.go
+++ b/internal/cwbackend/cold_test.go
@@ -349,10 +349,10 @@
 	}
 }
 
-// BenchmarkColdViews runs Views while all eight near servers are warming up, which ranks the
+// BenchmarkWarmupViews runs Views while all eight near servers are warming up, which ranks the
 // entry VMs of the failure domain for each server: 25 µs with 42 entry VMs, 33 µs with 106 (on
 // a busy machine).
-func BenchmarkColdViews(b *testing.B) {
+func BenchmarkWarmupViews(b *testing.B) {
 	for _, vms := range []int{6, 42, 106} {
 		b.Run(fmt.Sprint(vms), func(b *testing.B) {
 			f := newSimFleet(1, vms, subsetNear, byHash)
