--- a/internal/cwbackend/share_test.go
+++ b/internal/cwbackend/share_test.go
@@ -11,9 +11,9 @@
 	"carobward.example/carobward"
 )
 
-// TestShares checks that ranks updated through random changes of servers and neighbours equal
+// TestRanks checks that ranks updated through random changes of servers and neighbours equal
 // those of a placement that is built at once.
-func TestShares(t *testing.T) {
+func TestRanks(t *testing.T) {
 	const steps = 300
 
 	rnd := rand.New(rand.NewPCG(1, 2))
