--- a/internal/cwbackend/cost_test.go
+++ b/internal/cwbackend/cost_test.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// BenchmarkSame sets unchanged neighbours, which entry VMs do ten times a second.
-func BenchmarkSame(b *testing.B) {
+// BenchmarkUnchangedNeighbours sets unchanged neighbours, which entry VMs do ten times a second.
+func BenchmarkUnchangedNeighbours(b *testing.B) {
 	t, _ := largeTable(10_000)
 
 	var list []carobward.VMID
