--- a/internal/cwbackend/cost_test.go
+++ b/internal/cwbackend/cost_test.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// BenchmarkWords collects the announcements of servers for one heartbeat.
-func BenchmarkWords(b *testing.B) {
+// BenchmarkAnnouncements collects the announcements of servers for one heartbeat.
+func BenchmarkAnnouncements(b *testing.B) {
 	t, _ := largeTable(10_000)
 	now := time.Now()
 
