--- a/internal/cwbackend/limit_test.go
+++ b/internal/cwbackend/limit_test.go
@@ -66,9 +66,9 @@
 	}
 }
 
-// TestLimitWays compares the method in use with alternatives that exceed the limit: each entry
+// TestLimitMethods compares the method in use with alternatives that exceed the limit: each entry
 // VM enforces the limit by itself, or each has a share, however small.
-func TestLimitWays(t *testing.T) {
+func TestLimitMethods(t *testing.T) {
 	const limit = 2
 
 	window := func(rate float64) time.Duration { return time.Duration(float64(time.Second) / rate) }
