--- a/internal/cwbackend/limit_test.go
+++ b/internal/cwbackend/limit_test.go
@@ -111,9 +111,9 @@
 	}
 }
 
-// TestLimitTaken checks that all entry VMs of the failure domain use a server without a limit
+// TestLimitLifted checks that all entry VMs of the failure domain use a server without a limit
 // again soon after one of them had the reply that lifted it.
-func TestLimitTaken(t *testing.T) {
+func TestLimitLifted(t *testing.T) {
 	f := newLimitFleet(1, 42, 20, 10)
 	for f.now.Sub(start) < 2*time.Second {
 		f.step(false)
