--- a/internal/cwbackend/limit_test.go
+++ b/internal/cwbackend/limit_test.go
@@ -141,10 +141,10 @@
 	}
 }
 
-// TestLimitAsked checks that an entry VM without a share sends one request to a server to
+// TestLimitRecheck checks that an entry VM without a share sends one request to a server to
 // check its limit after some time without announcements, and uses the server if the limit was
 // lifted.
-func TestLimitAsked(t *testing.T) {
+func TestLimitRecheck(t *testing.T) {
 	table := New(VM{ID: "vm-1", Domain: "d1"})
 	table.Put([]carobward.Backend{backend(1, "d0")}, nil, start)
 
