--- a/internal/cwbackend/limit_test.go
+++ b/internal/cwbackend/limit_test.go
@@ -177,8 +177,8 @@
 	}
 }
 
-// TestTakeLimit checks the known limit after a sequence of announcements.
-func TestTakeLimit(t *testing.T) {
+// TestMergeLimit checks the known limit after a sequence of announcements.
+func TestMergeLimit(t *testing.T) {
 	type announcement struct {
 		value carobward.Limit
 		from  Source
