--- a/internal/cwbackend/limit_test.go
+++ b/internal/cwbackend/limit_test.go
@@ -230,10 +230,10 @@
 	}
 }
 
-// TestLimits checks that limits announced or lifted recently are passed on, and neither old
+// TestPassedLimits checks that limits announced or lifted recently are passed on, and neither old
 // ones, ones received from peers, nor the absence of a limit. A newcomer gets all limits that
 // hold.
-func TestLimits(t *testing.T) {
+func TestPassedLimits(t *testing.T) {
 	table := New(VM{ID: "vm-1", Domain: "a"})
 
 	var list []carobward.Backend
