--- a/internal/cwbackend/limit_test.go
+++ b/internal/cwbackend/limit_test.go
@@ -286,10 +286,10 @@
 	}
 }
 
-// TestLimitStartedAgain checks that a limit ends with the process that announced it: the next
+// TestLimitAfterRestart checks that a limit ends with the process that announced it: the next
 // process under its instance has none until it announces one, and announcements of the
 // previous one are ignored.
-func TestLimitStartedAgain(t *testing.T) {
+func TestLimitAfterRestart(t *testing.T) {
 	table := New(VM{ID: "vm-1", Domain: "a"})
 	b := backend(1, "a")
 	b.Start = 1
