--- a/internal/cwbackend/limit_test.go
+++ b/internal/cwbackend/limit_test.go
@@ -317,8 +317,8 @@
 	}
 }
 
-// TestPart checks that the shares of all entry VMs add up to the whole.
-func TestPart(t *testing.T) {
+// TestShare checks that the shares of all entry VMs add up to the whole.
+func TestShare(t *testing.T) {
 	for _, vms := range []int{1, 2, 5, 17, 95} {
 		for _, most := range []int{1, 4, 12, 100} {
 			for _, first := range []int{1, 4, 6, 1 << 40} {
