--- a/internal/cwbackend/words_test.go
+++ b/internal/cwbackend/words_test.go
@@ -10,10 +10,10 @@
 	"carobward.example/carobward"
 )
 
-// TestSpeaksOfLimit checks which replies state whether their server has a limit: each one with
+// TestStatesLimit checks which replies state whether their server has a limit: each one with
 // a limit, and of the others only successful ones from the server itself. If failures lifted a
 // limit, all entry VMs would send to an overloaded server at full rate after each of them.
-func TestSpeaksOfLimit(t *testing.T) {
+func TestStatesLimit(t *testing.T) {
 	named := carobward.Limit{Named: true, Readable: true, Rate: 1.4}
 
 	for name, c := range map[string]struct {
