--- a/internal/cwbackend/words_test.go
+++ b/internal/cwbackend/words_test.go
@@ -44,9 +44,9 @@
 	}
 }
 
-// TestHearLeaving checks whether a server may get a request after a reply: none once it has
+// TestReplyLeaving checks whether a server may get a request after a reply: none once it has
 // announced that it is leaving, until another process has its instance.
-func TestHearLeaving(t *testing.T) {
+func TestReplyLeaving(t *testing.T) {
 	leaves := carobward.LeaveNotice{Named: true, Readable: true}
 
 	for name, c := range map[string]struct {
