--- a/internal/cwbackend/words_test.go
+++ b/internal/cwbackend/words_test.go
@@ -87,9 +87,9 @@
 	}
 }
 
-// TestHearPause checks when a server may get the next request after a sequence of refusals: at
+// TestReplyPause checks when a server may get the next request after a sequence of refusals: at
 // the latest end of the pauses that it asked for.
-func TestHearPause(t *testing.T) {
+func TestReplyPause(t *testing.T) {
 	type pause struct {
 		after, length time.Duration
 		readable      bool
