--- a/internal/cwpick/pick_test.go
+++ b/internal/cwpick/pick_test.go
@@ -83,9 +83,9 @@
 	}
 }
 
-// TestAlone checks the expected duration at a server without other requests: requests that it
+// TestUnloadedTime checks the expected duration at a server without other requests: requests that it
 // already has do not count, but its speed does, and so does crowding by the request itself.
-func TestAlone(t *testing.T) {
+func TestUnloadedTime(t *testing.T) {
 	const crowd = 1.8
 
 	for name, c := range map[string]struct {
