--- a/internal/cwpick/pick_test.go
+++ b/internal/cwpick/pick_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestFree checks that urgent requests are accepted when others are not.
-func TestFree(t *testing.T) {
+// TestFreeSlots checks that urgent requests are accepted when others are not.
+func TestFreeSlots(t *testing.T) {
 	for name, c := range map[string]struct {
 		running, rank, ranks int
 		room                 bool
