--- a/internal/cwpick/pick_test.go
+++ b/internal/cwpick/pick_test.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// TestDraw checks which servers are drawn for health checks.
-func TestDraw(t *testing.T) {
+// TestSample checks which servers are drawn for health checks.
+func TestSample(t *testing.T) {
 	near, far, blocked, cold := view(0, 0, 1), view(0, 0, 1), view(0, 0, 1), view(0, 0, 1)
 	near.Idle = true
 	far.Domain, far.Idle = "b", true
