--- a/internal/cwpick/pick_test.go
+++ b/internal/cwpick/pick_test.go
@@ -157,9 +157,9 @@
 	}
 }
 
-// TestDrawRounds checks that later rounds also draw servers of other failure domains: near
+// TestSampleRounds checks that later rounds also draw servers of other failure domains: near
 // ones may be full for as long as their own failure domain has many callers.
-func TestDrawRounds(t *testing.T) {
+func TestSampleRounds(t *testing.T) {
 	var views []cwbackend.View
 
 	for range 12 {
