--- a/internal/cwrank/rank_test.go
+++ b/internal/cwrank/rank_test.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// TestWeightKeepsApart checks that the two strings are separated.
-func TestWeightKeepsApart(t *testing.T) {
+// TestWeightSeparator checks that the two strings are separated.
+func TestWeightSeparator(t *testing.T) {
 	if Weight("ab", "c") == Weight("a", "bc") || Weight("a", "") == Weight("", "a") {
 		t.Error("different pairs have the same weight")
 	}
