--- a/internal/cwrank/rank_test.go
+++ b/internal/cwrank/rank_test.go
@@ -100,9 +100,9 @@
 	}
 }
 
-// TestWeightStays checks that the weight is the same in each build: entry VMs of two versions
+// TestWeightStable checks that the weight is the same in each build: entry VMs of two versions
 // run side by side during a rollout.
-func TestWeightStays(t *testing.T) {
+func TestWeightStable(t *testing.T) {
 	if got := Weight("front-1", "i-1"); got != 0x2fe1c82514b0120 {
 		t.Errorf("%#x", got)
 	}
