--- a/internal/cwrank/rank_test.go
+++ b/internal/cwrank/rank_test.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// TestMixStays checks that the weight is the same in each build, like TestWeightStays.
-func TestMixStays(t *testing.T) {
+// TestMixStable checks that the weight is the same in each build, like TestWeightStays.
+func TestMixStable(t *testing.T) {
 	if got := Mix(Hash("front-1"), Hash("i-1")); got != 0xf284042301cb3706 {
 		t.Errorf("%#x", got)
 	}
