--- a/internal/cwbackend/allowance.go
+++ b/internal/cwbackend/allowance.go
@@ -128,13 +128,13 @@
 
 // share returns how many of the requests that a server takes in a window are this entry VM's,
 // divided among the first ones by hash. The mutex must be held.
-func (t *Table) share(b *carobward.Backend, most, first int, now time.Time) int {
+func (t *Table) share(b *carobward.Backend, maxRequests, first int, now time.Time) int {
 	place := t.placement.places[b.Instance]
 	if place == nil || b.Domain != t.self.Domain || t.sharers.since.IsZero() || now.Sub(t.sharers.since) < settleTime {
 		return 0
 	}
 
-	return t.sharers.share(t.placement.self, place.hash, most, first)
+	return t.sharers.share(t.placement.self, place.hash, maxRequests, first)
 }
 
 // sharers are the entry VMs that divide the bounds.
@@ -196,12 +196,12 @@
 	return 1 + len(t.sharers.hashes)
 }
 
-// share returns this entry VM's share of the most requests that a server may get in a window,
+// share returns this entry VM's share of the requests that a server may get in a window,
 // which are divided among the first ones by hash. An entry VM that knows too few of the others
 // has none. One that does not know all of them scales the requests and the number of shares
 // down in that proportion: otherwise each of many that have just started, or that are
 // partitioned, would take itself for the first.
-func (s *sharers) share(self, server uint64, most, first int) int {
+func (s *sharers) share(self, server uint64, maxRequests, first int) int {
 	known := 1 + len(s.hashes)
 	if float64(known) < minKnownShare*float64(s.size) {
 		return 0
@@ -215,15 +215,15 @@
 		}
 	}
 
-	most = most * known / s.size
+	maxRequests = maxRequests * known / s.size
 	first = max(1, min(first, s.size)*known/s.size)
 
 	if rank >= first {
 		return 0
 	}
 
-	part := most / first
-	if rank < most%first {
+	part := maxRequests / first
+	if rank < maxRequests%first {
 		part++
 	}
 
--- a/internal/cwbackend/announcement.go
+++ b/internal/cwbackend/announcement.go
@@ -81,8 +81,8 @@
 	Pause bool
 }
 
-// ApplyReply updates the state of the server from a reply to a request or a health check. A reply
-// from another server at the same address is ignored.
+// ApplyReply updates the state of the server from a reply to a request or a health check. A
+// reply from another server at the same address is ignored.
 func (s *Server) ApplyReply(r *carobward.Reply, from Source, now time.Time) Changes {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -165,14 +165,14 @@
 	return true
 }
 
-// Announcements returns what servers announced that other entry VMs may lack: what they announced to
-// this entry VM recently, or for a newcomer everything that holds.
+// Announcements returns what servers announced that other entry VMs may lack: what they
+// announced to this entry VM recently, or for a newcomer everything that holds.
 func (t *Table) Announcements(now time.Time, newcomer bool) carobward.ServerWords {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
 
 	announcing := t.announcing(now)
-	words := carobward.ServerWords{Limits: limits(announcing, now, newcomer)}
+	announcements := carobward.ServerWords{Limits: limits(announcing, now, newcomer)}
 
 	for i, s := range announcing {
 		s.mutex.Lock()
@@ -180,11 +180,11 @@
 		s.mutex.Unlock()
 
 		if !leaving.IsZero() && (newcomer || now.Sub(leaving) < announceTime) {
-			words.Leaving = append(words.Leaving, carobward.LeavingWord{Server: i, Start: start})
+			announcements.Leaving = append(announcements.Leaving, carobward.LeavingWord{Server: i, Start: start})
 		}
 	}
 
-	return words
+	return announcements
 }
 
 // announcing returns the servers with announcements and drops those whose announcements have
@@ -207,8 +207,8 @@
 	return all
 }
 
-// LeavingAndPaused returns how many servers announced that they are leaving, and how many currently ask
-// this entry VM to pause.
+// LeavingAndPaused returns how many servers announced that they are leaving, and how many
+// currently ask this entry VM to pause.
 func (t *Table) LeavingAndPaused(now time.Time) (leaving, paused int) {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
--- a/internal/cwbackend/announcement_fleet_test.go
+++ b/internal/cwbackend/announcement_fleet_test.go
@@ -197,10 +197,10 @@
 	f.now = f.now.Add(announceStep)
 }
 
-// TestAnnouncementHistory simulates servers that announce leaving and ask for pauses, in turn and at
-// the same time, while entry VMs restart and are suspended. No process may get a request from
-// an entry VM to which it announced that it is leaving, nor during a pause that it asked for.
-// The servers must still be used.
+// TestAnnouncementHistory simulates servers that announce leaving and ask for pauses, in turn
+// and at the same time, while entry VMs restart and are suspended. No process may get a
+// request from an entry VM to which it announced that it is leaving, nor during a pause that
+// it asked for. The servers must still be used.
 func TestAnnouncementHistory(t *testing.T) {
 	for name, vms := range map[string]int{"17": 17, "127": 127, "472": 472} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/cwbackend/announcement_test.go
+++ b/internal/cwbackend/announcement_test.go
@@ -141,8 +141,8 @@
 	}
 }
 
-// TestLeavingNotices checks that a leaving notice is passed to other entry VMs for some time and
-// to newcomers always, and that it applies to that process only.
+// TestLeavingNotices checks that a leaving notice is passed to other entry VMs for some time
+// and to newcomers always, and that it applies to that process only.
 func TestLeavingNotices(t *testing.T) {
 	b := carobward.Backend{Instance: "i-1", Domain: "a", Service: "records", Start: 1}
 	from, to, next := New(VM{ID: "vm-1", Domain: "a"}), New(VM{ID: "vm-2", Domain: "a"}), New(VM{ID: "vm-3", Domain: "a"})
--- a/internal/cwbackend/backend_test.go
+++ b/internal/cwbackend/backend_test.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// TestRecordHealthCheck checks that a successful health check does not clear failures of requests, and
-// that one without a response blocks the server.
+// TestRecordHealthCheck checks that a successful health check does not clear failures of
+// requests, and that one without a response blocks the server.
 func TestRecordHealthCheck(t *testing.T) {
 	s := newServer(backend(1, "a"), newAnnouncers(), start)
 	s.End(s.Begin(start, func() {}), start, Broken)
@@ -159,7 +159,7 @@
 		backends = append(backends, backend(i, fmt.Sprintf("d%d", i%3)))
 	}
 
-	knownBy := map[carobward.Instance]int{}
+	holders := map[carobward.Instance]int{}
 	moved := 0
 
 	for _, vm := range vms {
@@ -185,7 +185,7 @@
 		for _, v := range views {
 			had[v.Server] = true
 			if v.Domain == vm.Domain {
-				knownBy[v.Server.Backend().Instance]++
+				holders[v.Server.Backend().Instance]++
 			}
 		}
 
@@ -201,8 +201,8 @@
 	}
 
 	for _, b := range backends {
-		if knownBy[b.Instance] < 4 {
-			t.Errorf("%s is in the subsets of %d entry VMs of its failure domain", b.Instance, knownBy[b.Instance])
+		if holders[b.Instance] < 4 {
+			t.Errorf("%s is in the subsets of %d entry VMs of its failure domain", b.Instance, holders[b.Instance])
 		}
 	}
 
--- a/internal/cwbackend/limit.go
+++ b/internal/cwbackend/limit.go
@@ -124,8 +124,8 @@
 // which window.
 func (l *limit) bound() (int, time.Duration) {
 	rate := dividedShare * float64(l.Rate)
-	if most := rate * minWindow.Seconds(); most >= limitOwners {
-		return int(most), minWindow
+	if total := rate * minWindow.Seconds(); total >= limitOwners {
+		return int(total), minWindow
 	}
 
 	return limitOwners, time.Duration(limitOwners / rate * float64(time.Second))
@@ -138,8 +138,8 @@
 	}
 
 	if l.Rate >= minLimitRate {
-		most, window := l.bound()
-		if part := t.share(b, most, min(most, t.holders(t.nearCounts[b.Service])), now); part > 0 {
+		total, window := l.bound()
+		if part := t.share(b, total, min(total, t.holders(t.nearCounts[b.Service])), now); part > 0 {
 			return allowance{maxRequests: part, window: window}
 		}
 	}
--- a/internal/cwbackend/limit_fleet_test.go
+++ b/internal/cwbackend/limit_fleet_test.go
@@ -28,7 +28,8 @@
 	lost   time.Duration
 	asleep time.Time
 	slept  time.Duration
-	// knownSince is when each server first announced a readable limit to this run of the entry VM.
+	// knownSince is when each server first announced a readable limit to this run of the entry
+	// VM.
 	knownSince map[carobward.Instance]time.Time
 	// faultAt is when it was last started, partitioned or suspended.
 	faultAt  time.Time
@@ -237,12 +238,12 @@
 
 // passLimits passes limits from one entry VM to another, with their ages.
 func (f *limitFleet) passLimits(from, to *simVM, list []carobward.LimitWord) {
-	words := slices.Clone(list)
-	for i := range words {
-		words[i].At = f.clock(to).Add(words[i].At.Sub(f.clock(from)))
+	limits := slices.Clone(list)
+	for i := range limits {
+		limits[i].At = f.clock(to).Add(limits[i].At.Sub(f.clock(from)))
 	}
 
-	to.table.MergeLimits(words)
+	to.table.MergeLimits(limits)
 }
 
 // send sends requests of an entry VM to each server that may get one, to a server without a
--- a/internal/cwbackend/limit_test.go
+++ b/internal/cwbackend/limit_test.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// TestLimitMethods compares the method in use with alternatives that exceed the limit: each entry
-// VM enforces the limit by itself, or each has a share, however small.
+// TestLimitMethods compares the method in use with alternatives that exceed the limit: each
+// entry VM enforces the limit by itself, or each has a share, however small.
 func TestLimitMethods(t *testing.T) {
 	const limit = 2
 
@@ -230,9 +230,9 @@
 	}
 }
 
-// TestPassedLimits checks that limits announced or lifted recently are passed on, and neither old
-// ones, ones received from peers, nor the absence of a limit. A newcomer gets all limits that
-// hold.
+// TestPassedLimits checks that limits announced or lifted recently are passed on, and neither
+// old ones, ones received from peers, nor the absence of a limit. A newcomer gets all limits
+// that hold.
 func TestPassedLimits(t *testing.T) {
 	table := New(VM{ID: "vm-1", Domain: "a"})
 
@@ -320,9 +320,9 @@
 // TestShare checks that the shares of all entry VMs add up to the whole.
 func TestShare(t *testing.T) {
 	for _, vms := range []int{1, 2, 5, 17, 95} {
-		for _, most := range []int{1, 4, 12, 100} {
+		for _, maxRequests := range []int{1, 4, 12, 100} {
 			for _, first := range []int{1, 4, 6, 1 << 40} {
-				t.Run(fmt.Sprint(vms, " ", most, " ", first), func(t *testing.T) {
+				t.Run(fmt.Sprint(vms, " ", maxRequests, " ", first), func(t *testing.T) {
 					var ids []carobward.VMID
 					for i := range vms {
 						ids = append(ids, carobward.VMID(fmt.Sprint("vm-", i)))
@@ -333,7 +333,7 @@
 					for i, id := range ids {
 						others := append(append([]carobward.VMID(nil), ids[:i]...), ids[i+1:]...)
 						s := sharers{hashes: hashesOf(others), size: vms}
-						n := s.share(hashesOf([]carobward.VMID{id})[id], 7, most, first)
+						n := s.share(hashesOf([]carobward.VMID{id})[id], 7, maxRequests, first)
 						sum += n
 
 						if n > 0 {
@@ -341,8 +341,8 @@
 						}
 					}
 
-					if sum != most || parts > first {
-						t.Errorf("%d of %d, in %d shares of at most %d", sum, most, parts, first)
+					if sum != maxRequests || parts > first {
+						t.Errorf("%d of %d, in %d shares of at most %d", sum, maxRequests, parts, first)
 					}
 				})
 			}
--- a/internal/cwbackend/placement_test.go
+++ b/internal/cwbackend/placement_test.go
@@ -182,7 +182,7 @@
 		t.Run(fmt.Sprint(size.vms), func(t *testing.T) {
 			neighbours, list := fleetOf(size)
 			all := slices.Concat(neighbours, []carobward.VMID{"front-hall-0"})
-			knownBy := map[carobward.Instance]int{}
+			holders := map[carobward.Instance]int{}
 
 			for n, id := range all {
 				table := New(VM{ID: id, Domain: "d0"})
@@ -196,7 +196,7 @@
 				}
 
 				for _, v := range views {
-					knownBy[v.Server.Backend().Instance]++
+					holders[v.Server.Backend().Instance]++
 
 					if v.Domain == "d0" || !table.Has(v.Server.Backend()) {
 						t.Errorf("%s may send to %s of %s", id, v.Server.Backend().Instance, v.Domain)
@@ -209,11 +209,11 @@
 			}
 
 			most := 0
-			for _, n := range knownBy {
+			for _, n := range holders {
 				most = max(most, n)
 			}
 
-			if mean := len(all) * (subsetNear + subsetFar) / len(knownBy); most > 4*mean+4 {
+			if mean := len(all) * (subsetNear + subsetFar) / len(holders); most > 4*mean+4 {
 				t.Errorf("a server is in %d subsets, %d in the mean", most, mean)
 			}
 		})
--- a/internal/cwbackend/server.go
+++ b/internal/cwbackend/server.go
@@ -47,8 +47,8 @@
 	refusedBlock = 100 * time.Millisecond
 	// failureWeight is the weight of one outcome in the moving average of failures.
 	failureWeight = 0.2
-	// overdueFactor is after how many usual durations a request without a response is overdue,
-	// which makes the server a worse choice for others.
+	// overdueFactor is after how many usual response times a request without a response is
+	// overdue, which makes the server a worse choice for others.
 	overdueFactor = 4
 )
 
@@ -152,8 +152,8 @@
 	s.recordOutcome(now, o)
 }
 
-// RecordHealthCheck records the outcome of a health check. Success does not clear earlier failures: a
-// server may pass health checks and still fail requests.
+// RecordHealthCheck records the outcome of a health check. Success does not clear earlier
+// failures: a server may pass health checks and still fail requests.
 func (s *Server) RecordHealthCheck(now time.Time, o Outcome) {
 	if o != Broken && o != Silent {
 		return
--- a/internal/cwbackend/subset_test.go
+++ b/internal/cwbackend/subset_test.go
@@ -13,7 +13,7 @@
 	"carobward.example/carobward"
 )
 
-// subsetsOf returns the subsetsOf of an entry VM, sorted by instance.
+// subsetsOf returns the subsets of an entry VM, sorted by instance.
 func subsetsOf(t *Table) map[string][]carobward.Instance {
 	all := map[string][]carobward.Instance{}
 
@@ -32,9 +32,9 @@
 	return all
 }
 
-// TestIncrementalSubsets applies random changes of servers, entry VMs and evacuations to a table, and
-// checks that it selects the same subsets as a new table with the final state. It guards
-// against errors in incremental updates.
+// TestIncrementalSubsets applies random changes of servers, entry VMs and evacuations to a
+// table, and checks that it selects the same subsets as a new table with the final state. It
+// guards against errors in incremental updates.
 func TestIncrementalSubsets(t *testing.T) {
 	const (
 		steps   = 400
--- a/internal/cwbackend/table_bench_test.go
+++ b/internal/cwbackend/table_bench_test.go
@@ -72,7 +72,8 @@
 	}
 }
 
-// BenchmarkUnchangedNeighbours sets unchanged neighbours, which entry VMs do ten times a second.
+// BenchmarkUnchangedNeighbours sets unchanged neighbours, which entry VMs do ten times a
+// second.
 func BenchmarkUnchangedNeighbours(b *testing.B) {
 	t, _ := largeTable(10_000)
 
--- a/internal/cwbackend/view.go
+++ b/internal/cwbackend/view.go
@@ -22,8 +22,8 @@
 	// Limit is the request rate that the server announced as its limit for all entry VMs
 	// together.
 	Limit carobward.Limit
-	// Throttled is set if this entry VM may not send the server a request before ThrottledUntil, because it
-	// is warming up, has a limit or asked for a pause.
+	// Throttled is set if this entry VM may not send the server a request before
+	// ThrottledUntil, because it is warming up, has a limit or asked for a pause.
 	Throttled      bool
 	ThrottledUntil time.Time
 	// Slots is the number of requests that it runs at once, by its entry.
@@ -62,7 +62,7 @@
 	return r
 }
 
-// View returns the state of the server. Usual is the usual duration of a request.
+// View returns the state of the server. Usual is the usual response time.
 func (s *Server) View(now time.Time, usual time.Duration) View {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -82,7 +82,7 @@
 }
 
 // Views returns the servers of a service that are in this entry VM's subset and not leaving.
-// Usual is the usual duration of a request.
+// Usual is the usual response time.
 //
 // While over half of the near servers fail or may not get requests, the spare servers of other
 // failure domains are included. This handles the loss of all servers of a failure domain whose
@@ -149,8 +149,8 @@
 	return v
 }
 
-// NextAvailable returns the earliest time at which one of the servers may get a request, or the zero
-// time if one may now or the list is empty.
+// NextAvailable returns the earliest time at which one of the servers may get a request, or
+// the zero time if one may now or the list is empty.
 func NextAvailable(views []View) time.Time {
 	var first time.Time
 
--- a/internal/cwbackend/warmup_test.go
+++ b/internal/cwbackend/warmup_test.go
@@ -121,8 +121,8 @@
 	}
 }
 
-// injectFaults randomly disturbs one entry VM: it crashes every 10 s on average, for 1.5 s on
-// average, and is partitioned or rejoins every 8 s.
+// injectFaults randomly disturbs one entry VM: it crashes every 10 s on average, mostly for
+// half a second to 3 s, and is partitioned or rejoins every 8 s.
 func (f *simFleet) injectFaults(v *simVM) {
 	chance := func(every time.Duration) bool { return f.rnd.Float64() < float64(simStep)/float64(every) }
 
--- a/internal/cwpick/pick.go
+++ b/internal/cwpick/pick.go
@@ -11,7 +11,7 @@
 	"carobward.example/carobward/internal/cwbackend"
 )
 
-// The weights of the cost function, in usual request durations unless noted.
+// The weights of the cost function, in usual response times unless noted.
 const (
 	// kneeShare is the share of a server's slots in use above which some servers slow down. By
 	// how much is learned, see Times.
@@ -34,7 +34,7 @@
 	return float64(r.Running+1) > kneeShare*float64(slots)
 }
 
-// ExpectedTime returns the expected duration of a request at a server, in usual durations.
+// ExpectedTime returns the expected duration of a request at a server, in usual response times.
 func ExpectedTime(v *cwbackend.View, f Factors) float64 {
 	r := &v.Report
 	slots := v.SlotCount()
@@ -57,9 +57,9 @@
 	return out
 }
 
-// UnloadedTime returns the expected duration of a request at a server without other requests, in
-// usual durations. At a server with few slots, a single request may be enough for it to be
-// crowded.
+// UnloadedTime returns the expected duration of a request at a server without other requests,
+// in usual response times. At a server with few slots, a single request may be enough for it
+// to be crowded.
 func UnloadedTime(v *cwbackend.View, f Factors) float64 {
 	empty := *v
 	empty.Report.Running, empty.Report.Queued = 0, 0
@@ -68,7 +68,7 @@
 }
 
 // Cost returns the cost of choosing a server: the expected duration of the request, in usual
-// durations, plus penalties for other reasons against the server.
+// response times, plus penalties for other reasons against the server.
 func Cost(v *cwbackend.View, f Factors, home carobward.Domain) float64 {
 	cost := ExpectedTime(v, f)
 	cost += fillCost * float64(v.Report.Running) / float64(v.SlotCount())
@@ -86,8 +86,8 @@
 }
 
 // newConnShare is the share of draws in which servers without an idle connection are equal to
-// those with one. New connections cost time and traffic, but without any the choice would
-// narrow to a few servers.
+// those with one. New connections are costly, but without any the choice would narrow to a few
+// servers.
 const newConnShare = 0.1
 
 // Random is a source of randomness: a rand.Rand, or Global.
@@ -107,8 +107,8 @@
 
 // The parameters of health checks before a request is sent.
 const (
-	// SampleSize is the number of servers that are health checked at once. With a quarter of the
-	// machines slow at any moment, at least one of four is at its usual speed in 99.6 % of
+	// SampleSize is the number of servers that are health checked at once. With a quarter of
+	// the machines slow at any moment, at least one of four is at its usual speed in 99.6 % of
 	// cases.
 	SampleSize = 4
 	// MaxRounds is the largest number of rounds of health checks for one request.
@@ -117,9 +117,9 @@
 
 // FirstRound returns the first round of health checks for a request. After health checks for
 // it that found no server, only the last round is made: where all servers are full, more
-// checks find no free slots and only add load. While a third of the servers is slow, 0.852 of
-// requests finish in time with this rule and 0.837 if both rounds are always made; in bursts
-// with 127 entry VMs, 0.798 and 0.781.
+// checks at once find no more free slots, and the number of checks is limited. While a third
+// of the servers is slow, 0.852 of requests finish in time with this rule and 0.837 if both
+// rounds are always made; in bursts with 127 entry VMs, 0.798 and 0.781.
 func FirstRound(failed bool) int {
 	if failed {
 		return MaxRounds - 1
@@ -180,8 +180,8 @@
 	random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 }
 
-// FreeSlots returns how many more requests of a rank, out of so many ranks, a server takes, or a
-// number below zero if it has too many. Requests of the most urgent rank may queue for a
+// FreeSlots returns how many more requests of a rank, out of so many ranks, a server takes, or
+// a number below zero if it has too many. Requests of the most urgent rank may queue for a
 // while, those of the least urgent leave a slot free for others. Spared slots are left to
 // others in addition, but at least one is used. Crowd is the factor by which requests take
 // longer at a crowded server.
@@ -193,17 +193,17 @@
 	r := &v.Report
 	slots := v.SlotCount()
 	useful := usefulSlots(slots, crowd)
-	most := useful
+	maxSlots := useful
 
 	switch {
 	case ranks < 2:
 	case rank == 0:
-		most = useful + slots/2
+		maxSlots = useful + slots/2
 	case rank == ranks-1:
-		most = max(1, min(useful, slots-1))
+		maxSlots = max(1, min(useful, slots-1))
 	}
 
-	return max(1, most-spared) - r.Running - r.Queued
+	return max(1, maxSlots-spared) - r.Running - r.Queued
 }
 
 // usefulSlots returns how many of a server's slots add to its throughput. Where crowding costs
--- a/internal/cwpick/pick_test.go
+++ b/internal/cwpick/pick_test.go
@@ -83,8 +83,9 @@
 	}
 }
 
-// TestUnloadedTime checks the expected duration at a server without other requests: requests that it
-// already has do not count, but its speed does, and so does crowding by the request itself.
+// TestUnloadedTime checks the expected duration at a server without other requests: requests
+// that it already has do not count, but its speed does, and so does crowding by the request
+// itself.
 func TestUnloadedTime(t *testing.T) {
 	const crowd = 1.8
 
@@ -102,7 +103,7 @@
 			v.Report.Slots = c.slots
 
 			if got := UnloadedTime(&v, Factors{Crowd: crowd}); got != c.want {
-				t.Errorf("%.2f usual durations, want %.2f", got, c.want)
+				t.Errorf("%.2f usual response times, want %.2f", got, c.want)
 			}
 
 			if v.Report.Running != c.running || v.Report.Queued != c.queued {
@@ -114,11 +115,11 @@
 
 // TestSample checks which servers are drawn for health checks.
 func TestSample(t *testing.T) {
-	near, far, blocked, cold := view(0, 0, 1), view(0, 0, 1), view(0, 0, 1), view(0, 0, 1)
+	near, far, blocked, noConn := view(0, 0, 1), view(0, 0, 1), view(0, 0, 1), view(0, 0, 1)
 	near.Idle = true
 	far.Domain, far.Idle = "b", true
 	blocked.Blocked = true
-	all := []cwbackend.View{far, blocked, cold, near}
+	all := []cwbackend.View{far, blocked, noConn, near}
 
 	draw := func(views []cwbackend.View, n int, seen ...*cwbackend.Server) []*cwbackend.Server {
 		had := map[*cwbackend.Server]bool{}
@@ -140,15 +141,15 @@
 		first[draw(all, 1)[0]]++
 	}
 
-	if first[far.Server] > 0 || first[blocked.Server] > 0 || first[cold.Server] == 0 || first[near.Server] < 800 {
-		t.Errorf("first: near %d, cold %d, far %d, blocked %d", first[near.Server], first[cold.Server], first[far.Server], first[blocked.Server])
+	if first[far.Server] > 0 || first[blocked.Server] > 0 || first[noConn.Server] == 0 || first[near.Server] < 800 {
+		t.Errorf("first: near %d, without a connection %d, far %d, blocked %d", first[near.Server], first[noConn.Server], first[far.Server], first[blocked.Server])
 	}
 
 	if got := draw(all, 4); len(got) != 3 || got[2] != far.Server {
 		t.Errorf("%d drawn of three that are not blocked", len(got))
 	}
 
-	if got := draw(all, 4, near.Server, cold.Server, far.Server); len(got) != 1 || got[0] != blocked.Server {
+	if got := draw(all, 4, near.Server, noConn.Server, far.Server); len(got) != 1 || got[0] != blocked.Server {
 		t.Error("the blocked server is not drawn when there is no other")
 	}
 
--- a/internal/cwpick/times.go
+++ b/internal/cwpick/times.go
@@ -25,8 +25,8 @@
 // Factors are the factors by which responses take longer at servers that are slowed, in
 // addition to the slowness of the machine.
 type Factors struct {
-	// Crowd is for servers above the share of their slots in use at which some slow down, Warmup
-	// for servers that are warming up.
+	// Crowd is for servers above the share of their slots in use at which some slow down,
+	// Warmup for servers that are warming up.
 	Crowd, Warmup float64
 }
 
