--- a/internal/cwmesh/answer.go
+++ b/internal/cwmesh/answer.go
@@ -8,17 +8,17 @@
 	"carobward.example/carobward"
 )
 
-// ErrEra is the error of an answer of the store as it was before it came back from a copy.
-const ErrEra = errors.ConstError("mesh: an answer of an earlier era of the store")
+// ErrEra is returned for an answer that the store gave before it was restored from a backup.
+const ErrEra = errors.ConstError("mesh: the answer is from an earlier era of the store")
 
-// TakeAnswer takes an answer of the store to a call that was made at a time, and tells the
-// fleet. It returns how many items came
-// into force. It is a carobward.ErrHistory if the store came back from a copy and the answer
-// does not have all keys: what came after our index is none of its history.
+// TakeAnswer applies an answer of the store to a call that was made at the time asked, and
+// sends it to the fleet. It returns how many items came into force. The error is a
+// carobward.ErrHistory if the store was restored from a backup and the answer does not have
+// all keys: what came after the replica's index is not part of the restored history.
 func (m *Mesh) TakeAnswer(c carobward.Changes, asked time.Time) (int, error) {
 	now, before := m.Clock.Now(), m.Mirror.State()
 
-	if c.Era == 0 { // Not named: the store does not count its eras, or not any more.
+	if c.Era == 0 { // The store does not count its eras, or has stopped to.
 		c.Era, c.AfterEra = before.Era, before.Era
 	}
 
@@ -34,7 +34,7 @@
 	changed := m.Mirror.ApplyAndNotify(c, now, m.Changed)
 
 	if enters {
-		m.Log.Info("The store came back from a copy.", "era", c.Era, "index", c.Index, "before", before.Era, "copy", before.Index,
+		m.Log.Info("The store was restored from a backup.", "era", c.Era, "index", c.Index, "before", before.Era, "copy", before.Index,
 			"changed", changed, "kept", m.Mirror.State().Kept)
 		c = m.Mirror.Since(before)
 	}
--- a/internal/cwmesh/checked_test.go
+++ b/internal/cwmesh/checked_test.go
@@ -9,10 +9,11 @@
 	"carobward.example/carobward"
 )
 
-// TestCheckedHistory, beside TestRestoreHistory with larger fleets, plays a store that comes back from copies beside kills, suspensions,
-// cuts, lost packets and processes that stop for a time while heartbeats wait for them. No
-// entry VM may count as having all that was acknowledged by a time while it lacks a
-// configuration that was: by that it tells which API keys are in force.
+// TestCheckedHistory simulates a store that is restored from backups, together with crashes and
+// suspensions of entry VMs, network partitions, packet loss and paused processes whose
+// heartbeats wait. An entry VM tells from Checked which API keys are in force, so it must
+// never claim to have all that was acknowledged before a time while it lacks a configuration
+// from before it. TestRestoreHistory checks the same in larger fleets.
 func TestCheckedHistory(t *testing.T) {
 	for name, c := range map[string]struct {
 		vms, steps int
@@ -28,18 +29,18 @@
 
 			const (
 				lost = 0.02
-				// enough is the part of the moments at which what an entry VM knows is young,
-				// with a store that is away for a good part of the time.
+				// enough is the fraction of moments at which what an entry VM knows has to be fresh,
+				// with a store that is down for a good part of the time.
 				enough = 0.3
 				young  = 3500 * time.Millisecond
 			)
 
 			f := newFleetHistory(t, c.seed, c.vms)
-			f.play(2 * simForms)
+			f.play(2 * simFormTime)
 
 			f.loss = lost
-			knows := knowing{fleetHistory: f, young: young}
-			f.checked = knows.check
+			freshness := freshnessCheck{fleetHistory: f, maxAge: young}
+			f.checked = freshness.check
 
 			for range c.steps {
 				f.disturb()
@@ -48,23 +49,23 @@
 				f.play(time.Duration(f.rnd.Int64N(int64(time.Second))))
 			}
 
-			if part := float64(knows.known) / float64(knows.moments); part < enough {
-				t.Errorf("young at %.2f of all moments", part)
+			if part := float64(freshness.fresh) / float64(freshness.moments); part < enough {
+				t.Errorf("fresh at only %.2f of all moments", part)
 			}
 		})
 	}
 }
 
-// knowing counts the moments at which entry VMs know enough of the store.
-type knowing struct {
+// freshnessCheck counts the moments at which entry VMs have fresh knowledge of the store.
+type freshnessCheck struct {
 	*fleetHistory
 
-	young          time.Duration
-	known, moments int
+	maxAge         time.Duration
+	fresh, moments int
 }
 
-// check wants what entry VMs believe of their copy to be true.
-func (k *knowing) check() {
+// check verifies that no entry VM claims to be more up to date than it is.
+func (k *freshnessCheck) check() {
 	for _, v := range k.vms {
 		h := k.serving(v)
 		if h == nil {
@@ -74,23 +75,23 @@
 		k.moments++
 
 		at := v.mesh.Checked()
-		if k.now.Sub(at) < k.young {
-			k.known++
+		if k.now.Sub(at) < k.maxAge {
+			k.fresh++
 		}
 
-		// The ways of heartbeats are not counted: some for the way of a claim to all.
-		const ways = 8 * simStep
+		// Ages leave out the time in transit: this covers some hops until a claim has reached all.
+		const maxDelay = 8 * simStep
 
-		if at.After(k.store.acked.Add(ways)) && h.version < k.store.version {
-			k.fail("%s has configuration %d and counts as having all before %s, %d was acknowledged %s earlier",
+		if at.After(k.store.acked.Add(maxDelay)) && h.version < k.store.version {
+			k.fail("%s has configuration %d and claims to have all from before %s ago, but %d was acknowledged %s earlier",
 				v.node.ID, h.version, k.now.Sub(at), k.store.version, at.Sub(k.store.acked))
 		}
 	}
 }
 
-// serving returns what is noted of an entry VM that runs and serves.
-func (k *knowing) serving(v *simVM) *historyVM {
-	h := k.all[v]
+// serving returns the record of an entry VM if it runs and serves.
+func (k *freshnessCheck) serving(v *simVM) *historyVM {
+	h := k.historyVMs[v]
 	if h == nil || !v.alive || h.suspended || v.stopped {
 		return nil
 	}
@@ -98,9 +99,9 @@
 	return h
 }
 
-// stopFor stops the process of an entry VM for a time. What is sent to it waits.
+// stopFor pauses the process of an entry VM for a time. Datagrams to it wait.
 func (f *fleetHistory) stopFor(v *simVM, d time.Duration) {
-	h := f.all[v]
+	h := f.historyVMs[v]
 	if h == nil || !v.alive {
 		return
 	}
@@ -108,10 +109,10 @@
 	v.stopped, h.suspended = true, true
 	f.play(d)
 	v.stopped, h.suspended = false, false
-	h.calm = f.now
+	h.steadySince = f.now
 }
 
-// TestRunning has for how long a heartbeat may have waited for a process that stops.
+// TestRunning checks for how long a heartbeat may have waited for a paused process.
 func TestRunning(t *testing.T) {
 	const tick = 100 * time.Millisecond
 
@@ -122,32 +123,32 @@
 		at    time.Duration
 		want  time.Duration
 	}{
-		"never noted":            {nil, time.Hour, 0},
-		"right after a tick":     {[]time.Duration{tick, 2 * tick}, 2 * tick, tick},
-		"a tick is due":          {[]time.Duration{tick, 2 * tick}, 3 * tick, tick},
-		"stopped, nothing noted": {[]time.Duration{tick}, 8 * tick, 7 * tick},
-		"stopped, noted":         {[]time.Duration{tick, 8 * tick}, 8 * tick, 7 * tick},
-		"and ticking again":      {[]time.Duration{tick, 8 * tick, 9 * tick}, 9 * tick, 7 * tick},
-		"some time later":        {[]time.Duration{tick, 8 * tick, 9 * tick, 10 * tick, 11 * tick}, 12 * tick, tick},
+		"no tick yet":           {nil, time.Hour, 0},
+		"right after a tick":    {[]time.Duration{tick, 2 * tick}, 2 * tick, tick},
+		"tick is due":           {[]time.Duration{tick, 2 * tick}, 3 * tick, tick},
+		"paused, no tick since": {[]time.Duration{tick}, 8 * tick, 7 * tick},
+		"tick after a pause":    {[]time.Duration{tick, 8 * tick}, 8 * tick, 7 * tick},
+		"next tick after that":  {[]time.Duration{tick, 8 * tick, 9 * tick}, 9 * tick, 7 * tick},
+		"long after the pause":  {[]time.Duration{tick, 8 * tick, 9 * tick, 10 * tick, 11 * tick}, 12 * tick, tick},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := running{}
+			p := pauseMeter{}
 			for _, at := range c.ticks {
-				r.note(start.Add(at))
+				p.markTick(start.Add(at))
 			}
 
-			if diff := cmp.Diff(c.want, r.waited(start.Add(c.at))); diff != "" {
+			if diff := cmp.Diff(c.want, p.waited(start.Add(c.at))); diff != "" {
 				t.Error(diff)
 			}
 		})
 	}
 }
 
-// TestClaims has what is believed of the copy by claims that come in an order.
+// TestClaims checks what is known of the replica after claims in a given order.
 func TestClaims(t *testing.T) {
 	start := time.Date(2100, time.January, 1, 0, 0, 0, 0, time.UTC)
 
-	type word struct {
+	type answer struct {
 		nth uint64
 		at  time.Duration
 		now time.Duration
@@ -155,20 +156,20 @@
 	}
 
 	for name, c := range map[string]struct {
-		words []word
-		want  time.Duration
+		answers []answer
+		want    time.Duration
 	}{
-		"the first":             {[]word{{1, 1, 2, 1}}, 1},
-		"an older one":          {[]word{{2, 3, 4, 1}, {1, 1, 5, 1}}, 3},
-		"the same, passed on":   {[]word{{1, 3, 4, 1}, {1, 9, 10, 1}}, 3},
-		"an era entered":        {[]word{{1, 3, 4, 1}, {2, 5, 6, 2}}, 3},
-		"once that has settled": {[]word{{1, 3, 4, 1}, {2, 5, 6, 2}, {3, 7 + eraSettle, 8 + eraSettle, 2}}, 7 + eraSettle},
+		"the first":         {[]answer{{1, 1, 2, 1}}, 1},
+		"an older claim":    {[]answer{{2, 3, 4, 1}, {1, 1, 5, 1}}, 3},
+		"a duplicate":       {[]answer{{1, 3, 4, 1}, {1, 9, 10, 1}}, 3},
+		"a new era":         {[]answer{{1, 3, 4, 1}, {2, 5, 6, 2}}, 3},
+		"a settled new era": {[]answer{{1, 3, 4, 1}, {2, 5, 6, 2}, {3, 7 + eraSettleTime, 8 + eraSettleTime, 2}}, 7 + eraSettleTime},
 	} {
 		t.Run(name, func(t *testing.T) {
 			k := newClaims()
-			for _, w := range c.words {
-				one := claim{by: 1, nth: w.nth, asked: start.Add(w.at), answered: start.Add(w.at)}
-				k.take(&one, start.Add(w.now), w.era, 0)
+			for _, w := range c.answers {
+				one := claim{askerBoot: 1, number: w.nth, asked: start.Add(w.at), answered: start.Add(w.at)}
+				k.apply(&one, start.Add(w.now), w.era, 0)
 			}
 
 			if diff := cmp.Diff(c.want, k.checked.Sub(start)); diff != "" {
@@ -178,31 +179,31 @@
 	}
 }
 
-// TestSeenForgets wants the claims of the entry VMs that made one last to be remembered.
+// TestSeenForgets checks that the entry VMs whose claims were added last are remembered.
 func TestSeenForgets(t *testing.T) {
-	s, now := seen{}, time.Date(2100, time.January, 1, 0, 0, 0, 0, time.UTC)
+	s, now := seenClaims{}, time.Date(2100, time.January, 1, 0, 0, 0, 0, time.UTC)
 
-	for by := range uint64(2 * seenMost) {
-		s.take(&claim{by: 1 + by, nth: 5}, now.Add(time.Duration(by)))
+	for by := range uint64(2 * maxSeenClaims) {
+		s.add(&claim{askerBoot: 1 + by, number: 5}, now.Add(time.Duration(by)))
 	}
 
-	if s.take(&claim{by: 2 * seenMost, nth: 5}, now) || len(s) > seenMost {
-		t.Errorf("the last one is news again, %d are remembered", len(s))
+	if s.add(&claim{askerBoot: 2 * maxSeenClaims, number: 5}, now) || len(s) > maxSeenClaims {
+		t.Errorf("the last claim counts as new again, or %d remembered claims are too many", len(s))
 	}
 }
 
-// TestAge takes the store away and lets time pass: what all know of it has to get older as
-// fast, however many pass it on to each other.
+// TestAge takes the store down: what entry VMs know of it has to age as fast as time passes,
+// however often they pass claims on to each other.
 func TestAge(t *testing.T) {
 	const (
 		vms   = 125
 		quiet = 8 * time.Second
-		// way is that of a claim to each entry VM, once.
+		// way is the time that a claim needs to reach all entry VMs.
 		way = 100 * time.Millisecond
 	)
 
 	f := newFleetHistory(t, 21, vms)
-	f.play(2 * simForms)
+	f.play(2 * simFormTime)
 	f.store.down = true
 
 	before := f.now
@@ -210,7 +211,7 @@
 
 	for _, v := range f.vms {
 		if fresh, word := v.mesh.Fresh(), v.mesh.Word(); fresh.After(before.Add(way)) || word.After(before.Add(way)) {
-			t.Fatalf("%s: the copy is said to be %s old, the word %s; the store has been away for %s",
+			t.Fatalf("%s: the replica counts as %s old, the last answer as %s old; the store has been down for %s",
 				v.node.ID, f.now.Sub(fresh), f.now.Sub(word), quiet)
 		}
 	}
--- a/internal/cwmesh/claim.go
+++ b/internal/cwmesh/claim.go
@@ -7,55 +7,57 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// claim says that copies of the store had all there was: the answer to a call that an entry
-// VM made showed it. Claims are passed on in heartbeats by their age, which does not count
-// the ways between. An entry VM takes each one once, by its number: taken again by way of
-// others it would look younger each time, the faster the more of them pass it on.
+// claim states that replicas of the store were up to date at a time, as the store's answer
+// to a call of an entry VM has shown. Heartbeats pass claims on by their age, which leaves
+// out the time in transit. Each entry VM therefore applies a claim only once, by its
+// number: applied again by way of other peers, it would look younger each time, the more
+// so the more peers pass it on.
 type claim struct {
-	// by is the boot of the entry VM that made the call, nth the number of the call there.
-	by, nth uint64
+	// askerBoot identifies the run of the entry VM that made the call, number is the number
+	// of the call in that run.
+	askerBoot, number uint64
 	// asked is when the call was made: all that the store acknowledged before is in the
-	// copy. Answered is when the answer came, which may have been long on its way.
+	// replica. Answered is when the answer came, which may be much later.
 	asked, answered time.Time
 }
 
-// claimOf reads the claim of a heartbeat.
+// claimOf returns the claim of a heartbeat.
 func claimOf(b *cwwire.Beat, now time.Time) claim {
-	return claim{by: b.GetBy(), nth: b.GetNth(), asked: decodeFresh(b.GetChecked(), now), answered: decodeFresh(b.GetFresh(), now)}
+	return claim{askerBoot: b.GetBy(), number: b.GetNth(), asked: decodeAge(b.GetChecked(), now), answered: decodeAge(b.GetFresh(), now)}
 }
 
-// seen has the newest claim of each entry VM that was taken.
-type seen map[uint64]seenClaim
+// seenClaims has the number of the newest claim of each entry VM, by its boot.
+type seenClaims map[uint64]seenClaim
 
 type seenClaim struct {
-	nth uint64
-	at  time.Time
+	number uint64
+	at     time.Time
 }
 
-// seenMost is how many entry VMs' claims are remembered. Few ask the store at any time.
-const seenMost = 256
+// maxSeenClaims is how many entry VMs' claims are remembered. Few ask the store at any time.
+const maxSeenClaims = 256
 
-// take notes a claim, and tells whether it is news. One without a number always is.
-func (s seen) take(c *claim, now time.Time) bool {
-	if c.by == 0 {
+// add records a claim, and reports whether it is new. A claim without a number always is.
+func (s seenClaims) add(c *claim, now time.Time) bool {
+	if c.askerBoot == 0 {
 		return true
 	}
 
-	if old, ok := s[c.by]; ok && c.nth <= old.nth {
+	if old, ok := s[c.askerBoot]; ok && c.number <= old.number {
 		return false
 	}
 
-	if len(s) >= seenMost {
-		s.forget()
+	if len(s) >= maxSeenClaims {
+		s.evictOldest()
 	}
 
-	s[c.by] = seenClaim{c.nth, now}
+	s[c.askerBoot] = seenClaim{c.number, now}
 
 	return true
 }
 
-// forget drops the claim that was taken first.
-func (s seen) forget() {
+// evictOldest drops the claim that was added first.
+func (s seenClaims) evictOldest() {
 	first := uint64(0)
 
 	for by, c := range s {
@@ -67,122 +69,122 @@
 	delete(s, first)
 }
 
-// The figures of taking claims.
+// Periods in which claims are taken with care.
 const (
-	// stopDoubt is for how long after the process was stopped a heartbeat may be taken that
-	// waited meanwhile. They are taken one after the other, without a pause.
-	stopDoubt = 300 * time.Millisecond
-	// eraSettle is for how long after it entered an era of the store an entry VM may not
-	// have heard of what others keep in force that the store has lost: two heartbeats.
-	eraSettle = 2 * beatTime
-	// startSettle is the same for one that starts anew, by when peers have answered it
-	// several times over.
-	startSettle = 500 * time.Millisecond
+	// backlogTime is for how long after a pause of the process heartbeats that arrived
+	// during the pause may still be read. They are read one after the other, without a delay.
+	backlogTime = 300 * time.Millisecond
+	// eraSettleTime is for how long after it entered an era of the store an entry VM may not
+	// know what others keep in force that the store has lost: two heartbeats.
+	eraSettleTime = 2 * heartbeatInterval
+	// startSettleTime is the same for an entry VM that has just started: enough for peers to
+	// answer it several times.
+	startSettleTime = 500 * time.Millisecond
 )
 
-// claims tells when the copy was the newest. It is guarded by the mutex of its Mesh.
+// claims tracks when the replica was up to date. It is guarded by the mutex of its Mesh.
 type claims struct {
-	// newest is the one that was answered last of those that hold for this copy.
+	// newest is the claim answered last of those that hold for this replica.
 	newest claim
-	// checked is by when all that the store acknowledged is in the copy: when the call of a
-	// claim was made, less the time for which its heartbeat may have waited here.
+	// checked is the time before which all that the store acknowledged is in the replica:
+	// when a claim's call was made, less the time its heartbeat may have waited here.
 	checked time.Time
-	// word is when the store last answered anybody, as far as was heard.
-	word time.Time
-	// took has the claims that were taken for the copy, heard those that were heard.
-	took, heard seen
-	running     running
-	// era is that of the copy, entered when it changed.
+	// lastAnswer is when the store last answered any entry VM, as far as is known.
+	lastAnswer time.Time
+	// applied has the claims applied to the replica, received those of all heartbeats.
+	applied, received seenClaims
+	pauses            pauseMeter
+	// era is that of the replica, entered is when it changed.
 	era     carobward.StoreEra
 	entered time.Time
 }
 
-func newClaims() claims { return claims{took: seen{}, heard: seen{}} }
+func newClaims() claims { return claims{applied: seenClaims{}, received: seenClaims{}} }
 
-// hear takes what a claim says of the store alone.
-func (c *claims) hear(one *claim, now time.Time) {
-	if c.heard.take(one, now) && one.answered.After(c.word) {
-		c.word = one.answered
+// noteAnswer records only that the store answered, and when.
+func (c *claims) noteAnswer(in *claim, now time.Time) {
+	if c.received.add(in, now) && in.answered.After(c.lastAnswer) {
+		c.lastAnswer = in.answered
 	}
 }
 
-// take takes a claim that holds for the copy, which is of an era. It may have waited here
-// for a time.
-func (c *claims) take(one *claim, now time.Time, era carobward.StoreEra, waited time.Duration) {
+// apply applies a claim that holds for the replica, which is of the given era. The claim's
+// heartbeat may have waited here for the given time.
+func (c *claims) apply(in *claim, now time.Time, era carobward.StoreEra, waited time.Duration) {
 	if era != c.era && !c.checked.IsZero() {
 		c.entered = now
 	}
 
 	c.era = era
 
-	if !c.took.take(one, now) {
+	if !c.applied.add(in, now) {
 		return
 	}
 
-	if one.answered.After(c.newest.answered) {
-		c.newest = *one
+	if in.answered.After(c.newest.answered) {
+		c.newest = *in
 	}
 
-	if one.answered.After(c.word) {
-		c.word = one.answered
+	if in.answered.After(c.lastAnswer) {
+		c.lastAnswer = in.answered
 	}
 
-	settled := c.entered.IsZero() || now.Sub(c.entered) >= eraSettle
-	if asked := one.asked.Add(-waited); settled && asked.After(c.checked) {
+	settled := c.entered.IsZero() || now.Sub(c.entered) >= eraSettleTime
+	if asked := in.asked.Add(-waited); settled && asked.After(c.checked) {
 		c.checked = asked
 	}
 }
 
-// setBack counts a time that the clock did not.
+// setBack adds a time that the clock did not count to all ages.
 func (c *claims) setBack(by time.Duration) {
-	for _, at := range []*time.Time{&c.newest.answered, &c.newest.asked, &c.checked, &c.word} {
+	for _, at := range []*time.Time{&c.newest.answered, &c.newest.asked, &c.checked, &c.lastAnswer} {
 		*at = carobward.SetBack(*at, by)
 	}
 }
 
-// running tells for how long a heartbeat may have waited for the process, which makes what
-// it says of ages older.
-type running struct {
-	// seen is when the process was last known to run.
-	seen time.Time
-	// gap is how long it may have been stopped before, which counts until doubt.
-	gap   time.Duration
-	doubt time.Time
+// pauseMeter tracks pauses of the process, and so how long a heartbeat may have waited to
+// be read: what it says is older by that time.
+type pauseMeter struct {
+	// lastTick is when the process was last known to run.
+	lastTick time.Time
+	// gap is how long the process may have been paused before that, which counts until gapUntil.
+	gap      time.Duration
+	gapUntil time.Time
 }
 
-// note takes a tick of the process.
-func (r *running) note(now time.Time) {
-	if r.seen.IsZero() {
-		r.seen = now
+// markTick records that the process runs.
+func (p *pauseMeter) markTick(now time.Time) {
+	if p.lastTick.IsZero() {
+		p.lastTick = now
 	}
 
-	// A longer one stands until the heartbeats that waited in it have been taken.
-	if gap := now.Sub(r.seen); gap >= r.gap || !now.Before(r.doubt) {
-		r.gap, r.doubt = gap, now.Add(stopDoubt)
+	// A longer gap counts until the heartbeats that waited during it have been read.
+	if gap := now.Sub(p.lastTick); gap >= p.gap || !now.Before(p.gapUntil) {
+		p.gap, p.gapUntil = gap, now.Add(backlogTime)
 	}
 
-	r.seen = now
+	p.lastTick = now
 }
 
-// waited returns for how long a heartbeat that is taken now may have waited.
-func (r *running) waited(now time.Time) time.Duration {
-	if r.seen.IsZero() {
+// waited returns for how long a heartbeat that is read now may have waited.
+func (p *pauseMeter) waited(now time.Time) time.Duration {
+	if p.lastTick.IsZero() {
 		return 0
 	}
 
-	return max(r.gap, now.Sub(r.seen))
+	return max(p.gap, now.Sub(p.lastTick))
 }
 
-// Running notes that the process runs. What Checked returns is older by the time between
-// two calls.
+// Running records that the process runs. The time between two calls is subtracted from
+// what Checked returns.
 func (m *Mesh) Running(now time.Time) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
-	m.claims.running.note(now)
+	m.claims.pauses.markTick(now)
 }
 
-// Fresh returns when the copy was last known to be the newest, or the zero
+// Fresh returns when the replica was last known to be up to date, or the zero
 // time.
 func (m *Mesh) Fresh() time.Time {
 	m.mutex.Lock()
@@ -191,11 +193,11 @@
 	return m.claims.newest.answered
 }
 
-// Checked returns by when all that the store acknowledged is in the copy, or the zero time.
-// It is older than Fresh by the time that the store's answer took, and not known right after
-// the start: the store may lack what peers keep.
+// Checked returns the time before which all that the store acknowledged is in the replica,
+// or the zero time. It is earlier than Fresh by the time the store took to answer, and
+// unknown right after the start: the store may lack items that peers keep.
 func (m *Mesh) Checked() time.Time {
-	if m.Clock.Now().Sub(m.began) < startSettle {
+	if m.Clock.Now().Sub(m.started) < startSettleTime {
 		return time.Time{}
 	}
 
@@ -205,58 +207,58 @@
 	return m.claims.checked
 }
 
-// Word returns when the store last answered anybody, as far as was heard, or
-// the zero time. It may be newer than Fresh: this entry VM may be behind.
+// Word returns when the store last answered any entry VM, as far as is known, or
+// the zero time. It may be later than Fresh: this entry VM may be behind.
 func (m *Mesh) Word() time.Time {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
-	return m.claims.word
+	return m.claims.lastAnswer
 }
 
-// answered notes an answer of the store to a call of this entry VM that showed its copy to
-// be the newest.
+// answered records an answer of the store to a call of this entry VM, which showed that the
+// replica is up to date.
 func (m *Mesh) answered(asked, at time.Time) {
 	era := m.Mirror.State().Era
 
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
-	m.nth++
-	m.claims.take(&claim{by: m.boot, nth: m.nth, asked: asked, answered: at}, at, era, 0)
+	m.answers++
+	m.claims.apply(&claim{askerBoot: m.boot, number: m.answers, asked: asked, answered: at}, at, era, 0)
 }
 
-// hear takes what a claim says of the store, whether it holds for the copy here or not.
-func (m *Mesh) hear(c claim, now time.Time) {
+// noteAnswer records that the store answered, whether the claim holds for this replica or not.
+func (m *Mesh) noteAnswer(c claim, now time.Time) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
-	m.claims.hear(&c, now)
+	m.claims.noteAnswer(&c, now)
 }
 
-// takeClaim takes a claim from a peer's heartbeat that holds for the copy here, which is of
-// an era.
-func (m *Mesh) takeClaim(c claim, now time.Time, era carobward.StoreEra) {
+// applyClaim applies a claim from a peer's heartbeat that holds for the replica here, which
+// is of the given era.
+func (m *Mesh) applyClaim(c claim, now time.Time, era carobward.StoreEra) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
-	m.claims.take(&c, now, era, m.claims.running.waited(now))
+	m.claims.apply(&c, now, era, m.claims.pauses.waited(now))
 }
 
-// takeFetched takes the claim of a peer's reply with changes that were taken; its ages are
-// those of when the request was sent.
-func (m *Mesh) takeFetched(r *cwwire.ChangesReply, sent time.Time, era carobward.StoreEra) {
-	c := claim{by: r.GetBy(), nth: r.GetNth(), asked: decodeFresh(r.GetChecked(), sent), answered: decodeFresh(r.GetFresh(), sent)}
+// applyFetchedClaim applies the claim of a peer's reply to a fetch; its ages count from when
+// the request was sent.
+func (m *Mesh) applyFetchedClaim(r *cwwire.ChangesReply, sent time.Time, era carobward.StoreEra) {
+	c := claim{askerBoot: r.GetBy(), number: r.GetNth(), asked: decodeAge(r.GetChecked(), sent), answered: decodeAge(r.GetFresh(), sent)}
 	now := m.Clock.Now()
 
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
-	m.claims.take(&c, now, era, 0)
+	m.claims.apply(&c, now, era, 0)
 }
 
-// claim returns the newest claim to pass on. It must be read before the copy that it is
-// sent with, which may go further meanwhile and has all of it then.
+// claim returns the newest claim to pass on. It must be read before the replica that it is
+// sent with: that may advance in between, and the claim then still holds for it.
 func (m *Mesh) claim() claim {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/cwmesh/domain.go
+++ b/internal/cwmesh/domain.go
@@ -10,93 +10,93 @@
 	"carobward.example/carobward/internal/cwrank"
 )
 
-// The figures of knowing other failure domains. An entry VM knows each one of its
-// own failure domain, and of the others a summary and some to talk to: what it is
-// told, keeps and sends grows with its own failure domain and with their number,
-// not with the fleet.
+// Limits of what is known of other failure domains. An entry VM knows each peer of its
+// own failure domain, and of every other one a summary and some entry VMs to contact:
+// what it receives, keeps and sends grows with its own failure domain and with the number
+// of failure domains, not with the fleet.
 const (
-	// tellersMost is how many entry VMs of a failure domain send its summary to
-	// each other one in one beatTime, by turns. The four together are lost once in
-	// 10^6 at a loss of 3 in 100, and each receiver passes it on.
-	tellersMost = 4
-	// domainTime is how long after its last summary a failure domain counts as
-	// alive: liveTime, the way through two heartbeats, and two lost summaries.
-	domainTime = 6500 * time.Millisecond
-	// nameTime is how old a summary may be whose entry VMs are named to callers. One
-	// that died counts as alive in its own failure domain for liveTime; both together
-	// stay below the 6 s after which callers must not be sent to it.
-	nameTime = 3 * time.Second
-	// firstNodes and otherNodes are how many entry VMs a summary names: the first
-	// by rank, which ask the store before others, and some drawn at random.
-	firstNodes = 2
-	otherNodes = 4
-	// contactsMost is how many entry VMs of another failure domain are kept to
-	// talk to. Seeds name them to newcomers from there.
-	contactsMost = 32
-	// relays is how many entry VMs of each other failure domain get what all must
-	// know at once, and pass it on. A second one covers the loss of the first.
-	relays = 2
+	// summarySenders is how many entry VMs of a failure domain send its summary to each
+	// other one in one heartbeatInterval, in rotation. At a packet loss of 3 in 100 all four
+	// are lost once in 10^6 intervals, and each receiver passes the summary on.
+	summarySenders = 4
+	// domainTimeout is how long after its last summary a failure domain counts as alive:
+	// liveTimeout, two heartbeats for the summary to spread, and two lost summaries.
+	domainTimeout = 6500 * time.Millisecond
+	// callableTime is how old a summary may be whose entry VMs are named to callers. An
+	// entry VM that died counts as alive in its own failure domain for liveTimeout; both
+	// together stay below the 6 s after which callers must not be sent to it.
+	callableTime = 3 * time.Second
+	// rankedNodes and randomNodes are how many entry VMs a summary names: the first by
+	// rank, which ask the store before others, and a random sample of the rest.
+	rankedNodes = 2
+	randomNodes = 4
+	// maxContacts is how many entry VMs of another failure domain are kept to contact.
+	// Seeds name them to newcomers from there.
+	maxContacts = 32
+	// relaysPerDomain is how many entry VMs of each other failure domain get urgent news,
+	// and pass it on. The second one covers the loss of the first datagram.
+	relaysPerDomain = 2
 )
 
-// Summary is what is known of the entry VMs of a failure domain as a whole.
+// Summary is what is known of a failure domain's entry VMs as a whole.
 type Summary struct {
 	Domain carobward.Domain
-	// Made is when it was put together there, by this entry VM's clock.
+	// Made is when it was made in that failure domain, by this entry VM's clock.
 	Made time.Time
-	// Alive is the number of those that live and do not stop, Size the largest
-	// number lately, for budgets.
+	// Alive is the number of entry VMs that live and are not stopping, Size the largest
+	// recent number, by which budgets are divided.
 	Alive int
 	Size  int
 	// Away is the number of those that the store does not serve.
 	Away int
-	// Rate is the requests a second of all.
+	// Rate is the requests a second of all together.
 	Rate int
-	// Nodes are some of those that take callers.
+	// Nodes has some of those that take callers.
 	Nodes []Node
 }
 
-// other is another failure domain.
-type other struct {
+// otherDomain is what is kept of another failure domain.
+type otherDomain struct {
 	Summary
 
-	// contacts are entry VMs that spoke or were named, the newest last.
+	// contacts has entry VMs that sent a heartbeat or were named, the newest last.
 	contacts []Node
-	// news tells that the summary came from outside this failure domain, which was
-	// not told yet.
-	news bool
+	// unsent is set if the summary came from outside this failure domain and its peers
+	// have not got it yet.
+	unsent bool
 }
 
-// contact notes an entry VM of another failure domain; the mutex is held.
-func (o *other) contact(n Node) {
+// touchContact makes an entry VM the newest contact; the table's mutex must be held.
+func (o *otherDomain) touchContact(n Node) {
 	o.contacts = slices.DeleteFunc(o.contacts, func(c Node) bool { return c.ID == n.ID })
-	if len(o.contacts) >= contactsMost {
+	if len(o.contacts) >= maxContacts {
 		o.contacts = slices.Delete(o.contacts, 0, 1)
 	}
 
 	o.contacts = append(o.contacts, n)
 }
 
-// other returns what is kept of a failure domain; the mutex is held.
-func (t *Table) other(d carobward.Domain) *other {
+// otherDomain returns what is kept of another failure domain; t.mutex must be held.
+func (t *Table) otherDomain(d carobward.Domain) *otherDomain {
 	o := t.others[d]
 	if o == nil {
-		o = &other{Summary: Summary{Domain: d}}
+		o = &otherDomain{Summary: Summary{Domain: d}}
 		t.others[d] = o
 	}
 
 	return o
 }
 
-// met notes an entry VM of another failure domain that spoke to this one.
-func (t *Table) met(n Node) {
+// recordContact records an entry VM of another failure domain that sent a heartbeat here.
+func (t *Table) recordContact(n Node) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
-	t.other(n.Domain).contact(n)
+	t.otherDomain(n.Domain).touchContact(n)
 }
 
-// learn takes a summary. Outside tells that it came from another failure domain.
-func (t *Table) learn(s Summary, outside bool) {
+// addSummary stores a summary if it is newer. Outside is set if another failure domain sent it.
+func (t *Table) addSummary(s Summary, outside bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
@@ -104,20 +104,20 @@
 		return
 	}
 
-	o := t.other(s.Domain)
+	o := t.otherDomain(s.Domain)
 	for _, n := range s.Nodes {
-		o.contact(n)
+		o.touchContact(n)
 	}
 
 	if s.Made.After(o.Made) {
 		o.Summary = s
-		o.news = o.news || outside
+		o.unsent = o.unsent || outside
 	}
 }
 
-// Summary returns what others are told of this failure domain.
-func (t *Table) Summary(now time.Time, state State, away bool, rate int) Summary {
-	s := Summary{Domain: t.self.Domain, Made: now, Size: t.nearSize(now), Rate: rate}
+// Summary returns the summary of this failure domain for the others.
+func (t *Table) Summary(now time.Time, state State, storeDown bool, rate int) Summary {
+	s := Summary{Domain: t.self.Domain, Made: now, Size: t.recentDomainSize(now), Rate: rate}
 
 	var ready []Peer
 
@@ -137,29 +137,29 @@
 		}
 	}
 
-	add(Peer{Node: t.self, State: state, Away: away})
+	add(Peer{Node: t.self, State: state, Away: storeDown})
 
 	for _, p := range t.Live(now) {
 		s.Rate += p.Rate
 		add(p)
 	}
 
-	s.Nodes = named(ready)
+	s.Nodes = pickNodes(ready)
 
 	return s
 }
 
-// named returns the entry VMs of a summary: the first by rank that the store
-// serves, and some others.
-func named(ready []Peer) []Node {
+// pickNodes returns the entry VMs that a summary names: the first by rank that the store
+// serves, and a random sample of the others.
+func pickNodes(ready []Peer) []Node {
 	slices.SortFunc(ready, func(a, b Peer) int {
 		return cmp.Or(cwrank.CompareBool(a.Away, b.Away), cmp.Compare(a.Rank(), b.Rank()))
 	})
 
-	first := min(firstNodes, len(ready))
+	first := min(rankedNodes, len(ready))
 
 	var list []Node
-	for _, p := range slices.Concat(ready[:first], draw(ready[first:], otherNodes)) {
+	for _, p := range slices.Concat(ready[:first], sample(ready[first:], randomNodes)) {
 		list = append(list, p.Node)
 	}
 
@@ -172,11 +172,11 @@
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
 
-	return t.domains(func(o *other) bool { return now.Sub(o.Made) < domainTime })
+	return t.domains(func(o *otherDomain) bool { return now.Sub(o.Made) < domainTimeout })
 }
 
-// domains returns the summaries that are wanted; the mutex is held.
-func (t *Table) domains(want func(*other) bool) []Summary {
+// domains returns the summaries for which want returns true; t.mutex must be held.
+func (t *Table) domains(want func(*otherDomain) bool) []Summary {
 	list := make([]Summary, 0, len(t.others))
 
 	for _, o := range t.others {
@@ -190,32 +190,32 @@
 	return list
 }
 
-// takeNews returns the summaries that came from other failure domains and that
-// the own one has not been told of yet.
-func (t *Table) takeNews() []Summary {
+// takeUnsent returns the summaries that came from other failure domains and have not been
+// sent to the peers of this one, and marks them as sent.
+func (t *Table) takeUnsent() []Summary {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
-	list := t.domains(func(o *other) bool { return o.news })
+	list := t.domains(func(o *otherDomain) bool { return o.unsent })
 	for _, o := range t.others {
-		o.news = false
+		o.unsent = false
 	}
 
 	return list
 }
 
-// known returns what an entry VM of another failure domain may lack: the summary
-// of each one, or where there is none yet some to talk to.
-func (t *Table) known() []Summary {
+// knownDomains returns all that is known of the other failure domains: their summaries,
+// or where there is none yet the newest contacts.
+func (t *Table) knownDomains() []Summary {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
 
-	list := t.domains(func(*other) bool { return true })
+	list := t.domains(func(*otherDomain) bool { return true })
 	for i := range list {
 		if s := &list[i]; len(s.Nodes) == 0 {
 			contacts := t.others[s.Domain].contacts
-			// The list itself changes with each entry VM that speaks.
-			s.Nodes = slices.Clone(contacts[max(0, len(contacts)-otherNodes):])
+			// Cloned, as contacts is modified in place by each heartbeat from there.
+			s.Nodes = slices.Clone(contacts[max(0, len(contacts)-randomNodes):])
 		}
 	}
 
@@ -223,7 +223,7 @@
 }
 
 // Contacts returns up to n entry VMs of a failure domain, drawn at random: those
-// that its summary names while it is alive, or else those that spoke lately.
+// that its summary names while it is alive, or else those that sent heartbeats or were named.
 func (t *Table) Contacts(d carobward.Domain, n int, now time.Time) []Node {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
@@ -234,34 +234,34 @@
 	}
 
 	list := slices.Clone(o.Nodes)
-	if now.Sub(o.Made) >= domainTime || len(list) == 0 {
+	if now.Sub(o.Made) >= domainTimeout || len(list) == 0 {
 		list = slices.Clone(o.contacts)
 	}
 
-	return draw(list, n)
+	return sample(list, n)
 }
 
-// Callable returns the entry VMs of another failure domain that take callers, as far as
-// that is known for sure: those that a recent summary names. It may have come by way of a
-// third failure domain where the two have lost each other.
+// Callable returns the entry VMs of another failure domain that may be named to callers:
+// those that a recent summary names. If the two failure domains can't reach each other,
+// the summary may have come by way of a third.
 func (t *Table) Callable(d carobward.Domain, now time.Time) []Node {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
 
 	o := t.others[d]
-	if o == nil || now.Sub(o.Made) >= nameTime {
+	if o == nil || now.Sub(o.Made) >= callableTime {
 		return nil
 	}
 
 	return slices.Clone(o.Nodes)
 }
 
-// othersOf returns entry VMs of a failure domain for a newcomer there.
-func (t *Table) othersOf(d carobward.Domain, newcomer carobward.VMID, now time.Time) []Node {
+// peersFor returns entry VMs of a failure domain for a newcomer there.
+func (t *Table) peersFor(d carobward.Domain, newcomer carobward.VMID, now time.Time) []Node {
 	var list []Node
 
 	if d == t.self.Domain {
-		for _, p := range t.some(now, othersMost) {
+		for _, p := range t.sampleLive(now, maxNamedPeers) {
 			list = append(list, p.Node)
 		}
 	} else {
@@ -274,35 +274,35 @@
 
 	list = slices.DeleteFunc(list, func(n Node) bool { return n.ID == newcomer })
 
-	return draw(list, othersMost)
+	return sample(list, maxNamedPeers)
 }
 
-// draw returns up to n of a list, drawn at random. It changes the list's order.
-func draw[T any](list []T, n int) []T {
+// sample returns up to n elements of a list, drawn at random. It changes the list's order.
+func sample[T any](list []T, n int) []T {
 	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 
 	return list[:min(n, len(list))]
 }
 
-// tellsDomains tells whether it is this entry VM's turn to send the summary of
+// isSummarySender reports whether it is this entry VM's turn to send the summary of
 // its failure domain to the others.
-func (t *Table) tellsDomains(now time.Time, round int) bool {
-	place, count := 0, 1
+func (t *Table) isSummarySender(now time.Time, round int) bool {
+	position, count := 0, 1
 
 	for _, p := range t.Live(now) {
 		count++
 
 		if p.ID < t.self.ID {
-			place++
+			position++
 		}
 	}
 
-	turns := (count + tellersMost - 1) / tellersMost
+	turns := (count + summarySenders - 1) / summarySenders
 
-	return (place+round)%turns == 0
+	return (position+round)%turns == 0
 }
 
-// domainNames returns the other failure domains that were ever heard of.
+// domainNames returns the other failure domains that are known, alive or not.
 func (t *Table) domainNames() []carobward.Domain {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
--- a/internal/cwmesh/fetch.go
+++ b/internal/cwmesh/fetch.go
@@ -16,60 +16,60 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// The figures of fetching changes from peers. A change of many keys can't go from
-// one entry VM to a hundred others at once: its link would take seconds. Those
-// that are refused find the ones that have it by then.
+// Limits of fetching changes from peers. One entry VM can't send a change of many keys to
+// a hundred others at once: its link would be busy for seconds. Peers that it refuses
+// fetch from those that have the change by then.
 const (
-	// fetchTime bounds one fetch.
-	fetchTime = 400 * time.Millisecond
-	// fetchTries bounds the fetches after one heartbeat. The next one begins
-	// anew.
-	fetchTries = 5
-	// fetchPause is the pause after a fetch that failed, at random up to twice
-	// as long; it doubles. A peer that tells that it is ahead ends it.
-	fetchPause = 30 * time.Millisecond
-	// spreadPeers is how many peers of the own failure domain who has fetched
-	// changes that are large for the fleet tells of it. The number of those that
-	// can send them grows by so many times with each step.
+	// fetchTimeout bounds one fetch.
+	fetchTimeout = 400 * time.Millisecond
+	// maxFetchTries is how often a fetch is tried after one heartbeat. The next heartbeat
+	// starts again.
+	maxFetchTries = 5
+	// fetchBackoff is the shortest delay after a failed fetch; the delay is random, up to
+	// twice as long, and doubles each time. A heartbeat from a peer that is ahead ends it.
+	fetchBackoff = 30 * time.Millisecond
+	// spreadPeers is how many peers of the failure domain an entry VM notifies after it
+	// has fetched changes that are too large for one sender. The number of peers that can
+	// send them grows by this factor with each step.
 	spreadPeers = 3
-	// linkLeast is the speed of a link that is not known, in bytes a second:
+	// defaultLinkSpeed is assumed if the link's speed is not known, in bytes a second:
 	// 10 Mbit/s.
-	linkLeast = 1_250_000
-	// linkShare is the part of the link that changes for peers may take. Callers
-	// are served by the rest.
+	defaultLinkSpeed = 1_250_000
+	// linkShare is the fraction of the link that changes for peers may use. The rest is
+	// for callers.
 	linkShare = 0.5
-	// linkBurst is for how long of the link's time changes may be handed out at
-	// once: those who wait longer are better served by others.
+	// linkBurst limits the bytes of changes that are sent at once, as the time in which the
+	// link can send them: peers that would wait longer are better served by others.
 	linkBurst = 100 * time.Millisecond
-	// farPatience is how long an entry VM that lacks changes waits for those of its
-	// own failure domain before it fetches from another one: bytes between them
-	// are paid for, and each has entry VMs that were told to pass changes on.
-	farPatience = 700 * time.Millisecond
-	// wholeFree is the size of all keys up to which a peer that is behind gets
-	// them in place of changes that are not known: some ten packets. Beyond that
-	// one call of the store is cheaper than hundreds of kilobytes from a peer.
-	wholeFree = 16 << 10
+	// farFetchDelay is how long an entry VM that lacks changes waits for its own failure
+	// domain before it fetches from another one: traffic between them costs money, and
+	// each failure domain has entry VMs that were asked to pass changes on.
+	farFetchDelay = 700 * time.Millisecond
+	// maxWholeSize is the size of all keys, in bytes, up to which a peer that is behind
+	// gets them instead of changes that are not known: some ten packets. Beyond that one
+	// call of the store is cheaper than hundreds of kilobytes from a peer.
+	maxWholeSize = 16 << 10
 )
 
-// The errors of a peer that asks for changes.
+// Errors returned to a peer that asks for changes. Peers compare their texts.
 const (
-	// errBusy: others get too much already.
+	// errBusy: other peers use up the share of the link.
 	errBusy = errors.ConstError("mesh: other peers are being sent changes")
-	// errGap: the changes since the peer's copy are not known here.
+	// errGap: the changes since the peer's replica are not known here.
 	errGap = errors.ConstError("mesh: the changes since then are not known here")
 )
 
-// offer is the word of a peer that it has what this entry VM lacks.
+// offer names a peer that has something that this entry VM lacks.
 type offer struct {
 	from  carobward.Address
 	id    carobward.VMID
 	state cwmirror.State
-	// kept tells that it keeps items that this entry VM may have never heard of.
+	// kept is set if the peer keeps items that this entry VM may not know.
 	kept bool
 }
 
-// offer notes that a peer is ahead. The newest offer counts.
-func (m *Mesh) offer(o offer) {
+// setOffer makes an offer the current one, in place of any earlier one.
+func (m *Mesh) setOffer(o offer) {
 	for {
 		select {
 		case m.offers <- o:
@@ -84,28 +84,28 @@
 	}
 }
 
-// takeOffers fetches changes from peers that offer some, one fetch at a time.
-func (m *Mesh) takeOffers(ctx context.Context) {
+// handleOffers fetches changes from peers that are ahead, one fetch at a time.
+func (m *Mesh) handleOffers(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case o := <-m.offers:
-			if m.wants(o) { // It may have come from another one.
+			if m.isNeeded(o) { // The changes may have come from another peer.
 				m.catchUp(ctx, o)
 			}
 		}
 	}
 }
 
-// wants tells whether a peer has what this entry VM lacks.
-func (m *Mesh) wants(o offer) bool {
-	return m.Mirror.State().Behind(o.state) || o.kept && !m.asked.Load()
+// isNeeded reports whether a peer has something that this entry VM lacks.
+func (m *Mesh) isNeeded(o offer) bool {
+	return m.Mirror.State().Behind(o.state) || o.kept && !m.hasFetched.Load()
 }
 
-// catchUp fetches changes from a peer, or else from others that have them.
+// catchUp fetches changes from a peer, and if that fails from others that have them.
 func (m *Mesh) catchUp(ctx context.Context, o offer) {
-	pause := fetchPause
+	pause := fetchBackoff
 	whole := false
 
 	for try := 1; ; try++ {
@@ -114,19 +114,19 @@
 			return
 		}
 
-		if isSaid(err, errGap) {
-			// The store knows; where it does not serve this VM, all keys do.
-			m.setLack()
+		if isPeerError(err, errGap) {
+			// The store has the changes; if it doesn't serve this VM, a peer's list of all keys will do.
+			m.noteGap()
 
-			whole = m.away.Load()
+			whole = m.storeDown.Load()
 		}
 
-		// That a peer is busy is no news: many ask the first one to have changes.
-		if try == fetchTries || !isSaid(err, errBusy) {
-			m.Log.Info("Changes could not be fetched.", "from", string(o.from), "vm", o.id, "try", try, "cause", err.Error())
+		// Busy peers are normal: many ask the first one that has the changes.
+		if try == maxFetchTries || !isPeerError(err, errBusy) {
+			m.Log.Info("Failed to fetch changes from a peer.", "from", string(o.from), "vm", o.id, "try", try, "cause", err.Error())
 		}
 
-		if try == fetchTries {
+		if try == maxFetchTries {
 			return
 		}
 
@@ -140,32 +140,32 @@
 	}
 }
 
-// isSaid tells whether an error is one that a peer answered with.
-func isSaid(err, want error) bool {
+// isPeerError reports whether err is the error want as returned by a peer.
+func isPeerError(err, want error) bool {
 	var said rpc.ServerError
 
 	return errors.As(err, &said) && string(said) == want.Error()
 }
 
-// setLack notes that no peer was found to bring the copy up to date.
-func (m *Mesh) setLack() {
+// noteGap records that a peer that is ahead does not know the changes since this replica.
+func (m *Mesh) noteGap() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
-	m.lack = m.Clock.Now()
+	m.gapSeen = m.Clock.Now()
 }
 
-// Lacks tells whether peers are ahead which do not know the changes since this
-// copy, so that the store has to be asked.
+// Lacks reports whether peers are ahead but do not know the changes since this
+// replica, so that the store has to be asked.
 func (m *Mesh) Lacks() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
-	return m.lack.After(m.claims.newest.answered)
+	return m.gapSeen.After(m.claims.newest.answered)
 }
 
-// nextOffer waits for a peer that is ahead, and else draws one of those that are
-// known to be, another one than failed where there is one.
+// nextOffer waits for a peer that is ahead, and after the delay picks one of those known
+// to be ahead, if possible not the one that failed.
 func (m *Mesh) nextOffer(ctx context.Context, failed offer, pause time.Duration) (offer, bool) {
 	timer := time.NewTimer(pause + rand.N(pause))
 	defer timer.Stop()
@@ -179,13 +179,13 @@
 				return o, true
 			}
 		case <-timer.C:
-			return m.drawAhead(failed)
+			return m.pickAhead(failed)
 		}
 	}
 }
 
-// drawAhead draws one of the peers that are known to be ahead.
-func (m *Mesh) drawAhead(failed offer) (offer, bool) {
+// pickAhead picks one of the peers that are known to be ahead, if possible not the one that failed.
+func (m *Mesh) pickAhead(failed offer) (offer, bool) {
 	var others []Peer
 
 	ahead := m.Table.ahead(m.Mirror.State(), m.Clock.Now())
@@ -208,9 +208,9 @@
 	return offer{from: p.Peers, id: p.ID, state: p.Copy}, true
 }
 
-// fetch takes the changes that this entry VM lacks from a peer, or all keys.
+// fetch fetches from a peer the changes that this entry VM lacks, or all keys.
 func (m *Mesh) fetch(ctx context.Context, from carobward.Address, whole bool) error {
-	limited, cancel := context.WithTimeout(ctx, fetchTime)
+	limited, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 
 	own := m.Mirror.State()
@@ -231,47 +231,47 @@
 		return err
 	}
 
-	m.asked.Store(true)
+	m.hasFetched.Store(true)
 
 	changed := m.Mirror.ApplyAndNotify(c, m.Clock.Now(), m.Changed)
-	m.Log.Info("Took changes from a peer.", "from", string(from), "after", own.Index, "era", c.Era, "index", c.Index,
+	m.Log.Info("Applied changes from a peer.", "from", string(from), "after", own.Index, "era", c.Era, "index", c.Index,
 		"whole", c.Whole, "kept", len(c.Kept), "changed", changed)
 
 	if c.Era == m.Mirror.State().Era {
-		m.takeFetched(reply, sent, c.Era)
+		m.applyFetchedClaim(reply, sent, c.Era)
 	}
 
 	m.setPush(&c)
 	m.spread(&c)
-	m.passOn()
+	m.relayPendingNews()
 
 	return nil
 }
 
-// spread tells some peers of changes that are too large for the first to have
-// them to send to all.
+// spread notifies some peers of changes that are too large to be sent to all by the first
+// entry VM that has them.
 func (m *Mesh) spread(c *carobward.Changes) {
 	now := m.Clock.Now()
 
-	if all := int(c.Size()) * len(m.Table.Live(now)); all > burstBytes(linkLeast) {
-		m.tell(m.Table.some(now, spreadPeers), m.beat(now))
+	if all := int(c.Size()) * len(m.Table.Live(now)); all > burstBytes(defaultLinkSpeed) {
+		m.sendTo(m.Table.sampleLive(now, spreadPeers), m.heartbeat(now))
 	}
 }
 
-// burstBytes returns how many bytes of changes may be handed out at once over a
-// link of a speed in bytes a second.
+// burstBytes returns how many bytes of changes may be sent at once over a link of the given
+// speed in bytes a second.
 func burstBytes(link carobward.ByteCount) int {
 	return int(float64(link) * linkBurst.Seconds())
 }
 
-// Answers is the peers' service.
+// Answers is the net/rpc service for peers.
 type Answers struct {
 	mesh *Mesh
-	// bytes bounds what is sent to peers, by the speed of the link.
+	// bytes limits what is sent to peers, by the speed of the link.
 	bytes *rate.Limiter
 
 	mutex sync.Mutex
-	// last is the last reply, for others that ask for the same.
+	// last is the last reply, reused for peers that ask for the same.
 	last struct {
 		after cwmirror.State
 		state cwmirror.State
@@ -279,19 +279,18 @@
 	}
 }
 
-// NewAnswers returns the service of a mesh.
+// NewAnswers returns the net/rpc service of a mesh.
 func NewAnswers(m *Mesh) *Answers {
 	link := m.Link
 	if link <= 0 {
-		link = linkLeast
+		link = defaultLinkSpeed
 	}
 
 	return &Answers{mesh: m, bytes: rate.NewLimiter(rate.Limit(linkShare*float64(link)), burstBytes(link))}
 }
 
-// Changes returns the changes after an index. A reply that is larger than what
-// may be handed out at once takes all of that. A peer that has no copy gets all
-// keys.
+// Changes returns the changes after an index. A reply that is larger than the burst uses
+// up the whole burst. A peer without a replica gets all keys.
 func (a *Answers) Changes(in *cwwire.ChangesRequest, out *cwwire.ChangesReply) error {
 	now := a.mesh.Clock.Now()
 
@@ -312,16 +311,16 @@
 	out.Index, out.Whole = reply.GetIndex(), reply.GetWhole()
 	out.GapFrom, out.GapTo = reply.GetGapFrom(), reply.GetGapTo()
 	out.Era, out.AfterEra = reply.GetEra(), reply.GetAfterEra()
-	// Times that are left are those of this moment.
-	out.Kept, out.Hold = wireKept(a.mesh.Mirror.Kept(now)), uint32(a.mesh.Mirror.HoldRemaining(now).Milliseconds())
-	out.Fresh, out.Checked = encodeFresh(claim.answered, now), encodeFresh(claim.asked, now)
-	out.By, out.Nth = claim.by, claim.nth
+	// The remaining times are those of now.
+	out.Kept, out.Hold = encodeKept(a.mesh.Mirror.Kept(now)), uint32(a.mesh.Mirror.HoldRemaining(now).Milliseconds())
+	out.Fresh, out.Checked = encodeAge(claim.answered, now), encodeAge(claim.asked, now)
+	out.By, out.Nth = claim.askerBoot, claim.number
 
 	return nil
 }
 
-// reply returns the changes after a state as they are sent. A reply is kept for
-// the next one that asks for the same, as all newcomers do: to pack 809 servers
+// reply returns the changes after a state in their encoded form. The last reply is
+// reused for peers that ask for the same, as all newcomers do: to compress 809 servers
 // takes some milliseconds of a whole core.
 func (a *Answers) reply(after cwmirror.State) (*cwwire.ChangesReply, error) {
 	a.mutex.Lock()
@@ -333,7 +332,7 @@
 	}
 
 	c := a.mesh.Mirror.Since(after)
-	if c.Whole && after.Index > 0 && c.Size() > wholeFree {
+	if c.Whole && after.Index > 0 && c.Size() > maxWholeSize {
 		return nil, errGap
 	}
 
--- a/internal/cwmesh/fetch_test.go
+++ b/internal/cwmesh/fetch_test.go
@@ -17,14 +17,13 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// stepClock is a clock that a test moves.
+// stepClock is a clock that the test sets.
 type stepClock struct{ now time.Time }
 
 func (c *stepClock) Now() time.Time { return c.now }
 
-// TestAnswersBound lets many peers ask for changes at once, and wants what is
-// sent to stay within the part of the link that is for that. A peer that asks
-// alone gets all, however large.
+// TestAnswersBound checks that with many peers asking for changes at once the replies stay
+// within the share of the link for them. A peer that asks alone gets all, however large.
 func TestAnswersBound(t *testing.T) {
 	const (
 		link  = 1_250_000
@@ -45,18 +44,18 @@
 	mirror := newMirror()
 	changes := carobward.Changes{Index: keys}
 
-	// Bytes that can't be compressed, so that all of them are sent.
+	// Incompressible bytes, so that all of them are sent.
 	random := rand.NewChaCha8([32]byte{})
 
 	for i := range keys {
 		it := carobward.Item{Key: carobward.Key(fmt.Sprintf("servers/%02d", i)), Value: make([]byte, value), Index: carobward.StoreIndex(i + 1)}
-		_, _ = random.Read(it.Value) // It has no error.
+		_, _ = random.Read(it.Value) // Never fails.
 		changes.Items = append(changes.Items, it)
 	}
 
 	mirror.Apply(changes, time.Now())
 
-	m := New(Options{Table: NewTable(Node{ID: "self"}), Mirror: mirror, Clock: clock, Log: logr.Discard(), Link: link, Words: noWords}, conn)
+	m := New(Options{Table: NewTable(Node{ID: "self"}), Mirror: mirror, Clock: clock, Log: logr.Discard(), Link: link, Words: noNotices}, conn)
 	answers := NewAnswers(m)
 
 	sent := 0
@@ -72,7 +71,7 @@
 	}
 
 	if sent > most || sent < most/2 {
-		t.Errorf("%d bytes in a second, of %d at most", sent, int(most))
+		t.Errorf("sent %d bytes in a second, want at most %d and at least half of that", sent, int(most))
 	}
 
 	slow := NewAnswers(New(Options{Table: NewTable(Node{ID: "self"}), Mirror: mirror, Clock: clock, Log: logr.Discard(), Link: size}, conn))
@@ -86,8 +85,8 @@
 	}
 }
 
-// TestAnswersGap asks a newcomer, whose copy came from a list of all keys, for
-// the changes since before that: it does not know which keys went.
+// TestAnswersGap asks an entry VM whose replica came from a list of all keys for changes
+// since before that list: it does not know which keys were deleted in between.
 func TestAnswersGap(t *testing.T) {
 	const listed = 50
 
@@ -96,11 +95,11 @@
 		whole       bool
 		want        error
 	}{
-		"nothing known yet":        {0, wholeFree, true, nil},
-		"before the list":          {listed - 1, wholeFree, false, errGap},
-		"before a short list":      {listed - 1, 10, true, nil},
-		"from the list on":         {listed, wholeFree, false, nil},
-		"a little after that list": {listed + 1, wholeFree, false, nil},
+		"peer without a replica": {0, maxWholeSize, true, nil},
+		"before the list":        {listed - 1, maxWholeSize, false, errGap},
+		"before a short list":    {listed - 1, 10, true, nil},
+		"right after the list":   {listed, maxWholeSize, false, nil},
+		"later than the list":    {listed + 1, maxWholeSize, false, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			mirror := newMirror()
@@ -116,7 +115,7 @@
 
 			defer func() { _ = conn.Close() }()
 
-			m := New(Options{Table: NewTable(Node{ID: "self"}), Mirror: mirror, Clock: carobward.SystemClock{}, Log: logr.Discard(), Words: noWords}, conn)
+			m := New(Options{Table: NewTable(Node{ID: "self"}), Mirror: mirror, Clock: carobward.SystemClock{}, Log: logr.Discard(), Words: noNotices}, conn)
 			reply := &cwwire.ChangesReply{}
 
 			err = NewAnswers(m).Changes(&cwwire.ChangesRequest{After: uint64(c.after)}, reply)
@@ -127,58 +126,58 @@
 	}
 }
 
-// TestLacks wants the store to be asked once peers can't help, until the copy is
-// known to be the newest.
+// TestLacks checks that the store is to be asked once peers can't help, until the replica
+// is known to be up to date.
 func TestLacks(t *testing.T) {
 	clock := &stepClock{now: time.Now()}
 	m := &Mesh{Options: Options{Clock: clock, Mirror: newMirror()}, claims: newClaims()}
 	m.answered(clock.now, clock.now)
 
 	if m.Lacks() {
-		t.Error("lacks changes at first")
+		t.Error("the store is needed at first")
 	}
 
 	clock.now = clock.now.Add(time.Second)
-	m.setLack()
+	m.noteGap()
 
 	if !m.Lacks() {
-		t.Error("does not lack changes")
+		t.Error("the store is not needed after a gap")
 	}
 
 	m.answered(clock.now, clock.now)
 
 	if m.Lacks() {
-		t.Error("lacks changes with the newest copy")
+		t.Error("the store is needed with a replica that is up to date")
 	}
 }
 
-// TestIsSaid wants a refusal to be told from other failures, as it comes over
-// the wire.
+// TestIsSaid checks that a refusal by a peer is told from other errors, in the form
+// in which net/rpc returns it.
 func TestIsSaid(t *testing.T) {
 	for name, c := range map[string]struct {
 		err  error
 		want bool
 	}{
 		"a refusal":            {carobward.NewFailure(carobward.Unknown, 502, 0, errors.Annotate(rpc.ServerError(errBusy.Error()), "peer")), true},
-		"another error of his": {rpc.ServerError("mesh: broken"), false},
+		"another peer's error": {rpc.ServerError("mesh: broken"), false},
 		"no answer":            {context.DeadlineExceeded, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := isSaid(c.err, errBusy); got != c.want {
+			if got := isPeerError(c.err, errBusy); got != c.want {
 				t.Errorf("got %v", got)
 			}
 		})
 	}
 }
 
-// TestOffer wants the newest offer to count, and one peer that failed not to be
-// taken again where there is another.
+// TestOffer checks that the newest offer counts, and that a peer that failed is not
+// asked again while another one is ahead.
 func TestOffer(t *testing.T) {
 	now := time.Now()
 	table := newTable(4, now)
 
 	for _, id := range []carobward.VMID{"vm-0", "vm-3"} {
-		table.heard(Peer{Node: table.peers[id].Node, Boot: 1, Heard: now, Copy: cwmirror.State{Index: 7, Top: 7}})
+		table.updatePeer(Peer{Node: table.peers[id].Node, Boot: 1, Heard: now, Copy: cwmirror.State{Index: 7, Top: 7}})
 	}
 
 	clock := &stepClock{now: now}
@@ -187,26 +186,26 @@
 		offers:  make(chan offer, 1),
 	}
 
-	m.offer(offer{id: "vm-0"})
-	m.offer(offer{id: "vm-3"})
+	m.setOffer(offer{id: "vm-0"})
+	m.setOffer(offer{id: "vm-3"})
 
 	if got := <-m.offers; got.id != "vm-3" || len(m.offers) != 0 {
-		t.Errorf("offer of %s, %d more", got.id, len(m.offers))
+		t.Errorf("got the offer of %s, %d more are queued", got.id, len(m.offers))
 	}
 
 	for range 20 {
-		if got, ok := m.drawAhead(offer{id: "vm-0"}); !ok || got.id != "vm-3" {
-			t.Fatalf("drew %q", got.id)
+		if got, ok := m.pickAhead(offer{id: "vm-0"}); !ok || got.id != "vm-3" {
+			t.Fatalf("picked %q", got.id)
 		}
 	}
 
 	// The only one that is ahead is asked again.
-	table.heard(Peer{Node: table.peers["vm-3"].Node, Boot: 1, Heard: now})
-	clock.now = now.Add(liveStale)
+	table.updatePeer(Peer{Node: table.peers["vm-3"].Node, Boot: 1, Heard: now})
+	clock.now = now.Add(liveCacheTime)
 
-	if got, ok := m.drawAhead(offer{id: "vm-0"}); !ok || got.id != "vm-0" {
-		t.Errorf("drew %q", got.id)
+	if got, ok := m.pickAhead(offer{id: "vm-0"}); !ok || got.id != "vm-0" {
+		t.Errorf("picked %q", got.id)
 	}
 }
 
-func noWords(time.Time, bool) carobward.ServerWords { return carobward.ServerWords{} }
+func noNotices(time.Time, bool) carobward.ServerWords { return carobward.ServerWords{} }
--- a/internal/cwmesh/fleet.go
+++ b/internal/cwmesh/fleet.go
@@ -10,47 +10,46 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// Fleet returns the failure domains for the store: the own one and those that are
-// alive.
+// Fleet returns the summaries to write to the store: that of this failure domain and of
+// the others that are alive.
 func (t *Table) Fleet(now time.Time, state State) []Summary {
 	return append(t.Domains(now), t.Summary(now, state, false, 0))
 }
 
-// EncodeFleet returns failure domains as they lie in the store.
+// EncodeFleet encodes summaries for the store.
 func EncodeFleet(list []Summary) ([]byte, error) {
 	f := &cwwire.Fleet{}
 
 	for i := range list {
-		d := wireSummary(&list[i], list[i].Made)
-		// What changes often and helps no newcomer is left out.
+		d := encodeSummary(&list[i], list[i].Made)
+		// These change often and are of no use to newcomers.
 		d.Rate, d.Away = 0, 0
 		f.Domains = append(f.Domains, d)
 	}
 
 	raw, err := proto.Marshal(f)
 
-	return raw, errors.Annotate(err, "mesh: fleet")
+	return raw, errors.Annotate(err, "mesh: encode the fleet")
 }
 
-// DecodeFleet reads the failure domains from the store.
+// DecodeFleet decodes summaries from the store.
 func DecodeFleet(raw []byte) ([]Summary, error) {
 	f := &cwwire.Fleet{}
 	if err := proto.Unmarshal(raw, f); err != nil {
-		return nil, errors.Annotate(err, "mesh: fleet")
+		return nil, errors.Annotate(err, "mesh: decode the fleet")
 	}
 
 	var list []Summary
 	for _, d := range f.GetDomains() {
-		list = append(list, summary(d, time.Time{}))
+		list = append(list, decodeSummary(d, time.Time{}))
 	}
 
 	return list, nil
 }
 
-// Told takes failure domains that the store names. Their entry VMs get a
-// heartbeat, and are alive once they answer. Their number counts for budgets from
-// now on, before they are heard: without that each of many newcomers would spend
-// as if it were alone.
+// Told adds the entry VMs that the store lists. They get a heartbeat, and count as
+// alive once they answer. Budgets are divided by their number from now on, before they
+// are heard from: otherwise each of many newcomers would spend as if it were alone.
 func (t *Table) Told(list []Summary, now time.Time) {
 	size, near := 0, 0
 
@@ -62,7 +61,7 @@
 		}
 
 		for _, n := range list[i].Nodes {
-			t.told(n)
+			t.addPeer(n)
 		}
 	}
 
@@ -70,17 +69,17 @@
 	defer t.mutex.Unlock()
 
 	if size > t.size {
-		t.size, t.sized = size, now
+		t.size, t.sizeAt = size, now
 	}
 
-	if near > t.near {
-		t.near, t.nearAt = near, now
+	if near > t.domainSize {
+		t.domainSize, t.domainSizeAt = near, now
 	}
 }
 
-// Lacks tells whether a list from the store is of little use to newcomers any
-// more: a failure domain that is alive is not on it, none of those that it names
-// there is known to live, or the fleet has grown by more than a quarter.
+// Lacks reports whether the store's list of the fleet is of little use to newcomers: it
+// misses a failure domain that is alive, names none of that domain's entry VMs in the
+// current summary, or the fleet has grown by more than a quarter.
 func Lacks(list, fleet []Summary) bool {
 	const grown = 1.25
 
@@ -100,8 +99,8 @@
 	return float64(is) > grown*float64(was)
 }
 
-// sharesNode tells whether two summaries of a failure domain name one entry VM
-// both.
+// sharesNode reports whether two summaries of a failure domain have an entry VM in
+// common.
 func (s *Summary) sharesNode(o Summary) bool {
 	return slices.ContainsFunc(s.Nodes, func(n Node) bool { return slices.Contains(o.Nodes, n) })
 }
--- a/internal/cwmesh/fleet_test.go
+++ b/internal/cwmesh/fleet_test.go
@@ -8,18 +8,18 @@
 	"carobward.example/carobward"
 )
 
-// The bounds of what is known, which the fleets below keep.
+// Times within which the simulated fleets have to know their members.
 const (
-	// simForms is how long a fleet that starts takes until all know all.
-	simForms = 3 * time.Second
-	// simDeath is how long a death takes to be known everywhere: two heartbeats and
-	// a half, two on the way out and in, and as much again for what was lost.
-	simDeath = liveTime + 4*beatTime
+	// simFormTime is how long a starting fleet takes until all know all.
+	simFormTime = 3 * time.Second
+	// simDeathTime is how long a crash takes to be known everywhere: two and a half heartbeats,
+	// two for the way out and in, and as much again for lost packets.
+	simDeathTime = liveTimeout + 4*heartbeatInterval
 )
 
-// TestFleet plays fleets through what they meet, and wants each entry VM to know
-// its failure domain, the others' numbers and a size for budgets that is not too
-// small, within the bounds.
+// TestFleet simulates changes and failures of a fleet, and checks that in time each entry VM
+// knows its failure domain, the sizes of the others and a fleet size for budgets that is not
+// too small.
 func TestFleet(t *testing.T) {
 	for name, c := range map[string]struct {
 		vms  int
@@ -27,40 +27,40 @@
 		play func(*sim)
 		know time.Duration
 	}{
-		"it forms":      {60, 0, nil, simForms},
-		"a large one":   {300, 0, nil, simForms},
-		"one a domain":  {5, 0, nil, simForms},
-		"packets lost":  {60, 0.03, nil, 2 * simForms},
-		"one dies":      {60, 0, func(s *sim) { s.vms[45].stop() }, simDeath},
-		"the seeds die": {60, 0, func(s *sim) { s.stopSome(func(i int) bool { return i < simSeeds }) }, simDeath},
-		"half die":      {60, 0, func(s *sim) { s.stopSome(func(i int) bool { return i%2 == 0 }) }, simDeath},
+		"fleet starts":  {60, 0, nil, simFormTime},
+		"large fleet":   {300, 0, nil, simFormTime},
+		"one a domain":  {5, 0, nil, simFormTime},
+		"packet loss":   {60, 0.03, nil, 2 * simFormTime},
+		"one dies":      {60, 0, func(s *sim) { s.vms[45].stop() }, simDeathTime},
+		"the seeds die": {60, 0, func(s *sim) { s.stopSome(func(i int) bool { return i < simSeeds }) }, simDeathTime},
+		"half die":      {60, 0, func(s *sim) { s.stopSome(func(i int) bool { return i%2 == 0 }) }, simDeathTime},
 		"half return": {60, 0, func(s *sim) {
 			s.stopSome(func(i int) bool { return i%2 == 0 })
 			s.run(2*time.Second, nil)
 			s.startAll()
-		}, simDeath},
-		"all start anew": {60, 0, func(s *sim) { s.stopSome(func(int) bool { return true }); s.run(time.Second, nil); s.startAll() }, simForms},
+		}, simDeathTime},
+		"all restart": {60, 0, func(s *sim) { s.stopSome(func(int) bool { return true }); s.run(time.Second, nil); s.startAll() }, simFormTime},
 		"a domain dies": {60, 0, func(s *sim) {
 			s.stopSome(func(i int) bool { return i%simDomains == 1 })
-		}, domainTime},
+		}, domainTimeout},
 		"a domain is cut off": {60, 0, func(s *sim) {
 			s.cut = "hall-1"
-			s.run(2*domainTime, nil)
+			s.run(2*domainTimeout, nil)
 			s.cut = ""
-		}, simDeath},
+		}, simDeathTime},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSim(1, c.vms)
 			s.loss = c.loss
 
 			if c.play != nil {
-				s.run(2*simForms, nil)
+				s.run(2*simFormTime, nil)
 				c.play(s)
 			}
 
-			wrong := s.wrong()
-			for until := s.now.Add(c.know); wrong != "" && s.now.Before(until); wrong = s.wrong() {
-				s.run(simLook, nil)
+			wrong := s.mismatch()
+			for until := s.now.Add(c.know); wrong != "" && s.now.Before(until); wrong = s.mismatch() {
+				s.run(simCheckInterval, nil)
 			}
 
 			if wrong != "" {
@@ -78,12 +78,12 @@
 	}
 }
 
-// TestFleetAgain starts a whole fleet anew, with seeds that come last and a list
-// of the fleet from the store. Who starts early must know one of those that are
-// named soon after that one runs, since it gets the copy of the store from there.
+// TestFleetAgain restarts a whole fleet whose seeds start last, with the list of the fleet
+// from the store. An entry VM that starts early must know one of those that are listed soon
+// after that one runs, since it gets its replica of the store from there.
 func TestFleetAgain(t *testing.T) {
 	s := newSim(5, 60)
-	s.run(2*simForms, nil)
+	s.run(2*simFormTime, nil)
 	list := s.vms[0].mesh.Table.Fleet(s.now, Ready)
 
 	if len(list) != simDomains {
@@ -94,33 +94,33 @@
 	s.startAll()
 
 	for _, v := range s.vms[:simSeeds] {
-		v.starts = s.now.Add(2 * simSpread)
+		v.startAt = s.now.Add(2 * simSpread)
 	}
 
-	told := map[*simVM]bool{}
+	informed := map[*simVM]bool{}
 	s.run(simSpread, func() {
 		for _, v := range s.vms {
-			if v.alive && !told[v] {
-				told[v] = true
+			if v.alive && !informed[v] {
+				informed[v] = true
 				v.mesh.Table.Told(list, s.now)
 				v.mesh.Tell()
 			}
 		}
 	})
-	s.run(meetTime+4*simDelay, nil)
+	s.run(greetInterval+4*simDelay, nil)
 
 	for _, v := range s.vms[simSeeds:] {
 		if len(v.mesh.Table.Live(s.now)) == 0 {
-			t.Errorf("%s knows nobody %s after the last start", v.node.ID, meetTime)
+			t.Errorf("%s knows nobody %s after the last start", v.node.ID, greetInterval)
 		}
 	}
 }
 
-// TestFleetAlive wants no entry VM that lives to be taken for dead in its failure
-// domain while packets are lost, beyond the time of a few heartbeats.
+// TestFleetAlive checks that with packet loss no live entry VM counts as dead in its failure
+// domain for more than two heartbeats.
 func TestFleetAlive(t *testing.T) {
 	s := newSim(2, 50)
-	s.run(2*simForms, nil)
+	s.run(2*simFormTime, nil)
 
 	s.loss = 0.03
 	missed := map[carobward.VMID]time.Time{}
@@ -131,63 +131,63 @@
 				delete(missed, v.node.ID)
 			} else if at, ok := missed[v.node.ID]; !ok {
 				missed[v.node.ID] = s.now
-			} else if s.now.Sub(at) > 2*beatTime {
-				t.Fatalf("%s has taken one that lives for dead for %s", v.node.ID, s.now.Sub(at))
+			} else if s.now.Sub(at) > 2*heartbeatInterval {
+				t.Fatalf("%s has missed a live peer for %s", v.node.ID, s.now.Sub(at))
 			}
 		}
 	})
 }
 
-// TestFleetWord wants the word of the store from one entry VM to reach all others
-// at once, with packets lost, too, and few packets between failure domains.
+// TestFleetWord checks that an answer of the store to one entry VM is known to all others
+// at once, also with packet loss, and with few packets between failure domains.
 func TestFleetWord(t *testing.T) {
-	for name, loss := range map[string]float64{"calm": 0, "packets lost": 0.03} {
+	for name, loss := range map[string]float64{"no loss": 0, "packet loss": 0.03} {
 		t.Run(name, func(t *testing.T) {
 			const (
-				soon  = 4 * simStep
-				words = 10
+				soon    = 4 * simStep
+				answers = 10
 			)
 
 			s := newSim(3, 60)
-			s.run(2*simForms, nil)
+			s.run(2*simFormTime, nil)
 
 			s.loss = loss
-			late := 0
+			missed := 0
 
-			for range words {
-				teller := s.vms[s.rnd.IntN(len(s.vms))]
-				said := s.now
-				teller.mesh.answered(said, said)
-				teller.mesh.TellFleet(nil)
+			for range answers {
+				sender := s.vms[s.rnd.IntN(len(s.vms))]
+				answeredAt := s.now
+				sender.mesh.answered(answeredAt, answeredAt)
+				sender.mesh.TellFleet(nil)
 				s.run(soon, nil)
 
 				for _, v := range s.vms {
-					// Ages travel in whole milliseconds.
-					if v.mesh.Word().Before(said.Add(-simStep)) {
-						late++
+					// Ages are sent in whole milliseconds.
+					if v.mesh.Word().Before(answeredAt.Add(-simStep)) {
+						missed++
 					}
 				}
 
 				s.run(time.Second, nil)
 			}
 
-			// Each entry VM may miss one datagram; a failure domain only two.
-			if most := int(2 * loss * words * float64(len(s.vms))); late > most {
-				t.Errorf("%d of %d did not hear at once, %d may", late, words*len(s.vms), most)
+			// Each entry VM may miss one datagram; a failure domain does only if both of its relays do.
+			if most := int(2 * loss * answers * float64(len(s.vms))); missed > most {
+				t.Errorf("%d of %d did not know at once, at most %d may", missed, answers*len(s.vms), most)
 			}
 		})
 	}
 }
 
-// TestFleetPackets wants what an entry VM sends between failure domains not to
-// grow with the fleet, and what it sends in all to follow its failure domain.
+// TestFleetPackets checks that the packets an entry VM sends between failure domains don't
+// grow with the fleet, and that all it sends grow only with its failure domain.
 func TestFleetPackets(t *testing.T) {
 	const seconds = 3
 
 	for _, count := range []int{25, 100} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
 			s := newSim(4, count)
-			s.run(2*simForms, nil)
+			s.run(2*simFormTime, nil)
 
 			s.packets, s.far = 0, 0
 			s.run(seconds*time.Second, nil)
@@ -196,12 +196,12 @@
 			far := float64(s.far) / seconds
 
 			if most := float64(count/simDomains + 4); each > most {
-				t.Errorf("%.1f datagrams a second and VM, of %.1f", each, most)
+				t.Errorf("%.1f datagrams a second and VM, want at most %.1f", each, most)
 			}
 
-			// tellersMost from each failure domain to each other one.
-			if most := 1.2 * tellersMost * simDomains * (simDomains - 1); far > most {
-				t.Errorf("%.0f datagrams a second between failure domains, of %.0f", far, most)
+			// summarySenders from each failure domain to each other one.
+			if most := 1.2 * summarySenders * simDomains * (simDomains - 1); far > most {
+				t.Errorf("%.0f datagrams a second between failure domains, want at most %.0f", far, most)
 			}
 		})
 	}
--- a/internal/cwmesh/mesh.go
+++ b/internal/cwmesh/mesh.go
@@ -18,105 +18,106 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// The paces of the mesh.
+// Intervals and size limits of heartbeats.
 const (
-	// beatTime is the time between heartbeats. Datagrams between failure
-	// domains are paid for, and all that must be quick is sent at once.
-	beatTime = time.Second
-	// seedTime is the time between heartbeats to seeds that did not answer.
-	seedTime = 300 * time.Millisecond
-	// meetTime is the time between heartbeats of a new entry VM to peers that it was
-	// told of and that did not answer, greetsMost how many of them get one. Where all
-	// start again within tenths of a second, callers wait for that.
-	meetTime   = 100 * time.Millisecond
-	greetsMost = 8
-	// othersMost is how many peers a datagram tells of: some 80 bytes each,
-	// within one packet.
-	othersMost = 14
-	// wordsMost is of how many servers a heartbeat tells what they said, of each kind, drawn
-	// at random where there are more: some 40 bytes each, within one packet.
-	wordsMost = 32
-	// newTime is for how long after its start an entry VM asks each one that it
-	// meets who else there is.
-	newTime = 3 * time.Second
-	// datagramMost is the largest datagram in bytes: Nodes of a failure domain and
-	// summaries of a dozen.
-	datagramMost = 16384
+	// heartbeatInterval is the time between heartbeats. Datagrams between failure
+	// domains cost money, and urgent news is sent without waiting for the next one.
+	heartbeatInterval = time.Second
+	// seedInterval is the time between heartbeats to seeds that have not answered.
+	seedInterval = 300 * time.Millisecond
+	// greetInterval is the time between heartbeats of a newly started entry VM to peers
+	// that others named and that have not answered, maxGreets how many of them get one
+	// each time. If all entry VMs restart within tenths of a second, callers wait until
+	// they know each other.
+	greetInterval = 100 * time.Millisecond
+	maxGreets     = 8
+	// maxNamedPeers is how many peers a datagram names: some 80 bytes each, so that it
+	// fits into one packet.
+	maxNamedPeers = 14
+	// maxNotices is how many servers' notices of each kind a heartbeat carries, a random
+	// sample if there are more: some 40 bytes each, so that it fits into one packet.
+	maxNotices = 32
+	// newcomerTime is for how long after its start an entry VM asks each one that it
+	// meets for the other entry VMs.
+	newcomerTime = 3 * time.Second
+	// maxDatagramSize is the size of the receive buffer in bytes: enough for the Nodes of
+	// a failure domain and a dozen summaries.
+	maxDatagramSize = 16384
 )
 
-// Service is the name of the peers' service for net/rpc.
+// Service is the name under which peers register their net/rpc service.
 const Service = "Mesh"
 
-// Options are the parts that a Mesh needs.
+// Options has the dependencies of a Mesh.
 type Options struct {
 	Table  *Table
 	Mirror *cwmirror.Mirror
-	// Domains are all failure domains.
+	// Domains has all failure domains.
 	Domains []carobward.Domain
-	// Seeds are addresses of entry VMs to begin with.
+	// Seeds has the addresses of the entry VMs to contact first.
 	Seeds []carobward.Address
 	Key   cwpeer.Key
 	Clock carobward.Clock
 	Log   logr.Logger
-	// Link is the speed of this VM's link in bytes a second; 0: linkLeast.
+	// Link is the speed of this VM's network link in bytes a second; 0 means defaultLinkSpeed.
 	Link carobward.ByteCount
-	// Changed is called with the changes that came from a peer.
+	// Changed is called with the items that changes from a peer brought into force.
 	Changed func([]carobward.Item)
-	// Words returns what servers said: lately, or for a newcomer at any time. TakeWords
-	// is called with what they said to a peer.
+	// Words returns the servers' recent notices, or for a newcomer all that are known.
+	// TakeNotices is called with those that a peer passed on.
 	Words     func(now time.Time, newcomer bool) carobward.ServerWords
-	TakeWords func(words carobward.ServerWords, from carobward.VMID)
-	// Grant gives tokens of a team's quota.
+	TakeWords func(notices carobward.ServerWords, from carobward.VMID)
+	// Grant grants tokens of a team's quota.
 	Grant func(team carobward.TeamName, want int) cwquota.Grant
-	// Near asks the owners of this failure domain for tokens of a team.
+	// Near asks the owners in this failure domain for tokens of a team's quota.
 	Near func(ctx context.Context, team carobward.TeamName, want int) cwquota.Grant
 }
 
-// Mesh sends and takes heartbeats and fetches changes.
+// Mesh exchanges heartbeats with the other entry VMs and fetches changes of the store from them.
 type Mesh struct {
 	Options
 
 	boot    uint64
 	conn    net.PacketConn
 	clients *cwpeer.Clients
-	// call asks a peer for changes.
-	call  func(ctx context.Context, peer carobward.Address, in *cwwire.ChangesRequest, out *cwwire.ChangesReply) error
-	state atomic.Uint32
-	away  atomic.Bool
-	rate  atomic.Int64
-	// far tells that the next word goes to the other failure domains, too, and
-	// relay that what was last heard from one is yet to be passed on.
-	far   atomic.Bool
-	relay atomic.Bool
-	// asked tells that a peer has been asked for its copy, and so for what it keeps.
-	asked  atomic.Bool
-	began  time.Time
-	wake   chan struct{}
-	offers chan offer
-	work   conc.WaitGroup
+	// call requests changes from a peer.
+	call      func(ctx context.Context, peer carobward.Address, in *cwwire.ChangesRequest, out *cwwire.ChangesReply) error
+	state     atomic.Uint32
+	storeDown atomic.Bool
+	rate      atomic.Int64
+	// tellsFar is set if the next heartbeat also goes to the other failure domains,
+	// relayPending if news from one of them has yet to be passed on in this one.
+	tellsFar     atomic.Bool
+	relayPending atomic.Bool
+	// hasFetched is set once a peer has sent its replica, and with it the items that it keeps.
+	hasFetched atomic.Bool
+	started    time.Time
+	wake       chan struct{}
+	offers     chan offer
+	group      conc.WaitGroup
 
 	mutex  sync.Mutex
 	claims claims
-	// nth counts the answers of the store to this entry VM.
-	nth uint64
-	// asks has the asks for tokens without an answer by their numbers.
-	asks    map[uint64]chan cwquota.Grant
-	lastAsk uint64
-	// relayed counts the asks of other failure domains that are worked on.
-	relayed atomic.Int64
-	// lack is when peers were ahead that could not bring the copy up to date.
-	lack time.Time
-	push push
-	// seeded has the seeds that have not answered yet.
-	seeded map[carobward.Address]bool
+	// answers counts the store's answers to this entry VM.
+	answers uint64
+	// tokenRequests has the token requests without an answer by their numbers.
+	tokenRequests    map[uint64]chan cwquota.Grant
+	lastTokenRequest uint64
+	// tokenRelays counts the token requests of other failure domains in progress.
+	tokenRelays atomic.Int64
+	// gapSeen is when a peer that was ahead last lacked the changes since this replica.
+	gapSeen time.Time
+	push    push
+	// silentSeeds has the seeds that have not answered yet.
+	silentSeeds map[carobward.Address]bool
 }
 
-// New returns a mesh that talks over a datagram socket.
+// New returns a mesh that communicates over a datagram socket.
 func New(o Options, conn net.PacketConn) *Mesh {
 	o.Log = o.Log.WithName("mesh")
 	m := &Mesh{
 		Options: o, boot: rand.Uint64(), conn: conn, clients: cwpeer.NewClients(o.Key),
-		began: o.Clock.Now(), wake: make(chan struct{}, 1), offers: make(chan offer, 1), seeded: map[carobward.Address]bool{}, claims: newClaims(), asks: map[uint64]chan cwquota.Grant{},
+		started: o.Clock.Now(), wake: make(chan struct{}, 1), offers: make(chan offer, 1), silentSeeds: map[carobward.Address]bool{}, claims: newClaims(), tokenRequests: map[uint64]chan cwquota.Grant{},
 	}
 
 	m.call = func(ctx context.Context, peer carobward.Address, in *cwwire.ChangesRequest, out *cwwire.ChangesReply) error {
@@ -128,32 +129,32 @@
 	return m
 }
 
-// AddSeeds asks more entry VMs who there is, until they answer.
+// AddSeeds adds entry VMs to contact until they answer.
 func (m *Mesh) AddSeeds(list []carobward.Address) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
 	for _, s := range list {
 		if s != m.Table.Self().Peers {
-			m.seeded[s] = true
+			m.silentSeeds[s] = true
 		}
 	}
 }
 
-// Run works until the context ends.
+// Run sends and receives until the context ends.
 func (m *Mesh) Run(ctx context.Context) {
-	m.work.Go(func() { m.receive(ctx) })
-	m.work.Go(func() { m.send(ctx) })
-	m.work.Go(func() { m.takeOffers(ctx) })
+	m.group.Go(func() { m.receive(ctx) })
+	m.group.Go(func() { m.sendLoop(ctx) })
+	m.group.Go(func() { m.handleOffers(ctx) })
 
-	defer m.work.Wait()
+	defer m.group.Wait()
 
 	<-ctx.Done()
 	_ = m.conn.Close()
 	m.clients.Close()
 }
 
-// SetState tells the peers whether this entry VM takes callers.
+// SetState sets whether this entry VM takes callers, and tells the peers at once.
 func (m *Mesh) SetState(s State) {
 	if m.state.Swap(uint32(s)) != uint32(s) {
 		m.Tell()
@@ -163,23 +164,23 @@
 // State returns whether this entry VM takes callers.
 func (m *Mesh) State() State { return State(m.state.Load()) }
 
-// SetAway notes whether the store serves this entry VM, and tells whether that is
-// news.
-func (m *Mesh) SetAway(away bool) bool { return m.away.Swap(away) != away }
+// SetAway sets whether the store fails to serve this entry VM, and reports whether
+// that changed.
+func (m *Mesh) SetAway(down bool) bool { return m.storeDown.Swap(down) != down }
 
-// SetRate tells the peers this entry VM's requests a second, from the next
-// heartbeat on.
+// SetRate sets this entry VM's requests a second, which peers learn with the next
+// heartbeat.
 func (m *Mesh) SetRate(perSecond int) { m.rate.Store(int64(perSecond)) }
 
-// TellFleet sends a heartbeat to all entry VMs now, with the changes that were
-// taken if there are any and they are small.
+// TellFleet sends a heartbeat to the whole fleet now, with the given changes if there
+// are any and they are small.
 func (m *Mesh) TellFleet(c *carobward.Changes) {
 	m.setPush(c)
-	m.far.Store(true)
+	m.tellsFar.Store(true)
 	m.Tell()
 }
 
-// Tell sends a heartbeat to all of the failure domain now.
+// Tell sends a heartbeat to all peers of the failure domain now.
 func (m *Mesh) Tell() {
 	select {
 	case m.wake <- struct{}{}:
@@ -187,10 +188,11 @@
 	}
 }
 
-// Suspended sets back the times at which the copy was known to be the newest and the
-// store answered, after a time that the VM's clock did not count. Without it this entry
-// VM would take its copy for fresh, and tell peers so. What is known of peers stays: that
-// they went on is likely, and without them this entry VM would count as alone.
+// Suspended adds a time that the VM's clock did not count to the age of what is known of
+// the store: when the replica was up to date, and when the store last answered. Otherwise
+// this entry VM would take its replica for up to date, and tell peers so. What is known of
+// peers stays: they have most likely kept running, and without them this entry VM would
+// act as if it were alone.
 func (m *Mesh) Suspended(by time.Duration) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/cwmesh/push.go
+++ b/internal/cwmesh/push.go
@@ -12,28 +12,28 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// The figures of sending changes.
+// Limits of sending changes.
 const (
-	// pushMost is the size of changes, as they are sent, that go with heartbeats,
-	// so that nobody has to fetch them: a heartbeat stays within one packet. A
-	// change of one server is some 300 bytes.
-	pushMost = 1000
-	// pushTime is for how long heartbeats carry changes: the first heartbeats
-	// after them, and those of the entry VMs that pass them on.
+	// maxPushSize is the encoded size, in bytes, up to which changes go along with heartbeats, so
+	// that peers need not fetch them: the heartbeat still fits into one packet. A change of
+	// one server is some 300 bytes.
+	maxPushSize = 1000
+	// pushTime is for how long heartbeats carry changes: the first heartbeats after a
+	// change, and those of the entry VMs that pass it on.
 	pushTime = 100 * time.Millisecond
-	// packLeast is the size in bytes from which entries are compressed, to a third
-	// or less. Below that a packet is needed in any case.
-	packLeast = 1000
+	// minPackSize is the size in bytes from which entries are compressed, to a third or
+	// less. Smaller ones need one packet either way.
+	minPackSize = 1000
 )
 
-// push is the newest changes, for those whose copy ends where they begin.
+// push has the newest changes, for peers whose replica is at the state after which they begin.
 type push struct {
 	after   cwmirror.State
 	changes *cwwire.ChangesReply
 	at      time.Time
 }
 
-// setPush lets heartbeats carry changes if they are small.
+// setPush makes heartbeats carry changes if they are small.
 func (m *Mesh) setPush(c *carobward.Changes) {
 	if c == nil || c.Whole || len(c.Items) == 0 && c.AfterEra == c.Era || !c.Gap.IsEmpty() {
 		return
@@ -41,12 +41,12 @@
 
 	reply, err := encodeChanges(c)
 	if err != nil {
-		m.Log.Error(err, "Changes can't be encoded, peers fetch them.")
+		m.Log.Error(err, "Changes could not be encoded; peers have to fetch them.")
 
 		return
 	}
 
-	if proto.Size(reply) > pushMost {
+	if proto.Size(reply) > maxPushSize {
 		return
 	}
 
@@ -57,7 +57,7 @@
 }
 
 // pushed returns the changes that a heartbeat carries, and the state after which
-// they are.
+// they begin.
 func (m *Mesh) pushed(now time.Time) (*cwwire.ChangesReply, cwmirror.State) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -71,8 +71,8 @@
 	return m.push.changes, m.push.after
 }
 
-// takePush takes the changes of a heartbeat where they follow this copy.
-func (m *Mesh) takePush(in *cwwire.Beat) {
+// applyPush applies the changes of a heartbeat if they follow this replica.
+func (m *Mesh) applyPush(in *cwwire.Beat) {
 	if in.GetChanges() == nil {
 		return
 	}
@@ -84,17 +84,17 @@
 
 	c, err := decodeChanges(in.GetChanges(), after)
 	if err != nil {
-		m.Log.Info("The changes of a heartbeat are malformed.", "vm", in.GetId(), "cause", err.Error())
+		m.Log.Info("Changes in a heartbeat are malformed.", "vm", in.GetId(), "cause", err.Error())
 
 		return
 	}
 
 	changed := m.Mirror.ApplyAndNotify(c, m.Clock.Now(), m.Changed)
-	m.Log.Info("Took changes of a heartbeat.", "vm", in.GetId(), "after", c.After, "era", c.Era, "index", c.Index, "changed", changed)
+	m.Log.Info("Applied changes from a heartbeat.", "vm", in.GetId(), "after", c.After, "era", c.Era, "index", c.Index, "changed", changed)
 	m.setPush(&c)
 }
 
-// encodeChanges returns changes as they are sent.
+// encodeChanges encodes changes for peers.
 func encodeChanges(c *carobward.Changes) (*cwwire.ChangesReply, error) {
 	out := &cwwire.ChangesReply{
 		Index: uint64(c.Index), Whole: c.Whole, GapFrom: uint64(c.Gap.From), GapTo: uint64(c.Gap.To),
@@ -102,16 +102,16 @@
 	}
 
 	for i := range c.Items {
-		out.Entries = append(out.Entries, wireEntry(&c.Items[i]))
+		out.Entries = append(out.Entries, encodeEntry(&c.Items[i]))
 	}
 
-	if c.Size() < packLeast {
+	if c.Size() < minPackSize {
 		return out, nil
 	}
 
 	raw, err := proto.Marshal(&cwwire.Entries{Entries: out.Entries})
 	if err != nil {
-		return nil, errors.Annotate(err, "mesh: entries")
+		return nil, errors.Annotate(err, "mesh: encode entries")
 	}
 
 	out.Entries, out.Packed = nil, s2.Encode(nil, raw)
@@ -119,32 +119,32 @@
 	return out, nil
 }
 
-// decodeChanges reads changes after an index.
+// decodeChanges decodes the changes after an index.
 func decodeChanges(in *cwwire.ChangesReply, after carobward.StoreIndex) (carobward.Changes, error) {
 	c := carobward.Changes{
 		After: after, Index: carobward.StoreIndex(in.GetIndex()), Whole: in.GetWhole(),
 		Gap: carobward.Gap{From: carobward.StoreIndex(in.GetGapFrom()), To: carobward.StoreIndex(in.GetGapTo())},
 		Era: carobward.StoreEra(in.GetEra()), AfterEra: carobward.StoreEra(in.GetAfterEra()),
-		Hold: time.Duration(in.GetHold()) * time.Millisecond, Kept: keptItems(in.GetKept()),
+		Hold: time.Duration(in.GetHold()) * time.Millisecond, Kept: decodeKept(in.GetKept()),
 	}
 	entries := in.GetEntries()
 
 	if len(in.GetPacked()) > 0 {
 		raw, err := s2.Decode(nil, in.GetPacked())
 		if err != nil {
-			return c, errors.Annotate(err, "mesh: packed entries")
+			return c, errors.Annotate(err, "mesh: decompress entries")
 		}
 
 		all := &cwwire.Entries{}
 		if err := proto.Unmarshal(raw, all); err != nil {
-			return c, errors.Annotate(err, "mesh: entries")
+			return c, errors.Annotate(err, "mesh: decode entries")
 		}
 
 		entries = all.GetEntries()
 	}
 
 	for _, e := range entries {
-		c.Items = append(c.Items, entry(e))
+		c.Items = append(c.Items, decodeEntry(e))
 	}
 
 	return c, nil
--- a/internal/cwmesh/receive.go
+++ b/internal/cwmesh/receive.go
@@ -15,50 +15,50 @@
 
 // receive handles datagrams until the context ends.
 func (m *Mesh) receive(ctx context.Context) {
-	buffer := make([]byte, datagramMost)
+	buffer := make([]byte, maxDatagramSize)
 
 	for ctx.Err() == nil {
 		n, from, err := m.conn.ReadFrom(buffer)
 		if err != nil {
 			if ctx.Err() == nil && !errors.Is(err, net.ErrClosed) {
-				m.Log.Error(err, "A datagram could not be read.")
-				time.Sleep(time.Millisecond) // A fault that lasts must not spin.
+				m.Log.Error(err, "Failed to read a datagram.")
+				time.Sleep(time.Millisecond) // Don't spin on a persistent error.
 			}
 
 			continue
 		}
 
-		m.datagram(buffer[:n], from)
+		m.handleDatagram(buffer[:n], from)
 	}
 }
 
-// datagram handles one datagram. What is not a heartbeat is passed over.
-func (m *Mesh) datagram(sealed []byte, from net.Addr) {
+// handleDatagram handles one datagram. It ignores those that are not authentic or malformed.
+func (m *Mesh) handleDatagram(sealed []byte, from net.Addr) {
 	raw, err := m.Key.Open(sealed, from)
 	if err != nil {
-		m.Log.V(1).Info("A datagram was refused.", "from", from.String(), "cause", err.Error())
+		m.Log.V(1).Info("Rejected a datagram.", "from", from.String(), "cause", err.Error())
 
 		return
 	}
 
 	beat := &cwwire.Beat{}
 	if err := proto.Unmarshal(raw, beat); err != nil {
-		m.Log.V(1).Info("A datagram is malformed.", "from", from.String(), "cause", err.Error())
+		m.Log.V(1).Info("Received a malformed datagram.", "from", from.String(), "cause", err.Error())
 
 		return
 	}
 
 	if t := beat.GetTokens(); t != nil {
-		m.takeTokens(t, from)
+		m.handleTokens(t, from)
 
 		return
 	}
 
-	m.take(beat, from)
+	m.handleHeartbeat(beat, from)
 }
 
-// take handles one heartbeat.
-func (m *Mesh) take(b *cwwire.Beat, from net.Addr) {
+// handleHeartbeat handles one heartbeat.
+func (m *Mesh) handleHeartbeat(b *cwwire.Beat, from net.Addr) {
 	if b.GetId() == string(m.Table.Self().ID) {
 		return
 	}
@@ -74,99 +74,100 @@
 	p.ID = carobward.VMID(b.GetId())
 
 	if n := b.GetNode(); n != nil {
-		p.Node = node(n)
-		m.unseed(p.Peers)
+		p.Node = decodeNode(n)
+		m.removeSeed(p.Peers)
 	}
 
 	known := true
 
-	if m.isOutside(p.Domain) {
-		m.Table.met(p.Node)
+	if m.isOtherDomain(p.Domain) {
+		m.Table.recordContact(p.Node)
 	} else {
-		known = m.Table.heard(p)
+		known = m.Table.updatePeer(p)
 	}
 
-	m.takeNames(b, p.Domain, now)
+	m.addNamed(b, p.Domain, now)
 
 	if !known || b.GetAsk() || b.GetList() {
 		m.reply(from, b, !known)
 	}
 
-	if words := words(b, now); len(words.Limits)+len(words.Leaving) > 0 {
-		m.TakeWords(words, p.ID)
+	if notices := decodeNotices(b, now); len(notices.Limits)+len(notices.Leaving) > 0 {
+		m.TakeWords(notices, p.ID)
 	}
 
-	m.takePush(b)
-	m.takeCopy(b, &p, from, now)
+	m.applyPush(b)
+	m.compareReplica(b, &p, from, now)
 }
 
-// isOutside tells whether a heartbeat came from another failure domain. Those of
-// peers that are known here name none.
-func (m *Mesh) isOutside(d carobward.Domain) bool {
+// isOtherDomain reports whether a heartbeat came from another failure domain. Heartbeats of
+// peers that know this entry VM name no failure domain.
+func (m *Mesh) isOtherDomain(d carobward.Domain) bool {
 	return d != "" && d != m.Table.Self().Domain
 }
 
-// takeNames takes the entry VMs and failure domains that a heartbeat names.
-func (m *Mesh) takeNames(b *cwwire.Beat, from carobward.Domain, now time.Time) {
-	outside := m.isOutside(from)
+// addNamed adds the entry VMs and failure domains that a heartbeat names.
+func (m *Mesh) addNamed(b *cwwire.Beat, from carobward.Domain, now time.Time) {
+	outside := m.isOtherDomain(from)
 	for _, d := range b.GetDomains() {
-		m.Table.learn(summary(d, now), outside)
+		m.Table.addSummary(decodeSummary(d, now), outside)
 	}
 
 	for _, o := range b.GetOthers() {
-		if n := node(o); m.Table.told(n) {
+		if n := decodeNode(o); m.Table.addPeer(n) {
 			m.greet(n)
 		}
 	}
 }
 
-// takeCopy takes how far a peer's copy is: what a peer knew to be the newest is
-// what this entry VM has as well, or else it lacks changes.
-func (m *Mesh) takeCopy(b *cwwire.Beat, p *Peer, from net.Addr, now time.Time) {
+// compareReplica compares the state of a peer's replica with this one. If this one is
+// behind, there are changes to fetch from the peer; otherwise the peer's claim to be up to
+// date holds here as well.
+func (m *Mesh) compareReplica(b *cwwire.Beat, p *Peer, from net.Addr, now time.Time) {
 	c := claimOf(b, now)
-	m.hear(c, now)
+	m.noteAnswer(c, now)
 
-	far := m.isOutside(p.Domain)
+	far := m.isOtherDomain(p.Domain)
 	own := m.Mirror.State()
 	behind := own.Behind(p.Copy)
 
-	// One that asked the store by itself has not what that lost before.
-	if p.Copy.Kept > 0 && !behind && !m.asked.Load() {
-		m.offer(offer{from: carobward.Address(from.String()), id: p.ID, state: p.Copy, kept: true})
+	// A replica that came from the store alone lacks what the store lost before.
+	if p.Copy.Kept > 0 && !behind && !m.hasFetched.Load() {
+		m.setOffer(offer{from: carobward.Address(from.String()), id: p.ID, state: p.Copy, kept: true})
 	}
 
 	if b.GetRelay() {
-		m.relay.Store(true)
+		m.relayPending.Store(true)
 	}
 
 	switch {
-	case behind && (!far || b.GetRelay() || m.waits(now)):
-		m.offer(offer{from: carobward.Address(from.String()), id: p.ID, state: p.Copy})
+	case behind && (!far || b.GetRelay() || m.fetchesFar(now)):
+		m.setOffer(offer{from: carobward.Address(from.String()), id: p.ID, state: p.Copy})
 	case behind:
 	case p.Copy.Era != own.Era:
-		// A copy of another era being the newest says nothing of ours.
+		// A claim for a replica of another era says nothing of this one.
 	default:
-		m.takeClaim(c, now, own.Era)
-		m.passOn()
+		m.applyClaim(c, now, own.Era)
+		m.relayPendingNews()
 	}
 }
 
-// waits tells whether this entry VM has lacked changes for so long that it takes
+// fetchesFar reports whether this entry VM has lacked changes for so long that it fetches
 // them from other failure domains, too.
-func (m *Mesh) waits(now time.Time) bool {
-	return now.Sub(m.Fresh()) > farPatience && now.Sub(m.began) > farPatience
+func (m *Mesh) fetchesFar(now time.Time) bool {
+	return now.Sub(m.Fresh()) > farFetchDelay && now.Sub(m.started) > farFetchDelay
 }
 
-// passOn tells the failure domain what another one told this entry VM.
-func (m *Mesh) passOn() {
-	if m.relay.Swap(false) {
+// relayPendingNews sends a heartbeat to the failure domain if news from another one is pending.
+func (m *Mesh) relayPendingNews() {
+	if m.relayPending.Swap(false) {
 		m.Tell()
 	}
 }
 
-func (m *Mesh) unseed(a carobward.Address) {
+func (m *Mesh) removeSeed(a carobward.Address) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
-	delete(m.seeded, a)
+	delete(m.silentSeeds, a)
 }
--- a/internal/cwmesh/restore_test.go
+++ b/internal/cwmesh/restore_test.go
@@ -19,59 +19,59 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// The figures of a simulated store and of who asks it.
+// Parameters of the simulated store and of the entry VMs that ask it.
 const (
 	simConfig  = carobward.Key("op/config")
 	simServers = 40
-	// askPace is the time between looks at whether to ask, staleAge the age of the newest
-	// word at which others than the first ask, each turnAge later than the one before.
-	askPace  = 100 * time.Millisecond
-	staleAge = 950 * time.Millisecond
-	turnAge  = 80 * time.Millisecond
-	turnMost = 8
-	// goneAge is for how long what was removed stays so.
+	// askInterval is the time between checks whether to ask the store, staleAge the age of its
+	// last answer at which entry VMs other than the first ask, each turnAge later than the one before.
+	askInterval = 100 * time.Millisecond
+	staleAge    = 950 * time.Millisecond
+	turnAge     = 80 * time.Millisecond
+	maxTurns    = 8
+	// goneAge is for how long a removed key is remembered.
 	goneAge = 10 * time.Second
-	// forceTime is by when an acknowledged configuration is in force.
+	// forceTime is the time within which an acknowledged configuration has to be in force.
 	forceTime = 2 * time.Second
-	// againTime is by when servers have written their entries again.
-	againTime = 1500 * time.Millisecond
-	// inTouch is for how long an entry VM has to have run and been served for the bounds to
-	// hold there.
-	inTouch = 3 * time.Second
+	// rewriteTime is the time within which servers have written their entries again.
+	rewriteTime = 1500 * time.Millisecond
+	// settleTime is for how long an entry VM has to have run with a reachable store before its
+	// bounds are checked.
+	settleTime = 3 * time.Second
 )
 
-// historyVM is what the history test notes of one entry VM.
+// historyVM is the test's record of one entry VM.
 type historyVM struct {
 	*simVM
 
 	answers *Answers
-	// force has the values that are in force there.
-	force map[carobward.Key]string
-	// left has the servers that were leaving or gone there.
+	// values has the values that are in force there.
+	values map[carobward.Key]string
+	// left has the servers that were seen draining or gone there.
 	left map[carobward.Key]bool
-	// version is the highest configuration that was in force.
-	version int
-	asks    time.Time
-	list    bool
-	// calm is since when it ran and was served.
-	calm      time.Time
-	suspended bool
+	// version is the highest configuration that has been in force.
+	version  int
+	nextAsk  time.Time
+	listNext bool
+	// steadySince is since when it has run with a reachable store.
+	steadySince time.Time
+	suspended   bool
 }
 
-// fleetHistory is a simulated fleet with a store, and what each entry VM had in force.
+// fleetHistory is a simulated fleet with a store, and a record of each entry VM.
 type fleetHistory struct {
 	*sim
 
-	t     *testing.T
-	store *simStore
-	all   map[*simVM]*historyVM
-	// checked is called at each step, where it is set.
-	checked func()
-	wrong   int
+	t          *testing.T
+	store      *simStore
+	historyVMs map[*simVM]*historyVM
+	// checked is called at each step, if set.
+	checked  func()
+	failures int
 }
 
-// rankOf returns the count at the end of a value.
-func rankOf(_ carobward.Key, value []byte) carobward.Rank {
+// rank returns the number at the end of a value.
+func rank(_ carobward.Key, value []byte) carobward.Rank {
 	_, text, _ := strings.Cut(string(value), " ")
 	n, _ := strconv.ParseUint(text, 10, 64)
 
@@ -81,24 +81,24 @@
 func newFleetHistory(t *testing.T, seed uint64, vms int) *fleetHistory {
 	t.Helper()
 
-	f := &fleetHistory{sim: newSim(seed, vms), t: t, all: map[*simVM]*historyVM{}}
+	f := &fleetHistory{sim: newSim(seed, vms), t: t, historyVMs: map[*simVM]*historyVM{}}
 	f.store = newSimStore(f.sim)
 
 	for _, v := range f.vms {
-		v.began = f.begin
+		v.onStart = f.setUp
 	}
 
 	return f
 }
 
-// begin sets up an entry VM that starts.
-func (f *fleetHistory) begin(v *simVM) {
-	h := &historyVM{simVM: v, force: map[carobward.Key]string{}, left: map[carobward.Key]bool{}, calm: f.now}
-	f.all[v] = h
+// setUp prepares an entry VM that starts.
+func (f *fleetHistory) setUp(v *simVM) {
+	h := &historyVM{simVM: v, values: map[carobward.Key]string{}, left: map[carobward.Key]bool{}, steadySince: f.now}
+	f.historyVMs[v] = h
 	isRouting := func(k carobward.Key) bool { return k == simConfig }
 
 	v.mesh.Mirror = cwmirror.New(cwmirror.Options{
-		Rank: rankOf, IsRouting: isRouting, IsBackend: func(k carobward.Key) bool { return !isRouting(k) },
+		Rank: rank, IsRouting: isRouting, IsBackend: func(k carobward.Key) bool { return !isRouting(k) },
 		Retention: func(it carobward.Item) time.Duration {
 			switch {
 			case isRouting(it.Key):
@@ -117,7 +117,7 @@
 	h.answers = NewAnswers(v.mesh)
 }
 
-// changed notes what comes into force at an entry VM, and wants it not to go back.
+// changed records what comes into force at an entry VM, and checks that nothing is reverted.
 func (f *fleetHistory) changed(h *historyVM, items []carobward.Item) {
 	for _, it := range items {
 		state, _, _ := strings.Cut(string(it.Value), " ")
@@ -126,17 +126,17 @@
 		}
 
 		if it.Key == simConfig {
-			f.configured(h, int(rankOf(it.Key, it.Value).Write))
+			f.configured(h, int(rank(it.Key, it.Value).Write))
 
 			continue
 		}
 
-		if h.left[it.Key] && state == "ready" && f.now.Sub(f.store.stable) < goneAge {
-			f.fail("%s has %s ready again, which left", h.node.ID, it.Key)
+		if h.left[it.Key] && state == "ready" && f.now.Sub(f.store.stableSince) < goneAge {
+			f.fail("%s has %s ready again after it left", h.node.ID, it.Key)
 		}
 
 		h.left[it.Key] = h.left[it.Key] || state == "draining" || state == "gone" && f.store.states[it.Key] != "ready"
-		h.force[it.Key] = state
+		h.values[it.Key] = state
 	}
 }
 
@@ -151,19 +151,19 @@
 func (f *fleetHistory) fail(format string, args ...any) {
 	const most = 10
 
-	if f.wrong++; f.wrong <= most {
+	if f.failures++; f.failures <= most {
 		f.t.Errorf(format, args...)
 	}
 }
 
-// call has a peer answer a fetch.
+// call lets a peer answer a fetch.
 func (f *fleetHistory) call(h *historyVM, to carobward.Address, in *cwwire.ChangesRequest, out *cwwire.ChangesReply) error {
 	peer := f.byPeers[to]
-	if !peer.alive || f.all[peer].suspended || f.isCut(h.simVM, peer) {
+	if !peer.alive || f.historyVMs[peer].suspended || f.isCut(h.simVM, peer) {
 		return errors.New("no answer")
 	}
 
-	if err := f.all[peer].answers.Changes(in, out); err != nil {
+	if err := f.historyVMs[peer].answers.Changes(in, out); err != nil {
 		return rpc.ServerError(err.Error())
 	}
 
@@ -174,32 +174,32 @@
 	return a.node.Domain != b.node.Domain && (a.node.Domain == f.cut || b.node.Domain == f.cut)
 }
 
-// isServed tells whether the store serves an entry VM.
-func (f *fleetHistory) isServed(v *simVM) bool {
-	return !f.store.down && v.node.Domain != f.store.turned
+// isStoreReachable reports whether the store serves an entry VM.
+func (f *fleetHistory) isStoreReachable(v *simVM) bool {
+	return !f.store.down && v.node.Domain != f.store.unserved
 }
 
-// follow has an entry VM fetch what it was offered, and ask the store where it is its turn.
-func (f *fleetHistory) follow(h *historyVM, place int) {
+// step lets an entry VM fetch from a peer that is ahead, and ask the store if it is its turn.
+func (f *fleetHistory) step(h *historyVM, place int) {
 	select {
 	case o := <-h.mesh.offers:
-		if h.mesh.wants(o) {
-			if err := h.mesh.fetch(context.Background(), o.from, false); err != nil && isSaid(err, errGap) {
-				h.mesh.setLack()
+		if h.mesh.isNeeded(o) {
+			if err := h.mesh.fetch(context.Background(), o.from, false); err != nil && isPeerError(err, errGap) {
+				h.mesh.noteGap()
 			}
 		}
 	default:
 	}
 
-	if f.now.Before(h.asks) {
+	if f.now.Before(h.nextAsk) {
 		return
 	}
 
-	h.asks = f.now.Add(askPace)
+	h.nextAsk = f.now.Add(askInterval)
 	h.mesh.Mirror.Sweep(f.now, h.mesh.Changed)
 
 	age := f.now.Sub(h.mesh.Fresh())
-	if due := place == 0 || age > staleAge+turnAge*time.Duration(min(place, turnMost)) || h.mesh.Lacks(); !due || !f.isServed(h.simVM) {
+	if due := place == 0 || age > staleAge+turnAge*time.Duration(min(place, maxTurns)) || h.mesh.Lacks(); !due || !f.isStoreReachable(h.simVM) {
 		return
 	}
 
@@ -209,38 +209,38 @@
 func (f *fleetHistory) ask(h *historyVM) {
 	after := h.mesh.Mirror.State().Index
 
-	c, err := f.store.answer(after, h.list || after == 0)
+	c, err := f.store.answer(after, h.listNext || after == 0)
 	if err == nil {
 		_, err = h.mesh.TakeAnswer(c, h.mesh.Clock.Now())
 	}
 
-	h.list = errors.Is(err, carobward.ErrHistory)
-	if h.list {
-		h.asks = f.now
+	h.listNext = errors.Is(err, carobward.ErrHistory)
+	if h.listNext {
+		h.nextAsk = f.now
 	}
 }
 
-// play lets time pass.
+// play runs the simulation for a time.
 func (f *fleetHistory) play(d time.Duration) {
 	f.run(d, func() {
 		place := 0
 
 		for _, v := range f.vms {
-			h := f.all[v]
+			h := f.historyVMs[v]
 			if h == nil || !v.alive || h.suspended {
 				continue
 			}
 
-			f.follow(h, place)
+			f.step(h, place)
 
-			if f.isServed(v) {
+			if f.isStoreReachable(v) {
 				place++
 			} else {
-				h.calm = f.now
+				h.steadySince = f.now
 			}
 		}
 
-		f.inForce()
+		f.checkInForce()
 
 		if f.checked != nil {
 			f.checked()
@@ -248,22 +248,22 @@
 	})
 }
 
-// inForce wants an acknowledged configuration to be in force on all entry VMs that ran and
-// were served.
-func (f *fleetHistory) inForce() {
+// checkInForce checks that an acknowledged configuration is in force on all entry VMs that
+// have run with a reachable store.
+func (f *fleetHistory) checkInForce() {
 	since := f.now.Add(-forceTime)
-	if f.store.acked.After(since) || f.store.stable.After(f.now.Add(-inTouch)) {
+	if f.store.acked.After(since) || f.store.stableSince.After(f.now.Add(-settleTime)) {
 		return
 	}
 
 	for _, v := range f.vms {
-		if h := f.all[v]; v.alive && h != nil && !h.suspended && h.calm.Before(f.now.Add(-inTouch)) && h.version < f.store.version {
+		if h := f.historyVMs[v]; v.alive && h != nil && !h.suspended && h.steadySince.Before(f.now.Add(-settleTime)) && h.version < f.store.version {
 			f.fail("%s has configuration %d %s after %d was acknowledged", v.node.ID, h.version, f.now.Sub(f.store.acked), f.store.version)
 		}
 	}
 }
 
-// disturb does one thing at random to the store, or to entry VMs.
+// disturb applies one random fault or change to the store or to entry VMs.
 func (f *fleetHistory) disturb() {
 	v := f.vms[f.rnd.IntN(len(f.vms))]
 
@@ -279,51 +279,51 @@
 		f.store.server(f.rnd.IntN(simServers), "gone")
 	case 7:
 		v.stop()
-		v.starts = f.now.Add(time.Duration(f.rnd.Int64N(int64(2 * time.Second))))
+		v.startAt = f.now.Add(time.Duration(f.rnd.Int64N(int64(2 * time.Second))))
 	case 8:
 		f.suspend(v, time.Duration(f.rnd.Int64N(int64(4*time.Second))))
 	case 9:
 		f.cut = v.node.Domain
-		f.store.turned = v.node.Domain
+		f.store.unserved = v.node.Domain
 		f.play(time.Duration(f.rnd.Int64N(int64(4 * time.Second))))
-		f.cut, f.store.turned = "", ""
+		f.cut, f.store.unserved = "", ""
 	case 10:
-		f.store.turned = v.node.Domain
+		f.store.unserved = v.node.Domain
 		f.play(time.Duration(f.rnd.Int64N(int64(4 * time.Second))))
-		f.store.turned = ""
+		f.store.unserved = ""
 	case 11:
 		f.store.floor = f.store.index
 	}
 }
 
-// outage takes the store away and brings it back from its copy; servers write again.
+// outage takes the store down and restores it from its backup; servers then write again.
 func (f *fleetHistory) outage(d time.Duration) {
 	f.store.down = true
 	f.play(d)
 	f.store.restore()
 	f.store.down = false
-	f.store.stable = f.now
-	f.play(time.Duration(f.rnd.Int64N(int64(againTime))))
-	f.store.writeAgain()
+	f.store.stableSince = f.now
+	f.play(time.Duration(f.rnd.Int64N(int64(rewriteTime))))
+	f.store.rewriteLost()
 
-	if !slices.ContainsFunc(f.vms, f.hasNewest) {
-		// The store lost it before any entry VM had heard of it.
+	if !slices.ContainsFunc(f.vms, f.hasNewestConfig) {
+		// The store lost the configuration before any entry VM had it.
 		f.store.put(f.store.config())
 		f.store.acked = f.now
 	}
 
-	f.store.stable = f.now
+	f.store.stableSince = f.now
 }
 
-// hasNewest tells whether an entry VM that others hear has the newest configuration.
-func (f *fleetHistory) hasNewest(v *simVM) bool {
-	h := f.all[v]
+// hasNewestConfig reports whether a running entry VM has the newest configuration.
+func (f *fleetHistory) hasNewestConfig(v *simVM) bool {
+	h := f.historyVMs[v]
 
 	return h != nil && v.alive && !v.suspended && h.version == f.store.version
 }
 
 func (f *fleetHistory) suspend(v *simVM, d time.Duration) {
-	h := f.all[v]
+	h := f.historyVMs[v]
 	if h == nil || !v.alive {
 		return
 	}
@@ -331,13 +331,14 @@
 	h.suspended, v.suspended = true, true
 	f.play(d)
 	h.suspended, v.suspended = false, false
-	h.calm = f.now
+	h.steadySince = f.now
 }
 
-// TestRestoreHistory plays a store that comes back from copies of any age to fleets of any
-// size, in series and beside kills, suspensions, cuts, lost packets and changes. No entry VM
-// may go back to an older configuration or use a server again that left, each acknowledged
-// configuration has to be in force in time, and in the end all have what the store has.
+// TestRestoreHistory simulates a store that is restored from backups of any age, again and
+// again, for fleets of different sizes, together with crashes, suspensions, network partitions, packet
+// loss and changes. No entry VM may revert to an older configuration or use a server again that
+// left, each acknowledged configuration has to be in force in time, and in the end all entry
+// VMs have what the store has.
 func TestRestoreHistory(t *testing.T) {
 	for name, c := range map[string]struct {
 		vms, steps int
@@ -355,11 +356,11 @@
 			const lost = 0.02
 
 			f := newFleetHistory(t, c.seed, c.vms)
-			f.play(2 * simForms)
+			f.play(2 * simFormTime)
 
 			f.loss = lost
-			knows := knowing{fleetHistory: f, young: time.Second}
-			f.checked = knows.check
+			freshness := freshnessCheck{fleetHistory: f, maxAge: time.Second}
+			f.checked = freshness.check
 
 			for range c.steps {
 				f.disturb()
@@ -368,15 +369,15 @@
 
 			f.outage(time.Second)
 			f.store.configure()
-			f.play(forceTime + inTouch + simForms)
-			f.agree()
+			f.play(forceTime + settleTime + simFormTime)
+			f.checkAgreement()
 			t.Logf("%d calls, %d lists of all keys, %d eras", f.store.calls, f.store.lists, f.store.era)
 		})
 	}
 }
 
-// agree wants all entry VMs to have what the store has.
-func (f *fleetHistory) agree() {
+// checkAgreement checks that all entry VMs have what the store has.
+func (f *fleetHistory) checkAgreement() {
 	want := map[carobward.Key]string{}
 
 	for key, state := range f.store.states {
@@ -386,23 +387,23 @@
 	}
 
 	for _, v := range f.vms {
-		h := f.all[v]
-		maps.DeleteFunc(h.force, func(_ carobward.Key, state string) bool { return state == "gone" })
+		h := f.historyVMs[v]
+		maps.DeleteFunc(h.values, func(_ carobward.Key, state string) bool { return state == "gone" })
 
-		if !maps.Equal(want, h.force) {
-			f.fail("%s has %v, the servers are %v", v.node.ID, h.force, want)
+		if !maps.Equal(want, h.values) {
+			f.fail("%s has %v, the servers are %v", v.node.ID, h.values, want)
 		}
 	}
 }
 
 // TestEntryBytes brings a fleet with many servers into an era in which few keys changed, and
-// wants few entry VMs to ask for all of them.
+// checks that few entry VMs list all keys.
 func TestEntryBytes(t *testing.T) {
 	const (
 		vms = 127
-		// lists is how many may ask before the first answer reaches them: all do at once
-		// here, with askPace between looks.
-		lists = vms * int(3*simStep) / int(askPace)
+		// maxLists is how many may list before the first answer reaches them: here all are due at
+		// once, with askInterval between checks.
+		maxLists = vms * int(3*simStep) / int(askInterval)
 	)
 
 	f := newFleetHistory(t, 6, vms)
@@ -410,7 +411,7 @@
 		f.store.put(carobward.Item{Key: carobward.Key(fmt.Sprint("servers/more-", i)), Value: bytes.Repeat([]byte("x"), 300)})
 	}
 
-	f.play(2 * simForms)
+	f.play(2 * simFormTime)
 	f.store.save()
 	f.store.server(1, "draining")
 	f.store.configure()
@@ -419,13 +420,13 @@
 	before := f.store.lists
 	f.outage(2 * time.Second)
 	f.store.configure()
-	f.play(forceTime + inTouch)
+	f.play(forceTime + settleTime)
 
-	if n := f.store.lists - before; n > lists {
+	if n := f.store.lists - before; n > maxLists {
 		t.Errorf("%d of %d entry VMs listed all keys", n, vms)
 	}
 
-	if !slices.ContainsFunc(f.vms, func(v *simVM) bool { return f.all[v].version == f.store.version }) {
-		t.Error("nobody has the configuration")
+	if !slices.ContainsFunc(f.vms, func(v *simVM) bool { return f.historyVMs[v].version == f.store.version }) {
+		t.Error("no entry VM has the configuration")
 	}
 }
--- a/internal/cwmesh/send.go
+++ b/internal/cwmesh/send.go
@@ -12,14 +12,14 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// send sends heartbeats: to all of the failure domain each beatTime and when told
-// to, and to those that have not answered yet more often.
-func (m *Mesh) send(ctx context.Context) {
-	beat, meet := time.NewTicker(beatTime), time.NewTicker(meetTime)
+// sendLoop sends heartbeats: to the whole failure domain each heartbeatInterval and on
+// request, and more often to entry VMs that have not answered yet.
+func (m *Mesh) sendLoop(ctx context.Context) {
+	beat, meet := time.NewTicker(heartbeatInterval), time.NewTicker(greetInterval)
 	defer beat.Stop()
 	defer meet.Stop()
 
-	m.tellSeeds()
+	m.greetSeeds()
 
 	for round, meets := 0, 0; ; {
 		select {
@@ -27,78 +27,78 @@
 			return
 		case <-beat.C:
 			round++
-			m.turn(round)
+			m.sendRound(round)
 		case <-m.wake:
-			m.tellAll()
+			m.sendAll()
 		case <-meet.C:
 			meets++
-			m.meet(meets)
+			m.greetSilent(meets)
 		}
 	}
 }
 
-// meet sends a heartbeat to seeds, each seedTime, and to some peers that have not
-// answered yet. All entry VMs may be starting, those that are named among them.
-func (m *Mesh) meet(round int) {
-	if round%int(seedTime/meetTime) == 0 {
-		m.tellSeeds()
+// greetSilent sends a heartbeat to seeds, each seedInterval, and to some peers that have not
+// answered yet: if the whole fleet restarts, those that were named may still be starting.
+func (m *Mesh) greetSilent(round int) {
+	if round%int(seedInterval/greetInterval) == 0 {
+		m.greetSeeds()
 	}
 
-	if now := m.Clock.Now(); now.Sub(m.began) < newTime {
-		for _, n := range m.Table.unmet(greetsMost) {
+	if now := m.Clock.Now(); now.Sub(m.started) < newcomerTime {
+		for _, n := range m.Table.sampleNeverSeen(maxGreets) {
 			m.greet(n)
 		}
 	}
 }
 
-// turn sends the heartbeats of a round: to each peer, with what came from other
-// failure domains; to one of them with a question who there is, so that peers
-// which don't know each other come to; and to the other failure domains where it
-// is this entry VM's turn.
-func (m *Mesh) turn(round int) {
+// sendRound sends the heartbeats of a round: to each peer, with the summaries that came from
+// other failure domains; to one peer with a request for the entry VMs it knows, so that peers
+// that don't know each other are introduced; and to the other failure domains if it is this
+// entry VM's turn.
+func (m *Mesh) sendRound(round int) {
 	now := m.Clock.Now()
-	b := m.beat(now)
-	b.Domains = wireSummaries(m.Table.takeNews(), now)
-	m.tell(m.Table.sendable(now), b)
+	b := m.heartbeat(now)
+	b.Domains = encodeSummaries(m.Table.takeUnsent(), now)
+	m.sendTo(m.Table.recipients(now), b)
 
-	ask := m.introduce(now)
+	ask := m.introduction(now)
 	ask.Ask, ask.List = true, true
 
-	for _, p := range m.Table.some(now, 1) {
+	for _, p := range m.Table.sampleLive(now, 1) {
 		m.write(m.encode(ask), p.Peers)
 	}
 
-	if m.Table.tellsDomains(now, round) {
-		m.tellDomains(now, 1, false)
+	if m.Table.isSummarySender(now, round) {
+		m.sendSummary(now, 1, false)
 	}
 }
 
-// tellAll sends a heartbeat to each peer and, where all entry VMs must know at
-// once, to some of each other failure domain that pass it on.
-func (m *Mesh) tellAll() {
+// sendAll sends a heartbeat to each peer and, if the news is for the whole fleet, to some
+// entry VMs of each other failure domain, which pass it on.
+func (m *Mesh) sendAll() {
 	now := m.Clock.Now()
-	m.tell(m.Table.sendable(now), m.beat(now))
+	m.sendTo(m.Table.recipients(now), m.heartbeat(now))
 
-	if m.far.Swap(false) {
-		m.tellDomains(now, relays, true)
+	if m.tellsFar.Swap(false) {
+		m.sendSummary(now, relaysPerDomain, true)
 	}
 }
 
-// tellDomains sends the summary of this failure domain to some entry VMs of each
-// other one. Relay asks them to pass on how fresh the copy is.
-func (m *Mesh) tellDomains(now time.Time, some int, relay bool) {
-	b := m.introduce(now)
+// sendSummary sends the summary of this failure domain to some entry VMs of each
+// other one. Relay asks them to pass on how fresh the replica is.
+func (m *Mesh) sendSummary(now time.Time, some int, relay bool) {
+	b := m.introduction(now)
 	b.Relay = relay
 	own := m.summary(now)
 	list := []Summary{own}
 
-	// One of the others goes along, so that those find each other that no seed
-	// has told of each other.
-	if others := m.Table.known(); len(others) > 0 {
+	// The summary of a random other failure domain is added, so that failure domains
+	// find each other even if no seed has named them to each other.
+	if others := m.Table.knownDomains(); len(others) > 0 {
 		list = append(list, others[rand.IntN(len(others))])
 	}
 
-	b.Domains = wireSummaries(list, now)
+	b.Domains = encodeSummaries(list, now)
 	raw := m.encode(b)
 
 	for _, d := range m.Table.domainNames() {
@@ -108,19 +108,19 @@
 	}
 }
 
-// summary returns what others are told of this failure domain.
+// summary returns the summary of this failure domain for the others.
 func (m *Mesh) summary(now time.Time) Summary {
-	return m.Table.Summary(now, m.State(), m.away.Load(), int(m.rate.Load()))
+	return m.Table.Summary(now, m.State(), m.storeDown.Load(), int(m.rate.Load()))
 }
 
-// tell sends a heartbeat to some peers.
-func (m *Mesh) tell(peers []Peer, b *cwwire.Beat) {
+// sendTo sends a heartbeat to some peers.
+func (m *Mesh) sendTo(peers []Peer, b *cwwire.Beat) {
 	raw := m.encode(b)
 
 	for i := range peers {
 		p := &peers[i]
 
-		if !p.unknown() {
+		if !p.neverSeen() {
 			m.write(raw, p.Peers)
 
 			continue
@@ -130,25 +130,25 @@
 	}
 }
 
-// greet sends a heartbeat to an entry VM that has never been heard, so that it
-// may not know this one. While this entry VM is new it asks who else there is, so
-// that all know each other within some round trips.
+// greet sends a heartbeat to an entry VM that was never heard from and so may not know
+// this one. While this entry VM is new, it also asks for the other entry VMs, so that all
+// know each other within some round trips.
 func (m *Mesh) greet(n Node) {
 	now := m.Clock.Now()
-	b := m.introduce(now)
-	b.Ask, b.List = true, now.Sub(m.began) < newTime
+	b := m.introduction(now)
+	b.Ask, b.List = true, now.Sub(m.started) < newcomerTime
 	m.write(m.encode(b), n.Peers)
 }
 
-// unknown tells that a peer was told of but never heard.
-func (p *Peer) unknown() bool { return p.Boot == 0 }
+// neverSeen reports whether the peer was only named by others, and never heard from.
+func (p *Peer) neverSeen() bool { return p.Boot == 0 }
 
-// tellSeeds sends a heartbeat to the seeds that have not answered.
-func (m *Mesh) tellSeeds() {
+// greetSeeds sends a heartbeat to the seeds that have not answered.
+func (m *Mesh) greetSeeds() {
 	m.mutex.Lock()
-	seeds := make([]carobward.Address, 0, len(m.seeded))
+	seeds := make([]carobward.Address, 0, len(m.silentSeeds))
 
-	for s := range m.seeded {
+	for s := range m.silentSeeds {
 		seeds = append(seeds, s)
 	}
 	m.mutex.Unlock()
@@ -157,7 +157,7 @@
 		return
 	}
 
-	b := m.introduce(m.Clock.Now())
+	b := m.introduction(m.Clock.Now())
 	b.Ask, b.List = true, true
 
 	raw := m.encode(b)
@@ -166,53 +166,53 @@
 	}
 }
 
-// reply answers an entry VM that is not known here, or that asks who there is.
+// reply answers an entry VM that is not known here, or that asks for the other entry VMs.
 func (m *Mesh) reply(to net.Addr, in *cwwire.Beat, ask bool) {
 	now := m.Clock.Now()
-	b := m.introduce(now)
+	b := m.introduction(now)
 	b.Ask = ask
 
 	if in.GetList() {
-		asker := node(in.GetNode())
+		asker := decodeNode(in.GetNode())
 		own := m.summary(now)
 
-		b.Others = wireNodes(m.Table.othersOf(asker.Domain, asker.ID, now))
-		b.Domains = wireSummaries(append(m.Table.known(), own), now)
-		m.addWords(b, now, true)
+		b.Others = encodeNodes(m.Table.peersFor(asker.Domain, asker.ID, now))
+		b.Domains = encodeSummaries(append(m.Table.knownDomains(), own), now)
+		m.addNotices(b, now, true)
 	}
 
 	m.write(m.encode(b), carobward.Address(to.String()))
 }
 
-// beat returns the heartbeat of this moment.
-func (m *Mesh) beat(now time.Time) *cwwire.Beat {
+// heartbeat returns the current heartbeat for peers that know this entry VM.
+func (m *Mesh) heartbeat(now time.Time) *cwwire.Beat {
 	c := m.claim()
 	s := m.Mirror.State()
 	b := &cwwire.Beat{
 		Id: string(m.Table.Self().ID), Boot: m.boot, State: uint32(m.State()),
-		Index: uint64(s.Index), Top: uint64(s.Top), Fresh: encodeFresh(c.answered, now), Checked: encodeFresh(c.asked, now), By: c.by, Nth: c.nth, Away: m.away.Load(),
+		Index: uint64(s.Index), Top: uint64(s.Top), Fresh: encodeAge(c.answered, now), Checked: encodeAge(c.asked, now), By: c.askerBoot, Nth: c.number, Away: m.storeDown.Load(),
 		Rate: uint32(m.rate.Load()), Era: uint64(s.Era), Version: uint64(s.Version), Kept: uint32(s.Kept),
 	}
 
 	changes, after := m.pushed(now)
 	b.Changes, b.ChangesAfter, b.ChangesEra = changes, uint64(after.Index), uint64(after.Era)
-	m.addWords(b, now, false)
+	m.addNotices(b, now, false)
 
 	return b
 }
 
-// addWords adds what servers said.
-func (m *Mesh) addWords(b *cwwire.Beat, now time.Time, newcomer bool) {
-	words := m.Words(now, newcomer)
-	b.Limits = wireLimits(draw(words.Limits, wordsMost), now)
-	b.Leaving = wireLeaving(draw(words.Leaving, wordsMost))
+// addNotices adds the servers' notices.
+func (m *Mesh) addNotices(b *cwwire.Beat, now time.Time, newcomer bool) {
+	notices := m.Words(now, newcomer)
+	b.Limits = encodeLimits(sample(notices.Limits, maxNotices), now)
+	b.Leaving = encodeLeaving(sample(notices.Leaving, maxNotices))
 }
 
-// introduce returns the heartbeat of this moment for who may not know this entry
-// VM.
-func (m *Mesh) introduce(now time.Time) *cwwire.Beat {
-	b := m.beat(now)
-	b.Node = wireNode(m.Table.Self())
+// introduction returns the current heartbeat for an entry VM that may not know this
+// one.
+func (m *Mesh) introduction(now time.Time) *cwwire.Beat {
+	b := m.heartbeat(now)
+	b.Node = encodeNode(m.Table.Self())
 
 	return b
 }
@@ -220,7 +220,7 @@
 func (m *Mesh) encode(b *cwwire.Beat) []byte {
 	raw, err := proto.Marshal(b)
 	if err != nil {
-		m.Log.Error(err, "A heartbeat could not be encoded.")
+		m.Log.Error(err, "Failed to encode a heartbeat.")
 
 		return nil
 	}
@@ -231,12 +231,12 @@
 func (m *Mesh) write(raw []byte, to carobward.Address) {
 	addr, err := net.ResolveUDPAddr("udp", string(to))
 	if err != nil {
-		m.Log.Error(err, "A peer's address can't be read.", "address", string(to))
+		m.Log.Error(err, "Failed to resolve a peer's address.", "address", string(to))
 
 		return
 	}
 
 	if _, err := m.conn.WriteTo(raw, addr); err != nil {
-		m.Log.V(1).Info("A heartbeat could not be sent.", "to", string(to), "cause", err.Error())
+		m.Log.V(1).Info("Failed to send a heartbeat.", "to", string(to), "cause", err.Error())
 	}
 }
--- a/internal/cwmesh/sim_test.go
+++ b/internal/cwmesh/sim_test.go
@@ -15,17 +15,17 @@
 	"carobward.example/carobward/internal/cwpeer"
 )
 
-// The simulated fleet's network.
+// Parameters of the simulated fleet and its network.
 const (
-	simStep    = 5 * time.Millisecond
-	simDelay   = time.Millisecond
-	simSpread  = 300 * time.Millisecond
-	simLook    = 100 * time.Millisecond
-	simDomains = 5
-	simSeeds   = 3
+	simStep          = 5 * time.Millisecond
+	simDelay         = time.Millisecond
+	simSpread        = 300 * time.Millisecond
+	simCheckInterval = 100 * time.Millisecond
+	simDomains       = 5
+	simSeeds         = 3
 )
 
-// sim is a fleet of meshes over a network in memory with a clock of its own.
+// sim is a fleet of meshes over an in-memory network with a simulated clock.
 type sim struct {
 	now     time.Time
 	rnd     *rand.Rand
@@ -33,7 +33,7 @@
 	byPeers map[carobward.Address]*simVM
 	queue   []simPacket
 	loss    float64
-	cut     carobward.Domain // Nothing passes between it and the others.
+	cut     carobward.Domain // Partitioned from the others.
 	packets int
 	far     int
 }
@@ -44,25 +44,25 @@
 	node  Node
 	mesh  *Mesh
 	alive bool
-	// suspended lets it do nothing, and what is sent to it is lost.
+	// suspended: the VM does nothing, and datagrams to it are lost.
 	suspended bool
-	// stopped lets it do nothing, and what is sent to it waits.
+	// stopped: the process does nothing, and datagrams to it wait in held.
 	stopped bool
 	held    []simPacket
-	// began is called as it starts, where it is set.
-	began func(*simVM)
-	// starts is when it starts, next when its next heartbeats are due.
-	starts time.Time
-	next   time.Time
-	meets  time.Time
-	met    int
-	round  int
-	// says is what servers said to it lately, told what it knows from others.
-	says   []carobward.LimitWord
-	leaves []carobward.LeavingWord
-	// left is what others told of servers that leave.
-	left map[carobward.LeavingWord]bool
-	told map[carobward.Instance]carobward.LimitWord
+	// onStart is called when it starts, if set.
+	onStart func(*simVM)
+	// startAt is when it starts, nextRound when its next heartbeats are due.
+	startAt   time.Time
+	nextRound time.Time
+	nextGreet time.Time
+	greets    int
+	round     int
+	// ownLimits and ownLeaving have what servers announced to it, learnedLimits what others passed on.
+	ownLimits  []carobward.LimitWord
+	ownLeaving []carobward.LeavingWord
+	// learnedLeaving has the notices of leaving servers that others passed on.
+	learnedLeaving map[carobward.LeavingWord]bool
+	learnedLimits  map[carobward.Instance]carobward.LimitWord
 }
 
 type simPacket struct {
@@ -71,7 +71,7 @@
 	raw      []byte
 }
 
-// Now is the clock of all meshes.
+// Now returns the simulated time, the same for all meshes.
 func (s *sim) Now() time.Time { return s.now }
 
 // simConn is the socket of one entry VM.
@@ -88,10 +88,10 @@
 	return len(raw), nil
 }
 
-// Close has nothing to close.
+// Close does nothing.
 func (simConn) Close() error { return nil }
 
-// newMirror returns an empty copy without a configuration, and with values that have no rank.
+// newMirror returns an empty replica without a configuration, whose values have no rank.
 func newMirror() *cwmirror.Mirror {
 	no := func(carobward.Key) bool { return false }
 
@@ -118,22 +118,22 @@
 	return s
 }
 
-// startAll lets all that do not run start within simSpread.
+// startAll makes all that are not running start within simSpread.
 func (s *sim) startAll() {
 	for _, v := range s.vms {
 		if !v.alive {
-			v.starts = s.now.Add(time.Duration(s.rnd.Int64N(int64(simSpread))))
+			v.startAt = s.now.Add(time.Duration(s.rnd.Int64N(int64(simSpread))))
 		}
 	}
 }
 
-// stop ends an entry VM without a word.
-func (v *simVM) stop() { v.alive, v.starts = false, time.Time{} }
+// stop ends an entry VM without notice to the others.
+func (v *simVM) stop() { v.alive, v.startAt = false, time.Time{} }
 
 func (v *simVM) start() {
 	s := v.sim
-	v.says, v.told = nil, map[carobward.Instance]carobward.LimitWord{}
-	v.leaves, v.left = nil, map[carobward.LeavingWord]bool{}
+	v.ownLimits, v.learnedLimits = nil, map[carobward.Instance]carobward.LimitWord{}
+	v.ownLeaving, v.learnedLeaving = nil, map[carobward.LeavingWord]bool{}
 
 	var seeds []carobward.Address
 	for _, other := range s.vms[:simSeeds] {
@@ -144,22 +144,22 @@
 		Table: NewTable(v.node), Mirror: newMirror(), Seeds: seeds, Key: cwpeer.Key("a key of the simulated fleet"), Clock: s, Log: logr.Discard(),
 		Changed: func([]carobward.Item) {},
 		Words: func(_ time.Time, newcomer bool) carobward.ServerWords {
-			return carobward.ServerWords{Limits: v.limits(newcomer), Leaving: v.leaves}
+			return carobward.ServerWords{Limits: v.limitNotices(newcomer), Leaving: v.ownLeaving}
 		},
-		TakeWords: v.takeWords,
+		TakeWords: v.receiveNotices,
 	}, simConn{vm: v})
 	v.mesh.state.Store(uint32(Ready))
-	v.alive, v.starts = true, time.Time{}
+	v.alive, v.startAt = true, time.Time{}
 	v.held = nil
-	v.next = s.now.Add(time.Duration(s.rnd.Int64N(int64(beatTime))))
-	v.meets = s.now.Add(meetTime)
-	v.met = 0
+	v.nextRound = s.now.Add(time.Duration(s.rnd.Int64N(int64(heartbeatInterval))))
+	v.nextGreet = s.now.Add(greetInterval)
+	v.greets = 0
 
-	if v.began != nil {
-		v.began(v)
+	if v.onStart != nil {
+		v.onStart(v)
 	}
 
-	v.mesh.tellSeeds()
+	v.mesh.greetSeeds()
 }
 
 func (s *sim) send(from *simVM, raw []byte, to carobward.Address) {
@@ -171,7 +171,7 @@
 	s.queue = append(s.queue, simPacket{at: s.now.Add(simDelay), from: from.node.Peers, to: to, raw: slices.Clone(raw)})
 }
 
-// run lets time pass.
+// run advances the clock, and calls check at each step if it is set.
 func (s *sim) run(d time.Duration, check func()) {
 	for end := s.now.Add(d); s.now.Before(end); {
 		s.now = s.now.Add(simStep)
@@ -190,7 +190,7 @@
 
 func (v *simVM) tick() {
 	s := v.sim
-	if !v.alive && !v.starts.IsZero() && !s.now.Before(v.starts) {
+	if !v.alive && !v.startAt.IsZero() && !s.now.Before(v.startAt) {
 		v.start()
 	}
 
@@ -198,72 +198,72 @@
 		return
 	}
 
-	// Either may come first once the process runs again.
+	// After a pause, either the tick or the waiting datagrams may come first.
 	if s.rnd.IntN(2) == 0 {
 		v.mesh.Running(s.now)
 	}
 
 	for _, p := range v.held {
-		v.take(p)
+		v.receive(p)
 	}
 
 	v.held = nil
 	v.mesh.Running(s.now)
 
-	if !s.now.Before(v.meets) {
-		v.meets = s.now.Add(meetTime)
-		v.met++
-		v.mesh.meet(v.met)
+	if !s.now.Before(v.nextGreet) {
+		v.nextGreet = s.now.Add(greetInterval)
+		v.greets++
+		v.mesh.greetSilent(v.greets)
 	}
 
-	if !s.now.Before(v.next) {
-		v.next = v.next.Add(beatTime)
+	if !s.now.Before(v.nextRound) {
+		v.nextRound = v.nextRound.Add(heartbeatInterval)
 		v.round++
-		v.mesh.turn(v.round)
+		v.mesh.sendRound(v.round)
 	}
 
 	select {
 	case <-v.mesh.wake:
-		v.mesh.tellAll()
+		v.mesh.sendAll()
 	default:
 	}
 }
 
-// deliver hands out what has arrived, in the order in which it was sent.
+// deliver delivers the datagrams that are due, in the order in which they were sent.
 func (s *sim) deliver() {
 	for len(s.queue) > 0 && !s.queue[0].at.After(s.now) {
 		p := s.queue[0]
 		s.queue = s.queue[1:]
 		from, to := s.byPeers[p.from], s.byPeers[p.to]
-		apart := from.node.Domain != to.node.Domain
+		crossDomain := from.node.Domain != to.node.Domain
 
-		if apart {
+		if crossDomain {
 			s.far++
 		}
 
-		cut := apart && (from.node.Domain == s.cut || to.node.Domain == s.cut)
+		cut := crossDomain && (from.node.Domain == s.cut || to.node.Domain == s.cut)
 		switch {
 		case !to.alive || to.suspended || cut:
 		case to.stopped:
 			to.held = append(to.held, p)
 		default:
-			to.take(p)
+			to.receive(p)
 		}
 	}
 }
 
-// take hands a datagram to an entry VM.
-func (v *simVM) take(p simPacket) {
-	v.mesh.datagram(p.raw, net.UDPAddrFromAddrPort(netip.MustParseAddrPort(string(p.from))))
+// receive hands a datagram to an entry VM.
+func (v *simVM) receive(p simPacket) {
+	v.mesh.handleDatagram(p.raw, net.UDPAddrFromAddrPort(netip.MustParseAddrPort(string(p.from))))
 }
 
-// wrong describes the first entry VM that does not know the fleet as it is.
-func (s *sim) wrong() string {
+// mismatch describes the first entry VM whose view of the fleet is wrong, or returns "".
+func (s *sim) mismatch() string {
 	alive := map[carobward.Domain]int{}
 	all := 0
 
 	for _, v := range s.vms {
-		if !v.starts.IsZero() {
+		if !v.startAt.IsZero() {
 			return fmt.Sprintf("%s has yet to start", v.node.ID)
 		}
 
--- a/internal/cwmesh/store_test.go
+++ b/internal/cwmesh/store_test.go
@@ -8,15 +8,15 @@
 	"carobward.example/carobward"
 )
 
-// simState is what a simulated store has.
+// simState is the content of a simulated store.
 type simState struct {
 	index carobward.StoreIndex
 	items map[carobward.Key]carobward.Item
-	// floor is the index before which the history is dropped.
+	// floor is the index before which the history is not kept.
 	floor carobward.StoreIndex
 }
 
-// simStore is a store that comes back from copies, with an operator and servers that leave.
+// simStore is a store that is restored from backups, with an operator and servers that leave.
 type simStore struct {
 	simState
 
@@ -24,16 +24,16 @@
 	era   carobward.StoreEra
 	saved simState
 	down  bool
-	// turned are the failure domains that the store does not serve.
-	turned carobward.Domain
-	calls  int
-	lists  int
-	// version was acknowledged at acked.
+	// unserved is the failure domain that the store does not serve.
+	unserved carobward.Domain
+	calls    int
+	lists    int
+	// version is the newest configuration, acknowledged at acked.
 	version int
 	acked   time.Time
-	// stable is since when nothing is wrong with the store.
-	stable time.Time
-	// states has the state of each server and how often it wrote.
+	// stableSince is when the store was last disturbed.
+	stableSince time.Time
+	// states has the state of each server, writes how often it wrote.
 	states map[carobward.Key]string
 	writes map[carobward.Key]int
 }
@@ -59,7 +59,7 @@
 	st.items[it.Key] = it
 }
 
-// configure has the operator write the next configuration.
+// configure lets the operator write the next configuration.
 func (st *simStore) configure() {
 	st.version += 2
 	st.put(st.config())
@@ -71,7 +71,7 @@
 	return carobward.Item{Key: simConfig, Value: fmt.Append(nil, "config ", st.version)}
 }
 
-// server has a server write its state, or leave where that is "gone".
+// server lets a server write its state, or leave if that is "gone".
 func (st *simStore) server(i int, state string) {
 	key := carobward.Key(fmt.Sprint("servers/", i))
 	st.states[key] = state
@@ -84,16 +84,16 @@
 	st.saved.items = maps.Clone(st.items)
 }
 
-// restore brings the store back from its copy.
+// restore restores the store from its backup.
 func (st *simStore) restore() {
 	st.era++
 	st.simState = st.saved
 	st.items = maps.Clone(st.saved.items)
 }
 
-// writeAgain has servers write again what the store lost; the operator's next
-// configuration has all that was lost of theirs.
-func (st *simStore) writeAgain() {
+// rewriteLost lets servers write again what the store lost. The operator's lost
+// configurations are not written again: the next one contains them.
+func (st *simStore) rewriteLost() {
 	for key, state := range st.states {
 		if it := st.items[key]; string(it.Value) != fmt.Sprint(state, " ", st.writes[key]) {
 			st.put(carobward.Item{Key: key, Value: fmt.Append(nil, state, " ", st.writes[key]), Gone: state == "gone"})
--- a/internal/cwmesh/table.go
+++ b/internal/cwmesh/table.go
@@ -1,8 +1,8 @@
-// Package cwmesh keeps what an entry VM knows of the others. Each sends a
-// small heartbeat to all of its failure domain; it tells that the VM lives,
-// whether it takes callers and how far its copy of the platform's store is. Of the
-// other failure domains each knows a summary. Who is behind fetches the changes
-// from who is ahead.
+// Package cwmesh tracks the membership of the fleet of entry VMs and spreads changes of the
+// platform's store. Each entry VM sends a small heartbeat to all of its failure domain: it
+// shows that the VM lives, whether it takes callers and how far its replica of the store is.
+// Of each other failure domain an entry VM knows a summary. One whose replica is behind
+// fetches the changes from a peer that is ahead.
 package cwmesh
 
 import (
@@ -21,15 +21,15 @@
 
 // The states of an entry VM.
 const (
-	// Starting: it has no configuration yet.
+	// Starting: the entry VM has no configuration yet.
 	Starting State = iota
-	// Ready: it takes callers.
+	// Ready: the entry VM takes callers.
 	Ready
-	// Leaving: it stops.
+	// Leaving: the entry VM is stopping.
 	Leaving
 )
 
-// Node is one entry VM.
+// Node has the identity and the addresses of an entry VM.
 type Node struct {
 	ID      carobward.VMID
 	Domain  carobward.Domain
@@ -41,24 +41,24 @@
 type Peer struct {
 	Node
 
-	// Boot names the run of the entry VM.
+	// Boot identifies the run of the entry VM. It is 0 if the entry VM was never heard from.
 	Boot  uint64
 	State State
-	// Copy is how far its copy of the store is.
+	// Copy is the state of its replica of the store.
 	Copy cwmirror.State
-	// Away tells that the store does not serve it.
+	// Away is set if the store does not serve it.
 	Away bool
 	// Rate is its requests a second.
 	Rate int
 	// Heard is when its last heartbeat came.
 	Heard time.Time
 
-	// rank is the rendezvous weight of its name, or 0 before it is worked out.
+	// rank is the rendezvous weight of its name, or 0 before it is computed.
 	rank uint64
 }
 
 // Rank returns the rendezvous weight of the peer's name, by which all entry VMs
-// come to the same order.
+// sort each other alike.
 func (p *Peer) Rank() uint64 {
 	if p.rank == 0 {
 		return cwrank.Weight(string(p.ID), "")
@@ -67,52 +67,51 @@
 	return p.rank
 }
 
-// The times of knowing peers.
+// Timeouts of peers.
 const (
-	// liveTime is how long after its last heartbeat a peer counts as alive:
-	// two heartbeats and a half, so that one lost datagram does no harm.
-	liveTime = 2500 * time.Millisecond
-	// liveStale is for how long a list of live peers is used again. Several parts
-	// take it at each tick; working it out each time was a third of the processor
-	// time of 145 entry VMs (BenchmarkLive, 40 times a second).
-	liveStale = 100 * time.Millisecond
-	// keepTime is how long a peer that is not heard is still sent heartbeats
-	// to, and counts for the sharing of budgets: it may be cut off from this
-	// entry VM alone and serve callers.
+	// liveTimeout is how long after its last heartbeat a peer counts as alive: two and a
+	// half heartbeat intervals, so that one lost datagram does no harm.
+	liveTimeout = 2500 * time.Millisecond
+	// liveCacheTime is for how long a list of live peers is reused. Several callers
+	// need it at each tick; without reuse it took a third of the processor time of
+	// 145 entry VMs (BenchmarkLive, 40 times a second).
+	liveCacheTime = 100 * time.Millisecond
+	// keepTime is for how long a silent peer still gets heartbeats and has its share of
+	// budgets: it may be cut off from this entry VM alone and still serve callers.
 	keepTime = 30 * time.Second
 )
 
-// Table has the entry VMs of the own failure domain and summaries of the others.
-// It is safe for use by several goroutines.
+// Table has the entry VMs of this failure domain and summaries of the others.
+// It is safe for concurrent use.
 type Table struct {
 	self Node
 
 	mutex  sync.RWMutex
 	peers  map[carobward.VMID]*Peer
-	others map[carobward.Domain]*other
-	// live has the peers that were alive at a moment. It is not changed once it
-	// is there.
+	others map[carobward.Domain]*otherDomain
+	// live has the peers that were alive at liveAt. The slice is shared and never
+	// modified.
 	live   []Peer
 	liveAt time.Time
-	// size is the largest number of entry VMs seen lately, and sized when.
-	size  int
-	sized time.Time
-	// near is the same of this failure domain, and nearAt when it was seen.
-	near   int
-	nearAt time.Time
+	// size is the largest recent number of entry VMs in the fleet, sizeAt when it was seen.
+	size   int
+	sizeAt time.Time
+	// domainSize is the same for this failure domain, domainSizeAt when it was seen.
+	domainSize   int
+	domainSizeAt time.Time
 }
 
-// NewTable returns a table that has this entry VM only.
+// NewTable returns a table that has only this entry VM.
 func NewTable(self Node) *Table {
-	return &Table{self: self, peers: map[carobward.VMID]*Peer{}, others: map[carobward.Domain]*other{}, size: 1}
+	return &Table{self: self, peers: map[carobward.VMID]*Peer{}, others: map[carobward.Domain]*otherDomain{}, size: 1}
 }
 
 // Self returns this entry VM.
 func (t *Table) Self() Node { return t.self }
 
-// heard takes a heartbeat of a peer of this failure domain whose Node is known or
-// comes with it. It returns false if the Node is not known.
-func (t *Table) heard(p Peer) bool {
+// updatePeer applies a heartbeat of a peer of this failure domain. It returns false if the
+// peer's Node neither is known nor comes with the heartbeat.
+func (t *Table) updatePeer(p Peer) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
@@ -128,8 +127,8 @@
 
 	p.rank = cwrank.Weight(string(p.ID), "")
 
-	if old == nil || old.State != p.State || old.Node != p.Node || p.Heard.Sub(old.Heard) >= liveTime {
-		t.live = nil // It is news to those who ask who is alive.
+	if old == nil || old.State != p.State || old.Node != p.Node || p.Heard.Sub(old.Heard) >= liveTimeout {
+		t.live = nil // The cached list no longer holds.
 	}
 
 	t.peers[p.ID] = &p
@@ -137,11 +136,11 @@
 	return true
 }
 
-// told takes the Node of an entry VM that a peer has heard. It is not alive
-// for this one until it is heard here. It tells whether that is news.
-func (t *Table) told(n Node) bool {
+// addPeer adds an entry VM that a peer named. It counts as alive only after its own
+// heartbeat. It reports whether the entry VM is new.
+func (t *Table) addPeer(n Node) bool {
 	if n.Domain != t.self.Domain {
-		t.met(n)
+		t.recordContact(n)
 
 		return false
 	}
@@ -158,59 +157,59 @@
 	return true
 }
 
-// Live returns the peers of this failure domain that were heard lately, in the order of their names.
-// The list is shared and must not be changed. What it says of a peer beside its
-// Node and State may be liveStale old.
+// Live returns the live peers of this failure domain, in the order of their names.
+// The list is shared and must not be modified. Of each peer all but Node and State may be
+// up to liveCacheTime old.
 func (t *Table) Live(now time.Time) []Peer {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
-	if age := now.Sub(t.liveAt); t.live == nil || age < 0 || age >= liveStale {
+	if age := now.Sub(t.liveAt); t.live == nil || age < 0 || age >= liveCacheTime {
 		t.live, t.liveAt = t.listLive(now), now
 	}
 
 	return t.live
 }
 
-// listLive returns the peers that were heard lately; the mutex is held.
+// listLive returns the peers that are alive; t.mutex must be held.
 func (t *Table) listLive(now time.Time) []Peer {
-	return t.filter(func(p *Peer) bool { return now.Sub(p.Heard) < liveTime })
+	return t.filter(func(p *Peer) bool { return now.Sub(p.Heard) < liveTimeout })
 }
 
 func byID(a, b Peer) int { return cmp.Compare(a.ID, b.ID) }
 
-// some returns up to n live peers of our failure domain, drawn at random.
-func (t *Table) some(now time.Time, n int) []Peer {
+// sampleLive returns up to n live peers of this failure domain, drawn at random.
+func (t *Table) sampleLive(now time.Time, n int) []Peer {
 	t.mutex.RLock()
-	list := t.filter(func(p *Peer) bool { return now.Sub(p.Heard) < liveTime && !p.unknown() })
+	list := t.filter(func(p *Peer) bool { return now.Sub(p.Heard) < liveTimeout && !p.neverSeen() })
 	t.mutex.RUnlock()
 
-	return draw(list, n)
+	return sample(list, n)
 }
 
-// unmet returns up to n peers that were told of but never heard, drawn at random.
-func (t *Table) unmet(n int) []Node {
+// sampleNeverSeen returns up to n peers that were only named by others, drawn at random.
+func (t *Table) sampleNeverSeen(n int) []Node {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
 
 	var list []Node
 
 	for _, p := range t.peers {
-		if p.unknown() {
+		if p.neverSeen() {
 			list = append(list, p.Node)
 		}
 	}
 
-	return draw(list, n)
+	return sample(list, n)
 }
 
-// ahead returns the live peers of our failure domain whose copy has what ours
-// lacks.
+// ahead returns the live peers of this failure domain whose replica has changes that
+// the given state lacks.
 func (t *Table) ahead(own cwmirror.State, now time.Time) []Peer {
 	var list []Peer
 
 	for _, p := range t.Live(now) {
-		if !p.unknown() && own.Behind(p.Copy) {
+		if !p.neverSeen() && own.Behind(p.Copy) {
 			list = append(list, p)
 		}
 	}
@@ -218,8 +217,8 @@
 	return list
 }
 
-// filter returns the peers that are wanted, in the order of their names; the
-// mutex is held.
+// filter returns the peers for which want returns true, in the order of their names;
+// t.mutex must be held.
 func (t *Table) filter(want func(*Peer) bool) []Peer {
 	list := make([]Peer, 0, len(t.peers))
 
@@ -234,9 +233,9 @@
 	return list
 }
 
-// sendable returns the peers that get heartbeats: those heard lately, and
-// those told of and not yet heard.
-func (t *Table) sendable(now time.Time) []Peer {
+// recipients returns the peers that get heartbeats: those heard from within keepTime, and
+// those named within about as long and never heard from. It drops the others.
+func (t *Table) recipients(now time.Time) []Peer {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
@@ -244,7 +243,7 @@
 
 	for id, p := range t.peers {
 		if p.Heard.IsZero() {
-			p.Heard = now.Add(-liveTime) // Not alive, but given a chance.
+			p.Heard = now.Add(-liveTimeout) // Not alive, but gets heartbeats until keepTime.
 		}
 
 		if now.Sub(p.Heard) > keepTime {
@@ -259,8 +258,8 @@
 	return list
 }
 
-// nearSize returns the number of entry VMs of this failure domain lately.
-func (t *Table) nearSize(now time.Time) int {
+// recentDomainSize returns the number of entry VMs of this failure domain within keepTime.
+func (t *Table) recentDomainSize(now time.Time) int {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
 
@@ -275,9 +274,9 @@
 	return n
 }
 
-// Lately returns the other entry VMs of this failure domain that were heard or told of
-// lately, one of which may be out of sight and still serve, and the largest number of all
-// lately with this one, by what the store or others say of it.
+// Lately returns the other entry VMs of this failure domain that were heard from or
+// named within keepTime, as one that is out of reach may still serve, and the largest recent
+// number of all with this one, which the store or others may have given.
 func (t *Table) Lately(now time.Time) ([]carobward.VMID, int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -290,17 +289,17 @@
 		}
 	}
 
-	if n := 1 + len(list); n >= t.near || now.Sub(t.nearAt) > keepTime {
-		t.near, t.nearAt = n, now
+	if n := 1 + len(list); n >= t.domainSize || now.Sub(t.domainSizeAt) > keepTime {
+		t.domainSize, t.domainSizeAt = n, now
 	}
 
-	return list, t.near
+	return list, t.domainSize
 }
 
-// Size returns the number of entry VMs that a budget is shared by: the most
-// seen lately, since one that is out of sight may still spend.
+// Size returns the number of entry VMs by which a budget is divided: the largest
+// recent one, since an entry VM that is out of reach may still spend.
 func (t *Table) Size(now time.Time) int {
-	n := t.nearSize(now)
+	n := t.recentDomainSize(now)
 
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -311,20 +310,20 @@
 		}
 	}
 
-	if n >= t.size || now.Sub(t.sized) > keepTime {
-		t.size, t.sized = n, now
+	if n >= t.size || now.Sub(t.sizeAt) > keepTime {
+		t.size, t.sizeAt = n, now
 	}
 
 	return t.size
 }
 
-// partTime is for how long a failure domain that is not heard of keeps its part of quotas: it
-// may be cut off and serve callers.
-const partTime = time.Hour
+// domainShareTime is for how long a silent failure domain keeps its share of quotas: it
+// may be cut off and still serve callers.
+const domainShareTime = time.Hour
 
-// part returns how many entry VMs this failure domain has had lately, and which part of all
-// that is. A failure domain of which nothing is known counts as large as this one.
-func (t *Table) part(domains []carobward.Domain, now time.Time) (int, float64) {
+// domainShare returns the recent number of entry VMs of this failure domain, and its share of
+// the whole fleet. A failure domain of unknown size counts as large as this one.
+func (t *Table) domainShare(domains []carobward.Domain, now time.Time) (int, float64) {
 	_, near := t.Lately(now)
 
 	t.mutex.RLock()
@@ -339,7 +338,7 @@
 		case d == t.self.Domain:
 		case o == nil || o.Size == 0:
 			all += near
-		case now.Sub(o.Made) < partTime:
+		case now.Sub(o.Made) < domainShareTime:
 			all += o.Size
 		}
 	}
@@ -347,7 +346,7 @@
 	return near, float64(near) / float64(all)
 }
 
-// addressOf returns where a peer of this failure domain is.
+// addressOf returns the address for peers of a peer of this failure domain.
 func (t *Table) addressOf(id carobward.VMID) (carobward.Address, bool) {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
--- a/internal/cwmesh/table_test.go
+++ b/internal/cwmesh/table_test.go
@@ -12,22 +12,22 @@
 	"carobward.example/carobward/internal/cwmirror"
 )
 
-// newTable returns a table with so many peers of its failure domain, all heard at
-// a time, and summaries of two others of the same size.
+// newTable returns a table with the given number of peers in its failure domain, all heard
+// from at the given time, and summaries of two other failure domains of the same size.
 func newTable(each int, heard time.Time) *Table {
 	t := NewTable(Node{ID: "self", Domain: "a"})
 
 	for i := range each {
-		t.heard(Peer{Node: testNode(3*i, "a"), Boot: 1, Heard: heard})
+		t.updatePeer(Peer{Node: testNode(3*i, "a"), Boot: 1, Heard: heard})
 	}
 
 	for n, d := range []carobward.Domain{"b", "c"} {
 		s := Summary{Domain: d, Made: heard, Alive: each, Size: each}
-		for i := range min(each, firstNodes+otherNodes) {
+		for i := range min(each, rankedNodes+randomNodes) {
 			s.Nodes = append(s.Nodes, testNode(3*i+n+1, d))
 		}
 
-		t.learn(s, true)
+		t.addSummary(s, true)
 	}
 
 	return t
@@ -37,49 +37,49 @@
 	return Node{ID: carobward.VMID(fmt.Sprintf("vm-%d", i)), Domain: d, Callers: "c", Peers: "p"}
 }
 
-// TestSize wants the fleet to be shared by as many as were seen lately.
+// TestSize checks that budgets are divided by the largest recent number of entry VMs.
 func TestSize(t *testing.T) {
 	now := time.Now()
 	table := newTable(2, now)
 
 	for _, later := range []time.Duration{0, 10 * time.Second} {
 		if got := table.Size(now.Add(later)); got != 7 {
-			t.Errorf("%d after %s", got, later)
+			t.Errorf("size %d after %s", got, later)
 		}
 	}
 
 	if got := table.Size(now.Add(2 * keepTime)); got != 1 {
-		t.Errorf("gone for long: %d", got)
+		t.Errorf("size %d after keepTime", got)
 	}
 }
 
-// TestHeard wants a peer whose listeners are not known to stay unknown, and one
-// that was told of to be no one alive.
+// TestHeard checks that a peer whose addresses are not known stays unknown, and that one
+// that was only named does not count as alive.
 func TestHeard(t *testing.T) {
 	now := time.Now()
 	table := NewTable(Node{ID: "self", Domain: "a"})
 
-	if table.heard(Peer{Node: Node{ID: "x"}, Boot: 1, Heard: now}) {
-		t.Error("a peer without listeners is known")
+	if table.updatePeer(Peer{Node: Node{ID: "x"}, Boot: 1, Heard: now}) {
+		t.Error("a peer without addresses is known")
 	}
 
-	table.told(Node{ID: "x", Domain: "a", Callers: "c", Peers: "p"})
+	table.addPeer(Node{ID: "x", Domain: "a", Callers: "c", Peers: "p"})
 
-	if len(table.Live(now)) != 0 || len(table.sendable(now)) != 1 {
-		t.Error("a peer that was told of is alive, or gets no heartbeat")
+	if len(table.Live(now)) != 0 || len(table.recipients(now)) != 1 {
+		t.Error("a peer that was only named is alive, or gets no heartbeat")
 	}
 
-	if !table.heard(Peer{Node: Node{ID: "x"}, Boot: 1, Heard: now}) || len(table.Live(now)) != 1 {
-		t.Error("a peer with known listeners is not alive when it is heard")
+	if !table.updatePeer(Peer{Node: Node{ID: "x"}, Boot: 1, Heard: now}) || len(table.Live(now)) != 1 {
+		t.Error("a peer with known addresses is not alive after a heartbeat")
 	}
 
-	if len(table.sendable(now.Add(2*keepTime))) != 0 {
-		t.Error("a peer that is silent for long still gets heartbeats")
+	if len(table.recipients(now.Add(2*keepTime))) != 0 {
+		t.Error("a peer that is silent for longer than keepTime still gets heartbeats")
 	}
 }
 
-// TestSome wants a few peers of our failure domain, different ones each time,
-// and none that is not heard any more.
+// TestSome checks that the sample has peers of this failure domain, different ones each time,
+// and none that is not alive.
 func TestSome(t *testing.T) {
 	const want = 3
 
@@ -88,7 +88,7 @@
 	drawn := map[carobward.VMID]bool{}
 
 	for range 100 {
-		list := table.some(now, want)
+		list := table.sampleLive(now, want)
 		if len(list) != want {
 			t.Fatalf("%d peers", len(list))
 		}
@@ -106,25 +106,25 @@
 		t.Errorf("only %d of 48 peers were ever drawn", len(drawn))
 	}
 
-	if list := table.some(now.Add(liveTime), want); len(list) > 0 {
-		t.Errorf("%d peers that are not heard any more", len(list))
+	if list := table.sampleLive(now.Add(liveTimeout), want); len(list) > 0 {
+		t.Errorf("%d peers that are not alive", len(list))
 	}
 }
 
-// TestAhead wants the peers of our failure domain that have what we lack.
+// TestAhead checks which peers of this failure domain are ahead.
 func TestAhead(t *testing.T) {
 	now := time.Now()
 	own := cwmirror.State{Index: 5, Top: 5}
 
 	for name, want := range map[string][]carobward.VMID{
-		"nobody": nil,
-		"some":   {"vm-0", "vm-3"},
+		"none": nil,
+		"some": {"vm-0", "vm-3"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := newTable(4, now)
 
 			for _, id := range want {
-				table.heard(Peer{
+				table.updatePeer(Peer{
 					Node: table.peers[id].Node, Boot: 1, Heard: now, Copy: cwmirror.State{Index: 7, Top: 7},
 				})
 			}
@@ -141,11 +141,11 @@
 	}
 }
 
-// TestLiveNews wants the list of live peers to have what matters at once, though
-// it is used again for a while.
+// TestLiveNews checks that the cached list of live peers follows changes of their number and
+// state at once.
 func TestLiveNews(t *testing.T) {
 	now := time.Now()
-	soon := now.Add(liveStale / 2)
+	soon := now.Add(liveCacheTime / 2)
 
 	for name, c := range map[string]struct {
 		change func(*Table)
@@ -153,16 +153,16 @@
 		live   int
 		ready  int
 	}{
-		"nothing new": {func(*Table) {}, soon, 6, 6},
-		"one stops":   {func(t *Table) { t.heard(Peer{Node: Node{ID: "vm-3"}, Boot: 1, Heard: soon, State: Leaving}) }, soon, 6, 5},
-		"one more": {func(t *Table) {
-			t.heard(Peer{Node: Node{ID: "new", Callers: "c"}, Boot: 1, Heard: soon, State: Ready})
+		"no change":  {func(*Table) {}, soon, 6, 6},
+		"one leaves": {func(t *Table) { t.updatePeer(Peer{Node: Node{ID: "vm-3"}, Boot: 1, Heard: soon, State: Leaving}) }, soon, 6, 5},
+		"one joins": {func(t *Table) {
+			t.updatePeer(Peer{Node: Node{ID: "new", Callers: "c"}, Boot: 1, Heard: soon, State: Ready})
 		}, soon, 7, 7},
-		"all silent": {func(*Table) {}, now.Add(liveTime), 0, 0},
+		"all silent": {func(*Table) {}, now.Add(liveTimeout), 0, 0},
 		"one is back": {func(t *Table) {
-			t.Live(now.Add(liveTime))
-			t.heard(Peer{Node: Node{ID: "vm-3"}, Boot: 1, Heard: now.Add(liveTime + liveStale/2), State: Ready})
-		}, now.Add(liveTime + liveStale/2), 1, 1},
+			t.Live(now.Add(liveTimeout))
+			t.updatePeer(Peer{Node: Node{ID: "vm-3"}, Boot: 1, Heard: now.Add(liveTimeout + liveCacheTime/2), State: Ready})
+		}, now.Add(liveTimeout + liveCacheTime/2), 1, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := newTable(6, now)
@@ -189,7 +189,7 @@
 	}
 }
 
-// BenchmarkLive has the cost of the list of peers, which several parts take at
+// BenchmarkLive measures the list of live peers, which several callers need at
 // each tick.
 func BenchmarkLive(b *testing.B) {
 	now := time.Now()
@@ -202,21 +202,21 @@
 	}
 }
 
-// TestKnownStays wants what an entry VM is about to tell of another failure domain to
-// stay as it is while further entry VMs of it speak.
+// TestKnownStays checks that a list of contacts that is about to be sent is not modified by
+// further heartbeats from that failure domain.
 func TestKnownStays(t *testing.T) {
 	table := NewTable(Node{ID: "vm-1", Domain: "a"})
 	vm := func(n int) Node { return Node{ID: carobward.VMID(fmt.Sprint("far-", n)), Domain: "b"} }
 
-	for n := range contactsMost {
-		table.met(vm(n))
+	for n := range maxContacts {
+		table.recordContact(vm(n))
 	}
 
-	before := table.known()[0].Nodes
+	before := table.knownDomains()[0].Nodes
 	want := slices.Clone(before)
 
-	for n := range otherNodes {
-		table.met(vm(contactsMost - 1 - n))
+	for n := range randomNodes {
+		table.recordContact(vm(maxContacts - 1 - n))
 	}
 
 	if diff := cmp.Diff(want, before); diff != "" {
@@ -224,25 +224,25 @@
 	}
 }
 
-// TestCallable wants callers to be named the entry VMs of another failure domain while a
-// recent summary names them, also one that came by way of a third, and nobody there once
-// all of it may be gone.
+// TestCallable checks that callers are told the entry VMs of another failure domain while a
+// recent summary names them, also one that came by way of a third failure domain, and none
+// once all of them may be gone.
 func TestCallable(t *testing.T) {
 	now := time.Now()
 	later := now.Add
 
 	for name, c := range map[string]struct {
-		// last is when the last summary was made, direct whether it came from there.
+		// last is when the last summary was made, direct whether it came from that failure domain.
 		last   time.Duration
 		direct bool
 		at     time.Duration
 		want   int
 	}{
-		"heard":                 {0, true, time.Second, 3},
-		"by way of a third":     {4 * time.Second, false, 5 * time.Second, 3},
-		"not heard since 3 s":   {0, true, 3 * time.Second, 0},
-		"all gone for long":     {0, true, time.Minute, 0},
-		"a third knows no more": {0, false, 4 * time.Second, 0},
+		"direct":               {0, true, time.Second, 3},
+		"through a third":      {4 * time.Second, false, 5 * time.Second, 3},
+		"silent for 3 s":       {0, true, 3 * time.Second, 0},
+		"silent for a minute":  {0, true, time.Minute, 0},
+		"only through a third": {0, false, 4 * time.Second, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := newTable(3, now)
@@ -252,8 +252,8 @@
 				s.Nodes = append(s.Nodes, testNode(3*i+1, "b"))
 			}
 
-			table.learn(s, c.direct)
-			table.met(testNode(1, "b")) // One of them spoke to us once.
+			table.addSummary(s, c.direct)
+			table.recordContact(testNode(1, "b")) // One of them has sent a heartbeat.
 
 			if got := len(table.Callable("b", later(c.at))); got != c.want {
 				t.Errorf("%d entry VMs, want %d", got, c.want)
@@ -262,6 +262,6 @@
 	}
 
 	if got := len(newTable(3, now).Callable("d", now)); got != 0 {
-		t.Errorf("%d entry VMs of a failure domain that is not known", got)
+		t.Errorf("%d entry VMs of an unknown failure domain", got)
 	}
 }
--- a/internal/cwmesh/tokens.go
+++ b/internal/cwmesh/tokens.go
@@ -12,25 +12,25 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// askAgain is after what time an ask for tokens is sent once more: datagrams are lost now and
-// then. The tokens of an answer that was lost are not used.
-const askAgain = 30 * time.Millisecond
+// tokenRetryInterval is the time after which a token request is sent again, as datagrams may
+// be lost. Tokens granted in a lost answer are not used.
+const tokenRetryInterval = 30 * time.Millisecond
 
-// errNoPeer is the error of an ask to an entry VM that is not known here.
+// errNoPeer is returned if the entry VM to ask is not known.
 const errNoPeer = errors.ConstError("mesh: no such peer in the failure domain")
 
-// relaysMost is how many asks of other failure domains are worked on at once. More are not
-// answered.
-const relaysMost = 64
+// maxTokenRelays is how many token requests of other failure domains are handled at once.
+// Further ones get no answer.
+const maxTokenRelays = 64
 
-// AskTokens asks an entry VM of the failure domain for tokens of a team's quota.
+// AskTokens asks an entry VM of this failure domain for tokens of a team's quota.
 func (m *Mesh) AskTokens(ctx context.Context, to carobward.VMID, team carobward.TeamName, want int) (cwquota.Grant, error) {
 	address, ok := m.Table.addressOf(to)
 	if !ok {
 		return cwquota.Grant{}, errNoPeer
 	}
 
-	return m.askTokens(ctx, address, &cwwire.Tokens{Team: string(team), Want: uint32(want)})
+	return m.requestTokens(ctx, address, &cwwire.Tokens{Team: string(team), Want: uint32(want)})
 }
 
 // AskTokensFar has an entry VM of another failure domain ask the owners there.
@@ -40,18 +40,18 @@
 		return cwquota.Grant{}, errNoPeer
 	}
 
-	return m.askTokens(ctx, list[0].Peers, &cwwire.Tokens{Team: string(team), Want: uint32(want), Relay: true})
+	return m.requestTokens(ctx, list[0].Peers, &cwwire.Tokens{Team: string(team), Want: uint32(want), Relay: true})
 }
 
-// askTokens asks until there is an answer or the context ends.
-func (m *Mesh) askTokens(ctx context.Context, to carobward.Address, ask *cwwire.Tokens) (cwquota.Grant, error) {
-	number, answer := m.beginAsk()
-	defer m.endAsk(number)
+// requestTokens sends a request until there is an answer or the context ends.
+func (m *Mesh) requestTokens(ctx context.Context, to carobward.Address, ask *cwwire.Tokens) (cwquota.Grant, error) {
+	number, answer := m.addTokenRequest()
+	defer m.removeTokenRequest(number)
 
 	ask.Ask = number
 	raw := m.encode(&cwwire.Beat{Id: string(m.Table.Self().ID), Tokens: ask})
 
-	t := time.NewTicker(askAgain)
+	t := time.NewTicker(tokenRetryInterval)
 	defer t.Stop()
 
 	for {
@@ -67,64 +67,65 @@
 	}
 }
 
-func (m *Mesh) beginAsk() (uint64, <-chan cwquota.Grant) {
+func (m *Mesh) addTokenRequest() (uint64, <-chan cwquota.Grant) {
 	answer := make(chan cwquota.Grant, 1)
 
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
-	m.lastAsk++
-	m.asks[m.lastAsk] = answer
+	m.lastTokenRequest++
+	m.tokenRequests[m.lastTokenRequest] = answer
 
-	return m.lastAsk, answer
+	return m.lastTokenRequest, answer
 }
 
-func (m *Mesh) endAsk(number uint64) {
+func (m *Mesh) removeTokenRequest(number uint64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
-	delete(m.asks, number)
+	delete(m.tokenRequests, number)
 }
 
-// takeTokens answers an ask for tokens, or takes an answer.
-func (m *Mesh) takeTokens(t *cwwire.Tokens, from net.Addr) {
+// handleTokens answers a token request, or delivers the answer to one.
+func (m *Mesh) handleTokens(t *cwwire.Tokens, from net.Addr) {
 	team, want := carobward.TeamName(t.GetTeam()), int(t.GetWant())
 
 	switch {
 	case t.GetAnswer():
-		m.takeAnswer(t)
+		m.deliverGrant(t)
 	case t.GetRelay():
-		m.relayTokens(t.GetAsk(), team, want, from)
+		m.relayTokenRequest(t.GetAsk(), team, want, from)
 	default:
-		m.answerTokens(t.GetAsk(), m.Grant(team, want), from)
+		m.sendGrant(t.GetAsk(), m.Grant(team, want), from)
 	}
 }
 
-// relayTokens asks the owners here for another failure domain, unless too many wait for that.
-func (m *Mesh) relayTokens(ask uint64, team carobward.TeamName, want int, from net.Addr) {
-	if m.relayed.Add(1) > relaysMost {
-		m.relayed.Add(-1)
+// relayTokenRequest asks the owners here on behalf of another failure domain, unless too many
+// such requests are in progress.
+func (m *Mesh) relayTokenRequest(ask uint64, team carobward.TeamName, want int, from net.Addr) {
+	if m.tokenRelays.Add(1) > maxTokenRelays {
+		m.tokenRelays.Add(-1)
 
 		return
 	}
 
-	m.work.Go(func() {
-		defer m.relayed.Add(-1)
+	m.group.Go(func() {
+		defer m.tokenRelays.Add(-1)
 
-		m.answerTokens(ask, m.Near(context.Background(), team, want), from)
+		m.sendGrant(ask, m.Near(context.Background(), team, want), from)
 	})
 }
 
-func (m *Mesh) answerTokens(ask uint64, g cwquota.Grant, to net.Addr) {
+func (m *Mesh) sendGrant(ask uint64, g cwquota.Grant, to net.Addr) {
 	m.write(m.encode(&cwwire.Beat{Id: string(m.Table.Self().ID), Tokens: &cwwire.Tokens{
 		Ask: ask, Answer: true, Owner: g.Owner, Given: uint32(g.Tokens), Wait: uint32(min(g.Wait, time.Hour).Milliseconds()),
 	}}), carobward.Address(to.String()))
 }
 
-func (m *Mesh) takeAnswer(t *cwwire.Tokens) {
+func (m *Mesh) deliverGrant(t *cwwire.Tokens) {
 	m.mutex.Lock()
-	answer := m.asks[t.GetAsk()]
-	delete(m.asks, t.GetAsk())
+	answer := m.tokenRequests[t.GetAsk()]
+	delete(m.tokenRequests, t.GetAsk())
 	m.mutex.Unlock()
 
 	if answer != nil {
@@ -132,9 +133,9 @@
 	}
 }
 
-// Quota returns what is known of the entry VMs that divide quotas.
+// Quota returns the entry VMs that divide quotas, as far as is known.
 func (m *Mesh) Quota(now time.Time) cwquota.Fleet {
-	f := cwquota.Fleet{Settled: now.Sub(m.began) >= startSettle, Domains: m.Table.domainNames()}
+	f := cwquota.Fleet{Settled: now.Sub(m.started) >= startSettleTime, Domains: m.Table.domainNames()}
 
 	for _, p := range m.Table.Live(now) {
 		if p.State != Leaving {
@@ -142,7 +143,7 @@
 		}
 	}
 
-	f.Near, f.Part = m.Table.part(m.Domains, now)
+	f.Near, f.Part = m.Table.domainShare(m.Domains, now)
 
 	return f
 }
--- a/internal/cwmesh/wire.go
+++ b/internal/cwmesh/wire.go
@@ -8,68 +8,68 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-func node(n *cwwire.Node) Node {
+func decodeNode(n *cwwire.Node) Node {
 	return Node{
 		ID: carobward.VMID(n.GetId()), Domain: carobward.Domain(n.GetDomain()),
 		Callers: carobward.Address(n.GetCallers()), Peers: carobward.Address(n.GetPeers()),
 	}
 }
 
-func wireNode(n Node) *cwwire.Node {
+func encodeNode(n Node) *cwwire.Node {
 	return &cwwire.Node{Id: string(n.ID), Domain: string(n.Domain), Callers: string(n.Callers), Peers: string(n.Peers)}
 }
 
-func wireNodes(list []Node) []*cwwire.Node {
+func encodeNodes(list []Node) []*cwwire.Node {
 	var out []*cwwire.Node
 	for _, n := range list {
-		out = append(out, wireNode(n))
+		out = append(out, encodeNode(n))
 	}
 
 	return out
 }
 
-func entry(e *cwwire.Entry) carobward.Item {
+func decodeEntry(e *cwwire.Entry) carobward.Item {
 	return carobward.Item{
 		Key: carobward.Key(e.GetKey()), Value: e.GetValue(), Index: carobward.StoreIndex(e.GetIndex()), Gone: e.GetGone(),
 	}
 }
 
-func wireEntry(it *carobward.Item) *cwwire.Entry {
+func encodeEntry(it *carobward.Item) *cwwire.Entry {
 	return &cwwire.Entry{Key: string(it.Key), Value: it.Value, Index: uint64(it.Index), Gone: it.Gone}
 }
 
-// keptItems reads items that a peer keeps in force.
-func keptItems(list []*cwwire.Kept) []carobward.Kept {
+// decodeKept decodes items that a peer keeps in force.
+func decodeKept(list []*cwwire.Kept) []carobward.Kept {
 	var out []carobward.Kept
 
 	for _, k := range list {
 		out = append(out, carobward.Kept{
-			Item: entry(k.GetEntry()), Rank: carobward.Rank{Start: carobward.Start(k.GetStart()), Write: k.GetWrite()},
-			For: time.Duration(min(k.GetLeft(), leftMost)) * time.Millisecond,
+			Item: decodeEntry(k.GetEntry()), Rank: carobward.Rank{Start: carobward.Start(k.GetStart()), Write: k.GetWrite()},
+			For: time.Duration(min(k.GetLeft(), maxKeptMillis)) * time.Millisecond,
 		})
 	}
 
 	return out
 }
 
-// leftMost bounds, in milliseconds, for how long a peer may say that an item is kept.
-const leftMost = uint64(carobward.Always / time.Millisecond)
+// maxKeptMillis limits, in milliseconds, for how long a peer may say that an item is kept.
+const maxKeptMillis = uint64(carobward.Always / time.Millisecond)
 
-func wireKept(list []carobward.Kept) []*cwwire.Kept {
+func encodeKept(list []carobward.Kept) []*cwwire.Kept {
 	var out []*cwwire.Kept
 
 	for i := range list {
 		k := &list[i]
 		out = append(out, &cwwire.Kept{
-			Entry: wireEntry(&k.Item), Start: int64(k.Rank.Start), Write: k.Rank.Write, Left: uint64(k.For.Milliseconds()),
+			Entry: encodeEntry(&k.Item), Start: int64(k.Rank.Start), Write: k.Rank.Write, Left: uint64(k.For.Milliseconds()),
 		})
 	}
 
 	return out
 }
 
-// encodeFresh returns an age for a message.
-func encodeFresh(fresh, now time.Time) uint32 {
+// encodeAge returns the age of a time in milliseconds and one more, or 0 for the zero time.
+func encodeAge(fresh, now time.Time) uint32 {
 	if fresh.IsZero() {
 		return 0
 	}
@@ -77,9 +77,8 @@
 	return uint32(max(0, now.Sub(fresh).Milliseconds())) + 1
 }
 
-// decodeFresh returns the time that an age of a message speaks of, or the zero
-// time, which is older than any.
-func decodeFresh(age uint32, now time.Time) time.Time {
+// decodeAge returns the time that an age in a message stands for, or the zero time for 0.
+func decodeAge(age uint32, now time.Time) time.Time {
 	if age == 0 {
 		return time.Time{}
 	}
@@ -87,38 +86,38 @@
 	return now.Add(-time.Duration(age-1) * time.Millisecond)
 }
 
-// summary reads a summary. One that was never put together has no time.
-func summary(d *cwwire.Domain, now time.Time) Summary {
+// decodeSummary decodes a summary. One that has no age has no time either.
+func decodeSummary(d *cwwire.Domain, now time.Time) Summary {
 	s := Summary{
-		Domain: carobward.Domain(d.GetName()), Made: decodeFresh(d.GetAge(), now),
+		Domain: carobward.Domain(d.GetName()), Made: decodeAge(d.GetAge(), now),
 		Alive: int(d.GetAlive()), Size: int(d.GetSize()), Away: int(d.GetAway()), Rate: int(d.GetRate()),
 	}
 	for _, n := range d.GetNodes() {
-		s.Nodes = append(s.Nodes, node(n))
+		s.Nodes = append(s.Nodes, decodeNode(n))
 	}
 
 	return s
 }
 
-func wireSummary(s *Summary, now time.Time) *cwwire.Domain {
+func encodeSummary(s *Summary, now time.Time) *cwwire.Domain {
 	return &cwwire.Domain{
-		Name: string(s.Domain), Age: encodeFresh(s.Made, now),
-		Alive: uint32(s.Alive), Size: uint32(s.Size), Away: uint32(s.Away), Rate: uint32(s.Rate), Nodes: wireNodes(s.Nodes),
+		Name: string(s.Domain), Age: encodeAge(s.Made, now),
+		Alive: uint32(s.Alive), Size: uint32(s.Size), Away: uint32(s.Away), Rate: uint32(s.Rate), Nodes: encodeNodes(s.Nodes),
 	}
 }
 
-func wireSummaries(list []Summary, now time.Time) []*cwwire.Domain {
+func encodeSummaries(list []Summary, now time.Time) []*cwwire.Domain {
 	var out []*cwwire.Domain
 	for i := range list {
-		out = append(out, wireSummary(&list[i], now))
+		out = append(out, encodeSummary(&list[i], now))
 	}
 
 	return out
 }
 
-// words reads what servers said to a peer.
-func words(b *cwwire.Beat, now time.Time) carobward.ServerWords {
-	w := carobward.ServerWords{Limits: limits(b.GetLimits(), now)}
+// decodeNotices decodes the servers' notices that a peer passed on.
+func decodeNotices(b *cwwire.Beat, now time.Time) carobward.ServerWords {
+	w := carobward.ServerWords{Limits: decodeLimits(b.GetLimits(), now)}
 
 	for _, l := range b.GetLeaving() {
 		w.Leaving = append(w.Leaving, carobward.LeavingWord{Server: carobward.Instance(l.GetServer()), Start: carobward.Start(l.GetStart())})
@@ -127,7 +126,7 @@
 	return w
 }
 
-func wireLeaving(list []carobward.LeavingWord) []*cwwire.LeavingServer {
+func encodeLeaving(list []carobward.LeavingWord) []*cwwire.LeavingServer {
 	var out []*cwwire.LeavingServer
 	for _, l := range list {
 		out = append(out, &cwwire.LeavingServer{Server: string(l.Server), Start: int64(l.Start)})
@@ -136,9 +135,9 @@
 	return out
 }
 
-// limits reads what servers said of the requests that they take. A rate that can't be one
-// is a limit that can't be read.
-func limits(list []*cwwire.ServerLimit, now time.Time) []carobward.LimitWord {
+// decodeLimits decodes the limits that servers announced. A rate that is negative, infinite
+// or not a number becomes a limit that can't be read.
+func decodeLimits(list []*cwwire.ServerLimit, now time.Time) []carobward.LimitWord {
 	out := make([]carobward.LimitWord, 0, len(list))
 
 	for _, l := range list {
@@ -159,7 +158,7 @@
 	return out
 }
 
-func wireLimits(list []carobward.LimitWord, now time.Time) []*cwwire.ServerLimit {
+func encodeLimits(list []carobward.LimitWord, now time.Time) []*cwwire.ServerLimit {
 	var out []*cwwire.ServerLimit
 
 	for i := range list {
