--- a/internal/cwmap/map.go
+++ b/internal/cwmap/map.go
@@ -1,10 +1,10 @@
-// Package cwmap has a map whose values are made when they are first asked
-// for.
+// Package cwmap provides a concurrent map that creates missing values on first
+// access.
 package cwmap
 
 import "sync"
 
-// Map is safe for use by many goroutines.
+// Map is a map that is safe for concurrent use.
 type Map[K comparable, V any] struct {
 	make func() V
 
@@ -12,12 +12,12 @@
 	values map[K]V
 }
 
-// New returns an empty map. Its values are made by make.
+// New returns an empty map that creates missing values with make.
 func New[K comparable, V any](make func() V) *Map[K, V] {
 	return &Map[K, V]{make: make, values: map[K]V{}}
 }
 
-// Of returns the value of a key, which is made if there is none.
+// Of returns the value of a key, which it creates if it is missing.
 func (m *Map[K, V]) Of(key K) V {
 	m.mutex.RLock()
 	v, ok := m.values[key]
@@ -38,7 +38,7 @@
 	return v
 }
 
-// Keep drops the values that keep refuses.
+// Keep deletes the values for which keep returns false.
 func (m *Map[K, V]) Keep(keep func(K, V) bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/cwmap/map_test.go
+++ b/internal/cwmap/map_test.go
@@ -10,11 +10,11 @@
 )
 
 func TestMap(t *testing.T) {
-	made := 0
+	created := 0
 	m := cwmap.New[string](func() int {
-		made++
+		created++
 
-		return made
+		return created
 	})
 
 	var group conc.WaitGroup
