--- a/internal/cwsuspend/meter.go
+++ b/internal/cwsuspend/meter.go
@@ -1,5 +1,5 @@
-// Package cwsuspend tells for how long the VM was suspended. The clock by which timers
-// run and ages are measured stands still meanwhile, while all others went on.
+// Package cwsuspend measures for how long the VM was suspended. The monotonic clock, by which
+// timers run and ages are measured, stands still meanwhile, while clocks elsewhere go on.
 package cwsuspend
 
 import (
@@ -9,14 +9,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// leastTime is the shortest suspension that counts. The two clocks are read one after
-// the other, some microseconds apart, or a turn of the processor where it is busy.
-const leastTime = 200 * time.Millisecond
+// minSuspension is the shortest suspension that counts. The two clocks are read one after
+// the other, some microseconds apart, or a scheduler time slice if the processor is busy.
+const minSuspension = 200 * time.Millisecond
 
 // Meter compares a clock that counts suspended time with one that does not.
 type Meter struct {
-	boot, steady func() time.Duration
-	// ahead is by how much the clock that counts suspended time was ahead, in nanoseconds.
+	bootTime, monotonic func() time.Duration
+	// ahead is by how much bootTime was ahead of monotonic when a suspension was last
+	// reported, in nanoseconds.
 	ahead atomic.Int64
 }
 
@@ -26,17 +27,17 @@
 }
 
 func newMeter(boot, steady func() time.Duration) *Meter {
-	m := &Meter{boot: boot, steady: steady}
+	m := &Meter{bootTime: boot, monotonic: steady}
 	m.ahead.Store(int64(m.read()))
 
 	return m
 }
 
-// read returns by how much the clock that counts suspended time is ahead.
+// read returns by how much bootTime is ahead of monotonic.
 func (m *Meter) read() time.Duration {
-	steady := m.steady()
+	steady := m.monotonic()
 
-	return m.boot() - steady
+	return m.bootTime() - steady
 }
 
 // Passed returns for how long the VM was suspended since the last call.
@@ -47,19 +48,19 @@
 	return passed
 }
 
-// Pending returns what Passed would, which goes on counting it. It is safe for use beside
-// Passed.
+// Pending returns what Passed would return, without resetting it. It is safe for use
+// concurrently with Passed.
 func (m *Meter) Pending() time.Duration {
 	passed := m.read() - time.Duration(m.ahead.Load())
-	if passed < leastTime {
+	if passed < minSuspension {
 		return 0
 	}
 
 	return passed
 }
 
-// read returns a clock of the machine, or zero where it has none: then no suspension is
-// seen.
+// read returns the time of one of the machine's clocks, or zero if the clock is missing: then
+// no suspension is detected.
 func read(clock int32) time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(clock, &t); err != nil {
--- a/internal/cwsuspend/meter_test.go
+++ b/internal/cwsuspend/meter_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestPassed has the readings of both clocks against the suspensions that are seen.
+// TestPassed checks the reported suspensions for given readings of both clocks.
 func TestPassed(t *testing.T) {
 	const second = time.Second
 
@@ -18,9 +18,9 @@
 		"none":                {[]time.Duration{5 * second, 6 * second, 7 * second}, []time.Duration{second, 2 * second, 3 * second}, []time.Duration{0, 0}},
 		"one":                 {[]time.Duration{5 * second, 9 * second, 10 * second}, []time.Duration{second, 2 * second, 3 * second}, []time.Duration{3 * second, 0}},
 		"two":                 {[]time.Duration{0, 4 * second, 9 * second}, []time.Duration{0, second, 2 * second}, []time.Duration{3 * second, 4 * second}},
-		"read late":           {[]time.Duration{0, second + 50*time.Millisecond, 2 * second}, []time.Duration{0, second, 2 * second}, []time.Duration{0, 0}},
+		"late reading":        {[]time.Duration{0, second + 50*time.Millisecond, 2 * second}, []time.Duration{0, second, 2 * second}, []time.Duration{0, 0}},
 		"small ones add up":   {[]time.Duration{0, 150 * time.Millisecond, 300 * time.Millisecond}, []time.Duration{0, 0, 0}, []time.Duration{0, 300 * time.Millisecond}},
-		"one that is shorter": {[]time.Duration{0, second, second}, []time.Duration{0, second + 100*time.Millisecond, second}, []time.Duration{0, 0}},
+		"delay between reads": {[]time.Duration{0, second, second}, []time.Duration{0, second + 100*time.Millisecond, second}, []time.Duration{0, 0}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			next := func(list []time.Duration) func() time.Duration {
@@ -46,10 +46,10 @@
 	}
 }
 
-// TestClocks wants the machine's own clocks to be there.
+// TestClocks verifies that the machine has both clocks.
 func TestClocks(t *testing.T) {
 	m := New()
-	if m.boot() == 0 || m.steady() == 0 {
+	if m.bootTime() == 0 || m.monotonic() == 0 {
 		t.Error("a clock can't be read")
 	}
 }
