--- a/internal/cwfollow/outage.go
+++ b/internal/cwfollow/outage.go
@@ -67,7 +67,7 @@
 	}
 
 	away := now.Sub(f.failingSince)
-	stale := now.Sub(f.Mesh.Word()) > minOutage
+	stale := now.Sub(f.Mesh.LastStoreAnswer()) > minOutage
 	f.backoff = 0
 
 	if away > minOutage && stale && f.Mirror.State().Index > 0 {
--- a/internal/cwgateway/gateway.go
+++ b/internal/cwgateway/gateway.go
@@ -158,7 +158,7 @@
 	g.suspects = cwquarantine.NewTable()
 	g.keeper = cwquarantine.New(cwquarantine.Options{
 		VM: o.Self.ID, Table: g.suspects, Feed: o.Adapter.Feed, Clock: o.Clock, Log: o.Log,
-		LastAnswer: func() time.Time { return g.mesh.Word() },
+		LastAnswer: func() time.Time { return g.mesh.LastStoreAnswer() },
 		Leads:      func() bool { return g.follow.Leads() },
 		Era:        func() carobward.StoreEra { return g.mirror.State().Era },
 	})
--- a/internal/cwmesh/checked_test.go
+++ b/internal/cwmesh/checked_test.go
@@ -210,7 +210,7 @@
 	f.play(quiet)
 
 	for _, v := range f.vms {
-		if fresh, word := v.mesh.Fresh(), v.mesh.Word(); fresh.After(before.Add(way)) || word.After(before.Add(way)) {
+		if fresh, word := v.mesh.Fresh(), v.mesh.LastStoreAnswer(); fresh.After(before.Add(way)) || word.After(before.Add(way)) {
 			t.Fatalf("%s: the replica counts as %s old, the last answer as %s old; the store has been down for %s",
 				v.node.ID, f.now.Sub(fresh), f.now.Sub(word), quiet)
 		}
--- a/internal/cwmesh/claim.go
+++ b/internal/cwmesh/claim.go
@@ -207,9 +207,9 @@
 	return m.claims.checked
 }
 
-// Word returns when the store last answered any entry VM, as far as is known, or
+// LastStoreAnswer returns when the store last answered any entry VM, as far as is known, or
 // the zero time. It may be later than Fresh: this entry VM may be behind.
-func (m *Mesh) Word() time.Time {
+func (m *Mesh) LastStoreAnswer() time.Time {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
--- a/internal/cwmesh/fleet_test.go
+++ b/internal/cwmesh/fleet_test.go
@@ -163,7 +163,7 @@
 
 				for _, v := range s.vms {
 					// Ages are sent in whole milliseconds.
-					if v.mesh.Word().Before(answeredAt.Add(-simStep)) {
+					if v.mesh.LastStoreAnswer().Before(answeredAt.Add(-simStep)) {
 						missed++
 					}
 				}
