--- a/internal/cwfollow/startup.go
+++ b/internal/cwfollow/startup.go
@@ -54,7 +54,7 @@
 	}
 
 	f.Table.Told(list, f.Clock.Now())
-	f.Mesh.Tell()
+	f.Mesh.HeartbeatDomain()
 	f.peerWait = peerWait(f.Table.Self(), f.Seed, list, rand.Float64())
 	f.Log.Info("Read the list of entry VMs from the store.", "domains", len(list), "wait", f.peerWait.String())
 }
--- a/internal/cwgateway/state.go
+++ b/internal/cwgateway/state.go
@@ -149,7 +149,7 @@
 	}
 
 	g.table.Told(list, g.Clock.Now())
-	g.mesh.Tell()
+	g.mesh.HeartbeatDomain()
 }
 
 // configure puts a configuration in force if it is newer than the one there.
--- a/internal/cwmesh/fleet_test.go
+++ b/internal/cwmesh/fleet_test.go
@@ -103,7 +103,7 @@
 			if v.alive && !informed[v] {
 				informed[v] = true
 				v.mesh.Table.Told(list, s.now)
-				v.mesh.Tell()
+				v.mesh.HeartbeatDomain()
 			}
 		}
 	})
--- a/internal/cwmesh/mesh.go
+++ b/internal/cwmesh/mesh.go
@@ -157,7 +157,7 @@
 // SetState sets whether this entry VM takes callers, and tells the peers at once.
 func (m *Mesh) SetState(s State) {
 	if m.state.Swap(uint32(s)) != uint32(s) {
-		m.Tell()
+		m.HeartbeatDomain()
 	}
 }
 
@@ -177,11 +177,11 @@
 func (m *Mesh) TellFleet(c *carobward.Changes) {
 	m.setPush(c)
 	m.tellsFar.Store(true)
-	m.Tell()
+	m.HeartbeatDomain()
 }
 
-// Tell sends a heartbeat to all peers of the failure domain now.
-func (m *Mesh) Tell() {
+// HeartbeatDomain sends a heartbeat to all peers of the failure domain now.
+func (m *Mesh) HeartbeatDomain() {
 	select {
 	case m.wake <- struct{}{}:
 	default:
--- a/internal/cwmesh/receive.go
+++ b/internal/cwmesh/receive.go
@@ -161,7 +161,7 @@
 // relayPendingNews sends a heartbeat to the failure domain if news from another one is pending.
 func (m *Mesh) relayPendingNews() {
 	if m.relayPending.Swap(false) {
-		m.Tell()
+		m.HeartbeatDomain()
 	}
 }
 
