--- a/internal/cwmesh/answer.go
+++ b/internal/cwmesh/answer.go
@@ -42,7 +42,7 @@
 	m.answered(asked, now)
 
 	c.Hold = m.Mirror.HoldRemaining(now)
-	m.TellFleet(&c)
+	m.HeartbeatFleet(&c)
 
 	return changed, nil
 }
--- a/internal/cwmesh/fleet_test.go
+++ b/internal/cwmesh/fleet_test.go
@@ -158,7 +158,7 @@
 				sender := s.vms[s.rnd.IntN(len(s.vms))]
 				answeredAt := s.now
 				sender.mesh.answered(answeredAt, answeredAt)
-				sender.mesh.TellFleet(nil)
+				sender.mesh.HeartbeatFleet(nil)
 				s.run(soon, nil)
 
 				for _, v := range s.vms {
--- a/internal/cwmesh/mesh.go
+++ b/internal/cwmesh/mesh.go
@@ -172,9 +172,9 @@
 // heartbeat.
 func (m *Mesh) SetRate(perSecond int) { m.rate.Store(int64(perSecond)) }
 
-// TellFleet sends a heartbeat to the whole fleet now, with the given changes if there
+// HeartbeatFleet sends a heartbeat to the whole fleet now, with the given changes if there
 // are any and they are small.
-func (m *Mesh) TellFleet(c *carobward.Changes) {
+func (m *Mesh) HeartbeatFleet(c *carobward.Changes) {
 	m.setPush(c)
 	m.tellsFar.Store(true)
 	m.HeartbeatDomain()
