--- a/internal/cwgateway/tick.go
+++ b/internal/cwgateway/tick.go
@@ -33,7 +33,7 @@
 		}
 
 		now := g.Clock.Now()
-		g.mesh.Running(now)
+		g.mesh.MarkRunning(now)
 		g.mirror.Sweep(now, g.changed)
 		g.front.Tick(now)
 		g.link.Tick(now)
--- a/internal/cwmesh/claim.go
+++ b/internal/cwmesh/claim.go
@@ -175,9 +175,9 @@
 	return max(p.gap, now.Sub(p.lastTick))
 }
 
-// Running records that the process runs. The time between two calls is subtracted from
+// MarkRunning records that the process runs. The time between two calls is subtracted from
 // what Checked returns.
-func (m *Mesh) Running(now time.Time) {
+func (m *Mesh) MarkRunning(now time.Time) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
--- a/internal/cwmesh/sim_test.go
+++ b/internal/cwmesh/sim_test.go
@@ -200,7 +200,7 @@
 
 	// After a pause, either the tick or the waiting datagrams may come first.
 	if s.rnd.IntN(2) == 0 {
-		v.mesh.Running(s.now)
+		v.mesh.MarkRunning(s.now)
 	}
 
 	for _, p := range v.held {
@@ -208,7 +208,7 @@
 	}
 
 	v.held = nil
-	v.mesh.Running(s.now)
+	v.mesh.MarkRunning(s.now)
 
 	if !s.now.Before(v.nextGreet) {
 		v.nextGreet = s.now.Add(greetInterval)
