--- a/internal/cwfollow/follower.go
+++ b/internal/cwfollow/follower.go
@@ -130,7 +130,7 @@
 		return false
 	}
 
-	if f.Mesh.Lacks() {
+	if f.Mesh.NeedsStore() {
 		return true
 	}
 
--- a/internal/cwmesh/fetch.go
+++ b/internal/cwmesh/fetch.go
@@ -155,9 +155,9 @@
 	m.gapSeen = m.Clock.Now()
 }
 
-// Lacks reports whether peers are ahead but do not know the changes since this
+// NeedsStore reports whether peers are ahead but do not know the changes since this
 // replica, so that the store has to be asked.
-func (m *Mesh) Lacks() bool {
+func (m *Mesh) NeedsStore() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
--- a/internal/cwmesh/fetch_test.go
+++ b/internal/cwmesh/fetch_test.go
@@ -133,20 +133,20 @@
 	m := &Mesh{Options: Options{Clock: clock, Mirror: newMirror()}, claims: newClaims()}
 	m.answered(clock.now, clock.now)
 
-	if m.Lacks() {
+	if m.NeedsStore() {
 		t.Error("the store is needed at first")
 	}
 
 	clock.now = clock.now.Add(time.Second)
 	m.noteGap()
 
-	if !m.Lacks() {
+	if !m.NeedsStore() {
 		t.Error("the store is not needed after a gap")
 	}
 
 	m.answered(clock.now, clock.now)
 
-	if m.Lacks() {
+	if m.NeedsStore() {
 		t.Error("the store is needed with a replica that is up to date")
 	}
 }
--- a/internal/cwmesh/restore_test.go
+++ b/internal/cwmesh/restore_test.go
@@ -199,7 +199,7 @@
 	h.mesh.Mirror.Sweep(f.now, h.mesh.Changed)
 
 	age := f.now.Sub(h.mesh.Fresh())
-	if due := place == 0 || age > staleAge+turnAge*time.Duration(min(place, maxTurns)) || h.mesh.Lacks(); !due || !f.isStoreReachable(h.simVM) {
+	if due := place == 0 || age > staleAge+turnAge*time.Duration(min(place, maxTurns)) || h.mesh.NeedsStore(); !due || !f.isStoreReachable(h.simVM) {
 		return
 	}
 
