--- a/internal/cwfollow/outage.go
+++ b/internal/cwfollow/outage.go
@@ -32,7 +32,7 @@
 
 // setAway tells the peers whether the store serves this entry VM.
 func (f *Follower) setAway(away bool) {
-	if f.Mesh.SetAway(away) {
+	if f.Mesh.SetStoreDown(away) {
 		f.Mesh.HeartbeatDomain()
 	}
 }
--- a/internal/cwmesh/mesh.go
+++ b/internal/cwmesh/mesh.go
@@ -164,9 +164,9 @@
 // State returns whether this entry VM takes callers.
 func (m *Mesh) State() State { return State(m.state.Load()) }
 
-// SetAway sets whether the store fails to serve this entry VM, and reports whether
+// SetStoreDown sets whether the store fails to serve this entry VM, and reports whether
 // that changed.
-func (m *Mesh) SetAway(down bool) bool { return m.storeDown.Swap(down) != down }
+func (m *Mesh) SetStoreDown(down bool) bool { return m.storeDown.Swap(down) != down }
 
 // SetRate sets this entry VM's requests a second, which peers learn with the next
 // heartbeat.
