--- a/internal/cwfollow/order.go
+++ b/internal/cwfollow/order.go
@@ -74,7 +74,7 @@
 	away := 0
 
 	for i := range f.peers {
-		if f.peers[i].Away && f.peers[i].State != cwmesh.Leaving {
+		if f.peers[i].StoreDown && f.peers[i].State != cwmesh.Leaving {
 			away++
 		}
 	}
@@ -103,7 +103,7 @@
 
 	for i := range f.peers {
 		p := &f.peers[i]
-		if p.State != cwmesh.Leaving && !p.Away && !p.Heard.IsZero() && p.Rank() < own.Rank() {
+		if p.State != cwmesh.Leaving && !p.StoreDown && !p.Heard.IsZero() && p.Rank() < own.Rank() {
 			turn++
 		}
 	}
--- a/internal/cwfollow/order_test.go
+++ b/internal/cwfollow/order_test.go
@@ -78,7 +78,7 @@
 		behind bool
 	}{
 		"leaving":          {func(p *cwmesh.Peer) { p.State = cwmesh.Leaving }, false},
-		"not served":       {func(p *cwmesh.Peer) { p.Away = true }, false},
+		"not served":       {func(p *cwmesh.Peer) { p.StoreDown = true }, false},
 		"never seen":       {func(p *cwmesh.Peer) { p.Heard = time.Time{} }, false},
 		"ready and served": {func(*cwmesh.Peer) {}, true},
 	} {
@@ -255,7 +255,7 @@
 // TestCountUnserved checks that entry VMs that are leaving don't count as not served.
 func TestCountUnserved(t *testing.T) {
 	away, leaving, served := peer("1", "a"), peer("2", "a"), peer("3", "a")
-	away.Away, leaving.Away, leaving.State = true, true, cwmesh.Leaving
+	away.StoreDown, leaving.StoreDown, leaving.State = true, true, cwmesh.Leaving
 
 	f := fleet{peers: []cwmesh.Peer{away, leaving, served}, domains: []cwmesh.Summary{{Domain: "b", Alive: 5, Away: 4}}}
 	if n := f.countUnserved(); n != 5 {
--- a/internal/cwmesh/domain.go
+++ b/internal/cwmesh/domain.go
@@ -128,7 +128,7 @@
 
 		s.Alive++
 
-		if p.Away {
+		if p.StoreDown {
 			s.Away++
 		}
 
@@ -137,7 +137,7 @@
 		}
 	}
 
-	add(Peer{Node: t.self, State: state, Away: storeDown})
+	add(Peer{Node: t.self, State: state, StoreDown: storeDown})
 
 	for _, p := range t.Live(now) {
 		s.Rate += p.Rate
@@ -153,7 +153,7 @@
 // serves, and a random sample of the others.
 func pickNodes(ready []Peer) []Node {
 	slices.SortFunc(ready, func(a, b Peer) int {
-		return cmp.Or(cwrank.CompareBool(a.Away, b.Away), cmp.Compare(a.Rank(), b.Rank()))
+		return cmp.Or(cwrank.CompareBool(a.StoreDown, b.StoreDown), cmp.Compare(a.Rank(), b.Rank()))
 	})
 
 	first := min(rankedNodes, len(ready))
--- a/internal/cwmesh/table.go
+++ b/internal/cwmesh/table.go
@@ -46,8 +46,8 @@
 	State State
 	// Copy is the state of its replica of the store.
 	Copy cwmirror.State
-	// Away is set if the store does not serve it.
-	Away bool
+	// StoreDown is set if the store does not serve it.
+	StoreDown bool
 	// Rate is its requests a second.
 	Rate int
 	// Heard is when its last heartbeat came.
