--- a/internal/cwfollow/order.go
+++ b/internal/cwfollow/order.go
@@ -80,7 +80,7 @@
 	}
 
 	for i := range f.domains {
-		away += f.domains[i].Away
+		away += f.domains[i].StoreDown
 	}
 
 	return away
@@ -112,7 +112,7 @@
 
 	for i := range f.domains {
 		d := &f.domains[i]
-		if d.Alive <= d.Away {
+		if d.Alive <= d.StoreDown {
 			continue
 		}
 
--- a/internal/cwfollow/order_test.go
+++ b/internal/cwfollow/order_test.go
@@ -104,7 +104,7 @@
 
 		for _, d := range names {
 			if d != last {
-				f.domains = append(f.domains, cwmesh.Summary{Domain: d, Alive: 3, Away: 3})
+				f.domains = append(f.domains, cwmesh.Summary{Domain: d, Alive: 3, StoreDown: 3})
 			}
 		}
 
@@ -257,7 +257,7 @@
 	away, leaving, served := peer("1", "a"), peer("2", "a"), peer("3", "a")
 	away.StoreDown, leaving.StoreDown, leaving.State = true, true, cwmesh.Leaving
 
-	f := fleet{peers: []cwmesh.Peer{away, leaving, served}, domains: []cwmesh.Summary{{Domain: "b", Alive: 5, Away: 4}}}
+	f := fleet{peers: []cwmesh.Peer{away, leaving, served}, domains: []cwmesh.Summary{{Domain: "b", Alive: 5, StoreDown: 4}}}
 	if n := f.countUnserved(); n != 5 {
 		t.Errorf("got %d", n)
 	}
--- a/internal/cwfollow/outage_test.go
+++ b/internal/cwfollow/outage_test.go
@@ -42,7 +42,7 @@
 
 			for age := time.Duration(0); age < length; age += step {
 				now := lost.Add(age)
-				known := &fleet{domains: []cwmesh.Summary{{Alive: vms, Away: away}}}
+				known := &fleet{domains: []cwmesh.Summary{{Alive: vms, StoreDown: away}}}
 				place := 0
 
 				for i := range all {
--- a/internal/cwmesh/domain.go
+++ b/internal/cwmesh/domain.go
@@ -47,8 +47,8 @@
 	// recent number, by which budgets are divided.
 	Alive int
 	Size  int
-	// Away is the number of those that the store does not serve.
-	Away int
+	// StoreDown is the number of those that the store does not serve.
+	StoreDown int
 	// Rate is the requests a second of all together.
 	Rate int
 	// Nodes has some of those that take callers.
@@ -129,7 +129,7 @@
 		s.Alive++
 
 		if p.StoreDown {
-			s.Away++
+			s.StoreDown++
 		}
 
 		if p.State == Ready {
--- a/internal/cwmesh/wire.go
+++ b/internal/cwmesh/wire.go
@@ -90,7 +90,7 @@
 func decodeSummary(d *cwwire.Domain, now time.Time) Summary {
 	s := Summary{
 		Domain: carobward.Domain(d.GetName()), Made: decodeAge(d.GetAge(), now),
-		Alive: int(d.GetAlive()), Size: int(d.GetSize()), Away: int(d.GetAway()), Rate: int(d.GetRate()),
+		Alive: int(d.GetAlive()), Size: int(d.GetSize()), StoreDown: int(d.GetAway()), Rate: int(d.GetRate()),
 	}
 	for _, n := range d.GetNodes() {
 		s.Nodes = append(s.Nodes, decodeNode(n))
@@ -102,7 +102,7 @@
 func encodeSummary(s *Summary, now time.Time) *cwwire.Domain {
 	return &cwwire.Domain{
 		Name: string(s.Domain), Age: encodeAge(s.Made, now),
-		Alive: uint32(s.Alive), Size: uint32(s.Size), Away: uint32(s.Away), Rate: uint32(s.Rate), Nodes: encodeNodes(s.Nodes),
+		Alive: uint32(s.Alive), Size: uint32(s.Size), Away: uint32(s.StoreDown), Rate: uint32(s.Rate), Nodes: encodeNodes(s.Nodes),
 	}
 }
 
