--- a/internal/cwmesh/fetch.go
+++ b/internal/cwmesh/fetch.go
@@ -205,7 +205,7 @@
 
 	p := &others[rand.IntN(len(others))]
 
-	return offer{from: p.Peers, id: p.ID, state: p.Copy}, true
+	return offer{from: p.Peers, id: p.ID, state: p.Replica}, true
 }
 
 // fetch fetches from a peer the changes that this entry VM lacks, or all keys.
--- a/internal/cwmesh/fetch_test.go
+++ b/internal/cwmesh/fetch_test.go
@@ -177,7 +177,7 @@
 	table := newTable(4, now)
 
 	for _, id := range []carobward.VMID{"vm-0", "vm-3"} {
-		table.updatePeer(Peer{Node: table.peers[id].Node, Boot: 1, Heard: now, Copy: cwmirror.State{Index: 7, Top: 7}})
+		table.updatePeer(Peer{Node: table.peers[id].Node, Boot: 1, Heard: now, Replica: cwmirror.State{Index: 7, Top: 7}})
 	}
 
 	clock := &stepClock{now: now}
--- a/internal/cwmesh/receive.go
+++ b/internal/cwmesh/receive.go
@@ -66,7 +66,7 @@
 	now := m.Clock.Now()
 	p := Peer{
 		Boot: b.GetBoot(), State: State(b.GetState()), StoreDown: b.GetAway(), Rate: int(b.GetRate()), Heard: now,
-		Copy: cwmirror.State{
+		Replica: cwmirror.State{
 			Era: carobward.StoreEra(b.GetEra()), Index: carobward.StoreIndex(b.GetIndex()), Top: carobward.StoreIndex(b.GetTop()),
 			Version: carobward.Version(b.GetVersion()), Kept: int(b.GetKept()),
 		},
@@ -129,11 +129,11 @@
 
 	far := m.isOtherDomain(p.Domain)
 	own := m.Mirror.State()
-	behind := own.Behind(p.Copy)
+	behind := own.Behind(p.Replica)
 
 	// A replica that came from the store alone lacks what the store lost before.
-	if p.Copy.Kept > 0 && !behind && !m.hasFetched.Load() {
-		m.setOffer(offer{from: carobward.Address(from.String()), id: p.ID, state: p.Copy, kept: true})
+	if p.Replica.Kept > 0 && !behind && !m.hasFetched.Load() {
+		m.setOffer(offer{from: carobward.Address(from.String()), id: p.ID, state: p.Replica, kept: true})
 	}
 
 	if b.GetRelay() {
@@ -142,9 +142,9 @@
 
 	switch {
 	case behind && (!far || b.GetRelay() || m.fetchesFar(now)):
-		m.setOffer(offer{from: carobward.Address(from.String()), id: p.ID, state: p.Copy})
+		m.setOffer(offer{from: carobward.Address(from.String()), id: p.ID, state: p.Replica})
 	case behind:
-	case p.Copy.Era != own.Era:
+	case p.Replica.Era != own.Era:
 		// A claim for a replica of another era says nothing of this one.
 	default:
 		m.applyClaim(c, now, own.Era)
--- a/internal/cwmesh/table.go
+++ b/internal/cwmesh/table.go
@@ -44,8 +44,8 @@
 	// Boot identifies the run of the entry VM. It is 0 if the entry VM was never heard from.
 	Boot  uint64
 	State State
-	// Copy is the state of its replica of the store.
-	Copy cwmirror.State
+	// Replica is the state of its replica of the store.
+	Replica cwmirror.State
 	// StoreDown is set if the store does not serve it.
 	StoreDown bool
 	// Rate is its requests a second.
@@ -209,7 +209,7 @@
 	var list []Peer
 
 	for _, p := range t.Live(now) {
-		if !p.neverSeen() && own.Behind(p.Copy) {
+		if !p.neverSeen() && own.Behind(p.Replica) {
 			list = append(list, p)
 		}
 	}
--- a/internal/cwmesh/table_test.go
+++ b/internal/cwmesh/table_test.go
@@ -125,7 +125,7 @@
 
 			for _, id := range want {
 				table.updatePeer(Peer{
-					Node: table.peers[id].Node, Boot: 1, Heard: now, Copy: cwmirror.State{Index: 7, Top: 7},
+					Node: table.peers[id].Node, Boot: 1, Heard: now, Replica: cwmirror.State{Index: 7, Top: 7},
 				})
 			}
 
