--- a/internal/cwfollow/order.go
+++ b/internal/cwfollow/order.go
@@ -103,7 +103,7 @@
 
 	for i := range f.peers {
 		p := &f.peers[i]
-		if p.State != cwmesh.Leaving && !p.StoreDown && !p.Heard.IsZero() && p.Rank() < own.Rank() {
+		if p.State != cwmesh.Leaving && !p.StoreDown && !p.LastSeen.IsZero() && p.Rank() < own.Rank() {
 			turn++
 		}
 	}
--- a/internal/cwfollow/order_test.go
+++ b/internal/cwfollow/order_test.go
@@ -15,7 +15,7 @@
 func peer(id, domain string) cwmesh.Peer {
 	return cwmesh.Peer{
 		Node:  cwmesh.Node{ID: carobward.VMID(id), Domain: carobward.Domain(domain)},
-		State: cwmesh.Ready, Heard: time.Now(),
+		State: cwmesh.Ready, LastSeen: time.Now(),
 	}
 }
 
@@ -79,7 +79,7 @@
 	}{
 		"leaving":          {func(p *cwmesh.Peer) { p.State = cwmesh.Leaving }, false},
 		"not served":       {func(p *cwmesh.Peer) { p.StoreDown = true }, false},
-		"never seen":       {func(p *cwmesh.Peer) { p.Heard = time.Time{} }, false},
+		"never seen":       {func(p *cwmesh.Peer) { p.LastSeen = time.Time{} }, false},
 		"ready and served": {func(*cwmesh.Peer) {}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/cwmesh/fetch_test.go
+++ b/internal/cwmesh/fetch_test.go
@@ -177,7 +177,7 @@
 	table := newTable(4, now)
 
 	for _, id := range []carobward.VMID{"vm-0", "vm-3"} {
-		table.updatePeer(Peer{Node: table.peers[id].Node, Boot: 1, Heard: now, Replica: cwmirror.State{Index: 7, Top: 7}})
+		table.updatePeer(Peer{Node: table.peers[id].Node, Boot: 1, LastSeen: now, Replica: cwmirror.State{Index: 7, Top: 7}})
 	}
 
 	clock := &stepClock{now: now}
@@ -200,7 +200,7 @@
 	}
 
 	// The only one that is ahead is asked again.
-	table.updatePeer(Peer{Node: table.peers["vm-3"].Node, Boot: 1, Heard: now})
+	table.updatePeer(Peer{Node: table.peers["vm-3"].Node, Boot: 1, LastSeen: now})
 	clock.now = now.Add(liveCacheTime)
 
 	if got, ok := m.pickAhead(offer{id: "vm-0"}); !ok || got.id != "vm-0" {
--- a/internal/cwmesh/table.go
+++ b/internal/cwmesh/table.go
@@ -50,8 +50,8 @@
 	StoreDown bool
 	// Rate is its requests a second.
 	Rate int
-	// Heard is when its last heartbeat came.
-	Heard time.Time
+	// LastSeen is when its last heartbeat came.
+	LastSeen time.Time
 
 	// rank is the rendezvous weight of its name, or 0 before it is computed.
 	rank uint64
@@ -127,7 +127,7 @@
 
 	p.rank = cwrank.Weight(string(p.ID), "")
 
-	if old == nil || old.State != p.State || old.Node != p.Node || p.Heard.Sub(old.Heard) >= liveTimeout {
+	if old == nil || old.State != p.State || old.Node != p.Node || p.LastSeen.Sub(old.LastSeen) >= liveTimeout {
 		t.live = nil // The cached list no longer holds.
 	}
 
@@ -152,7 +152,7 @@
 		return false
 	}
 
-	t.peers[n.ID] = &Peer{Node: n, Heard: time.Time{}}
+	t.peers[n.ID] = &Peer{Node: n, LastSeen: time.Time{}}
 
 	return true
 }
@@ -173,7 +173,7 @@
 
 // listLive returns the peers that are alive; t.mutex must be held.
 func (t *Table) listLive(now time.Time) []Peer {
-	return t.filter(func(p *Peer) bool { return now.Sub(p.Heard) < liveTimeout })
+	return t.filter(func(p *Peer) bool { return now.Sub(p.LastSeen) < liveTimeout })
 }
 
 func byID(a, b Peer) int { return cmp.Compare(a.ID, b.ID) }
@@ -181,7 +181,7 @@
 // sampleLive returns up to n live peers of this failure domain, drawn at random.
 func (t *Table) sampleLive(now time.Time, n int) []Peer {
 	t.mutex.RLock()
-	list := t.filter(func(p *Peer) bool { return now.Sub(p.Heard) < liveTimeout && !p.neverSeen() })
+	list := t.filter(func(p *Peer) bool { return now.Sub(p.LastSeen) < liveTimeout && !p.neverSeen() })
 	t.mutex.RUnlock()
 
 	return sample(list, n)
@@ -242,11 +242,11 @@
 	list := make([]Peer, 0, len(t.peers))
 
 	for id, p := range t.peers {
-		if p.Heard.IsZero() {
-			p.Heard = now.Add(-liveTimeout) // Not alive, but gets heartbeats until keepTime.
+		if p.LastSeen.IsZero() {
+			p.LastSeen = now.Add(-liveTimeout) // Not alive, but gets heartbeats until keepTime.
 		}
 
-		if now.Sub(p.Heard) > keepTime {
+		if now.Sub(p.LastSeen) > keepTime {
 			delete(t.peers, id)
 
 			continue
@@ -266,7 +266,7 @@
 	n := 1
 
 	for _, p := range t.peers {
-		if now.Sub(p.Heard) < keepTime {
+		if now.Sub(p.LastSeen) < keepTime {
 			n++
 		}
 	}
@@ -284,7 +284,7 @@
 	list := make([]carobward.VMID, 0, len(t.peers))
 
 	for id, p := range t.peers {
-		if p.Heard.IsZero() || now.Sub(p.Heard) < keepTime {
+		if p.LastSeen.IsZero() || now.Sub(p.LastSeen) < keepTime {
 			list = append(list, id)
 		}
 	}
--- a/internal/cwmesh/table_test.go
+++ b/internal/cwmesh/table_test.go
@@ -18,7 +18,7 @@
 	t := NewTable(Node{ID: "self", Domain: "a"})
 
 	for i := range each {
-		t.updatePeer(Peer{Node: testNode(3*i, "a"), Boot: 1, Heard: heard})
+		t.updatePeer(Peer{Node: testNode(3*i, "a"), Boot: 1, LastSeen: heard})
 	}
 
 	for n, d := range []carobward.Domain{"b", "c"} {
@@ -59,7 +59,7 @@
 	now := time.Now()
 	table := NewTable(Node{ID: "self", Domain: "a"})
 
-	if table.updatePeer(Peer{Node: Node{ID: "x"}, Boot: 1, Heard: now}) {
+	if table.updatePeer(Peer{Node: Node{ID: "x"}, Boot: 1, LastSeen: now}) {
 		t.Error("a peer without addresses is known")
 	}
 
@@ -69,7 +69,7 @@
 		t.Error("a peer that was only named is alive, or gets no heartbeat")
 	}
 
-	if !table.updatePeer(Peer{Node: Node{ID: "x"}, Boot: 1, Heard: now}) || len(table.Live(now)) != 1 {
+	if !table.updatePeer(Peer{Node: Node{ID: "x"}, Boot: 1, LastSeen: now}) || len(table.Live(now)) != 1 {
 		t.Error("a peer with known addresses is not alive after a heartbeat")
 	}
 
@@ -125,7 +125,7 @@
 
 			for _, id := range want {
 				table.updatePeer(Peer{
-					Node: table.peers[id].Node, Boot: 1, Heard: now, Replica: cwmirror.State{Index: 7, Top: 7},
+					Node: table.peers[id].Node, Boot: 1, LastSeen: now, Replica: cwmirror.State{Index: 7, Top: 7},
 				})
 			}
 
@@ -154,14 +154,14 @@
 		ready  int
 	}{
 		"no change":  {func(*Table) {}, soon, 6, 6},
-		"one leaves": {func(t *Table) { t.updatePeer(Peer{Node: Node{ID: "vm-3"}, Boot: 1, Heard: soon, State: Leaving}) }, soon, 6, 5},
+		"one leaves": {func(t *Table) { t.updatePeer(Peer{Node: Node{ID: "vm-3"}, Boot: 1, LastSeen: soon, State: Leaving}) }, soon, 6, 5},
 		"one joins": {func(t *Table) {
-			t.updatePeer(Peer{Node: Node{ID: "new", Callers: "c"}, Boot: 1, Heard: soon, State: Ready})
+			t.updatePeer(Peer{Node: Node{ID: "new", Callers: "c"}, Boot: 1, LastSeen: soon, State: Ready})
 		}, soon, 7, 7},
 		"all silent": {func(*Table) {}, now.Add(liveTimeout), 0, 0},
 		"one is back": {func(t *Table) {
 			t.Live(now.Add(liveTimeout))
-			t.updatePeer(Peer{Node: Node{ID: "vm-3"}, Boot: 1, Heard: now.Add(liveTimeout + liveCacheTime/2), State: Ready})
+			t.updatePeer(Peer{Node: Node{ID: "vm-3"}, Boot: 1, LastSeen: now.Add(liveTimeout + liveCacheTime/2), State: Ready})
 		}, now.Add(liveTimeout + liveCacheTime/2), 1, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
