--- a/internal/cwfollow/restore.go
+++ b/internal/cwfollow/restore.go
@@ -71,7 +71,7 @@
 	}
 
 	list := f.Table.Fleet(now, f.Mesh.State())
-	if !cwmesh.Lacks(known, list) {
+	if !cwmesh.IsOutdated(known, list) {
 		return
 	}
 
--- a/internal/cwmesh/fleet.go
+++ b/internal/cwmesh/fleet.go
@@ -77,10 +77,10 @@
 	}
 }
 
-// Lacks reports whether the store's list of the fleet is of little use to newcomers: it
+// IsOutdated reports whether the store's list of the fleet is of little use to newcomers: it
 // misses a failure domain that is alive, names none of that domain's entry VMs in the
 // current summary, or the fleet has grown by more than a quarter.
-func Lacks(list, fleet []Summary) bool {
+func IsOutdated(list, fleet []Summary) bool {
 	const grown = 1.25
 
 	was, is := 0, 0
