--- a/internal/cwfollow/startup.go
+++ b/internal/cwfollow/startup.go
@@ -53,7 +53,7 @@
 		return
 	}
 
-	f.Table.Told(list, f.Clock.Now())
+	f.Table.AddListed(list, f.Clock.Now())
 	f.Mesh.HeartbeatDomain()
 	f.peerWait = peerWait(f.Table.Self(), f.Seed, list, rand.Float64())
 	f.Log.Info("Read the list of entry VMs from the store.", "domains", len(list), "wait", f.peerWait.String())
--- a/internal/cwgateway/state.go
+++ b/internal/cwgateway/state.go
@@ -148,7 +148,7 @@
 		return
 	}
 
-	g.table.Told(list, g.Clock.Now())
+	g.table.AddListed(list, g.Clock.Now())
 	g.mesh.HeartbeatDomain()
 }
 
--- a/internal/cwmesh/fleet.go
+++ b/internal/cwmesh/fleet.go
@@ -47,10 +47,10 @@
 	return list, nil
 }
 
-// Told adds the entry VMs that the store lists. They get a heartbeat, and count as
+// AddListed adds the entry VMs that the store lists. They get a heartbeat, and count as
 // alive once they answer. Budgets are divided by their number from now on, before they
 // are heard from: otherwise each of many newcomers would spend as if it were alone.
-func (t *Table) Told(list []Summary, now time.Time) {
+func (t *Table) AddListed(list []Summary, now time.Time) {
 	size, near := 0, 0
 
 	for i := range list {
--- a/internal/cwmesh/fleet_test.go
+++ b/internal/cwmesh/fleet_test.go
@@ -102,7 +102,7 @@
 		for _, v := range s.vms {
 			if v.alive && !informed[v] {
 				informed[v] = true
-				v.mesh.Table.Told(list, s.now)
+				v.mesh.Table.AddListed(list, s.now)
 				v.mesh.HeartbeatDomain()
 			}
 		}
