--- a/internal/cwgateway/tick.go
+++ b/internal/cwgateway/tick.go
@@ -66,7 +66,7 @@
 
 	g.servers.SetNeighbours(list)
 
-	lately, size := g.table.Lately(now)
+	lately, size := g.table.RecentPeers(now)
 	g.servers.SetSharers(lately, size, now)
 	g.link.SetFleet(g.table.Size(now), now)
 }
--- a/internal/cwmesh/table.go
+++ b/internal/cwmesh/table.go
@@ -274,10 +274,10 @@
 	return n
 }
 
-// Lately returns the other entry VMs of this failure domain that were heard from or
+// RecentPeers returns the other entry VMs of this failure domain that were heard from or
 // named within keepTime, as one that is out of reach may still serve, and the largest recent
 // number of all with this one, which the store or others may have given.
-func (t *Table) Lately(now time.Time) ([]carobward.VMID, int) {
+func (t *Table) RecentPeers(now time.Time) ([]carobward.VMID, int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
@@ -324,7 +324,7 @@
 // domainShare returns the recent number of entry VMs of this failure domain, and its share of
 // the whole fleet. A failure domain of unknown size counts as large as this one.
 func (t *Table) domainShare(domains []carobward.Domain, now time.Time) (int, float64) {
-	_, near := t.Lately(now)
+	_, near := t.RecentPeers(now)
 
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
