--- a/internal/cwgateway/gateway.go
+++ b/internal/cwgateway/gateway.go
@@ -170,7 +170,7 @@
 			return g.mesh.AskTokens(ctx, to, team, want)
 		},
 		AskFar: func(ctx context.Context, in carobward.Domain, team carobward.TeamName, want int) (cwquota.Grant, error) {
-			return g.mesh.AskTokensFar(ctx, in, team, want)
+			return g.mesh.AskTokensInDomain(ctx, in, team, want)
 		},
 	})
 	g.quota.SetBounds(o.Quota)
--- a/internal/cwmesh/tokens.go
+++ b/internal/cwmesh/tokens.go
@@ -33,8 +33,8 @@
 	return m.requestTokens(ctx, address, &cwwire.Tokens{Team: string(team), Want: uint32(want)})
 }
 
-// AskTokensFar has an entry VM of another failure domain ask the owners there.
-func (m *Mesh) AskTokensFar(ctx context.Context, in carobward.Domain, team carobward.TeamName, want int) (cwquota.Grant, error) {
+// AskTokensInDomain has an entry VM of another failure domain ask the owners there.
+func (m *Mesh) AskTokensInDomain(ctx context.Context, in carobward.Domain, team carobward.TeamName, want int) (cwquota.Grant, error) {
 	list := m.Table.Contacts(in, 1, m.Clock.Now())
 	if len(list) == 0 {
 		return cwquota.Grant{}, errNoPeer
