--- a/internal/cwmesh/fetch_test.go
+++ b/internal/cwmesh/fetch_test.go
@@ -55,7 +55,7 @@
 
 	mirror.Apply(changes, time.Now())
 
-	m := New(Options{Table: NewTable(Node{ID: "self"}), Mirror: mirror, Clock: clock, Log: logr.Discard(), Link: link, Words: noNotices}, conn)
+	m := New(Options{Table: NewTable(Node{ID: "self"}), Mirror: mirror, Clock: clock, Log: logr.Discard(), Link: link, Notices: noNotices}, conn)
 	answers := NewAnswers(m)
 
 	sent := 0
@@ -115,7 +115,7 @@
 
 			defer func() { _ = conn.Close() }()
 
-			m := New(Options{Table: NewTable(Node{ID: "self"}), Mirror: mirror, Clock: carobward.SystemClock{}, Log: logr.Discard(), Words: noNotices}, conn)
+			m := New(Options{Table: NewTable(Node{ID: "self"}), Mirror: mirror, Clock: carobward.SystemClock{}, Log: logr.Discard(), Notices: noNotices}, conn)
 			reply := &cwwire.ChangesReply{}
 
 			err = NewAnswers(m).Changes(&cwwire.ChangesRequest{After: uint64(c.after)}, reply)
--- a/internal/cwmesh/mesh.go
+++ b/internal/cwmesh/mesh.go
@@ -63,9 +63,9 @@
 	Link carobward.ByteCount
 	// Changed is called with the items that changes from a peer brought into force.
 	Changed func([]carobward.Item)
-	// Words returns the servers' recent notices, or for a newcomer all that are known.
+	// Notices returns the servers' recent notices, or for a newcomer all that are known.
 	// TakeNotices is called with those that a peer passed on.
-	Words     func(now time.Time, newcomer bool) carobward.ServerWords
+	Notices   func(now time.Time, newcomer bool) carobward.ServerWords
 	TakeWords func(notices carobward.ServerWords, from carobward.VMID)
 	// Grant grants tokens of a team's quota.
 	Grant func(team carobward.TeamName, want int) cwquota.Grant
--- a/internal/cwmesh/send.go
+++ b/internal/cwmesh/send.go
@@ -203,7 +203,7 @@
 
 // addNotices adds the servers' notices.
 func (m *Mesh) addNotices(b *cwwire.Beat, now time.Time, newcomer bool) {
-	notices := m.Words(now, newcomer)
+	notices := m.Notices(now, newcomer)
 	b.Limits = encodeLimits(sample(notices.Limits, maxNotices), now)
 	b.Leaving = encodeLeaving(sample(notices.Leaving, maxNotices))
 }
--- a/internal/cwmesh/sim_test.go
+++ b/internal/cwmesh/sim_test.go
@@ -143,7 +143,7 @@
 	v.mesh = New(Options{
 		Table: NewTable(v.node), Mirror: newMirror(), Seeds: seeds, Key: cwpeer.Key("a key of the simulated fleet"), Clock: s, Log: logr.Discard(),
 		Changed: func([]carobward.Item) {},
-		Words: func(_ time.Time, newcomer bool) carobward.ServerWords {
+		Notices: func(_ time.Time, newcomer bool) carobward.ServerWords {
 			return carobward.ServerWords{Limits: v.limitNotices(newcomer), Leaving: v.ownLeaving}
 		},
 		TakeWords: v.receiveNotices,
