--- a/internal/cwmesh/receive.go
+++ b/internal/cwmesh/receive.go
@@ -93,7 +93,7 @@
 	}
 
 	if notices := decodeNotices(b, now); len(notices.Limits)+len(notices.Leaving) > 0 {
-		m.TakeWords(notices, p.ID)
+		m.TakeNotices(notices, p.ID)
 	}
 
 	m.applyPush(b)
--- a/internal/cwmesh/sim_test.go
+++ b/internal/cwmesh/sim_test.go
@@ -146,7 +146,7 @@
 		Notices: func(_ time.Time, newcomer bool) carobward.ServerWords {
 			return carobward.ServerWords{Limits: v.limitNotices(newcomer), Leaving: v.ownLeaving}
 		},
-		TakeWords: v.receiveNotices,
+		TakeNotices: v.receiveNotices,
 	}, simConn{vm: v})
 	v.mesh.state.Store(uint32(Ready))
 	v.alive, v.startAt = true, time.Time{}
