--- a/internal/cwmesh/mesh.go
+++ b/internal/cwmesh/mesh.go
@@ -69,8 +69,8 @@
 	TakeNotices func(notices carobward.ServerWords, from carobward.VMID)
 	// Grant grants tokens of a team's quota.
 	Grant func(team carobward.TeamName, want int) cwquota.Grant
-	// Near asks the owners in this failure domain for tokens of a team's quota.
-	Near func(ctx context.Context, team carobward.TeamName, want int) cwquota.Grant
+	// DomainGrant asks the owners in this failure domain for tokens of a team's quota.
+	DomainGrant func(ctx context.Context, team carobward.TeamName, want int) cwquota.Grant
 }
 
 // Mesh exchanges heartbeats with the other entry VMs and fetches changes of the store from them.
--- a/internal/cwmesh/tokens.go
+++ b/internal/cwmesh/tokens.go
@@ -112,7 +112,7 @@
 	m.group.Go(func() {
 		defer m.tokenRelays.Add(-1)
 
-		m.sendGrant(ask, m.Near(context.Background(), team, want), from)
+		m.sendGrant(ask, m.DomainGrant(context.Background(), team, want), from)
 	})
 }
 
