--- a/internal/cwmesh/cost_test.go
+++ b/internal/cwmesh/cost_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// BenchmarkBeat measures the handling of one heartbeat of a peer.
-func BenchmarkBeat(b *testing.B) {
+// BenchmarkHeartbeat measures the handling of one heartbeat of a peer.
+func BenchmarkHeartbeat(b *testing.B) {
 	s := newSim(1, 5*40)
 	s.run(simFormTime, nil)
 
