--- a/internal/cwmesh/checked_test.go
+++ b/internal/cwmesh/checked_test.go
@@ -179,8 +179,8 @@
 	}
 }
 
-// TestSeenForgets checks that the entry VMs whose claims were added last are remembered.
-func TestSeenForgets(t *testing.T) {
+// TestSeenClaimsEviction checks that the entry VMs whose claims were added last are remembered.
+func TestSeenClaimsEviction(t *testing.T) {
 	s, now := seenClaims{}, time.Date(2100, time.January, 1, 0, 0, 0, 0, time.UTC)
 
 	for by := range uint64(2 * maxSeenClaims) {
