--- a/internal/cwmesh/checked_test.go
+++ b/internal/cwmesh/checked_test.go
@@ -112,8 +112,8 @@
 	h.steadySince = f.now
 }
 
-// TestRunning checks for how long a heartbeat may have waited for a paused process.
-func TestRunning(t *testing.T) {
+// TestPauseMeter checks for how long a heartbeat may have waited for a paused process.
+func TestPauseMeter(t *testing.T) {
 	const tick = 100 * time.Millisecond
 
 	start := time.Date(2100, time.January, 1, 0, 0, 0, 0, time.UTC)
