--- a/internal/cwmesh/checked_test.go
+++ b/internal/cwmesh/checked_test.go
@@ -192,9 +192,9 @@
 	}
 }
 
-// TestAge takes the store down: what entry VMs know of it has to age as fast as time passes,
+// TestAgeWithoutStore takes the store down: what entry VMs know of it has to age as fast as time passes,
 // however often they pass claims on to each other.
-func TestAge(t *testing.T) {
+func TestAgeWithoutStore(t *testing.T) {
 	const (
 		vms   = 125
 		quiet = 8 * time.Second
