--- a/internal/cwmesh/era_test.go
+++ b/internal/cwmesh/era_test.go
@@ -13,9 +13,9 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// TestFreshOfEra checks that a peer's claim makes this replica count as up to date only if both
+// TestClaimOfEra checks that a peer's claim makes this replica count as up to date only if both
 // are of the same era. Peers that run an earlier version of the program send no era.
-func TestFreshOfEra(t *testing.T) {
+func TestClaimOfEra(t *testing.T) {
 	for name, c := range map[string]struct {
 		era, index uint64
 		want       bool
