--- a/internal/cwmesh/fetch_test.go
+++ b/internal/cwmesh/fetch_test.go
@@ -126,9 +126,9 @@
 	}
 }
 
-// TestLacks checks that the store is to be asked once peers can't help, until the replica
+// TestNeedsStore checks that the store is to be asked once peers can't help, until the replica
 // is known to be up to date.
-func TestLacks(t *testing.T) {
+func TestNeedsStore(t *testing.T) {
 	clock := &stepClock{now: time.Now()}
 	m := &Mesh{Options: Options{Clock: clock, Mirror: newMirror()}, claims: newClaims()}
 	m.answered(clock.now, clock.now)
