--- a/internal/cwmesh/fetch_test.go
+++ b/internal/cwmesh/fetch_test.go
@@ -151,9 +151,9 @@
 	}
 }
 
-// TestIsSaid checks that a refusal by a peer is told from other errors, in the form
+// TestIsPeerError checks that a refusal by a peer is told from other errors, in the form
 // in which net/rpc returns it.
-func TestIsSaid(t *testing.T) {
+func TestIsPeerError(t *testing.T) {
 	for name, c := range map[string]struct {
 		err  error
 		want bool
