--- a/internal/cwmesh/fleet_test.go
+++ b/internal/cwmesh/fleet_test.go
@@ -78,10 +78,10 @@
 	}
 }
 
-// TestFleetAgain restarts a whole fleet whose seeds start last, with the list of the fleet
+// TestFleetRestart restarts a whole fleet whose seeds start last, with the list of the fleet
 // from the store. An entry VM that starts early must know one of those that are listed soon
 // after that one runs, since it gets its replica of the store from there.
-func TestFleetAgain(t *testing.T) {
+func TestFleetRestart(t *testing.T) {
 	s := newSim(5, 60)
 	s.run(2*simFormTime, nil)
 	list := s.vms[0].mesh.Table.Fleet(s.now, Ready)
