--- a/internal/cwmesh/fleet_test.go
+++ b/internal/cwmesh/fleet_test.go
@@ -138,9 +138,9 @@
 	})
 }
 
-// TestFleetWord checks that an answer of the store to one entry VM is known to all others
+// TestFleetStoreAnswer checks that an answer of the store to one entry VM is known to all others
 // at once, also with packet loss, and with few packets between failure domains.
-func TestFleetWord(t *testing.T) {
+func TestFleetStoreAnswer(t *testing.T) {
 	for name, loss := range map[string]float64{"no loss": 0, "packet loss": 0.03} {
 		t.Run(name, func(t *testing.T) {
 			const (
