--- a/internal/cwmesh/restore_test.go
+++ b/internal/cwmesh/restore_test.go
@@ -396,9 +396,9 @@
 	}
 }
 
-// TestEntryBytes brings a fleet with many servers into an era in which few keys changed, and
+// TestEraListCalls brings a fleet with many servers into an era in which few keys changed, and
 // checks that few entry VMs list all keys.
-func TestEntryBytes(t *testing.T) {
+func TestEraListCalls(t *testing.T) {
 	const (
 		vms = 127
 		// maxLists is how many may list before the first answer reaches them: here all are due at
