--- a/internal/cwmesh/table_test.go
+++ b/internal/cwmesh/table_test.go
@@ -53,9 +53,9 @@
 	}
 }
 
-// TestHeard checks that a peer whose addresses are not known stays unknown, and that one
+// TestUpdatePeer checks that a peer whose addresses are not known stays unknown, and that one
 // that was only named does not count as alive.
-func TestHeard(t *testing.T) {
+func TestUpdatePeer(t *testing.T) {
 	now := time.Now()
 	table := NewTable(Node{ID: "self", Domain: "a"})
 
