--- a/internal/cwmesh/table_test.go
+++ b/internal/cwmesh/table_test.go
@@ -78,9 +78,9 @@
 	}
 }
 
-// TestSome checks that the sample has peers of this failure domain, different ones each time,
+// TestSampleLive checks that the sample has peers of this failure domain, different ones each time,
 // and none that is not alive.
-func TestSome(t *testing.T) {
+func TestSampleLive(t *testing.T) {
 	const want = 3
 
 	now := time.Now()
