--- a/internal/cwmesh/table_test.go
+++ b/internal/cwmesh/table_test.go
@@ -141,9 +141,9 @@
 	}
 }
 
-// TestLiveNews checks that the cached list of live peers follows changes of their number and
+// TestLiveCache checks that the cached list of live peers follows changes of their number and
 // state at once.
-func TestLiveNews(t *testing.T) {
+func TestLiveCache(t *testing.T) {
 	now := time.Now()
 	soon := now.Add(liveCacheTime / 2)
 
