--- a/internal/cwmesh/table_test.go
+++ b/internal/cwmesh/table_test.go
@@ -202,9 +202,9 @@
 	}
 }
 
-// TestKnownStays checks that a list of contacts that is about to be sent is not modified by
+// TestKnownDomainsCloned checks that a list of contacts that is about to be sent is not modified by
 // further heartbeats from that failure domain.
-func TestKnownStays(t *testing.T) {
+func TestKnownDomainsCloned(t *testing.T) {
 	table := NewTable(Node{ID: "vm-1", Domain: "a"})
 	vm := func(n int) Node { return Node{ID: carobward.VMID(fmt.Sprint("far-", n)), Domain: "b"} }
 
