--- a/internal/cwentry/carry.go
+++ b/internal/cwentry/carry.go
@@ -66,7 +66,7 @@
 		visit:   v,
 		id:      id,
 		call:    call,
-		record:  c.records.Of(target.Name),
+		record:  c.records.Get(target.Name),
 		began:   c.clock.Now(),
 		replies: make(chan result, triesMost),
 	}
--- a/internal/cwentry/single.go
+++ b/internal/cwentry/single.go
@@ -18,7 +18,7 @@
 
 	defer v.leave()
 
-	budget := c.records.Of(target.Name).Budget
+	budget := c.records.Get(target.Name).Budget
 	budget.Earn()
 
 	for {
--- a/internal/cwentry/visit.go
+++ b/internal/cwentry/visit.go
@@ -49,7 +49,7 @@
 	v := &visit{
 		carrier: c,
 		target:  target,
-		gate:    c.gates.Of(target.Service),
+		gate:    c.gates.Get(target.Service),
 		rng:     rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
 
--- a/internal/cwmap/map.go
+++ b/internal/cwmap/map.go
@@ -17,8 +17,8 @@
 	return &Map[K, V]{make: make, values: map[K]V{}}
 }
 
-// Of returns the value of a key, which it creates if it is missing.
-func (m *Map[K, V]) Of(key K) V {
+// Get returns the value of a key, which it creates if it is missing.
+func (m *Map[K, V]) Get(key K) V {
 	m.mutex.RLock()
 	v, ok := m.values[key]
 	m.mutex.RUnlock()
--- a/internal/cwmap/map_test.go
+++ b/internal/cwmap/map_test.go
@@ -19,15 +19,15 @@
 
 	var group conc.WaitGroup
 	for range 50 {
-		group.Go(func() { m.Of("a") })
+		group.Go(func() { m.Get("a") })
 	}
 
 	group.Wait()
 
-	got := []int{m.Of("a"), m.Of("b"), m.Of("a")}
+	got := []int{m.Get("a"), m.Get("b"), m.Get("a")}
 	m.Keep(func(k string, _ int) bool { return k == "b" })
 
-	got = append(got, m.Of("a"), m.Of("b"))
+	got = append(got, m.Get("a"), m.Get("b"))
 	if diff := cmp.Diff([]int{1, 2, 1, 3, 2}, got); diff != "" {
 		t.Error(diff)
 	}
