--- a/internal/cwentry/visit.go
+++ b/internal/cwentry/visit.go
@@ -137,6 +137,6 @@
 	c.waiting.Tick()
 
 	targets := c.holder.Targets()
-	c.records.Keep(func(name carobward.TargetName, _ *cwretry.TargetState) bool { return targets.ByName(name) != nil })
-	c.gates.Keep(func(_ carobward.Service, g *cwlimit.Gate) bool { return !g.Idle() })
+	c.records.Retain(func(name carobward.TargetName, _ *cwretry.TargetState) bool { return targets.ByName(name) != nil })
+	c.gates.Retain(func(_ carobward.Service, g *cwlimit.Gate) bool { return !g.Idle() })
 }
--- a/internal/cwmap/map.go
+++ b/internal/cwmap/map.go
@@ -38,8 +38,8 @@
 	return v
 }
 
-// Keep deletes the values for which keep returns false.
-func (m *Map[K, V]) Keep(keep func(K, V) bool) {
+// Retain deletes the values for which keep returns false.
+func (m *Map[K, V]) Retain(keep func(K, V) bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
--- a/internal/cwmap/map_test.go
+++ b/internal/cwmap/map_test.go
@@ -25,7 +25,7 @@
 	group.Wait()
 
 	got := []int{m.Get("a"), m.Get("b"), m.Get("a")}
-	m.Keep(func(k string, _ int) bool { return k == "b" })
+	m.Retain(func(k string, _ int) bool { return k == "b" })
 
 	got = append(got, m.Get("a"), m.Get("b"))
 	if diff := cmp.Diff([]int{1, 2, 1, 3, 2}, got); diff != "" {
