--- a/internal/cwmesh/answer.go
+++ b/internal/cwmesh/answer.go
@@ -18,7 +18,7 @@
 func (m *Mesh) TakeAnswer(c carobward.Changes, asked time.Time) (int, error) {
 	now, before := m.Clock.Now(), m.Mirror.State()
 
-	if c.Era == 0 { // The store does not count its eras, or has stopped to.
+	if c.Era == 0 { // The store does not count its eras, or has stopped doing so.
 		c.Era, c.AfterEra = before.Era, before.Era
 	}
 
--- a/internal/cwmesh/fleet.go
+++ b/internal/cwmesh/fleet.go
@@ -78,8 +78,8 @@
 }
 
 // IsOutdated reports whether the store's list of the fleet is of little use to newcomers: it
-// misses a failure domain that is alive, names none of that domain's entry VMs in the
-// current summary, or the fleet has grown by more than a quarter.
+// misses a live failure domain, it shares no entry VM with the current summary of one, or the
+// fleet has grown by more than a quarter since.
 func IsOutdated(list, fleet []Summary) bool {
 	const grown = 1.25
 
--- a/internal/cwmesh/receive.go
+++ b/internal/cwmesh/receive.go
@@ -100,8 +100,8 @@
 	m.compareReplica(b, &p, from, now)
 }
 
-// isOtherDomain reports whether a heartbeat came from another failure domain. Heartbeats of
-// peers that know this entry VM name no failure domain.
+// isOtherDomain reports whether a heartbeat came from another failure domain. Heartbeats
+// between peers that know each other name no failure domain.
 func (m *Mesh) isOtherDomain(d carobward.Domain) bool {
 	return d != "" && d != m.Table.Self().Domain
 }
--- a/internal/cwmesh/send.go
+++ b/internal/cwmesh/send.go
@@ -15,13 +15,13 @@
 // sendLoop sends heartbeats: to the whole failure domain each heartbeatInterval and on
 // request, and more often to entry VMs that have not answered yet.
 func (m *Mesh) sendLoop(ctx context.Context) {
-	beat, meet := time.NewTicker(heartbeatInterval), time.NewTicker(greetInterval)
+	beat, greetTick := time.NewTicker(heartbeatInterval), time.NewTicker(greetInterval)
 	defer beat.Stop()
-	defer meet.Stop()
+	defer greetTick.Stop()
 
 	m.greetSeeds()
 
-	for round, meets := 0, 0; ; {
+	for round, greetRound := 0, 0; ; {
 		select {
 		case <-ctx.Done():
 			return
@@ -30,9 +30,9 @@
 			m.sendRound(round)
 		case <-m.wake:
 			m.sendAll()
-		case <-meet.C:
-			meets++
-			m.greetSilent(meets)
+		case <-greetTick.C:
+			greetRound++
+			m.greetSilent(greetRound)
 		}
 	}
 }
--- a/internal/cwmesh/table.go
+++ b/internal/cwmesh/table.go
@@ -58,7 +58,7 @@
 }
 
 // Rank returns the rendezvous weight of the peer's name, by which all entry VMs
-// sort each other alike.
+// sort them in the same order.
 func (p *Peer) Rank() uint64 {
 	if p.rank == 0 {
 		return cwrank.Weight(string(p.ID), "")
@@ -110,7 +110,7 @@
 func (t *Table) Self() Node { return t.self }
 
 // updatePeer applies a heartbeat of a peer of this failure domain. It returns false if the
-// peer's Node neither is known nor comes with the heartbeat.
+// peer's Node is neither known nor part of the heartbeat.
 func (t *Table) updatePeer(p Peer) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -233,8 +233,8 @@
 	return list
 }
 
-// recipients returns the peers that get heartbeats: those heard from within keepTime, and
-// those named within about as long and never heard from. It drops the others.
+// recipients returns the peers that get heartbeats: those heard from within keepTime,
+// and for nearly as long those that were named and never heard from. It deletes the others.
 func (t *Table) recipients(now time.Time) []Peer {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/cwmesh/wire.go
+++ b/internal/cwmesh/wire.go
@@ -68,7 +68,7 @@
 	return out
 }
 
-// encodeAge returns the age of a time in milliseconds and one more, or 0 for the zero time.
+// encodeAge returns the age of a time in milliseconds plus one, or 0 for the zero time.
 func encodeAge(fresh, now time.Time) uint32 {
 	if fresh.IsZero() {
 		return 0
@@ -86,7 +86,7 @@
 	return now.Add(-time.Duration(age-1) * time.Millisecond)
 }
 
-// decodeSummary decodes a summary. One that has no age has no time either.
+// decodeSummary decodes a summary. Made is the zero time if the summary was never made.
 func decodeSummary(d *cwwire.Domain, now time.Time) Summary {
 	s := Summary{
 		Domain: carobward.Domain(d.GetName()), Made: decodeAge(d.GetAge(), now),
