--- a/internal/cwpeer/calls.go
+++ b/internal/cwpeer/calls.go
@@ -8,9 +8,10 @@
 	"carobward.example/carobward"
 )
 
-// Calls calls methods of peers. Clients does it over TCP.
+// Calls sends RPCs to peers. Clients implements it over TCP.
 type Calls interface {
-	// Call calls a method of the peer at an address. The context's deadline
-	// bounds it. An error does not tell by itself whether the method ran.
+	// Call calls a method of the peer at an address and waits for its reply until
+	// the context ends. If it fails, the method may still have run, unless
+	// the error is a Failure with the verdict NotRun.
 	Call(ctx context.Context, to carobward.Address, method string, in, out proto.Message) error
 }
--- a/internal/cwpeer/client.go
+++ b/internal/cwpeer/client.go
@@ -14,13 +14,13 @@
 	"carobward.example/carobward"
 )
 
-// callTimeout bounds a call whose context has no deadline.
+// callTimeout is the timeout of a call whose context has no deadline.
 const callTimeout = time.Second
 
-// ErrClosed tells that the connections have been closed for good.
+// ErrClosed is the error of a call after Close.
 const ErrClosed = errors.ConstError("peer: closed")
 
-// Clients holds the connections to peers.
+// Clients sends RPCs to peers over one connection for each peer.
 type Clients struct {
 	key    Key
 	mutex  sync.Mutex
@@ -28,23 +28,25 @@
 	closed bool
 }
 
-// client is one connection.
+// client is the connection to one peer.
 type client struct {
 	rpc    *rpc.Client
 	stream *stream
 }
 
-// NewClients returns no connections yet.
+// NewClients returns Clients that authenticate with the key. Connections are opened
+// when needed.
 func NewClients(key Key) *Clients {
 	return &Clients{key: key, byPeer: map[carobward.Address]*client{}}
 }
 
-// Call calls a method of the peer at an address, such as "Member.Ask", with
-// protocol buffers in and out. The context's deadline bounds it.
+// Call calls a method of the peer at an address, such as "Member.Ask". It encodes in
+// as the argument and decodes the reply into out, both protocol buffers. It waits
+// until the context ends, or for callTimeout if the context has no deadline.
 //
-// The error is a carobward.Failure: NotRun if nothing of the call was handed
-// to a socket, otherwise Unknown, also for an error that the method returned,
-// which is an rpc.ServerError.
+// The error is a carobward.Failure. Its verdict is NotRun if no part of the call was
+// written to a socket, and Unknown otherwise. It is also Unknown if the method
+// returned an error, which is then an rpc.ServerError.
 func (c *Clients) Call(ctx context.Context, to carobward.Address, method string, in, out proto.Message) error {
 	if _, ok := ctx.Deadline(); !ok {
 		limited, cancel := context.WithTimeout(ctx, callTimeout)
@@ -53,46 +55,46 @@
 		ctx = limited
 	}
 
-	err := c.once(ctx, to, method, in, out)
+	err := c.callOnce(ctx, to, method, in, out)
 	if carobward.VerdictOf(err) == carobward.NotRun && errors.Is(err, rpc.ErrShutdown) {
-		// The peer had closed the kept connection. Nothing was sent.
-		err = c.once(ctx, to, method, in, out)
+		// The peer had closed the open connection before anything was sent.
+		err = c.callOnce(ctx, to, method, in, out)
 	}
 
 	return err
 }
 
-// Close ends all connections for good.
+// Close closes all connections. Later calls fail.
 func (c *Clients) Close() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 
-	for _, l := range c.byPeer {
-		_ = l.rpc.Close()
+	for _, cl := range c.byPeer {
+		_ = cl.rpc.Close()
 	}
 
 	c.closed, c.byPeer = true, nil
 }
 
-func (c *Clients) once(ctx context.Context, to carobward.Address, method string, in, out proto.Message) error {
-	l, err := c.client(ctx, to)
+func (c *Clients) callOnce(ctx context.Context, to carobward.Address, method string, in, out proto.Message) error {
+	cl, err := c.client(ctx, to)
 	if err != nil {
 		return failure(carobward.NotRun, err)
 	}
 
-	// A late reply is decoded into a message of its own, never into one that
-	// the caller has taken back.
+	// The reply is decoded into a separate message: if it arrives after Call has
+	// returned, out belongs to the caller again.
 	o, reply := &outgoing{message: in}, out.ProtoReflect().New().Interface()
-	before := l.stream.received.Load()
-	call := l.rpc.Go(method, o, reply, make(chan *rpc.Call, 1))
+	before := cl.stream.received.Load()
+	call := cl.rpc.Go(method, o, reply, make(chan *rpc.Call, 1))
 
 	select {
 	case <-call.Done:
 	case <-ctx.Done():
-		// One slow call does not cost the others their connection, unless
-		// nothing at all has come in meanwhile.
-		if errors.Is(ctx.Err(), context.DeadlineExceeded) && l.stream.received.Load() == before {
-			c.drop(to, l)
+		// A single slow call does not close the connection, which other calls
+		// share. It is closed only if no message at all has arrived meanwhile.
+		if errors.Is(ctx.Err(), context.DeadlineExceeded) && cl.stream.received.Load() == before {
+			c.drop(to, cl)
 		}
 
 		return failure(carobward.Unknown, ctx.Err())
@@ -107,7 +109,7 @@
 
 	var answered rpc.ServerError
 	if !errors.As(call.Error, &answered) {
-		c.drop(to, l)
+		c.drop(to, cl)
 	}
 
 	if !o.sent.Load() {
@@ -123,14 +125,14 @@
 
 func (c *Clients) client(ctx context.Context, to carobward.Address) (*client, error) {
 	c.mutex.Lock()
-	l := c.byPeer[to]
+	cl := c.byPeer[to]
 	c.mutex.Unlock()
 
-	if l != nil {
-		return l, nil
+	if cl != nil {
+		return cl, nil
 	}
 
-	l, err := c.dial(ctx, to)
+	cl, err := c.dial(ctx, to)
 	if err != nil {
 		return nil, err
 	}
@@ -139,24 +141,24 @@
 	defer c.mutex.Unlock()
 
 	if c.closed {
-		_ = l.rpc.Close()
+		_ = cl.rpc.Close()
 
 		return nil, ErrClosed
 	}
 
 	if other := c.byPeer[to]; other != nil {
-		_ = l.rpc.Close()
+		_ = cl.rpc.Close()
 
 		return other, nil
 	}
 
-	c.byPeer[to] = l
+	c.byPeer[to] = cl
 
-	return l, nil
+	return cl, nil
 }
 
 func (c *Clients) dial(ctx context.Context, to carobward.Address) (*client, error) {
-	d := net.Dialer{Timeout: greetTimeout}
+	d := net.Dialer{Timeout: handshakeTimeout}
 
 	n, err := d.DialContext(ctx, "tcp", string(to))
 	if err != nil {
@@ -164,7 +166,7 @@
 	}
 
 	s := newStream(n)
-	if err := c.greet(n, s); err != nil {
+	if err := c.handshake(n, s); err != nil {
 		_ = n.Close()
 
 		return nil, err
@@ -173,21 +175,21 @@
 	return &client{rpc: rpc.NewClientWithCodec(&clientCodec{s}), stream: s}, nil
 }
 
-func (c *Clients) greet(n net.Conn, s *stream) error {
+func (c *Clients) handshake(n net.Conn, s *stream) error {
 	if !c.key.allows(n.RemoteAddr()) {
 		return ErrLoopback
 	}
 
-	return greet(n, s, c.key.greetServer)
+	return handshake(n, s, c.key.clientHandshake)
 }
 
-func (c *Clients) drop(to carobward.Address, l *client) {
-	_ = l.rpc.Close()
+func (c *Clients) drop(to carobward.Address, cl *client) {
+	_ = cl.rpc.Close()
 
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 
-	if c.byPeer[to] == l {
+	if c.byPeer[to] == cl {
 		delete(c.byPeer, to)
 	}
 }
--- a/internal/cwpeer/codec.go
+++ b/internal/cwpeer/codec.go
@@ -1,5 +1,6 @@
-// Package cwpeer talks to the other entry VMs: net/rpc with protocol buffers
-// on the wire, after both sides have proved that they have the same key.
+// Package cwpeer implements RPC between entry VMs: net/rpc with protocol buffers
+// over TCP, after a mutual authentication with a shared key. It also authenticates
+// datagrams and holds the table of known peers.
 package cwpeer
 
 import (
@@ -16,21 +17,22 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// The bounds of one message.
+// Limits on one message: its size in bytes and the time to write it.
 const (
 	maxMessage   = 4 << 20
 	writeTimeout = time.Second
 )
 
-// ErrType tells that net/rpc was given a value that is no protocol buffer.
-const ErrType = errors.ConstError("peer: not a protocol buffer")
+// ErrNotMessage is the error of a net/rpc argument or reply that is not a protocol
+// buffer.
+const ErrNotMessage = errors.ConstError("peer: not a protocol buffer")
 
-// stream writes and reads delimited messages.
+// stream reads and writes length-delimited messages on a connection.
 type stream struct {
 	net.Conn
 	reader *bufio.Reader
 	writer *bufio.Writer
-	// received counts the messages that have come in.
+	// received is the number of messages that have been read.
 	received atomic.Uint64
 }
 
@@ -38,7 +40,8 @@
 	return &stream{Conn: c, reader: bufio.NewReader(c), writer: bufio.NewWriter(c)}
 }
 
-// write sends messages in one go. A peer that does not read is given up.
+// write sends messages with a single flush. It fails after writeTimeout if the peer
+// does not read.
 func (s *stream) write(all ...proto.Message) error {
 	if err := s.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
@@ -53,8 +56,8 @@
 	return s.writer.Flush()
 }
 
-func (s *stream) read(m proto.Message, most int64) error {
-	o := protodelim.UnmarshalOptions{MaxSize: most}
+func (s *stream) read(m proto.Message, maxSize int64) error {
+	o := protodelim.UnmarshalOptions{MaxSize: maxSize}
 	if err := o.UnmarshalFrom(s.reader, m); err != nil {
 		return err
 	}
@@ -71,20 +74,20 @@
 }
 
 func (s *stream) body(body any) error {
-	if body == nil { // net/rpc throws the body away.
+	if body == nil { // net/rpc passes nil to discard the body.
 		return s.read(&cwwire.Head{}, maxMessage)
 	}
 
 	m, ok := body.(proto.Message)
 	if !ok {
-		return ErrType
+		return ErrNotMessage
 	}
 
 	return s.read(m, maxMessage)
 }
 
-// serverCodec is the rpc.ServerCodec of a stream. It reads no further call
-// while as many run as there are slots.
+// serverCodec is the rpc.ServerCodec of a stream. It limits the calls that run at
+// the same time: while all slots are in use, no further call is read.
 type serverCodec struct {
 	*stream
 	slots chan struct{}
@@ -96,7 +99,7 @@
 		return err
 	}
 
-	// Each header that is read gets one response, which frees the slot.
+	// net/rpc writes one response for each header read, which frees the slot.
 	c.slots <- struct{}{}
 
 	r.ServiceMethod, r.Seq = head.Method, head.Seq
@@ -117,8 +120,8 @@
 	return c.write(&cwwire.Head{Method: r.ServiceMethod, Seq: r.Seq, Error: r.Error}, m)
 }
 
-// outgoing is a call's argument that notes whether it was handed to the
-// socket.
+// outgoing is the argument of a call. It records whether the call has been passed
+// to the socket.
 type outgoing struct {
 	message proto.Message
 	sent    atomic.Bool
@@ -130,7 +133,7 @@
 func (c *clientCodec) WriteRequest(r *rpc.Request, body any) error {
 	o, ok := body.(*outgoing)
 	if !ok {
-		return ErrType
+		return ErrNotMessage
 	}
 
 	o.sent.Store(true)
--- a/internal/cwpeer/greet.go
+++ b/internal/cwpeer/greet.go
@@ -10,20 +10,21 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// The bounds of a connection whose other side is not known yet.
+// Limits on a connection before its peer is authenticated: the time for the
+// handshake, and the size of its messages in bytes.
 const (
-	greetTimeout = time.Second
-	maxGreeting  = 128
+	handshakeTimeout    = time.Second
+	maxHandshakeMessage = 128
 )
 
-// greet proves each side to the other before anything else is read. Fresh
-// nonces of both sides go into both proofs, so that no proof can be replayed.
+// handshake authenticates both sides to each other before any call is read. Both
+// proofs cover fresh nonces of both sides, so that they can't be replayed.
 //
 //	client: nonce
 //	server: nonce, proof
 //	client: proof
-func greet(c net.Conn, s *stream, side func(*stream) error) error {
-	if err := c.SetDeadline(time.Now().Add(greetTimeout)); err != nil {
+func handshake(c net.Conn, s *stream, side func(*stream) error) error {
+	if err := c.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return errors.Annotate(err, "peer")
 	}
 
@@ -34,8 +35,8 @@
 	return errors.Annotate(c.SetDeadline(time.Time{}), "peer")
 }
 
-// greetServer is the side of the peer that dialled.
-func (k Key) greetServer(s *stream) error {
+// clientHandshake runs the handshake on the side that opened the connection.
+func (k Key) clientHandshake(s *stream) error {
 	nonce := newNonce()
 
 	if err := s.write(&cwwire.Challenge{Nonce: nonce}); err != nil {
@@ -47,15 +48,15 @@
 		return err
 	}
 
-	if len(answer.Nonce) != nonceSize || !hmac.Equal(answer.Proof, k.sum(labelServer, nonce, answer.Nonce)) {
+	if len(answer.Nonce) != nonceSize || !hmac.Equal(answer.Proof, k.mac(labelServer, nonce, answer.Nonce)) {
 		return ErrKey
 	}
 
-	return s.write(&cwwire.Challenge{Proof: k.sum(labelClient, nonce, answer.Nonce)})
+	return s.write(&cwwire.Challenge{Proof: k.mac(labelClient, nonce, answer.Nonce)})
 }
 
-// greetClient is the side of the peer that accepted.
-func (k Key) greetClient(s *stream) error {
+// serverHandshake runs the handshake on the side that accepted the connection.
+func (k Key) serverHandshake(s *stream) error {
 	first, err := readChallenge(s)
 	if err != nil {
 		return err
@@ -66,7 +67,7 @@
 	}
 
 	nonce := newNonce()
-	if err := s.write(&cwwire.Challenge{Nonce: nonce, Proof: k.sum(labelServer, first.Nonce, nonce)}); err != nil {
+	if err := s.write(&cwwire.Challenge{Nonce: nonce, Proof: k.mac(labelServer, first.Nonce, nonce)}); err != nil {
 		return err
 	}
 
@@ -75,7 +76,7 @@
 		return err
 	}
 
-	if !hmac.Equal(last.Proof, k.sum(labelClient, first.Nonce, nonce)) {
+	if !hmac.Equal(last.Proof, k.mac(labelClient, first.Nonce, nonce)) {
 		return ErrKey
 	}
 
@@ -85,5 +86,5 @@
 func readChallenge(s *stream) (*cwwire.Challenge, error) {
 	m := &cwwire.Challenge{}
 
-	return m, s.read(m, maxGreeting)
+	return m, s.read(m, maxHandshakeMessage)
 }
--- a/internal/cwpeer/greet_test.go
+++ b/internal/cwpeer/greet_test.go
@@ -24,20 +24,20 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-const errFull = errors.ConstError("the echo is full")
+const errRefused = errors.ConstError("request refused")
 
-// echo answers with the id that it was asked with. One that is asked to hold says so and
-// answers once held is closed.
-type echo struct{ holds, held chan struct{} }
+// echo is a service that returns the id of the request. A request with the id "hold" is
+// signalled on blocked and answered once unblock is closed.
+type echo struct{ blocked, unblock chan struct{} }
 
 func (e *echo) Ask(in *cwwire.Ask, out *cwwire.Members) error {
 	switch in.GetId() {
 	case "refuse":
-		return errFull
+		return errRefused
 	case "hold":
-		e.holds <- struct{}{}
+		e.blocked <- struct{}{}
 
-		<-e.held
+		<-e.unblock
 	}
 
 	out.Members = []*cwwire.Member{{Id: in.GetId()}}
@@ -48,7 +48,7 @@
 func serve(t *testing.T, key, address string) carobward.Address {
 	t.Helper()
 
-	return serveEcho(t, key, address, &echo{holds: make(chan struct{}, 1), held: make(chan struct{})})
+	return serveEcho(t, key, address, &echo{blocked: make(chan struct{}, 1), unblock: make(chan struct{})})
 }
 
 func serveEcho(t *testing.T, key, address string, e *echo) carobward.Address {
@@ -68,7 +68,7 @@
 
 	group.Go(func() { _ = s.Serve(ln) })
 	t.Cleanup(func() {
-		close(e.held)
+		close(e.unblock)
 		_ = ln.Close()
 		s.Close()
 		group.Wait()
@@ -97,12 +97,12 @@
 		verdict            carobward.Verdict
 		is                 error
 	}{
-		"same key":            {server: "k", client: "k", id: "a", want: "a"},
-		"no key, on loopback": {id: "a", want: "a"},
-		"another key":         {server: "k", client: "l", id: "a", verdict: carobward.NotRun, is: cwpeer.ErrKey},
-		"no key at the asker": {server: "k", id: "a", verdict: carobward.NotRun, is: cwpeer.ErrKey},
-		"no key at the asked": {client: "k", id: "a", verdict: carobward.NotRun, is: cwpeer.ErrKey},
-		"the method refuses":  {server: "k", client: "k", id: "refuse", verdict: carobward.Unknown, is: rpc.ServerError(errFull)},
+		"same key":              {server: "k", client: "k", id: "a", want: "a"},
+		"no key, on loopback":   {id: "a", want: "a"},
+		"another key":           {server: "k", client: "l", id: "a", verdict: carobward.NotRun, is: cwpeer.ErrKey},
+		"no key at the client":  {server: "k", id: "a", verdict: carobward.NotRun, is: cwpeer.ErrKey},
+		"no key at the server":  {client: "k", id: "a", verdict: carobward.NotRun, is: cwpeer.ErrKey},
+		"error from the method": {server: "k", client: "k", id: "refuse", verdict: carobward.Unknown, is: rpc.ServerError(errRefused)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			to := serve(t, tt.server, local)
@@ -112,7 +112,7 @@
 
 			got, err := ask(context.Background(), c, to, tt.id)
 			if diff := cmp.Diff(tt.want, got); diff != "" || !errors.Is(err, tt.is) {
-				t.Errorf("answer %s, error %v, want %v", diff, err, tt.is)
+				t.Errorf("reply (-want +got): %s, error %v, want %v", diff, err, tt.is)
 			}
 
 			if v := carobward.VerdictOf(err); err != nil && v != tt.verdict {
@@ -122,10 +122,10 @@
 	}
 }
 
-// TestCallVerdict tells calls that were never sent from those that may have
-// arrived.
+// TestCallVerdict verifies that a call that was never sent has the verdict not-run, and
+// one that may have arrived the verdict unknown.
 func TestCallVerdict(t *testing.T) {
-	e := &echo{holds: make(chan struct{}, 1), held: make(chan struct{})}
+	e := &echo{blocked: make(chan struct{}, 1), unblock: make(chan struct{})}
 	to := serveEcho(t, "k", "127.0.0.1:0", e)
 	c := cwpeer.NewClients(cwpeer.Key("k"))
 
@@ -135,29 +135,30 @@
 
 	group.Go(func() {
 		if _, err := ask(ctx, c, to, "hold"); carobward.VerdictOf(err) != carobward.Unknown {
-			t.Errorf("a call that was held: %v", err)
+			t.Errorf("verdict of a blocked call that was cancelled: %v", err)
 		}
 	})
-	cwtest.Wait(t, "an answer beside the held call", func() bool {
+	cwtest.Wait(t, "a reply while another call is blocked", func() bool {
 		got, err := ask(context.Background(), c, to, "b")
 
 		return err == nil && got == "b"
 	})
 
-	// A call that never arrived would be not-run, and rightly so.
-	<-e.holds
+	// Wait until the call has arrived: one cancelled before would correctly be
+	// not-run.
+	<-e.blocked
 	cancel()
 	group.Wait()
 	c.Close()
 
 	if _, err := ask(context.Background(), c, to, "c"); carobward.VerdictOf(err) != carobward.NotRun {
-		t.Errorf("a call after the end: %v", err)
+		t.Errorf("call after Close: %v", err)
 	}
 }
 
-// TestCallRestarted asks a peer that was replaced on the same address since
-// the last call. A call that meets the end of the old connection may have
-// arrived; the next one is answered.
+// TestCallRestarted calls a peer that has restarted on the same address since the last
+// call. A call that fails because the old connection was closed may have arrived; a
+// later one must succeed.
 func TestCallRestarted(t *testing.T) {
 	c := cwpeer.NewClients(cwpeer.Key("k"))
 	defer c.Close()
@@ -169,7 +170,7 @@
 			to := serve(t, "k", address)
 			address = string(to)
 
-			cwtest.Wait(t, "an answer of the new run", func() bool {
+			cwtest.Wait(t, "a reply of the restarted peer", func() bool {
 				got, err := ask(context.Background(), c, to, "a")
 
 				return err == nil && got == "a"
@@ -178,16 +179,16 @@
 	}
 }
 
-// TestStrangers says nothing, too much or a replayed proof, and must be
-// closed out in bounded time.
+// TestStrangers sends nothing or an invalid first message. The server must close the
+// connection within a bounded time and send nothing.
 func TestStrangers(t *testing.T) {
 	to := serve(t, "k", "127.0.0.1:0")
 
-	for name, said := range map[string][]byte{
-		"nothing":          nil,
-		"a huge message":   {0xff, 0xff, 0xff, 0x7f, 1, 2, 3},
-		"another protocol": []byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n"),
-		"a short nonce":    {3, 0x0a, 1, 7},
+	for name, sent := range map[string][]byte{
+		"nothing":             nil,
+		"a too large message": {0xff, 0xff, 0xff, 0x7f, 1, 2, 3},
+		"another protocol":    []byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n"),
+		"a short nonce":       {3, 0x0a, 1, 7},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -199,18 +200,19 @@
 
 			defer func() { _ = n.Close() }()
 
-			_, _ = n.Write(said)
+			_, _ = n.Write(sent)
 			_ = n.SetReadDeadline(time.Now().Add(cwtest.WaitMost))
 
 			got, err := io.ReadAll(n)
 			if len(got) > 0 || errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Errorf("the server said %q, %v", got, err)
+				t.Errorf("the server sent %q, error %v", got, err)
 			}
 		})
 	}
 }
 
-// TestIntruder greets well but proves nothing, then calls all the same.
+// TestIntruder sends a valid nonce but an invalid proof, then a call. The server must
+// not answer the call.
 func TestIntruder(t *testing.T) {
 	to := serve(t, "k", "127.0.0.1:0")
 
@@ -238,19 +240,19 @@
 		t.Fatal(err)
 	}
 
-	// Its own proof, sent back, is none.
+	// The server's own proof must not be accepted as the client's.
 	send(&cwwire.Challenge{Proof: challenge.GetProof()})
 	send(&cwwire.Head{Method: "Echo.Ask", Seq: 1})
 	send(&cwwire.Ask{Id: "a"})
 
 	if got, err := io.ReadAll(in); len(got) > 0 || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the server said %q, %v", got, err)
+		t.Errorf("the server sent %q, error %v", got, err)
 	}
 }
 
 func TestDatagram(t *testing.T) {
-	local := &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 7}
-	far := &net.UDPAddr{IP: net.IPv4(10, 0, 0, 1), Port: 7}
+	loopback := &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 7}
+	remote := &net.UDPAddr{IP: net.IPv4(10, 0, 0, 1), Port: 7}
 	sealed := cwpeer.Key("k").Seal([]byte("news"))
 
 	changed := append([]byte(nil), sealed...)
@@ -262,12 +264,12 @@
 		from net.Addr
 		is   error
 	}{
-		"same key":     {"k", sealed, far, nil},
-		"another key":  {"l", sealed, far, cwpeer.ErrDatagram},
-		"changed":      {"k", changed, far, cwpeer.ErrDatagram},
-		"cut":          {"k", sealed[:7], far, cwpeer.ErrDatagram},
-		"no key, far":  {"", cwpeer.Key("").Seal([]byte("news")), far, cwpeer.ErrLoopback},
-		"no key, near": {"", cwpeer.Key("").Seal([]byte("news")), local, nil},
+		"same key":         {"k", sealed, remote, nil},
+		"another key":      {"l", sealed, remote, cwpeer.ErrDatagram},
+		"changed":          {"k", changed, remote, cwpeer.ErrDatagram},
+		"truncated":        {"k", sealed[:7], remote, cwpeer.ErrDatagram},
+		"no key, remote":   {"", cwpeer.Key("").Seal([]byte("news")), remote, cwpeer.ErrLoopback},
+		"no key, loopback": {"", cwpeer.Key("").Seal([]byte("news")), loopback, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, err := cwpeer.Key(tt.key).Open(tt.raw, tt.from)
@@ -287,7 +289,7 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		got, err := k.Open(raw, from)
 		if err == nil && cmp.Diff(raw, k.Seal(append([]byte(nil), got...))) != "" {
-			t.Error("opened what it would not have sealed")
+			t.Error("opened a datagram that Seal would not produce")
 		}
 	})
 }
--- a/internal/cwpeer/key.go
+++ b/internal/cwpeer/key.go
@@ -10,33 +10,33 @@
 	"github.com/juju/errors"
 )
 
-// Key is what all entry VMs share and prove to each other. An empty key is
-// good for loopback only.
+// Key is the secret that all entry VMs share and authenticate with. An empty key
+// allows only loopback addresses.
 type Key []byte
 
-// The sizes of the authentication, in bytes. A tag may be half of the hash,
-// RFC 2104, section 5.
+// Sizes of nonces and of datagram tags in bytes. An HMAC may be truncated to half of
+// its length, RFC 2104, section 5.
 const (
 	nonceSize = 32
 	tagSize   = sha256.Size / 2
 )
 
-// The labels keep one side's proof from passing for the other's, and a
-// proof from passing for a tag.
+// Labels for domain separation: the proof of one side is not valid as the proof of the
+// other side or as the tag of a datagram.
 const (
 	labelServer   = "carobward peer server"
 	labelClient   = "carobward peer client"
 	labelDatagram = "carobward peer datagram"
 )
 
-// The errors of authentication.
+// Errors of authentication.
 const (
 	ErrKey      = errors.ConstError("peer: the other side has another key")
 	ErrLoopback = errors.ConstError("peer: without a key only loopback is allowed")
 	ErrDatagram = errors.ConstError("peer: the datagram is too short or has a wrong tag")
 )
 
-func (k Key) sum(label string, parts ...[]byte) []byte {
+func (k Key) mac(label string, parts ...[]byte) []byte {
 	h := hmac.New(sha256.New, k)
 	h.Write([]byte(label))
 
@@ -47,7 +47,8 @@
 	return h.Sum(nil)
 }
 
-// allows tells whether this key may be used with an address.
+// allows reports whether this key may be used with an address. An empty key may be
+// used with loopback addresses only.
 func (k Key) allows(a net.Addr) bool {
 	if len(k) > 0 {
 		return true
@@ -58,13 +59,13 @@
 	return err == nil && ap.Addr().Unmap().IsLoopback()
 }
 
-// Seal appends a tag to a datagram.
+// Seal appends an authentication tag to a datagram.
 func (k Key) Seal(raw []byte) []byte {
-	return append(raw, k.sum(labelDatagram, raw)[:tagSize]...)
+	return append(raw, k.mac(labelDatagram, raw)[:tagSize]...)
 }
 
-// Open returns a datagram without its tag, or an error if the tag was not
-// made with this key, or if the sender is not one that the key is good for.
+// Open returns a datagram without its tag. It fails if the tag was not made with this
+// key, or if the key may not be used with the sender's address.
 func (k Key) Open(sealed []byte, from net.Addr) ([]byte, error) {
 	if !k.allows(from) {
 		return nil, ErrLoopback
@@ -75,7 +76,7 @@
 	}
 
 	raw, tag := sealed[:len(sealed)-tagSize], sealed[len(sealed)-tagSize:]
-	if !hmac.Equal(tag, k.sum(labelDatagram, raw)[:tagSize]) {
+	if !hmac.Equal(tag, k.mac(labelDatagram, raw)[:tagSize]) {
 		return nil, ErrDatagram
 	}
 
@@ -84,7 +85,7 @@
 
 func newNonce() []byte {
 	n := make([]byte, nonceSize)
-	_, _ = rand.Read(n) // It never fails, see crypto/rand.
+	_, _ = rand.Read(n) // Never returns an error, see crypto/rand.
 
 	return n
 }
--- a/internal/cwpeer/server.go
+++ b/internal/cwpeer/server.go
@@ -10,42 +10,44 @@
 	"github.com/sourcegraph/conc"
 )
 
-// The bounds of a Server.
+// Limits of a Server.
 const (
-	connsMost = 1024
-	// greetMost bounds the connections whose other side is not known yet.
-	greetMost = 128
-	// callsMost bounds the calls that run at once for one connection.
-	callsMost = 256
+	maxConns = 1024
+	// maxHandshakes is the maximum number of connections that are not
+	// authenticated yet.
+	maxHandshakes = 128
+	// maxCallsPerConn is the maximum number of calls of one connection that run at
+	// the same time.
+	maxCallsPerConn = 256
 )
 
-// Server answers peers.
+// Server serves RPCs of peers.
 type Server struct {
-	key   Key
-	rpc   *rpc.Server
-	log   logr.Logger
-	greet chan struct{}
-	mutex sync.Mutex
+	key        Key
+	rpc        *rpc.Server
+	log        logr.Logger
+	handshakes chan struct{}
+	mutex      sync.Mutex
 	// conns is nil once the server is closed.
 	conns map[net.Conn]bool
 }
 
-// NewServer returns a server that lets in who has the key.
+// NewServer returns a Server that accepts peers with the same key.
 func NewServer(key Key, log logr.Logger) *Server {
 	return &Server{
 		key: key, rpc: rpc.NewServer(), log: log.WithName("peer"),
-		greet: make(chan struct{}, greetMost), conns: map[net.Conn]bool{},
+		handshakes: make(chan struct{}, maxHandshakes), conns: map[net.Conn]bool{},
 	}
 }
 
-// Register adds a service whose methods peers may call. Arguments and replies
-// are protocol buffers. It must be called before Serve.
+// Register adds a service whose methods peers may call. Their arguments and replies
+// must be protocol buffers. Register must be called before Serve.
 func (s *Server) Register(name string, service any) error {
 	return errors.Annotate(s.rpc.RegisterName(name, service), "peer")
 }
 
-// Serve answers peers on the listener until it is closed, and returns once
-// all connections have ended.
+// Serve accepts connections on the listener until the listener is closed. It returns
+// once all connections have ended.
 func (s *Server) Serve(ln net.Listener) error {
 	if !s.key.allows(ln.Addr()) {
 		return ErrLoopback
@@ -70,8 +72,7 @@
 	}
 }
 
-// Close ends all connections and refuses new ones. The listener is closed by
-// who opened it.
+// Close closes all connections and rejects new ones. It does not close the listener.
 func (s *Server) Close() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -87,12 +88,12 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
-	if s.conns == nil || len(s.conns) >= connsMost || !s.key.allows(c.RemoteAddr()) {
+	if s.conns == nil || len(s.conns) >= maxConns || !s.key.allows(c.RemoteAddr()) {
 		return false
 	}
 
 	select {
-	case s.greet <- struct{}{}:
+	case s.handshakes <- struct{}{}:
 		s.conns[c] = true
 
 		return true
@@ -104,9 +105,9 @@
 func (s *Server) serve(c net.Conn) {
 	defer s.remove(c)
 
-	t := newStream(c)
-	err := greet(c, t, s.key.greetClient)
-	<-s.greet
+	st := newStream(c)
+	err := handshake(c, st, s.key.serverHandshake)
+	<-s.handshakes
 
 	if err != nil {
 		s.log.Info("A connection was refused.", "from", c.RemoteAddr().String(), "cause", err.Error())
@@ -114,7 +115,7 @@
 		return
 	}
 
-	s.rpc.ServeCodec(&serverCodec{stream: t, slots: make(chan struct{}, callsMost)})
+	s.rpc.ServeCodec(&serverCodec{stream: st, slots: make(chan struct{}, maxCallsPerConn)})
 }
 
 func (s *Server) remove(c net.Conn) {
--- a/internal/cwpeer/silent_test.go
+++ b/internal/cwpeer/silent_test.go
@@ -12,8 +12,8 @@
 )
 
 // TestSilent lets the open connection to a peer go silent without a reset, while new
-// ones work. The call that meets it ends by its time limit, and the next call is
-// answered.
+// connections work. The next call must time out and close the connection, so that the
+// call after it succeeds.
 func TestSilent(t *testing.T) {
 	const limit = 100 * time.Millisecond
 
@@ -37,10 +37,10 @@
 	proxy.Silence()
 
 	if err := ask(limit); err == nil {
-		t.Fatal("a silent connection answered")
+		t.Fatal("a call over the silent connection succeeded")
 	}
 
 	if err := ask(10 * time.Second); err != nil {
-		t.Errorf("after the silence: %v", err)
+		t.Errorf("call after the timeout: %v", err)
 	}
 }
--- a/internal/cwpeer/table.go
+++ b/internal/cwpeer/table.go
@@ -10,16 +10,16 @@
 	"carobward.example/carobward"
 )
 
-// Table holds this entry VM and what it knows of the others.
+// Table holds the state of this entry VM and the peers that it knows.
 type Table struct {
 	mutex sync.Mutex
 	self  carobward.Peer
 	peers map[carobward.VMID]carobward.Peer
-	// all is the sorted whole, so that reading takes no lock.
+	// all is a sorted copy of self and all peers, so that reads need no lock.
 	all atomic.Pointer[[]carobward.Peer]
 }
 
-// NewTable returns a table that knows only this entry VM.
+// NewTable returns a table with only this entry VM.
 func NewTable(self carobward.Peer) *Table {
 	t := &Table{self: self, peers: map[carobward.VMID]carobward.Peer{}}
 	t.publish()
@@ -35,7 +35,8 @@
 	return t.self
 }
 
-// SetRevision notes the configuration in force here.
+// SetRevision sets the revision of the configuration that is effective on this entry
+// VM.
 func (t *Table) SetRevision(r carobward.Revision) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -46,7 +47,7 @@
 	}
 }
 
-// SetSelf replaces what is known of this entry VM, but for its revision.
+// SetSelf replaces the state of this entry VM, except for its revision.
 func (t *Table) SetSelf(p carobward.Peer) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -56,7 +57,8 @@
 	t.publish()
 }
 
-// Heard takes what is known of one peer. A lower incarnation is passed over.
+// Heard updates one peer and sets when it was last seen. A state with a lower
+// incarnation than the known one is ignored.
 func (t *Table) Heard(p carobward.Peer, now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -66,7 +68,8 @@
 	t.publish()
 }
 
-// Replace takes all peers anew; those left out are forgotten.
+// Replace replaces the list of peers. Peers that are not in the new list are removed,
+// and the known state of a peer is kept if it has a higher incarnation.
 func (t *Table) Replace(all []carobward.Peer) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -75,8 +78,8 @@
 	t.peers = make(map[carobward.VMID]carobward.Peer, len(all))
 
 	for _, p := range all {
-		if b, ok := before[p.ID]; ok {
-			t.put(b)
+		if known, ok := before[p.ID]; ok {
+			t.put(known)
 		}
 
 		t.put(p)
@@ -103,5 +106,5 @@
 	t.all.Store(&all)
 }
 
-// All returns this entry VM and all that it knows, sorted by id.
+// All returns this entry VM and all known peers, sorted by id.
 func (t *Table) All() []carobward.Peer { return slices.Clone(*t.all.Load()) }
