--- a/internal/cwframe/check.go
+++ b/internal/cwframe/check.go
@@ -1,6 +1,7 @@
-// Package cwframe checks the header block of an HTTP/1.1 message more
-// strictly than the HTTP library does. Where two readers could disagree on
-// which bytes belong to a message, the message is refused.
+// Package cwframe validates the header block of an HTTP/1.1 message more strictly
+// than the HTTP library does. It rejects messages whose framing is ambiguous, where
+// two parsers could disagree on which bytes belong to the message (request
+// smuggling). It also copies header fields out of the library's buffers.
 package cwframe
 
 import (
@@ -9,7 +10,7 @@
 	"github.com/juju/errors"
 )
 
-// The errors of a header block that two readers could understand differently.
+// Errors of a header block that two parsers could read differently.
 const (
 	ErrLine   = errors.ConstError("frame: a header line does not end in CRLF")
 	ErrFold   = errors.ConstError("frame: a header line is folded")
@@ -22,9 +23,9 @@
 	transferEncoding = []byte("transfer-encoding")
 )
 
-// Check looks at the lines of a header block after its start line: each ends
-// in CRLF, none is folded, names are tokens, and the body's length is given
-// at most once. See RFC 9112, 5.1, 5.2 and 6.3.
+// Check validates the lines of a header block without its start line: each must end
+// in CRLF, none may be folded, names must be tokens, and there must be at most one
+// Content-Length or Transfer-Encoding. See RFC 9112, 5.1, 5.2 and 6.3.
 func Check(block []byte) error {
 	lengths := 0
 
@@ -81,13 +82,13 @@
 	return line[:colon], nil
 }
 
-// token has the bytes of a token, RFC 9110, 5.6.2.
+// token is the set of bytes allowed in a token, RFC 9110, 5.6.2.
 var token = func() (t [256]bool) {
-	const marks = "!#$%&'*+-.^_`|~"
+	const special = "!#$%&'*+-.^_`|~"
 
 	for b := range t {
 		c := byte(b)
-		t[b] = c >= '0' && c <= '9' || c|0x20 >= 'a' && c|0x20 <= 'z' || bytes.IndexByte([]byte(marks), c) >= 0
+		t[b] = c >= '0' && c <= '9' || c|0x20 >= 'a' && c|0x20 <= 'z' || bytes.IndexByte([]byte(special), c) >= 0
 	}
 
 	return t
--- a/internal/cwframe/copy.go
+++ b/internal/cwframe/copy.go
@@ -7,10 +7,10 @@
 	"carobward.example/carobward"
 )
 
-// span is where a field's name and value end in the text.
+// span holds the offsets in the text at which a field's name and value end.
 type span struct{ name, value int }
 
-// copier collects fields before their text is fixed.
+// copier collects the text of fields before it is converted to one string.
 type copier struct {
 	text  []byte
 	spans []span
@@ -18,11 +18,11 @@
 
 var copiers = sync.Pool{New: func() any { return new(copier) }}
 
-// copierMost bounds the text in bytes that a pooled copier keeps.
-const copierMost = 64 << 10
+// maxPooledText is the maximum capacity in bytes of the text of a pooled copier.
+const maxPooledText = 64 << 10
 
-// Copy copies the fields that keep wants into a Header of their own, since
-// the HTTP library uses its buffers again. All text lies in one string.
+// Copy copies the fields for whose names keep returns true into a new Header, since
+// the HTTP library reuses its buffers. All names and values share one string.
 func Copy(all iter.Seq2[[]byte, []byte], keep func(name []byte) bool) carobward.Header {
 	c, _ := copiers.Get().(*copier)
 	c.text, c.spans = c.text[:0], c.spans[:0]
@@ -37,7 +37,7 @@
 
 	h := c.header()
 
-	if cap(c.text) <= copierMost {
+	if cap(c.text) <= maxPooledText {
 		copiers.Put(c)
 	}
 
@@ -64,5 +64,5 @@
 	return fields
 }
 
-// All is a keep that wants every field.
+// All is a filter for Copy that keeps every field.
 func All([]byte) bool { return true }
--- a/internal/cwframe/copy_test.go
+++ b/internal/cwframe/copy_test.go
@@ -9,7 +9,8 @@
 	"carobward.example/carobward"
 )
 
-// TestCopy keeps what was copied when the library's buffers change.
+// TestCopy verifies that copied fields stay the same when the library's buffers
+// change.
 func TestCopy(t *testing.T) {
 	var h fasthttp.RequestHeader
 
@@ -29,6 +30,6 @@
 	}
 
 	if len(other) != 3 || len(Copy(h.All(), func([]byte) bool { return false })) != 0 {
-		t.Errorf("%v", other)
+		t.Errorf("copy of all fields: %v", other)
 	}
 }
--- a/internal/cwframe/hop.go
+++ b/internal/cwframe/hop.go
@@ -1,8 +1,7 @@
 package cwframe
 
-// hopByHop lists the fields that concern one connection only, RFC 9110, 7.6.1,
-// and those that a message gets anew for its next connection, as the HTTP
-// library spells them.
+// hopByHop lists the hop-by-hop fields, RFC 9110, 7.6.1, and the fields that are
+// generated anew for each connection, in the spelling of the HTTP library.
 var hopByHop = map[string]bool{
 	"Connection":          true,
 	"Keep-Alive":          true,
@@ -18,6 +17,6 @@
 	"Expect":              true,
 }
 
-// HopByHop tells whether a field is not passed on from one connection to the
-// next. The name is in canonical form, such as Content-Length.
+// HopByHop reports whether a field must not be forwarded. The name must be in
+// canonical form, such as Content-Length.
 func HopByHop(name string) bool { return hopByHop[name] }
--- a/internal/cwframe/timeout.go
+++ b/internal/cwframe/timeout.go
@@ -7,9 +7,9 @@
 	"github.com/juju/errors"
 )
 
-// IsTimeout tells whether reading or writing a message ran into a deadline.
-// The HTTP library hides the cause of some errors, so their text is looked
-// at too.
+// IsTimeout reports whether reading or writing a message exceeded its deadline. The
+// HTTP library does not wrap the cause of some errors, so their text is checked as
+// well.
 func IsTimeout(err error) bool {
 	var timeout interface{ Timeout() bool }
 	if errors.As(err, &timeout) && timeout.Timeout() {
