--- a/internal/cwjson/decode.go
+++ b/internal/cwjson/decode.go
@@ -1,8 +1,7 @@
-// Package cwjson reads the files that operators write: JSON with comments,
-// read strictly. Where encoding/json lets a slip pass (an unknown or doubled
-// key, a key in other capitals, null, a second value behind the first), this
-// package says so, with the place in the file, and goes on, so that all
-// problems are told at once.
+// Package cwjson is a strict decoder for the files that operators write: JSON with
+// comments and trailing commas. It rejects mistakes that encoding/json accepts: an
+// unknown or duplicate key, a key in different case, null, and a second value after
+// the first. It reports all problems of a file at once, each with its place.
 package cwjson
 
 import (
@@ -18,23 +17,24 @@
 	"carobward.example/carobward"
 )
 
-// Most is the largest file in bytes. The platform's store holds no larger
-// value.
-const Most = carobward.Megabyte
+// MaxSize is the maximum size of a file in bytes, the limit of the platform's store for
+// one value.
+const MaxSize = carobward.Megabyte
 
-// depthMost bounds how deep values may nest.
-const depthMost = 64
+// maxDepth is the maximum nesting depth of values.
+const maxDepth = 64
 
-// Decode reads raw into the struct that into points to. What the file leaves
-// out keeps its value. The name goes into places. The error is Problems.
+// Decode decodes raw into the struct that into points to. Fields without a key in the
+// file keep their values. The name is the file name in places. The error is of type
+// Problems.
 func Decode(name string, raw []byte, into any) (*Places, error) {
 	places := &Places{name: name, raw: raw, offsets: map[string]int{}}
 
-	if p := unfit(raw); p != "" {
+	if p := rejectReason(raw); p != "" {
 		return places, Problems{{Place: name, Text: p}}
 	}
 
-	// The parser wants a line end behind a comment in the last line.
+	// The parser requires a line end after a comment on the last line.
 	value, err := hujson.Parse(append(raw[:len(raw):len(raw)], '\n'))
 	if err != nil {
 		return places, Problems{{Place: name, Text: strings.TrimPrefix(err.Error(), "hujson: ")}}
@@ -46,18 +46,18 @@
 	return places, d.problems.Err()
 }
 
-// unfit says why a text is not even parsed.
-func unfit(raw []byte) string {
-	if len(raw) > int(Most) {
-		return fmt.Sprintf("want at most %d bytes, got %d", Most, len(raw))
+// rejectReason returns why a file is rejected without parsing, or "".
+func rejectReason(raw []byte) string {
+	if len(raw) > int(MaxSize) {
+		return fmt.Sprintf("want at most %d bytes, got %d", MaxSize, len(raw))
 	}
 
 	if !utf8.Valid(raw) {
 		return "want UTF-8"
 	}
 
-	// Brackets in texts and comments count as well: a file of this kind
-	// has nowhere near as many.
+	// Brackets in strings and comments are counted as well. Valid files stay far
+	// below the limit.
 	depth, deepest := 0, 0
 
 	for _, c := range raw {
@@ -70,8 +70,8 @@
 		}
 	}
 
-	if deepest > depthMost {
-		return fmt.Sprintf("want at most %d brackets open at once, got %d", depthMost, deepest)
+	if deepest > maxDepth {
+		return fmt.Sprintf("want at most %d brackets open at once, got %d", maxDepth, deepest)
 	}
 
 	return ""
@@ -86,7 +86,7 @@
 	d.problems = append(d.problems, Problem{Place: d.places.place(at), Key: key, Text: fmt.Sprintf(format, args...)})
 }
 
-// value reads one value into a settable variable.
+// value decodes one value into a settable variable.
 func (d *decoder) value(key string, v *hujson.Value, into reflect.Value) {
 	d.places.offsets[key] = v.StartOffset
 
@@ -115,12 +115,12 @@
 	}
 }
 
-// leaf reads a value that has no keys below it.
+// leaf decodes a value without nested keys.
 func (d *decoder) leaf(key string, v *hujson.Value, into reflect.Value) {
 	raw := strings.TrimSpace(string(d.places.raw[v.StartOffset:v.EndOffset]))
 
 	if _, ok := v.Value.(hujson.Literal); !ok {
-		d.fail(v.StartOffset, key, "%s, got %s", wanted(into.Kind()), kind(v))
+		d.fail(v.StartOffset, key, "%s, got %s", expected(into.Kind()), kind(v))
 
 		return
 	}
@@ -133,7 +133,7 @@
 	if _, ok := into.Addr().Interface().(json.Unmarshaler); ok {
 		d.fail(v.StartOffset, key, "%s", err)
 	} else {
-		d.fail(v.StartOffset, key, "%s, got %s", wanted(into.Kind()), raw)
+		d.fail(v.StartOffset, key, "%s, got %s", expected(into.Kind()), raw)
 	}
 }
 
--- a/internal/cwjson/decode_test.go
+++ b/internal/cwjson/decode_test.go
@@ -44,7 +44,7 @@
 				`f:3:11: "count": want a whole number, got "b"` + "\n" +
 				`f:4:24: "parts[1].key": want text in quotes, got 1`,
 		},
-		"a key in other capitals": {text: `{"Name": "a"}`, err: `f:1:2: "Name": unknown key, did you mean "name"?`},
+		"a key in different case": {text: `{"Name": "a"}`, err: `f:1:2: "Name": unknown key, did you mean "name"?`},
 		"a key unlike any":        {text: `{"weight": 1}`, err: `f:1:2: "weight": unknown key, want one of count, name, part, parts, share, wait`},
 		"a key twice":             {text: `{"count": 1, "count": 2}`, err: `f:1:14: "count": want each key once, this is its second time`},
 		"a key twice, escaped":    {text: `{"count": 1, "coun\u0074": 2}`, err: `f:1:14: "count": want each key once, this is its second time`},
@@ -56,9 +56,9 @@
 		"a number for keys":       {text: `{"part": 7}`, err: `f:1:10: "part": want keys in { }, got 7`},
 		"a bad duration":          {text: `{"wait": 5}`, err: `f:1:10: "wait": want a duration in quotes such as "250ms", got 5`},
 		"trailing data":           {text: `{} {}`, err: `f: line 1, column 4: invalid character '{' after top-level value`},
-		"nothing":                 {text: ``, err: `f: line 2, column 1: parsing value: unexpected EOF`},
+		"empty":                   {text: ``, err: `f: line 2, column 1: parsing value: unexpected EOF`},
 		"not UTF-8":               {text: "{\"name\": \"\xff\"}", err: `f: want UTF-8`},
-		"an abyss":                {text: strings.Repeat("[", 99), err: `f: want at most 64 brackets open at once, got 99`},
+		"nested too deeply":       {text: strings.Repeat("[", 99), err: `f: want at most 64 brackets open at once, got 99`},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -83,8 +83,8 @@
 	}
 }
 
-// FuzzDecode holds what is accepted against encoding/json, and wants a place
-// in each problem of what is not.
+// FuzzDecode checks that an accepted file decodes as with encoding/json, and that each
+// problem of a rejected one has a place and a text.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"name": "a", "count": 1, "parts": [{"key": "b"}]}`))
 	f.Add([]byte(`{"wait": "1s", "share": 0.5} // end`))
--- a/internal/cwjson/field.go
+++ b/internal/cwjson/field.go
@@ -9,7 +9,7 @@
 	"github.com/tailscale/hujson"
 )
 
-// fields returns the index of each field of a struct by its key.
+// fields returns the field indexes of a struct by JSON key.
 func fields(t reflect.Type) map[string]int {
 	known := map[string]int{}
 
@@ -23,8 +23,8 @@
 	return known
 }
 
-// Keys returns the paths of all keys that a struct has, sorted. The keys of
-// a list's elements follow "[]".
+// Keys returns the sorted paths of all keys of a struct type. The path of a key of a
+// list's element has "[]" after the list, such as "parts[].key".
 func Keys(t reflect.Type) []string {
 	var all []string
 
@@ -50,7 +50,8 @@
 	return all
 }
 
-// unknown says that a key is unknown and which one may be meant.
+// unknown returns the text of an unknown key's problem. It suggests a similar key or
+// lists all keys.
 func unknown(name string, known map[string]int) string {
 	var names []string
 	for k := range known {
@@ -59,14 +60,14 @@
 
 	sort.Strings(names)
 
-	if k := near(name, names); k != "" {
+	if k := nearest(name, names); k != "" {
 		return "unknown key, did you mean " + strconv.Quote(k) + "?"
 	}
 
 	return "unknown key, want one of " + strings.Join(names, ", ")
 }
 
-func wanted(k reflect.Kind) string {
+func expected(k reflect.Kind) string {
 	switch k {
 	case reflect.String:
 		return "want text in quotes"
--- a/internal/cwjson/near.go
+++ b/internal/cwjson/near.go
@@ -1,23 +1,24 @@
 package cwjson
 
-// nearMost is the most edits after which a key is still taken for a slip of
-// the pen.
-const nearMost = 2
+// maxEdits is the maximum edit distance at which a known key is suggested for an
+// unknown one.
+const maxEdits = 2
 
-// near returns the known key that is the fewest edits away, or "".
-func near(key string, known []string) string {
-	best, least := "", nearMost+1
+// nearest returns the known key with the smallest edit distance, or "" if none is
+// within maxEdits.
+func nearest(key string, known []string) string {
+	best, shortest := "", maxEdits+1
 
 	for _, k := range known {
-		if d := distance(key, k); d < least && d < len(k) {
-			best, least = k, d
+		if d := distance(key, k); d < shortest && d < len(k) {
+			best, shortest = k, d
 		}
 	}
 
 	return best
 }
 
-// distance returns the Levenshtein distance of two short texts in bytes.
+// distance returns the Levenshtein distance between two short strings in bytes.
 func distance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
@@ -25,17 +26,17 @@
 	}
 
 	for i := range len(a) {
-		corner := row[0]
+		diagonal := row[0]
 		row[0] = i + 1
 
 		for j := range len(b) {
-			swap := corner
+			substitution := diagonal
 			if a[i] != b[j] {
-				swap++
+				substitution++
 			}
 
-			corner = row[j+1]
-			row[j+1] = min(swap, row[j]+1, corner+1)
+			diagonal = row[j+1]
+			row[j+1] = min(substitution, row[j]+1, diagonal+1)
 		}
 	}
 
--- a/internal/cwjson/problem.go
+++ b/internal/cwjson/problem.go
@@ -8,17 +8,17 @@
 	"github.com/juju/errors"
 )
 
-// Problem is one thing that is wrong in a file.
+// Problem is one error in a file.
 type Problem struct {
-	// Place is the file, line and column; empty where none is known.
+	// Place is the file, line and column, or empty if unknown.
 	Place string
 	// Key is the path of the key, such as "listen.callers".
 	Key string
-	// Text says what would be right and what is there.
+	// Text says what is expected and what was found.
 	Text string
 }
 
-// Error returns the place, the key and the text.
+// Error returns the place, the key and the text in one line.
 func (p Problem) Error() string {
 	var b strings.Builder
 	if p.Place != "" {
@@ -29,13 +29,13 @@
 		b.WriteString(strconv.Quote(p.Key) + ": ")
 	}
 
-	b.WriteString(strings.Map(printed, p.Text))
+	b.WriteString(strings.Map(printable, p.Text))
 
 	return b.String()
 }
 
-// printed keeps a problem on one line, whatever the file holds.
-func printed(r rune) rune {
+// printable replaces control characters, so that a problem stays on one line.
+func printable(r rune) rune {
 	if unicode.IsControl(r) {
 		return unicode.ReplacementChar
 	}
@@ -43,10 +43,10 @@
 	return r
 }
 
-// Problems are all that is wrong in a file.
+// Problems are all errors in a file.
 type Problems []Problem
 
-// Error returns one line a problem.
+// Error returns one line for each problem.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i := range p {
@@ -65,9 +65,9 @@
 	return p
 }
 
-// And adds the problems of a later check to those of a first one, but for the
-// places that the first one has found fault with already. Either error may be
-// nil or another error, which goes first.
+// And merges the problems of a later check into those of a first one, except for
+// problems at places for which the first check already reported one. If first is nil,
+// it returns later. If either is not of type Problems, it returns first.
 func And(first, later error) error {
 	var all, more Problems
 
@@ -92,15 +92,15 @@
 	return all
 }
 
-// Places knows where in a file each key stands.
+// Places records the place of each key in a file.
 type Places struct {
 	name    string
 	raw     []byte
 	offsets map[string]int
 }
 
-// At returns the file, line and column of a key, or of the nearest key that
-// encloses it, since a key that was left out has no place of its own.
+// At returns the file, line and column of a key. For a key that is not in the file it
+// returns those of the nearest enclosing key.
 func (p *Places) At(key string) string {
 	if p == nil {
 		return ""
@@ -119,14 +119,15 @@
 	}
 }
 
-// Has tells whether the file holds a key.
+// Has reports whether the file contains a key.
 func (p *Places) Has(key string) bool {
 	_, ok := p.offsets[key]
 
 	return ok
 }
 
-// place counts lines and columns from 1, columns in bytes.
+// place returns the file, line and column of an offset. Lines and columns start at 1,
+// and columns count bytes.
 func (p *Places) place(offset int) string {
 	before := string(p.raw[:min(offset, len(p.raw))])
 	line := strings.Count(before, "\n") + 1
