--- a/internal/cwlink/fleet.go
+++ b/internal/cwlink/fleet.go
@@ -34,14 +34,14 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 
-	l.options.Conns = n
+	l.options.MaxConns = n
 	l.updateShare()
 }
 
 // updateShare recomputes this entry VM's share of the connections to each
 // server. The caller holds the mutex.
 func (l *Link) updateShare() {
-	l.share.Store(int64(max(1, l.options.Conns/max(1, l.fleet.size))))
+	l.share.Store(int64(max(1, l.options.MaxConns/max(1, l.fleet.size))))
 }
 
 // maxConns returns the maximum number of connections from this entry VM to one
--- a/internal/cwlink/link.go
+++ b/internal/cwlink/link.go
@@ -18,9 +18,9 @@
 
 // Options configure a Link.
 type Options struct {
-	// Conns is the number of connections that one server accepts. All entry
+	// MaxConns is the number of connections that one server accepts. All entry
 	// VMs share them.
-	Conns int
+	MaxConns int
 	// Keep is how long a connection may be idle and still be used if its
 	// server does not announce an idle timeout.
 	Keep time.Duration
@@ -57,7 +57,7 @@
 	}
 
 	l := &Link{options: o, clock: clock, pools: map[carobward.Address]*pool{}}
-	l.share.Store(int64(o.Conns))
+	l.share.Store(int64(o.MaxConns))
 
 	return l
 }
