--- a/internal/cwlink/link.go
+++ b/internal/cwlink/link.go
@@ -21,9 +21,9 @@
 	// MaxConns is the number of connections that one server accepts. All entry
 	// VMs share them.
 	MaxConns int
-	// Keep is how long a connection may be idle and still be used if its
+	// IdleTimeout is how long a connection may be idle and still be used if its
 	// server does not announce an idle timeout.
-	Keep time.Duration
+	IdleTimeout time.Duration
 	// KeepMost is an upper bound on the idle timeouts that servers announce.
 	// If it is below Keep, Keep is the bound.
 	KeepMost time.Duration
@@ -100,7 +100,7 @@
 
 // idleLimits returns the limits on the idle time of a connection.
 func (l *Link) idleLimits() idleLimits {
-	return idleLimits{fallback: l.options.Keep, maximum: max(l.options.Keep, l.options.KeepMost)}
+	return idleLimits{fallback: l.options.IdleTimeout, maximum: max(l.options.IdleTimeout, l.options.KeepMost)}
 }
 
 // Retain drops the pools of the servers for which keep returns false and closes
