--- a/internal/cwlink/link.go
+++ b/internal/cwlink/link.go
@@ -24,9 +24,9 @@
 	// IdleTimeout is how long a connection may be idle and still be used if its
 	// server does not announce an idle timeout.
 	IdleTimeout time.Duration
-	// KeepMost is an upper bound on the idle timeouts that servers announce.
+	// MaxIdleTimeout is an upper bound on the idle timeouts that servers announce.
 	// If it is below Keep, Keep is the bound.
-	KeepMost time.Duration
+	MaxIdleTimeout time.Duration
 	// Dial is the timeout for opening a connection. It leaves time to try
 	// another server if one does not answer.
 	Dial time.Duration
@@ -100,7 +100,7 @@
 
 // idleLimits returns the limits on the idle time of a connection.
 func (l *Link) idleLimits() idleLimits {
-	return idleLimits{fallback: l.options.IdleTimeout, maximum: max(l.options.IdleTimeout, l.options.KeepMost)}
+	return idleLimits{fallback: l.options.IdleTimeout, maximum: max(l.options.IdleTimeout, l.options.MaxIdleTimeout)}
 }
 
 // Retain drops the pools of the servers for which keep returns false and closes
