--- a/internal/cwlink/hold.go
+++ b/internal/cwlink/hold.go
@@ -179,7 +179,7 @@
 		return c, err
 	}
 
-	d := net.Dialer{Deadline: now.Add(min(l.options.Dial, deadline.Sub(now)))}
+	d := net.Dialer{Deadline: now.Add(min(l.options.DialTimeout, deadline.Sub(now)))}
 
 	n, err := d.DialContext(ctx, "tcp", string(p.address))
 	if err != nil {
--- a/internal/cwlink/link.go
+++ b/internal/cwlink/link.go
@@ -27,9 +27,9 @@
 	// MaxIdleTimeout is an upper bound on the idle timeouts that servers announce.
 	// If it is below Keep, Keep is the bound.
 	MaxIdleTimeout time.Duration
-	// Dial is the timeout for opening a connection. It leaves time to try
+	// DialTimeout is the timeout for opening a connection. It leaves time to try
 	// another server if one does not answer.
-	Dial time.Duration
+	DialTimeout time.Duration
 	// Header is the maximum size of a reply header in bytes.
 	Header carobward.ByteCount
 	// Dialect is the protocol that servers use. Nil means NativeDialect.
--- a/internal/lab/cwbench/live_send.go
+++ b/internal/lab/cwbench/live_send.go
@@ -112,7 +112,7 @@
 	table.Update(list)
 
 	o := cwlink.Options{
-		MaxConns: max(1, l.scenario.Conns/l.scenario.VMs), IdleTimeout: time.Minute, Dial: time.Second,
+		MaxConns: max(1, l.scenario.Conns/l.scenario.VMs), IdleTimeout: time.Minute, DialTimeout: time.Second,
 		Header: 4 * carobward.Kilobyte,
 	}
 
