--- a/internal/cwfront/health_check_test.go
+++ b/internal/cwfront/health_check_test.go
@@ -32,7 +32,7 @@
 	table.Put([]carobward.Backend{{Instance: "i-1", Address: at, Service: "records", Domain: "a", Slots: 4}}, nil, time.Now())
 
 	link := cwlink.New(cwlink.Options{
-		MaxConns: 8, IdleTimeout: time.Minute, DialTimeout: time.Second, Header: 8 * carobward.Kilobyte, Dialect: plainDialect{},
+		MaxConns: 8, IdleTimeout: time.Minute, DialTimeout: time.Second, MaxHeaderSize: 8 * carobward.Kilobyte, Dialect: plainDialect{},
 	}, carobward.SystemClock{})
 	t.Cleanup(link.Close)
 
--- a/internal/cwgateway/gateway.go
+++ b/internal/cwgateway/gateway.go
@@ -152,7 +152,7 @@
 	}
 
 	g.link = cwlink.New(cwlink.Options{
-		MaxConns: connsFirst, IdleTimeout: connIdle, MaxIdleTimeout: connIdleMost, DialTimeout: dialTime, Header: headerBytes, Dialect: o.Adapter.Servers,
+		MaxConns: connsFirst, IdleTimeout: connIdle, MaxIdleTimeout: connIdleMost, DialTimeout: dialTime, MaxHeaderSize: headerBytes, Dialect: o.Adapter.Servers,
 	}, o.Clock)
 
 	g.suspects = cwquarantine.NewTable()
--- a/internal/cwlink/link.go
+++ b/internal/cwlink/link.go
@@ -30,8 +30,8 @@
 	// DialTimeout is the timeout for opening a connection. It leaves time to try
 	// another server if one does not answer.
 	DialTimeout time.Duration
-	// Header is the maximum size of a reply header in bytes.
-	Header carobward.ByteCount
+	// MaxHeaderSize is the maximum size of a reply header in bytes.
+	MaxHeaderSize carobward.ByteCount
 	// Dialect is the protocol that servers use. Nil means NativeDialect.
 	Dialect carobward.Dialect
 }
--- a/internal/cwlink/link_test.go
+++ b/internal/cwlink/link_test.go
@@ -301,7 +301,7 @@
 func TestDial(t *testing.T) {
 	ln := cwtest.Listen(t)
 
-	l := New(Options{MaxConns: 1, IdleTimeout: time.Minute, DialTimeout: time.Nanosecond, Header: carobward.Kilobyte}, carobward.SystemClock{})
+	l := New(Options{MaxConns: 1, IdleTimeout: time.Minute, DialTimeout: time.Nanosecond, MaxHeaderSize: carobward.Kilobyte}, carobward.SystemClock{})
 
 	one := newCall("one")
 	_, err := l.Exchange(context.Background(), carobward.Address(ln.Addr().String()), one)
--- a/internal/cwlink/stub_test.go
+++ b/internal/cwlink/stub_test.go
@@ -25,7 +25,7 @@
 func newLink(t testing.TB) *Link {
 	t.Helper()
 
-	l := New(Options{MaxConns: 8, IdleTimeout: time.Minute, DialTimeout: time.Second, Header: 4 * carobward.Kilobyte}, carobward.SystemClock{})
+	l := New(Options{MaxConns: 8, IdleTimeout: time.Minute, DialTimeout: time.Second, MaxHeaderSize: 4 * carobward.Kilobyte}, carobward.SystemClock{})
 	t.Cleanup(l.Close)
 
 	return l
--- a/internal/cwlink/trip.go
+++ b/internal/cwlink/trip.go
@@ -40,7 +40,7 @@
 func (l *Link) newRoundTrip(c net.Conn, call *carobward.Call) roundTrip {
 	b, ok := l.buffers.Get().(*buffers)
 	if !ok {
-		b = &buffers{reader: bufio.NewReaderSize(nil, int(l.options.Header))}
+		b = &buffers{reader: bufio.NewReaderSize(nil, int(l.options.MaxHeaderSize))}
 	}
 
 	b.reader.Reset(c)
--- a/internal/cwnode/link.go
+++ b/internal/cwnode/link.go
@@ -11,7 +11,7 @@
 
 func newLink(s *cwsettings.Link, clock carobward.Clock) *cwlink.Link {
 	return cwlink.New(cwlink.Options{
-		MaxConns: s.Conns, IdleTimeout: s.Keep.Std(), DialTimeout: s.Dial.Std(), Header: s.Header,
+		MaxConns: s.Conns, IdleTimeout: s.Keep.Std(), DialTimeout: s.Dial.Std(), MaxHeaderSize: s.Header,
 	}, clock)
 }
 
--- a/internal/lab/cwbench/live_send.go
+++ b/internal/lab/cwbench/live_send.go
@@ -113,7 +113,7 @@
 
 	o := cwlink.Options{
 		MaxConns: max(1, l.scenario.Conns/l.scenario.VMs), IdleTimeout: time.Minute, DialTimeout: time.Second,
-		Header: 4 * carobward.Kilobyte,
+		MaxHeaderSize: 4 * carobward.Kilobyte,
 	}
 
 	return &stack{
--- a/internal/lab/cwtrial/trial.go
+++ b/internal/lab/cwtrial/trial.go
@@ -26,7 +26,7 @@
 
 // NewLink returns a link with few connections.
 func NewLink() *cwlink.Link {
-	o := cwlink.Options{MaxConns: linkConns, IdleTimeout: linkKeep, DialTimeout: linkDial, Header: linkHeader}
+	o := cwlink.Options{MaxConns: linkConns, IdleTimeout: linkKeep, DialTimeout: linkDial, MaxHeaderSize: linkHeader}
 
 	return cwlink.New(o, carobward.SystemClock{})
 }
