--- a/internal/cwfront/queue.go
+++ b/internal/cwfront/queue.go
@@ -214,7 +214,7 @@
 	f := r.front
 	server := s.candidate.view.Server
 
-	if s.reply == nil || s.reply.Report.At.IsZero() || !s.candidate.held.Whole() || !f.Servers.Has(s.backend) {
+	if s.reply == nil || s.reply.Report.At.IsZero() || !s.candidate.held.Reusable() || !f.Servers.Has(s.backend) {
 		return false
 	}
 
--- a/internal/cwfront/send.go
+++ b/internal/cwfront/send.go
@@ -91,7 +91,7 @@
 func (r *request) exchange(ctx context.Context, s *send, call *carobward.Call) (*carobward.Reply, error) {
 	c := s.candidate
 
-	if !c.held.Whole() {
+	if !c.held.Reusable() {
 		c.release()
 
 		held, err := r.front.Link.Hold(ctx, s.backend.Address, r.deadline, true)
--- a/internal/cwlink/hold.go
+++ b/internal/cwlink/hold.go
@@ -139,9 +139,9 @@
 	}
 }
 
-// Whole reports whether the connection may carry another call. A server may
+// Reusable reports whether the connection may carry another call. A server may
 // close it with its reply.
-func (h *Held) Whole() bool { return h.reusable }
+func (h *Held) Reusable() bool { return h.reusable }
 
 // Used reports whether the connection had carried a call before it was held. It
 // returns false if h is nil.
