--- a/internal/cwfront/crash.go
+++ b/internal/cwfront/crash.go
@@ -83,7 +83,7 @@
 	c := &candidate{}
 	reply, err := r.sendCheck(ctx, c, b, false)
 
-	if err != nil && c.held.Used() {
+	if err != nil && c.held.Reused() {
 		c.release()
 
 		reply, err = r.sendCheck(ctx, c, b, true)
--- a/internal/cwfront/health_check.go
+++ b/internal/cwfront/health_check.go
@@ -84,7 +84,7 @@
 // says nothing about the server. The second check counts against the rate limit. A timeout
 // leaves no time for one.
 func (r *request) mayRecheck(ctx context.Context, c *candidate, err error) bool {
-	if !c.held.Used() || ctx.Err() != nil || cwframe.IsTimeout(err) {
+	if !c.held.Reused() || ctx.Err() != nil || cwframe.IsTimeout(err) {
 		return false
 	}
 
--- a/internal/cwlink/hold.go
+++ b/internal/cwlink/hold.go
@@ -143,9 +143,9 @@
 // close it with its reply.
 func (h *Held) Reusable() bool { return h.reusable }
 
-// Used reports whether the connection had carried a call before it was held. It
+// Reused reports whether the connection had carried a call before it was held. It
 // returns false if h is nil.
-func (h *Held) Used() bool { return h != nil && h.reused }
+func (h *Held) Reused() bool { return h != nil && h.reused }
 
 // Release returns the connection to its pool if it may carry another call, and
 // closes it otherwise.
