--- a/internal/cwfront/candidate.go
+++ b/internal/cwfront/candidate.go
@@ -37,7 +37,7 @@
 // candidate is a server that may get the request, with the result of its health check.
 type candidate struct {
 	view cwbackend.View
-	held *cwlink.Held
+	held *cwlink.HeldConn
 	// time is how long the request would take there, in usual response times. Cost is that
 	// time plus penalties; the lowest cost wins.
 	time float64
--- a/internal/cwlink/hold.go
+++ b/internal/cwlink/hold.go
@@ -12,9 +12,9 @@
 	"carobward.example/carobward/internal/cwframe"
 )
 
-// Held is a connection to a server that is reserved for one user of this
+// HeldConn is a connection to a server that is reserved for one user of this
 // package. It carries one call at a time and must be released.
-type Held struct {
+type HeldConn struct {
 	link *Link
 	pool *pool
 	conn *conn
@@ -30,7 +30,7 @@
 // Hold returns a connection to a server: an idle one, or a new one that is
 // opened before the deadline. If fresh is set, idle connections are not used.
 // The error is a Failure with the verdict NotRun.
-func (l *Link) Hold(ctx context.Context, to carobward.Address, deadline time.Time, fresh bool) (*Held, error) {
+func (l *Link) Hold(ctx context.Context, to carobward.Address, deadline time.Time, fresh bool) (*HeldConn, error) {
 	p, err := l.pool(to)
 	if err != nil {
 		return nil, notRunFailure(err)
@@ -41,7 +41,7 @@
 		return nil, notRunFailure(err)
 	}
 
-	return &Held{link: l, pool: p, conn: c, reusable: true, reused: !c.lastUsed.IsZero()}, nil
+	return &HeldConn{link: l, pool: p, conn: c, reusable: true, reused: !c.lastUsed.IsZero()}, nil
 }
 
 // HasIdle reports whether there is a usable idle connection to a server.
@@ -57,7 +57,7 @@
 // Exchange sends a call once over the connection and returns the complete
 // reply, or a Failure. The verdict is NotRun only if the kernel accepted no
 // byte of the call. The connection is closed when ctx ends.
-func (h *Held) Exchange(ctx context.Context, call *carobward.Call) (*carobward.Reply, error) {
+func (h *HeldConn) Exchange(ctx context.Context, call *carobward.Call) (*carobward.Reply, error) {
 	if !h.reusable {
 		return nil, notRunFailure(ErrNotReusable)
 	}
@@ -108,10 +108,10 @@
 
 // handOver passes the connection and the buffers to a streamed body. From then on
 // the call's deadline limits the body, and the end of the context does not.
-func (h *Held) handOver(r *carobward.Reply, s *stream, t roundTrip, stop func() bool) (*carobward.Reply, error) {
+func (h *HeldConn) handOver(r *carobward.Reply, s *stream, t roundTrip, stop func() bool) (*carobward.Reply, error) {
 	h.reusable = false
 	s.roundTrip, s.persistent = t, t.persistent
-	s.held = &Held{link: h.link, pool: h.pool, conn: h.conn}
+	s.held = &HeldConn{link: h.link, pool: h.pool, conn: h.conn}
 	h.streaming = true
 
 	if !stop() {
@@ -133,7 +133,7 @@
 // health checks at once, so the other connections may be dead as well, for
 // example because a device on the path has lost its connection state. A request
 // that times out says nothing about other connections: the server may be slow.
-func (h *Held) closeSuspects(call *carobward.Call, began time.Time, late bool) {
+func (h *HeldConn) closeSuspects(call *carobward.Call, began time.Time, late bool) {
 	if late && call.Look && h.reused {
 		h.pool.closeIdleSince(began)
 	}
@@ -141,15 +141,15 @@
 
 // Reusable reports whether the connection may carry another call. A server may
 // close it with its reply.
-func (h *Held) Reusable() bool { return h.reusable }
+func (h *HeldConn) Reusable() bool { return h.reusable }
 
 // Reused reports whether the connection had carried a call before it was held. It
 // returns false if h is nil.
-func (h *Held) Reused() bool { return h != nil && h.reused }
+func (h *HeldConn) Reused() bool { return h != nil && h.reused }
 
 // Release returns the connection to its pool if it may carry another call, and
 // closes it otherwise.
-func (h *Held) Release() {
+func (h *HeldConn) Release() {
 	if h.streaming {
 		return
 	}
--- a/internal/cwlink/stream.go
+++ b/internal/cwlink/stream.go
@@ -15,7 +15,7 @@
 // stream is the body of a reply that is forwarded while it arrives, so that a large
 // body is never buffered whole. It holds its connection until Close.
 type stream struct {
-	held      *Held
+	held      *HeldConn
 	roundTrip roundTrip
 	remaining int
 	// persistent reports that the server keeps the connection open after the body,
