--- a/internal/cwentry/carry.go
+++ b/internal/cwentry/carry.go
@@ -290,7 +290,7 @@
 	switch {
 	case ctx.Err() != nil:
 		return cwserver.Cancelled
-	case errors.Is(err, cwlink.ErrConns):
+	case errors.Is(err, cwlink.ErrConnsInUse):
 		return cwserver.Crowded
 	case err != nil:
 		return cwserver.Failed
--- a/internal/cwfront/forward.go
+++ b/internal/cwfront/forward.go
@@ -27,7 +27,7 @@
 	f := r.front
 
 	// That this entry VM has reached its connection limit says nothing about the server.
-	if errors.Is(err, cwlink.ErrConns) {
+	if errors.Is(err, cwlink.ErrConnsInUse) {
 		return
 	}
 
--- a/internal/cwlink/pool.go
+++ b/internal/cwlink/pool.go
@@ -13,7 +13,7 @@
 
 // Errors of a call that gets no connection.
 const (
-	ErrConns       = errors.ConstError("link: all connections to the server are in use")
+	ErrConnsInUse  = errors.ConstError("link: all connections to the server are in use")
 	ErrClosed      = errors.ConstError("link: stopped")
 	ErrNotReusable = errors.ConstError("link: the connection carries no further call")
 )
@@ -101,7 +101,7 @@
 	p.trim(maxConns - 1)
 
 	if p.open >= maxConns {
-		return nil, ErrConns
+		return nil, ErrConnsInUse
 	}
 
 	p.open++
