--- a/internal/cwlink/pool_test.go
+++ b/internal/cwlink/pool_test.go
@@ -221,10 +221,10 @@
 	}
 }
 
-// TestFit checks how long an idle connection may be used: a fraction of the idle
+// TestIdleLimits checks how long an idle connection may be used: a fraction of the idle
 // timeout that its server announced, up to the maximum, or the fallback if the
 // server announced none.
-func TestFit(t *testing.T) {
+func TestIdleLimits(t *testing.T) {
 	now := time.Now()
 	limits := idleLimits{fallback: 4 * time.Second, maximum: 12 * time.Second}
 
