--- a/internal/cwlink/link_test.go
+++ b/internal/cwlink/link_test.go
@@ -18,8 +18,8 @@
 	"carobward.example/carobward/internal/cwtest"
 )
 
-// TestSent checks the bytes that a server receives.
-func TestSent(t *testing.T) {
+// TestRequestBytes checks the bytes that a server receives.
+func TestRequestBytes(t *testing.T) {
 	for name, c := range map[string]struct {
 		call carobward.Call
 		want string
