--- a/internal/cwlink/link_test.go
+++ b/internal/cwlink/link_test.go
@@ -174,9 +174,9 @@
 	}
 }
 
-// TestPartWritten checks that a call gets the verdict unknown once the kernel has
+// TestPartialWrite checks that a call gets the verdict unknown once the kernel has
 // accepted a byte of it, even if the server never receives all of it.
-func TestPartWritten(t *testing.T) {
+func TestPartialWrite(t *testing.T) {
 	ln := cwtest.Listen(t)
 
 	// The server does not read, so a large body fills the kernel's buffers
