--- a/internal/cwlink/link_test.go
+++ b/internal/cwlink/link_test.go
@@ -190,9 +190,9 @@
 	}
 }
 
-// TestLateRun checks that a timeout gets the verdict unknown, because the server
+// TestRunAfterTimeout checks that a timeout gets the verdict unknown, because the server
 // may still read and run the call after the timeout.
-func TestLateRun(t *testing.T) {
+func TestRunAfterTimeout(t *testing.T) {
 	ln := cwtest.Listen(t)
 
 	_, err := newLink(t).Exchange(context.Background(), carobward.Address(ln.Addr().String()), withShortDeadline(newCall("one")))
