--- a/internal/cwlink/link_test.go
+++ b/internal/cwlink/link_test.go
@@ -296,9 +296,9 @@
 	}
 }
 
-// TestDial checks that opening a connection has its own timeout, which leaves time
+// TestDialTimeout checks that opening a connection has its own timeout, which leaves time
 // to try another server.
-func TestDial(t *testing.T) {
+func TestDialTimeout(t *testing.T) {
 	ln := cwtest.Listen(t)
 
 	l := New(Options{MaxConns: 1, IdleTimeout: time.Minute, DialTimeout: time.Nanosecond, MaxHeaderSize: carobward.Kilobyte}, carobward.SystemClock{})
