--- a/internal/cwlink/pool_test.go
+++ b/internal/cwlink/pool_test.go
@@ -87,9 +87,9 @@
 	}
 }
 
-// TestStale checks that an idle connection is not reused after the server has closed
+// TestStaleConn checks that an idle connection is not reused after the server has closed
 // it or sent unsolicited bytes on it.
-func TestStale(t *testing.T) {
+func TestStaleConn(t *testing.T) {
 	for name, c := range map[string]struct {
 		reply string
 		stay  bool
