--- a/internal/cwlink/silent_test.go
+++ b/internal/cwlink/silent_test.go
@@ -13,11 +13,11 @@
 	"carobward.example/carobward/internal/cwtest"
 )
 
-// TestSilent lets the open connections to a server go silent without a reset. A
+// TestSilentConn lets the open connections to a server go silent without a reset. A
 // health check that times out must close all idle connections, so that the next call
 // opens a new one. A request that times out must close only its own connection, since
 // a server may delay one request and answer others.
-func TestSilent(t *testing.T) {
+func TestSilentConn(t *testing.T) {
 	const kept = 3
 
 	for name, c := range map[string]struct {
