--- a/internal/cwlink/proof_test.go
+++ b/internal/cwlink/proof_test.go
@@ -25,9 +25,9 @@
 	return faults
 }
 
-// TestScripts draws random lists of server actions and checks that no call has a
+// TestRandomScripts draws random lists of server actions and checks that no call has a
 // fault. A failing list is minimized.
-func TestScripts(t *testing.T) {
+func TestRandomScripts(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		list := rapid.SliceOfN(rapid.SampledFrom(cwstand.Acts()), 1, 8).Draw(r, "acts")
 
