--- a/internal/cwpeer/table.go
+++ b/internal/cwpeer/table.go
@@ -57,9 +57,9 @@
 	t.publish()
 }
 
-// Heard updates one peer and sets when it was last seen. A state with a lower
+// Update updates one peer and sets when it was last seen. A state with a lower
 // incarnation than the known one is ignored.
-func (t *Table) Heard(p carobward.Peer, now time.Time) {
+func (t *Table) Update(p carobward.Peer, now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
