--- a/internal/cwpeer/silent_test.go
+++ b/internal/cwpeer/silent_test.go
@@ -11,10 +11,10 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// TestSilent lets the open connection to a peer go silent without a reset, while new
+// TestSilentConn lets the open connection to a peer go silent without a reset, while new
 // connections work. The next call must time out and close the connection, so that the
 // call after it succeeds.
-func TestSilent(t *testing.T) {
+func TestSilentConn(t *testing.T) {
 	const limit = 100 * time.Millisecond
 
 	proxy := cwstand.NewProxy(cwtest.Listen(t), serve(t, "", "127.0.0.1:0"))
