--- a/internal/cwpeer/greet_test.go
+++ b/internal/cwpeer/greet_test.go
@@ -179,9 +179,9 @@
 	}
 }
 
-// TestStrangers sends nothing or an invalid first message. The server must close the
+// TestInvalidHandshake sends nothing or an invalid first message. The server must close the
 // connection within a bounded time and send nothing.
-func TestStrangers(t *testing.T) {
+func TestInvalidHandshake(t *testing.T) {
 	to := serve(t, "k", "127.0.0.1:0")
 
 	for name, sent := range map[string][]byte{
