--- a/internal/cwpeer/greet_test.go
+++ b/internal/cwpeer/greet_test.go
@@ -211,9 +211,9 @@
 	}
 }
 
-// TestIntruder sends a valid nonce but an invalid proof, then a call. The server must
+// TestInvalidProof sends a valid nonce but an invalid proof, then a call. The server must
 // not answer the call.
-func TestIntruder(t *testing.T) {
+func TestInvalidProof(t *testing.T) {
 	to := serve(t, "k", "127.0.0.1:0")
 
 	n, err := net.Dial("tcp", string(to))
