--- a/internal/cwpeer/greet_test.go
+++ b/internal/cwpeer/greet_test.go
@@ -156,10 +156,10 @@
 	}
 }
 
-// TestCallRestarted calls a peer that has restarted on the same address since the last
+// TestCallAfterRestart calls a peer that has restarted on the same address since the last
 // call. A call that fails because the old connection was closed may have arrived; a
 // later one must succeed.
-func TestCallRestarted(t *testing.T) {
+func TestCallAfterRestart(t *testing.T) {
 	c := cwpeer.NewClients(cwpeer.Key("k"))
 	defer c.Close()
 
