--- a/internal/cwframe/copy.go
+++ b/internal/cwframe/copy.go
@@ -64,5 +64,5 @@
 	return fields
 }
 
-// All is a filter for Copy that keeps every field.
-func All([]byte) bool { return true }
+// KeepAll is a filter for Copy that keeps every field.
+func KeepAll([]byte) bool { return true }
--- a/internal/cwframe/copy_test.go
+++ b/internal/cwframe/copy_test.go
@@ -23,7 +23,7 @@
 	h.Set("A", "9")
 	h.Set("C", "9")
 
-	other := Copy(h.All(), All)
+	other := Copy(h.All(), KeepAll)
 
 	if diff := cmp.Diff(carobward.Header{{Name: "A", Value: "1"}, {Name: "C"}}, got); diff != "" {
 		t.Error(diff)
--- a/internal/cwlink/reply.go
+++ b/internal/cwlink/reply.go
@@ -63,7 +63,7 @@
 
 	// The header is copied before the body is read, so that trailers cannot
 	// add to it.
-	reply := &carobward.Reply{Status: resp.StatusCode(), Header: cwframe.Copy(resp.Header.All(), cwframe.All)}
+	reply := &carobward.Reply{Status: resp.StatusCode(), Header: cwframe.Copy(resp.Header.All(), cwframe.KeepAll)}
 
 	dialectErr := t.dialect.Read(t.call, reply, t.clock.Now())
 	skip := t.dialect.Extra() && errors.Is(dialectErr, carobward.ErrOther)
