--- a/internal/cwjson/problem.go
+++ b/internal/cwjson/problem.go
@@ -65,10 +65,10 @@
 	return p
 }
 
-// And merges the problems of a later check into those of a first one, except for
+// MergeProblems merges the problems of a later check into those of a first one, except for
 // problems at places for which the first check already reported one. If first is nil,
 // it returns later. If either is not of type Problems, it returns first.
-func And(first, later error) error {
+func MergeProblems(first, later error) error {
 	var all, more Problems
 
 	switch {
--- a/internal/cwsettings/settings.go
+++ b/internal/cwsettings/settings.go
@@ -184,7 +184,7 @@
 		return s, err
 	}
 
-	return s, cwjson.And(err, place(s.Validate(), places))
+	return s, cwjson.MergeProblems(err, place(s.Validate(), places))
 }
 
 // Load reads, defaults and validates a settings file.
--- a/internal/cwtarget/file.go
+++ b/internal/cwtarget/file.go
@@ -51,7 +51,7 @@
 	f, err := parse(name, raw)
 	s, later := join([]file{f})
 
-	return s, cwjson.And(err, later)
+	return s, cwjson.MergeProblems(err, later)
 }
 
 func parse(name string, raw []byte) (file, error) {
@@ -95,7 +95,7 @@
 
 	s, later := join(all)
 
-	return s, cwjson.And(problems.Err(), later)
+	return s, cwjson.MergeProblems(problems.Err(), later)
 }
 
 // join checks the files as a whole and returns what they declare together.
