--- a/internal/cwlink/fleet.go
+++ b/internal/cwlink/fleet.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// fleetSizeTTL is how long a larger fleet size still counts after it was last
-// seen: entry VMs that are only unreachable from here keep their connections.
+// fleetSizeTTL is how long a larger fleet size stays effective after it was last
+// seen, since entry VMs that are only unreachable from here keep their connections.
 const fleetSizeTTL = time.Minute
 
 // fleet holds the largest recent number of entry VMs.
--- a/internal/cwlink/held_conn.go
+++ b/internal/cwlink/held_conn.go
@@ -12,8 +12,8 @@
 	"carobward.example/carobward/internal/cwframe"
 )
 
-// HeldConn is a connection to a server that is reserved for one user of this
-// package. It carries one call at a time and must be released.
+// HeldConn is a connection to a server that has been taken out of its pool. It carries
+// one call at a time and must be released.
 type HeldConn struct {
 	link *Link
 	pool *pool
@@ -107,7 +107,7 @@
 }
 
 // handOver passes the connection and the buffers to a streamed body. From then on
-// the call's deadline limits the body, and the end of the context does not.
+// the call's deadline bounds reading the body, and the end of the context does not.
 func (h *HeldConn) handOver(r *carobward.Reply, s *stream, t roundTrip, stop func() bool) (*carobward.Reply, error) {
 	h.reusable = false
 	s.roundTrip, s.persistent = t, t.persistent
--- a/internal/cwlink/link.go
+++ b/internal/cwlink/link.go
@@ -25,7 +25,7 @@
 	// server does not announce an idle timeout.
 	IdleTimeout time.Duration
 	// MaxIdleTimeout is an upper bound on the idle timeouts that servers announce.
-	// If it is below Keep, Keep is the bound.
+	// If it is below IdleTimeout, IdleTimeout is the bound.
 	MaxIdleTimeout time.Duration
 	// DialTimeout is the timeout for opening a connection. It leaves time to try
 	// another server if one does not answer.
--- a/internal/cwlink/pool_test.go
+++ b/internal/cwlink/pool_test.go
@@ -91,8 +91,8 @@
 // it or sent unsolicited bytes on it.
 func TestStaleConn(t *testing.T) {
 	for name, c := range map[string]struct {
-		reply string
-		stay  bool
+		reply    string
+		keepOpen bool
 	}{
 		"closed":            {okReply, false},
 		"unsolicited bytes": {okReply, true},
@@ -102,12 +102,12 @@
 			s := newStub(t, func(conn net.Conn, req *fasthttp.Request, _ int) bool {
 				cwstand.Say(conn, req, c.reply)
 
-				if c.stay && cwstand.RequestID(req) == "warm" {
+				if c.keepOpen && cwstand.RequestID(req) == "warm" {
 					<-more
 					cwstand.Say(conn, req, c.reply)
 				}
 
-				return c.stay
+				return c.keepOpen
 			})
 			l := newLink(t)
 
