--- a/internal/cwstand/acceptor.go
+++ b/internal/cwstand/acceptor.go
@@ -9,8 +9,8 @@
 	"carobward.example/carobward"
 )
 
-// acceptor serves each connection of a listener on its own, and closes all of
-// them at its end.
+// acceptor serves each connection of a listener in a goroutine of its own, and
+// closes all of them when it is closed.
 type acceptor struct {
 	ln    net.Listener
 	group conc.WaitGroup
@@ -20,8 +20,8 @@
 	closed bool
 }
 
-// accept serves until the acceptor is closed. The connection is closed once
-// serve returns.
+// accept starts to accept connections, until the acceptor is closed. Each
+// connection is closed when serve returns.
 func accept(ln net.Listener, serve func(c net.Conn)) *acceptor {
 	a := &acceptor{ln: ln, open: map[net.Conn]struct{}{}}
 
@@ -47,7 +47,8 @@
 	return a
 }
 
-// add keeps a connection to close it, unless the end has come.
+// add tracks a connection and returns true, or closes the connection and
+// returns false if the acceptor is closed.
 func (a *acceptor) add(c net.Conn) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -72,11 +73,11 @@
 	delete(a.open, c)
 }
 
-// Address is where connections are taken.
+// Address returns the address on which connections are accepted.
 func (a *acceptor) Address() carobward.Address { return carobward.Address(a.ln.Addr().String()) }
 
-// reset closes the listener and resets all connections. It tells whether that is
-// news.
+// reset closes the listener and resets all connections. It reports whether the
+// acceptor was open until then.
 func (a *acceptor) reset() bool {
 	_ = a.ln.Close()
 
@@ -100,8 +101,8 @@
 	return true
 }
 
-// Close closes the listener and all connections and waits for their ends. It
-// may be called again.
+// Close closes the listener and all connections and waits until they have been
+// served. It may be called more than once.
 func (a *acceptor) Close() {
 	_ = a.ln.Close()
 
--- a/internal/cwstand/act.go
+++ b/internal/cwstand/act.go
@@ -14,37 +14,40 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Act is one thing that a misbehaving server does with a request.
+// Act is the way in which a scripted server answers one request, correctly or
+// not.
 type Act string
 
-// The acts. A cut reply ends the connection, as do the others that say so.
+// The acts. The connection is closed after ActCloseAfter, ActClose, ActReset,
+// ActTruncate, ActNoLength and ActUnsolicited.
 const (
-	ActWhole     Act = "whole"
-	ActChunked   Act = "chunked"
-	ActInterim   Act = "interim-first"
-	ActBytes     Act = "byte-by-byte"
-	ActLast      Act = "whole-then-close"
-	ActClose     Act = "close"
-	ActReset     Act = "reset"
-	ActCut       Act = "cut"
-	ActNoLength  Act = "cut-no-length"
-	ActTwice     Act = "twice"
-	ActRepeat    Act = "the-one-before-then-whole"
-	ActOther     Act = "another-id"
-	ActShed      Act = "shed"
-	ActUnstarted Act = "bytes-unasked-then-close"
+	ActComplete    Act = "whole"
+	ActChunked     Act = "chunked"
+	ActInterim     Act = "interim-first"
+	ActByteByByte  Act = "byte-by-byte"
+	ActCloseAfter  Act = "whole-then-close"
+	ActClose       Act = "close"
+	ActReset       Act = "reset"
+	ActTruncate    Act = "cut"
+	ActNoLength    Act = "cut-no-length"
+	ActDuplicate   Act = "twice"
+	ActStaleFirst  Act = "the-one-before-then-whole"
+	ActWrongID     Act = "another-id"
+	ActShed        Act = "shed"
+	ActUnsolicited Act = "bytes-unasked-then-close"
 )
 
-// Acts returns all acts; the whole reply is in it twice.
+// Acts returns all acts. The complete reply is listed twice, so that a random
+// draw yields it more often.
 func Acts() []Act {
 	return []Act{
-		ActWhole, ActWhole, ActChunked, ActInterim, ActBytes, ActLast, ActClose, ActReset, ActCut, ActNoLength, ActTwice,
-		ActRepeat, ActOther, ActShed, ActUnstarted,
+		ActComplete, ActComplete, ActChunked, ActInterim, ActByteByByte, ActCloseAfter, ActClose, ActReset, ActTruncate, ActNoLength, ActDuplicate,
+		ActStaleFirst, ActWrongID, ActShed, ActUnsolicited,
 	}
 }
 
-// ReadActs reads one act a line. Empty lines and those that start with # are
-// left out.
+// ReadActs reads one act per line. It skips empty lines and lines that start
+// with #.
 func ReadActs(r io.Reader) ([]Act, error) {
 	var list []Act
 
@@ -74,25 +77,26 @@
 	return list, nil
 }
 
-// Actor works through a list of acts, again from the start at its end, and
-// knows what it did. Its Serve is a Script.
+// Actor cycles through a list of acts, one per request, and counts how often
+// the work of each request started. Its Serve method is a Script.
 type Actor struct {
 	acts []Act
 
 	mutex sync.Mutex
 	next  int
-	// began counts the work by request id; shed work did not begin.
+	// began is the number of times that the work of a request started, by
+	// request ID. Shed requests do not count.
 	began map[string]int
 	last  string
 }
 
-// NewActor returns an actor for a list of acts that is not empty.
+// NewActor returns an actor for a non-empty list of acts.
 func NewActor(acts []Act) *Actor { return &Actor{acts: acts, began: map[string]int{}} }
 
-// BodyOf returns the only right body for a request.
+// BodyOf returns the body of the correct reply to a request.
 func BodyOf(id string) string { return "body of " + id + ", whole" }
 
-// Began returns how many times the work of a request began.
+// Began returns how many times the work of a request started.
 func (a *Actor) Began(id string) int {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -100,7 +104,7 @@
 	return a.began[id]
 }
 
-// Repeated returns the number of requests whose work began more than once.
+// Repeated returns the number of requests whose work started more than once.
 func (a *Actor) Repeated() int {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -116,106 +120,106 @@
 	return n
 }
 
-// begin takes the next act for a request, and returns the id before it.
+// begin returns the act for a request and the ID of the request before it.
 func (a *Actor) begin(id string) (Act, string) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 
-	one := a.acts[a.next%len(a.acts)]
+	act := a.acts[a.next%len(a.acts)]
 	a.next++
 
-	if one != ActShed {
+	if act != ActShed {
 		a.began[id]++
 	}
 
 	last := a.last
 	a.last = id
 
-	return one, last
+	return act, last
 }
 
-// Serve does the next act.
+// Serve answers a request with the next act.
 func (a *Actor) Serve(c net.Conn, req *fasthttp.Request, _ int) bool {
 	id := RequestID(req)
-	one, last := a.begin(id)
-	text, stay := one.reply(id, last)
+	act, last := a.begin(id)
+	text, keepOpen := act.reply(id, last)
 
-	if one == ActReset {
+	if act == ActReset {
 		_ = c.(*net.TCPConn).SetLinger(0)
 	}
 
-	if one != ActBytes {
+	if act != ActByteByByte {
 		_, _ = c.Write([]byte(text))
 
-		return stay
+		return keepOpen
 	}
 
 	for i := range len(text) {
 		_, _ = c.Write([]byte{text[i]})
 	}
 
-	return stay
+	return keepOpen
 }
 
-// reply returns the bytes for a request after the last one, and whether the
-// connection stays open.
+// reply returns the bytes that answer the request id, and whether the
+// connection stays open. The argument last is the ID of the previous request.
 func (a Act) reply(id, last string) (string, bool) {
 	body := BodyOf(id)
-	whole := plain(id)
+	complete := completeReply(id)
 
 	switch a {
 	case ActChunked:
-		return head("200 OK", id) + fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(body), body), true
+		return replyHead("200 OK", id) + fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(body), body), true
 	case ActInterim:
-		return head("103 Early Hints", last) + "\r\n" + whole, true
-	case ActTwice:
-		return whole + whole, true
-	case ActRepeat:
-		return plain(last) + whole, true
-	case ActOther:
-		return plain(last), true
+		return replyHead("103 Early Hints", last) + "\r\n" + complete, true
+	case ActDuplicate:
+		return complete + complete, true
+	case ActStaleFirst:
+		return completeReply(last) + complete, true
+	case ActWrongID:
+		return completeReply(last), true
 	case ActShed:
-		return head("503 Busy", id) + "Carobward-Verdict: not-run\r\nContent-Length: 0\r\n\r\n", true
-	case ActWhole, ActBytes:
-		return whole, true
+		return replyHead("503 Busy", id) + "Carobward-Verdict: not-run\r\nContent-Length: 0\r\n\r\n", true
+	case ActComplete, ActByteByByte:
+		return complete, true
 	default:
-		return a.end(id), false
+		return a.closingReply(id), false
 	}
 }
 
-// end returns the bytes of an act that ends the connection.
-func (a Act) end(id string) string {
+// closingReply returns the bytes of an act that closes the connection.
+func (a Act) closingReply(id string) string {
 	const (
-		// cutOff is what is missing of a cut reply, partial what comes of
-		// one without a length.
-		cutOff  = 3
-		partial = 9
+		// missing is the number of bytes cut off a truncated reply, bodyBytes the
+		// number of body bytes sent of a reply without a length.
+		missing   = 3
+		bodyBytes = 9
 	)
 
-	whole := plain(id)
+	complete := completeReply(id)
 
 	switch a {
-	case ActLast:
-		return whole
-	case ActUnstarted:
+	case ActCloseAfter:
+		return complete
+	case ActUnsolicited:
 		return "HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\n\r\n"
-	case ActCut:
-		return whole[:len(whole)-cutOff]
+	case ActTruncate:
+		return complete[:len(complete)-missing]
 	case ActNoLength:
-		return head("200 OK", id) + "\r\n" + BodyOf(id)[:partial]
+		return replyHead("200 OK", id) + "\r\n" + BodyOf(id)[:bodyBytes]
 	default:
 		return ""
 	}
 }
 
-// head returns a status line and the id.
-func head(status, id string) string {
+// replyHead returns a status line and the X-Request-Id header.
+func replyHead(status, id string) string {
 	return "HTTP/1.1 " + status + "\r\nX-Request-Id: " + id + "\r\n"
 }
 
-// plain returns the right reply to a request.
-func plain(id string) string {
+// completeReply returns the correct reply to a request.
+func completeReply(id string) string {
 	body := BodyOf(id)
 
-	return head("200 OK", id) + "Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
+	return replyHead("200 OK", id) + "Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 }
--- a/internal/cwstand/act_test.go
+++ b/internal/cwstand/act_test.go
@@ -15,7 +15,7 @@
 		want []cwstand.Act
 		err  string
 	}{
-		"acts":    {"# a comment\n\n cut \nwhole", []cwstand.Act{cwstand.ActCut, cwstand.ActWhole}, ""},
+		"acts":    {"# a comment\n\n cut \nwhole", []cwstand.Act{cwstand.ActTruncate, cwstand.ActComplete}, ""},
 		"unknown": {"cut\n\nslice\n", nil, `script: line 3: act "slice" not valid`},
 		"none":    {"# nothing\n", nil, "script: no acts not valid"},
 	} {
--- a/internal/cwstand/metadata.go
+++ b/internal/cwstand/metadata.go
@@ -13,21 +13,21 @@
 	"github.com/valyala/fasthttp"
 )
 
-// MetadataFaults are the faults of a Metadata store.
+// MetadataFaults are the faults that a Metadata store injects.
 type MetadataFaults struct {
-	// Status answers all calls with this status and nothing else; 0 is none.
+	// Status is the status with which all calls fail. 0 means no fault.
 	Status int
-	// Reset closes the connection of each call without an answer.
+	// Reset closes the connection of each call without a reply.
 	Reset bool
-	// Silent keeps each call without an answer until the fault ends.
+	// Silent holds each call until the fault ends, then answers with status 503.
 	Silent bool
-	// Deaf lets watches hear nothing.
+	// Deaf makes watches return no events.
 	Deaf bool
-	// Wait delays each answer.
+	// Wait delays each reply.
 	Wait time.Duration
 }
 
-// metadataItem is one key, or the memory of a removed one.
+// metadataItem is a key with its value, or the tombstone of a deleted key.
 type metadataItem struct {
 	Key       string `json:"key"`
 	Value     []byte `json:"value,omitempty"`
@@ -36,20 +36,21 @@
 	Tombstone bool   `json:"tombstone,omitempty"`
 }
 
-// Metadata is a stand-in for the users' metadata store: ranges by page and
-// watches by prefix, with faults. What the operator and the servers write is
-// written by its methods.
+// Metadata is a stand-in for the users' metadata store. It serves reads of single
+// keys, paged ranges, watches by prefix and transactions, and can inject faults.
+// Tests write what operators and servers would write through its methods.
 type Metadata struct {
 	*fasthttp.Server
 
-	mutex    sync.Mutex
-	revision uint64
-	floor    uint64
-	items    map[string]metadataItem
-	log      []metadataItem
-	// era counts how often the store came back from a copy; saved is the copy.
+	mutex     sync.Mutex
+	revision  uint64
+	compacted uint64
+	items     map[string]metadataItem
+	log       []metadataItem
+	// era counts how often the store was restored from a backup; saved is the
+	// backup.
 	era     uint64
-	saved   metadataCopy
+	saved   metadataBackup
 	faults  MetadataFaults
 	changed chan struct{}
 	calls   int
@@ -57,11 +58,11 @@
 	done    chan struct{}
 }
 
-// pageItems is how many items the stand-in returns in one answer where it is
-// not told.
+// pageItems is the default maximum number of items in a reply.
 const pageItems = 500
 
-// NewMetadata returns an empty store. It serves by Serve of the HTTP library.
+// NewMetadata returns an empty store. It starts to serve with the Serve method of
+// the embedded server.
 func NewMetadata() *Metadata {
 	m := &Metadata{items: map[string]metadataItem{}, changed: make(chan struct{}), page: pageItems, done: make(chan struct{})}
 	m.Server = &fasthttp.Server{Handler: m.handle, CloseOnShutdown: true}
@@ -77,7 +78,7 @@
 	return m.put(key, value)
 }
 
-// put writes a key; the mutex is held.
+// put writes a key. The caller holds the mutex.
 func (m *Metadata) put(key string, value []byte) uint64 {
 	m.revision++
 	old, ok := m.items[key]
@@ -93,7 +94,7 @@
 	return m.revision
 }
 
-// Delete removes a key.
+// Delete deletes a key.
 func (m *Metadata) Delete(key string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -101,14 +102,15 @@
 	m.remove(key)
 }
 
-// remove removes a key; the mutex is held.
+// remove deletes a key. The caller holds the mutex.
 func (m *Metadata) remove(key string) {
 	m.revision++
 	delete(m.items, key)
 	m.add(metadataItem{Key: key, Revision: m.revision, Tombstone: true})
 }
 
-// add keeps a change and wakes the watches; the mutex is held.
+// add appends a change to the history and wakes the watches. The caller holds the
+// mutex.
 func (m *Metadata) add(it metadataItem) {
 	m.log = append(m.log, it)
 	close(m.changed)
@@ -123,7 +125,7 @@
 	return m.revision
 }
 
-// Keys returns the keys with a prefix, sorted.
+// Keys returns the keys with a prefix in sorted order.
 func (m *Metadata) Keys(prefix string) []string {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -131,7 +133,8 @@
 	return m.keys(prefix, "")
 }
 
-// keys returns the keys with a prefix that come after one; the mutex is held.
+// keys returns the keys with a prefix that sort after another key, in sorted order.
+// The caller holds the mutex.
 func (m *Metadata) keys(prefix, after string) []string {
 	var keys []string
 
@@ -146,7 +149,7 @@
 	return keys
 }
 
-// Has tells whether there is a key.
+// Has reports whether a key exists.
 func (m *Metadata) Has(key string) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -156,37 +159,37 @@
 	return ok
 }
 
-// Compact drops the history up to now.
+// Compact discards the history of changes.
 func (m *Metadata) Compact() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
-	m.floor, m.log = m.revision, nil
+	m.compacted, m.log = m.revision, nil
 }
 
-// metadataCopy is the state of a store at a moment.
-type metadataCopy struct {
+// metadataBackup is a backup of a store.
+type metadataBackup struct {
 	revision uint64
 	items    map[string]metadataItem
 }
 
-// Save takes the copy that Restore comes back with.
+// Save takes the backup that Restore restores.
 func (m *Metadata) Save() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
-	m.saved = metadataCopy{m.revision, maps.Clone(m.items)}
+	m.saved = metadataBackup{m.revision, maps.Clone(m.items)}
 }
 
-// Restore brings the store back from the copy: what was written since is lost, and its
-// revisions are given out once more.
+// Restore restores the store from the backup. Writes since the backup are lost, and
+// their revisions are assigned again.
 func (m *Metadata) Restore() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
 	m.era++
 	m.revision, m.items = m.saved.revision, maps.Clone(m.saved.items)
-	m.floor = min(m.floor, m.revision)
+	m.compacted = min(m.compacted, m.revision)
 	m.log = slices.DeleteFunc(m.log, func(it metadataItem) bool { return it.Revision > m.revision })
 
 	if m.items == nil {
@@ -197,7 +200,7 @@
 	m.changed = make(chan struct{})
 }
 
-// SetFaults switches faults on and off.
+// SetFaults replaces the faults.
 func (m *Metadata) SetFaults(f MetadataFaults) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -207,7 +210,7 @@
 	m.changed = make(chan struct{})
 }
 
-// SetPage sets how many items one answer has at most.
+// SetPage sets the maximum number of items in a reply.
 func (m *Metadata) SetPage(n int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -223,7 +226,7 @@
 	return m.calls
 }
 
-// Stop ends the store and the watches that wait.
+// Stop stops the store and ends blocked watches.
 func (m *Metadata) Stop() error {
 	close(m.done)
 
@@ -236,7 +239,7 @@
 	faults := m.faults
 	m.mutex.Unlock()
 
-	defer m.nameEra(ctx)
+	defer m.setEra(ctx)
 
 	time.Sleep(faults.Wait)
 
@@ -245,7 +248,7 @@
 		ctx.HijackSetNoResponse(true)
 		ctx.Hijack(func(net.Conn) {})
 	case faults.Silent:
-		m.silence()
+		m.awaitSilenceEnd()
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 	case faults.Status != 0:
 		ctx.SetStatusCode(faults.Status)
@@ -262,16 +265,16 @@
 	}
 }
 
-// nameEra adds the era to an answer.
-func (m *Metadata) nameEra(ctx *fasthttp.RequestCtx) {
+// setEra sets the header that names the store's era.
+func (m *Metadata) setEra(ctx *fasthttp.RequestCtx) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
 	ctx.Response.Header.Set("Store-Era", strconv.FormatUint(m.era, 10))
 }
 
-// silence waits until the store is no longer silent.
-func (m *Metadata) silence() {
+// awaitSilenceEnd blocks until the Silent fault ends.
+func (m *Metadata) awaitSilenceEnd() {
 	for {
 		m.mutex.Lock()
 		silent, changed := m.faults.Silent, m.changed
@@ -331,7 +334,7 @@
 
 	defer timer.Stop()
 
-	for over := false; ; {
+	for timedOut := false; ; {
 		events, current, lost, changed := m.since(prefix, after)
 
 		switch {
@@ -339,7 +342,7 @@
 			ctx.SetStatusCode(fasthttp.StatusGone)
 
 			return
-		case len(events) > 0 || over:
+		case len(events) > 0 || timedOut:
 			writeJSON(ctx, map[string]any{"events": events, "current_rev": current})
 
 			return
@@ -348,14 +351,14 @@
 		select {
 		case <-changed:
 		case <-timer.C:
-			over = true
+			timedOut = true
 		case <-m.done:
 			return
 		}
 	}
 }
 
-// transaction is a change of several keys under conditions.
+// transaction is a conditional change of several keys.
 type transaction struct {
 	Expect []struct {
 		Key      string `json:"key"`
@@ -368,7 +371,7 @@
 	Deletes []string `json:"deletes"`
 }
 
-// write takes a transaction.
+// write applies a transaction.
 func (m *Metadata) write(ctx *fasthttp.RequestCtx) {
 	var t transaction
 	if err := json.Unmarshal(ctx.PostBody(), &t); err != nil {
@@ -401,12 +404,13 @@
 	writeJSON(ctx, map[string]any{"revision": m.revision})
 }
 
-// since returns the changes after a revision, and whether they are lost.
+// since returns the changes after a revision and the store's revision, whether the
+// history of these changes is lost, and a channel that is closed at the next change.
 func (m *Metadata) since(prefix string, after uint64) ([]metadataItem, uint64, bool, <-chan struct{}) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
-	if after < m.floor || after > m.revision {
+	if after < m.compacted || after > m.revision {
 		return nil, 0, true, nil
 	}
 
--- a/internal/cwstand/metadata_value.go
+++ b/internal/cwstand/metadata_value.go
@@ -9,7 +9,7 @@
 	"carobward.example/carobward"
 )
 
-// MetadataServer returns the value of a server's entry.
+// MetadataServer returns the value of a server's entry in the store.
 func MetadataServer(service carobward.Service, address carobward.Address, domain carobward.Domain, state string) []byte {
 	raw, err := json.Marshal(map[string]any{
 		"address": address,
@@ -23,8 +23,8 @@
 	return raw
 }
 
-// MetadataStart returns the value of a server's entry with the start of its process, in
-// milliseconds since the Unix epoch.
+// MetadataStart returns a copy of a server's entry with the start time of the server's
+// process, in milliseconds since the Unix epoch.
 func MetadataStart(entry []byte, start int64) []byte {
 	all := map[string]any{}
 	if err := json.Unmarshal(entry, &all); err != nil {
@@ -41,8 +41,8 @@
 	return raw
 }
 
-// MetadataWrite returns the value of a server's entry as its process writes it for the nth
-// time.
+// MetadataWrite returns a copy of a server's entry with the sequence number of its nth
+// write.
 func MetadataWrite(entry []byte, nth uint64) []byte {
 	all := struct {
 		Address json.RawMessage `json:"address"`
@@ -64,27 +64,26 @@
 	return raw
 }
 
-// warmupRate is the requests a second that a cold server tolerates, as in the users'
-// deployments.
+// warmupRate is the number of requests per second that a server accepts while it warms
+// up, as in the users' deployments.
 const warmupRate = 4.8
 
-// MetadataRoute is one route of a configuration. What is left out gets a usual
-// value.
+// MetadataRoute is one route of a configuration. Missing fields get default values.
 type MetadataRoute map[string]any
 
-// MetadataConfig returns the value of a configuration with one host, for which
-// every named service exists.
+// MetadataConfig returns the value of a configuration with one host and the services
+// that its routes name.
 func MetadataConfig(version int, host string, routes ...MetadataRoute) []byte {
 	services := map[any]bool{}
 	paths := []MetadataRoute{}
 
 	for i, r := range routes {
-		one := MetadataRoute{
+		path := MetadataRoute{
 			"name": "r-" + strconv.Itoa(i), "timeout": "2s", "target_latency": "500ms", "priority": i, "max_attempts": 2,
 		}
-		maps.Copy(one, r)
-		paths = append(paths, one)
-		services[one["service"]] = true
+		maps.Copy(path, r)
+		paths = append(paths, path)
+		services[path["service"]] = true
 	}
 
 	list := []any{}
@@ -109,15 +108,15 @@
 type MetadataTeam struct {
 	Name string   `json:"name"`
 	Keys []string `json:"api_keys"`
-	// Priority goes before that of routes; nil: it has none.
+	// Priority overrides the priority of the route. Nil means no override.
 	Priority *int `json:"priority,omitempty"`
-	// Rate and Burst are its quota; 0: it has none.
+	// Rate and Burst are the team's quota. Zero means no quota.
 	Rate  float64 `json:"rate_per_s,omitempty"`
 	Burst float64 `json:"burst,omitempty"`
 }
 
-// MetadataTeams returns the value of a configuration with teams, by whose keys callers are
-// known.
+// MetadataTeams returns a copy of a configuration with teams, whose API keys identify
+// callers.
 func MetadataTeams(config []byte, teams ...MetadataTeam) []byte {
 	all := map[string]any{}
 	if err := json.Unmarshal(config, &all); err != nil {
--- a/internal/cwstand/platform.go
+++ b/internal/cwstand/platform.go
@@ -1,6 +1,7 @@
-// Package cwstand has small stand-ins for what carobward is used with: the
-// platform (key-value service and VM list), servers and callers.
-// They are for tests, the demo and experiments.
+// Package cwstand provides stand-ins for the systems around carobward: the
+// platform (key-value service and VM list), the users' metadata store, backend
+// servers, and proxies that disturb connections. Tests, the demo and experiments
+// use them.
 package cwstand
 
 import (
@@ -15,23 +16,23 @@
 	"carobward.example/carobward/internal/cwvm"
 )
 
-// The paths of the platform beside the key-value service's.
+// The paths of the platform, except for those of the key-value service.
 const (
-	// ListPath is where the platform serves its VM list.
+	// ListPath serves the VM list and takes a new one by PUT.
 	ListPath = "/vms"
 	// FaultsPath takes Faults by PUT.
 	FaultsPath = "/faults"
 	// StoreCountsPath answers GET with StoreCounts.
 	StoreCountsPath = "/counts"
-	// SavePath takes a POST that remembers all values.
+	// SavePath takes a POST that calls Save.
 	SavePath = "/save"
-	// OlderPath takes a POST that brings the remembered values back.
+	// OlderPath takes a POST that restores the saved values.
 	OlderPath = "/older"
 )
 
-// Platform is a stand-in for the platform: the Consul KV HTTP API in part
-// (one key a read, check-and-set, blocking queries) and a VM list, with
-// faults that can be switched on.
+// Platform is a stand-in for the platform. It serves a part of the Consul KV HTTP
+// API (single-key reads, check-and-set, blocking queries) and a VM list, and can
+// inject faults.
 type Platform struct {
 	mutex   sync.Mutex
 	index   uint64
@@ -64,10 +65,10 @@
 	return p
 }
 
-// URL is the base of the platform's services.
+// URL returns the base URL of the platform's services.
 func (p *Platform) URL() string { return "http://" + p.ln.Addr().String() }
 
-// Close stops serving and ends the calls that wait.
+// Close stops serving and ends blocking queries.
 func (p *Platform) Close() {
 	_ = p.ln.Close()
 
@@ -110,7 +111,7 @@
 	defer p.mutex.Unlock()
 
 	if p.faults.ListDown {
-		cut(ctx)
+		dropConnection(ctx)
 
 		return
 	}
--- a/internal/cwstand/platformfault.go
+++ b/internal/cwstand/platformfault.go
@@ -11,32 +11,32 @@
 	"carobward.example/carobward"
 )
 
-// Faults are what goes wrong on the platform from now on.
+// Faults are the faults that the platform injects.
 type Faults struct {
 	// Down closes each connection to the key-value service without a reply.
 	Down bool `json:"down"`
 	// Slow delays each call of the key-value service.
 	Slow carobward.Duration `json:"slow"`
-	// LoseAfter is how many writes take effect while their reply is lost.
+	// LoseAfter is the number of writes that take effect without a reply.
 	LoseAfter int `json:"lose_after"`
-	// LoseBefore is how many writes are lost before they take effect.
+	// LoseBefore is the number of writes that have neither an effect nor a reply.
 	LoseBefore int `json:"lose_before"`
-	// ThenDown takes the service down after a reply lost by LoseAfter.
+	// ThenDown sets Down when LoseAfter drops a reply.
 	ThenDown bool `json:"then_down"`
-	// ListLags keeps the VM list as it was when the fault began.
+	// ListLags freezes the VM list at its state when the fault began.
 	ListLags bool `json:"list_lags"`
 	// ListDown closes each connection to the VM list without a reply.
 	ListDown bool `json:"list_down"`
 }
 
-// StoreCounts are the calls of the key-value service so far.
+// StoreCounts counts the calls of the key-value service.
 type StoreCounts struct {
 	Reads   uint64 `json:"reads"`
 	Writes  uint64 `json:"writes"`
 	Watches uint64 `json:"watches"`
-	// Waiting is the number of watches that wait now.
+	// Waiting is the current number of blocked watches.
 	Waiting int `json:"waiting"`
-	// ReadBytes is the size of all values that were read.
+	// ReadBytes is the total size of the values returned.
 	ReadBytes uint64 `json:"read_bytes"`
 }
 
@@ -53,7 +53,7 @@
 	p.wake()
 }
 
-// Counts returns the calls so far.
+// Counts returns the number of calls so far.
 func (p *Platform) Counts() StoreCounts {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -61,7 +61,7 @@
 	return p.counts
 }
 
-// Save remembers all values.
+// Save takes a backup of all values.
 func (p *Platform) Save() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -69,8 +69,9 @@
 	p.saved = maps.Clone(p.values)
 }
 
-// Older brings the remembered values back, as a service that was restored
-// from a copy. Their indexes are the ones of then; new writes go on above.
+// Older restores the values of the last Save, like a service restored from a
+// backup. The values get back their old indexes; later writes continue from the
+// highest index given out so far.
 func (p *Platform) Older() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -83,7 +84,8 @@
 	p.wake()
 }
 
-// control serves the calls that set faults. It tells whether it did.
+// control serves the paths that control the stand-in. It reports whether the
+// path is one of them.
 func (p *Platform) control(ctx *fasthttp.RequestCtx, path string) bool {
 	switch {
 	case path == FaultsPath && ctx.IsPut():
@@ -108,13 +110,13 @@
 	return true
 }
 
-// cut closes the connection without a reply.
-func cut(ctx *fasthttp.RequestCtx) {
+// dropConnection closes the connection without a reply.
+func dropConnection(ctx *fasthttp.RequestCtx) {
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(func(c net.Conn) { _ = c.Close() })
 }
 
-func (p *Platform) count(write, watch bool) Faults {
+func (p *Platform) countCall(write, watch bool) Faults {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 
@@ -130,14 +132,14 @@
 	return p.faults
 }
 
-func (p *Platform) refused() bool {
+func (p *Platform) isDown() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 
 	return p.faults.Down
 }
 
-func (p *Platform) waiting(by int) {
+func (p *Platform) addWaiting(by int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 
--- a/internal/cwstand/platformkv.go
+++ b/internal/cwstand/platformkv.go
@@ -15,16 +15,16 @@
 	index uint64
 }
 
-// keyValue serves one call of the key-value service under the faults.
+// keyValue serves one call of the key-value service, subject to the faults.
 func (p *Platform) keyValue(ctx *fasthttp.RequestCtx, key string) {
 	wait, err := time.ParseDuration(string(ctx.QueryArgs().Peek("wait")))
 	watch := err == nil && ctx.IsGet()
 
-	faults := p.count(ctx.IsPut(), watch)
+	faults := p.countCall(ctx.IsPut(), watch)
 	p.sleep(faults.Slow.Std())
 
-	if p.refused() {
-		cut(ctx)
+	if p.isDown() {
+		dropConnection(ctx)
 
 		return
 	}
@@ -40,8 +40,8 @@
 		p.await(key, after, wait)
 	}
 
-	if p.refused() {
-		cut(ctx)
+	if p.isDown() {
+		dropConnection(ctx)
 
 		return
 	}
@@ -71,13 +71,13 @@
 	}})
 }
 
-// await blocks until the key's index passes after, for at most wait, or
-// until the service goes down.
+// await blocks until the key's index exceeds after, the service goes down, or
+// the wait time is over.
 func (p *Platform) await(key string, after uint64, wait time.Duration) {
 	end := time.After(wait)
 
-	p.waiting(1)
-	defer p.waiting(-1)
+	p.addWaiting(1)
+	defer p.addWaiting(-1)
 
 	for {
 		p.mutex.Lock()
@@ -112,7 +112,7 @@
 	if p.faults.LoseBefore > 0 {
 		p.faults.LoseBefore--
 
-		cut(ctx)
+		dropConnection(ctx)
 
 		return
 	}
@@ -131,7 +131,7 @@
 		p.faults.LoseAfter--
 		p.faults.Down = p.faults.Down || p.faults.ThenDown
 
-		cut(ctx)
+		dropConnection(ctx)
 
 		return
 	}
@@ -139,7 +139,8 @@
 	ctx.SetBodyString("true")
 }
 
-// wake lets the waiting watches look again. The caller holds the mutex.
+// wake makes the waiting watches check their key again. The caller holds the
+// mutex.
 func (p *Platform) wake() {
 	close(p.changed)
 	p.changed = make(chan struct{})
--- a/internal/cwstand/proxy.go
+++ b/internal/cwstand/proxy.go
@@ -12,52 +12,52 @@
 	"carobward.example/carobward"
 )
 
-// ProxyFault is what a Proxy does to the connections through it.
+// ProxyFault is a fault that a Proxy injects into connections.
 type ProxyFault uint8
 
 // The faults of a Proxy.
 const (
-	// ProxyPasses passes all bytes on.
+	// ProxyPasses forwards all data: no fault.
 	ProxyPasses ProxyFault = iota
-	// ProxyDelays passes bytes on late.
+	// ProxyDelays forwards data after a delay.
 	ProxyDelays
-	// ProxyLosesRequests passes nothing on to the server.
+	// ProxyLosesRequests drops the data sent to the server.
 	ProxyLosesRequests
-	// ProxyLosesReplies passes nothing back from the server.
+	// ProxyLosesReplies drops the data sent by the server.
 	ProxyLosesReplies
-	// ProxyResets resets connections, those that are open and those that come.
+	// ProxyResets resets new connections at once and open ones when they next
+	// carry data.
 	ProxyResets
 )
 
-// proxyDelay is how late bytes are under ProxyDelays.
+// proxyDelay is the delay of ProxyDelays.
 const proxyDelay = 40 * time.Millisecond
 
-// Proxy stands between two programs and harms their connections as it is told.
-// Bytes that it holds back are lost, as behind a partition.
+// Proxy is a TCP proxy that injects faults into the connections between two
+// programs. Data that it withholds is lost, as in a network partition.
 type Proxy struct {
 	*acceptor
 	to carobward.Address
 
 	mutex sync.Mutex
 	fault ProxyFault
-	// open has the callers' connections, and what happened to each.
+	// open maps each open client connection to the fault of its own.
 	open map[net.Conn]proxyMark
 }
 
-// proxyMark is what happened to one connection.
+// proxyMark is a fault of a single connection.
 type proxyMark uint8
 
 const (
 	markNone proxyMark = iota
-	// markSilent: it carries nothing any more, in either direction, and stays
-	// open.
-	markSilent
-	// markForgotten: it is reset by the next byte.
-	markForgotten
+	// markBlackhole keeps the connection open and drops the data of both directions.
+	markBlackhole
+	// markResetOnData resets the connection when it next carries data.
+	markResetOnData
 )
 
-// NewProxy returns a proxy to a server that takes connections from the
-// listener until Close.
+// NewProxy returns a proxy that forwards connections from the listener to a
+// server until Close.
 func NewProxy(ln net.Listener, to carobward.Address) *Proxy {
 	p := &Proxy{to: to, open: map[net.Conn]proxyMark{}}
 	p.acceptor = accept(ln, p.serve)
@@ -65,7 +65,7 @@
 	return p
 }
 
-// Set switches a fault on, or all off with ProxyPasses.
+// Set sets the fault. ProxyPasses removes it.
 func (p *Proxy) Set(f ProxyFault) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -73,12 +73,13 @@
 	p.fault = f
 }
 
-// Silence makes the connections that are open now carry nothing for good. New
-// ones are as the fault says.
-func (p *Proxy) Silence() { p.markAll(markSilent) }
+// Silence makes the proxy drop all data of the connections that are open now, for as
+// long as they last. New connections follow the fault set with SetFault.
+func (p *Proxy) Silence() { p.markAll(markBlackhole) }
 
-// Forget makes the connections that are open now be reset by the next byte.
-func (p *Proxy) Forget() { p.markAll(markForgotten) }
+// Forget makes the proxy reset each of the connections that are open now when it next
+// carries data.
+func (p *Proxy) Forget() { p.markAll(markResetOnData) }
 
 func (p *Proxy) markAll(m proxyMark) {
 	p.mutex.Lock()
@@ -96,8 +97,8 @@
 	return p.open[c]
 }
 
-// note adds a caller's connection, and returns what forgets it.
-func (p *Proxy) note(c net.Conn) func() {
+// track adds a client connection and returns a function that removes it.
+func (p *Proxy) track(c net.Conn) func() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 
@@ -130,7 +131,7 @@
 		return
 	}
 
-	defer p.note(c)()
+	defer p.track(c)()
 
 	var group conc.WaitGroup
 
@@ -141,9 +142,9 @@
 	group.Wait()
 }
 
-// copy passes bytes on until either side ends, and drops them under one fault
-// and on a silent connection.
-func (p *Proxy) copy(to, from net.Conn, loses ProxyFault, mark func() proxyMark) {
+// copy forwards data until either side closes. It drops data while the fault is
+// dropOn, and on a connection marked by Blackhole.
+func (p *Proxy) copy(to, from net.Conn, dropOn ProxyFault, mark func() proxyMark) {
 	const size = 16 << 10
 
 	defer func() { _, _ = to.Close(), from.Close() }()
@@ -156,12 +157,12 @@
 		m, fault := mark(), p.current()
 
 		switch {
-		case m == markForgotten && n > 0, fault == ProxyResets:
+		case m == markResetOnData && n > 0, fault == ProxyResets:
 			reset(to)
 			reset(from)
 
 			return
-		case m == markSilent, fault == loses:
+		case m == markBlackhole, fault == dropOn:
 			n = 0
 		case fault == ProxyDelays:
 			time.Sleep(proxyDelay)
@@ -183,7 +184,7 @@
 	}
 }
 
-// reset closes a connection so that the other side sees a reset.
+// reset closes a connection with a TCP reset.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
--- a/internal/cwstand/relay.go
+++ b/internal/cwstand/relay.go
@@ -10,15 +10,15 @@
 	"carobward.example/carobward"
 )
 
-// Relay passes connections on to a server and adds a time one way to bytes
-// and closes. A connect costs no more than without it.
+// Relay forwards connections to a server and delays data and closes by a fixed
+// one-way latency. Connecting takes no longer than without it.
 type Relay struct {
 	*acceptor
 	to     carobward.Address
 	oneWay time.Duration
 }
 
-// NewRelay returns a relay that takes connections from the listener until
+// NewRelay returns a relay that accepts connections from the listener until
 // Close.
 func NewRelay(ln net.Listener, to carobward.Address, oneWay time.Duration) *Relay {
 	r := &Relay{to: to, oneWay: oneWay}
@@ -40,18 +40,18 @@
 	group.Wait()
 }
 
-// piece is what came in one read; no bytes stand for the end.
+// piece is the data of one read. Empty data marks the end of the stream.
 type piece struct {
 	due   time.Time
 	bytes []byte
 }
 
-// delay copies what comes after the time one way, and closes the connection
-// that it copies to at the end.
+// delay copies data with the one-way latency, and closes the destination when
+// the source has ended.
 func (r *Relay) delay(to, from net.Conn) {
-	const most = 64
+	const maxPieces = 64
 
-	pieces := make(chan piece, most)
+	pieces := make(chan piece, maxPieces)
 
 	var group conc.WaitGroup
 
@@ -71,7 +71,7 @@
 
 	_ = to.Close()
 
-	// The reader ends once the other direction has closed its connection.
+	// The reader stops once the other direction has closed the source.
 	for range pieces {
 		continue
 	}
@@ -79,7 +79,8 @@
 	group.Wait()
 }
 
-// read reads until the end and tells of it.
+// read sends each piece of data that it reads to the channel, then the end of
+// the stream.
 func (r *Relay) read(from io.Reader, pieces chan<- piece) {
 	const size = 4 << 10
 
--- a/internal/cwstand/script.go
+++ b/internal/cwstand/script.go
@@ -12,28 +12,30 @@
 )
 
 // Script answers the n-th request of a connection, counted from 0, by writing
-// bytes as they are, and tells whether the connection stays open.
+// raw bytes, and reports whether the connection stays open.
 type Script func(c net.Conn, req *fasthttp.Request, n int) bool
 
-// Scripted is a stand-in for a backend server that misbehaves as scripted.
+// Scripted is a stand-in for a backend server whose replies are written by a
+// script.
 type Scripted struct {
 	*acceptor
 	script          Script
 	requests, conns atomic.Int64
 }
 
-// NewScripted returns a server that serves on the listener until Close.
+// NewScripted returns a server that accepts connections from the listener until
+// Close.
 func NewScripted(ln net.Listener, s Script) *Scripted {
-	made := &Scripted{script: s}
-	made.acceptor = accept(ln, made.serve)
+	server := &Scripted{script: s}
+	server.acceptor = accept(ln, server.serve)
 
-	return made
+	return server
 }
 
-// Requests returns the number of requests that came whole.
+// Requests returns the number of requests that arrived completely.
 func (s *Scripted) Requests() int64 { return s.requests.Load() }
 
-// Conns returns the number of connections that were opened.
+// Conns returns the number of connections accepted so far.
 func (s *Scripted) Conns() int64 { return s.conns.Load() }
 
 func (s *Scripted) serve(c net.Conn) {
@@ -56,20 +58,20 @@
 	}
 }
 
-// RequestID returns the id of a request.
+// RequestID returns the ID of a request.
 func RequestID(req *fasthttp.Request) string { return string(req.Header.Peek(carobward.HeaderID)) }
 
-// Say writes text in which ID stands for the request's id.
+// Say writes text, with each "ID" in it replaced by the request's ID.
 func Say(c net.Conn, req *fasthttp.Request, text string) {
 	_, _ = c.Write([]byte(strings.ReplaceAll(text, "ID", RequestID(req))))
 }
 
-// Text returns a script that answers every request with the same text, in
-// which ID stands for the request's id.
-func Text(reply string, stay bool) Script {
+// Text returns a script that answers each request with the same text, with each
+// "ID" in it replaced by the request's ID.
+func Text(reply string, keepOpen bool) Script {
 	return func(c net.Conn, req *fasthttp.Request, _ int) bool {
 		Say(c, req, reply)
 
-		return stay
+		return keepOpen
 	}
 }
--- a/internal/cwstand/server.go
+++ b/internal/cwstand/server.go
@@ -19,52 +19,59 @@
 	"carobward.example/carobward"
 )
 
-// The paths that are no work.
+// The paths that do not count as work.
 const (
-	// HealthPath answers 200, or 503 while draining; it counts as measuring.
+	// HealthPath answers with status 200, or 503 while draining. Its requests are
+	// counted as health checks.
 	HealthPath = "/healthz"
 	// CountsPath answers with Counts as JSON.
 	CountsPath = "/stand/counts"
 )
 
-// ServerOptions describe a server. The zero value of each field but
-// Slots leaves its behaviour out.
+// ServerOptions configure a server. A field's zero value turns its behaviour off,
+// except for Slots, which must be set.
 type ServerOptions struct {
-	// Slots is how many requests run at once; others wait.
+	// Slots is the number of requests that run concurrently. Others are queued.
 	Slots int
-	// Work is the mean time that one request takes.
+	// Work is the mean service time of a request.
 	Work time.Duration
-	// Spread is the sigma of the lognormal time; zero: all take the mean.
+	// Spread is the sigma of the lognormal service time. With zero, all requests
+	// take the mean.
 	Spread float64
-	// Queue bounds the waiting requests; more are shed. Zero: no bound.
+	// Queue is the maximum number of queued requests. More are shed. Zero means
+	// no limit.
 	Queue int
-	// Open is what a new connection costs, Conns how many may be open.
+	// Open is the time that a new connection takes to open, Conns the maximum
+	// number of open connections.
 	Open  time.Duration
 	Conns int
-	// Speed slows the work down over time, counted from Epoch.
+	// Speed is the server's speed over time, relative to Epoch.
 	Speed *Speed
-	// Epoch is the start of the schedule; zero is the server's start.
+	// Epoch is the start of the speed schedule. Zero means the server's start.
 	Epoch time.Time
-	// Repeat starts the schedule again after that time; zero: never.
+	// Repeat is the period after which the speed schedule starts again. Zero
+	// means never.
 	Repeat time.Duration
-	// Delay is a one-way delay between the server and its callers.
+	// Delay is the one-way network latency between the server and its callers.
 	Delay time.Duration
-	// ReportLag and ReportLie make the reports stale or misleading.
+	// ReportLag and ReportLie make the load reports stale or wrong.
 	ReportLag time.Duration
 	ReportLie Lie
-	// Asked has reports go only with replies to requests that ask for one, and
-	// with all while draining.
+	// Asked limits load reports to the replies to requests that ask for one. While
+	// the server drains, all replies have one.
 	Asked bool
-	// Run numbers the server's runs in its reports; 0 leaves it out.
+	// Run is the number of the server's process in its reports. Reports omit 0.
 	Run uint64
-	// HealthLag is how long the health endpoint hides a drain.
+	// HealthLag is the time for which the health endpoint still answers with
+	// status 200 while draining.
 	HealthLag time.Duration
-	// Ledger finds work that begins twice, on whichever server.
+	// Ledger detects work that begins more than once, also on different servers.
 	Ledger *Ledger
 }
 
-// Server is a stand-in for a server: it answers each request with
-// its method, path and body after the work, reports its load, and counts.
+// Server is a stand-in for a backend server. It simulates the work of each
+// request, answers with the request's method, URI and body, reports its load, and
+// counts what it did.
 type Server struct {
 	options  ServerOptions
 	slots    chan struct{}
@@ -93,41 +100,41 @@
 	s := &Server{options: o, slots: make(chan struct{}, o.Slots), ln: ln}
 	s.reporter = Reporter{Lag: o.ReportLag, Lie: o.ReportLie}
 	s.server = &fasthttp.Server{Handler: s.handle, CloseOnShutdown: true}
-	counted := &listener{Listener: ln, open: o.Open, most: int64(o.Conns), counts: &s.counters}
+	counted := &listener{Listener: ln, openDelay: o.Open, maxConns: int64(o.Conns), counts: &s.counters}
 
 	go func() { _ = s.server.Serve(counted) }()
 
 	return s
 }
 
-// Address is where the server serves.
+// Address returns the address on which the server listens.
 func (s *Server) Address() carobward.Address { return carobward.Address(s.ln.Addr().String()) }
 
-// Ran returns the number of requests that ran.
+// Ran returns the number of requests that completed.
 func (s *Server) Ran() int64 { return s.counters.ran.Load() }
 
-// Counts returns what the server has counted so far.
+// Counts returns the server's counters.
 func (s *Server) Counts() Counts { return s.counters.counts() }
 
-// Waiting returns the number of requests that wait for a slot.
+// Waiting returns the number of queued requests.
 func (s *Server) Waiting() int64 { return s.queued.Load() }
 
-// Running returns the number of requests that hold a slot.
+// Running returns the number of running requests.
 func (s *Server) Running() int64 { return int64(len(s.slots)) }
 
-// Rate is the server's speed now; 1 is full speed.
-func (s *Server) Rate() float64 { return s.options.Speed.Rate(s.at(time.Now())) }
+// Rate returns the server's current speed, 1 for full speed.
+func (s *Server) Rate() float64 { return s.options.Speed.Rate(s.scheduleTime(time.Now())) }
 
-// Drain makes the server shed all new work and say so in its reports.
+// Drain makes the server shed all new work and report that it drains.
 func (s *Server) Drain() { s.drained.CompareAndSwap(0, time.Now().UnixNano()) }
 
-// SetFailing makes the server fail each request at once, or ends that.
+// SetFailing sets whether the server fails all work at once with status 500.
 func (s *Server) SetFailing(on bool) { s.failing.Store(on) }
 
-// Close stops serving.
+// Close closes the listener.
 func (s *Server) Close() { _ = s.ln.Close() }
 
-// Shutdown stops serving once the requests in flight have ended.
+// Shutdown stops the server after the requests in flight have completed.
 func (s *Server) Shutdown(ctx context.Context) error { return s.server.ShutdownWithContext(ctx) }
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
@@ -177,7 +184,7 @@
 		return
 	}
 
-	if !s.enter(ctx) {
+	if !s.acquireSlot(ctx) {
 		s.counters.shed.Add(1)
 		ctx.Response.Header.Set(carobward.HeaderVerdict, carobward.NotRun.String())
 		ctx.Response.Header.Set(carobward.HeaderRetryAfter, "1")
@@ -199,9 +206,10 @@
 	_, _ = fmt.Fprintf(ctx, "%s %s\n%s", ctx.Method(), ctx.RequestURI(), ctx.PostBody())
 }
 
-// enter waits for a slot. It returns false if the request is shed: while
-// draining, with a full queue, or when its time or its sender has gone.
-func (s *Server) enter(ctx *fasthttp.RequestCtx) bool {
+// acquireSlot waits for a slot. It returns false if the request is shed: while
+// draining, with a full queue, after the request's timeout, or if its sender has
+// disconnected.
+func (s *Server) acquireSlot(ctx *fasthttp.RequestCtx) bool {
 	if s.drained.Load() != 0 {
 		return false
 	}
@@ -215,7 +223,7 @@
 	waiting := s.queued.Add(1)
 	defer s.queued.Add(-1)
 
-	if most := int64(s.options.Queue); most > 0 && waiting > most {
+	if maxQueue := int64(s.options.Queue); maxQueue > 0 && waiting > maxQueue {
 		return false
 	}
 
@@ -228,7 +236,7 @@
 		return false
 	}
 
-	if gone(ctx) {
+	if disconnected(ctx) {
 		<-s.slots
 
 		return false
@@ -237,10 +245,12 @@
 	return true
 }
 
-// cancelPoll is how often running work looks whether its sender is gone.
+// cancelPoll is the interval at which running work checks whether its sender has
+// disconnected.
 const cancelPoll = 5 * time.Millisecond
 
-// run does the work in a slot. It returns false if it was cancelled.
+// run simulates the work of a request that holds a slot. It returns false if the
+// sender disconnected before the end.
 func (s *Server) run(ctx *fasthttp.RequestCtx) bool {
 	s.counters.began.Add(1)
 
@@ -250,24 +260,24 @@
 	}
 
 	start := time.Now()
-	takes := s.takes(start, id)
+	workDuration := s.workDuration(start, id)
 
 	for {
-		left := takes - time.Since(start)
+		left := workDuration - time.Since(start)
 		if left <= 0 {
 			return true
 		}
 
 		time.Sleep(min(left, cancelPoll))
 
-		if gone(ctx) {
+		if disconnected(ctx) {
 			return false
 		}
 	}
 }
 
-// at is the place of a time in the schedule.
-func (s *Server) at(now time.Time) time.Duration {
+// scheduleTime converts a time to a time in the speed schedule.
+func (s *Server) scheduleTime(now time.Time) time.Duration {
 	at := now.Sub(s.options.Epoch)
 	if s.options.Repeat > 0 {
 		at %= s.options.Repeat
@@ -276,10 +286,10 @@
 	return at
 }
 
-// takes is how long the work of a request takes that starts now.
-func (s *Server) takes(now time.Time, id string) time.Duration {
-	at := s.at(now)
-	end := s.options.Speed.Finish(at, s.options.workOf(id))
+// workDuration returns how long the work of a request takes if it starts now.
+func (s *Server) workDuration(now time.Time, id string) time.Duration {
+	at := s.scheduleTime(now)
+	end := s.options.Speed.Finish(at, s.options.workAmount(id))
 	if end == Forever {
 		return Forever
 	}
@@ -287,21 +297,23 @@
 	return end - at
 }
 
-// workOf draws the time of a request from its id, so that it takes as long
-// on each server, in each attempt and in each run.
-func (o *ServerOptions) workOf(id string) time.Duration {
+// workAmount returns the amount of work of a request. The randomness is seeded with
+// the request's ID, so that the amount is the same on each server, in each
+// attempt and in each run.
+func (o *ServerOptions) workAmount(id string) time.Duration {
 	if o.Spread == 0 {
 		return o.Work
 	}
 
-	work, _, _ := strings.Cut(id, attemptMark)
+	work, _, _ := strings.Cut(id, attemptSeparator)
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(work))
 
 	return Lognormal(o.Work, o.Spread, rand.New(rand.NewPCG(h.Sum64(), 0)))
 }
 
-// Lognormal draws a time with the given mean and sigma.
+// Lognormal returns a random time from the lognormal distribution with the given
+// mean and sigma.
 func Lognormal(mean time.Duration, sigma float64, rng *rand.Rand) time.Duration {
 	const half = 0.5
 
@@ -340,22 +352,22 @@
 	s.counters.reportBytes.Add(int64(bytes))
 }
 
-// waitMost is how long a request without a timeout waits for a slot.
-const waitMost = time.Minute
+// maxSlotWait is the longest time that a request without a timeout waits for a slot.
+const maxSlotWait = time.Minute
 
 func timeLeft(ctx *fasthttp.RequestCtx) time.Duration {
 	text := strings.Clone(string(ctx.Request.Header.Peek(carobward.HeaderTimeout)))
 
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || n < 0 {
-		return waitMost
+		return maxSlotWait
 	}
 
 	return time.Duration(n) * time.Millisecond
 }
 
-func gone(ctx *fasthttp.RequestCtx) bool {
+func disconnected(ctx *fasthttp.RequestCtx) bool {
 	c, ok := ctx.Conn().(*serverConn)
 
-	return ok && c.left()
+	return ok && c.peerClosed()
 }
--- a/internal/cwstand/server_count.go
+++ b/internal/cwstand/server_count.go
@@ -15,31 +15,31 @@
 	"carobward.example/carobward/internal/cwsocket"
 )
 
-// Counts is what a stand-in server counted. Measuring is counted here and
-// not at the entry VMs, so that nothing is missed.
+// Counts are the counters of a stand-in server. The cost of measuring is counted
+// here rather than at the entry VMs, so that no call is missed.
 type Counts struct {
-	// Began and Ran count the calls that got a slot and those that ran to
-	// their end.
+	// Began and Ran count the calls that got a slot and those that completed.
 	Began, Ran int64
-	// Repeats counts calls whose work had begun before, here or on a server
-	// with the same ledger.
+	// Repeats counts the calls whose work had already begun, on this server or
+	// on another one that shares its ledger.
 	Repeats int64
-	// Shed, Failed and Cancelled count the calls that were refused, failed
-	// fast, or left by their sender before they ended.
+	// Shed, Failed and Cancelled count the calls that were refused, that failed
+	// fast, and whose sender disconnected before they completed.
 	Shed, Failed, Cancelled int64
-	// Opened counts connections, Refused those over the bound.
+	// Opened counts the connections accepted, Refused those over the limit.
 	Opened, Refused int64
-	// Probes counts requests to the health endpoint, ProbeBytes the bytes of
-	// both ways.
+	// Probes counts the health checks, ProbeBytes their header bytes in both
+	// directions.
 	Probes, ProbeBytes int64
-	// ReportBytes counts the bytes of reports on replies.
+	// ReportBytes counts the bytes of load reports on replies to requests and of
+	// the headers that asked for them.
 	ReportBytes int64
 }
 
-// Add returns the sums of two counts.
+// Add returns the sum of two counts.
 func (c Counts) Add(d Counts) Counts { return c.plus(d, 1) }
 
-// Sub returns what was counted since an earlier time.
+// Sub returns the difference from an earlier count.
 func (c Counts) Sub(earlier Counts) Counts { return c.plus(earlier, -1) }
 
 func (c Counts) plus(d Counts, sign int64) Counts {
@@ -52,14 +52,14 @@
 	}
 }
 
-// countsWait bounds the reading of counts.
-const countsWait = 5 * time.Second
+// countsTimeout is the timeout of ReadCounts.
+const countsTimeout = 5 * time.Second
 
-// ReadCounts asks a stand-in server that runs in another process.
+// ReadCounts fetches the counts of a stand-in server in another process.
 func ReadCounts(at carobward.Address) (Counts, error) {
 	var c Counts
 
-	status, body, err := fasthttp.GetTimeout(nil, "http://"+string(at)+CountsPath, countsWait)
+	status, body, err := fasthttp.GetTimeout(nil, "http://"+string(at)+CountsPath, countsTimeout)
 	if err == nil && status != fasthttp.StatusOK {
 		err = errors.Errorf("status %d", status)
 	}
@@ -71,7 +71,7 @@
 	return c, errors.Annotatef(err, "stand: counts of %s", at)
 }
 
-// counters are Counts that are still counted.
+// counters are the live counters behind Counts.
 type counters struct {
 	began, ran, repeats, shed, failed, cancelled atomic.Int64
 	opened, refused                              atomic.Int64
@@ -87,8 +87,8 @@
 	}
 }
 
-// Ledger counts how often each piece of work began, over all servers that
-// share it.
+// Ledger counts how often the work of each request began, over all servers that
+// share the ledger.
 type Ledger struct {
 	mutex sync.Mutex
 	began map[string]int
@@ -97,13 +97,13 @@
 // NewLedger returns an empty ledger.
 func NewLedger() *Ledger { return &Ledger{began: map[string]int{}} }
 
-// attemptMark parts a request's id from the number of the attempt.
-const attemptMark = "~"
+// attemptSeparator separates a request's ID from the attempt number.
+const attemptSeparator = "~"
 
-// Begin counts the start of one attempt and returns how often its work has
-// begun by now.
+// Begin counts the start of an attempt and returns how often the work of its
+// request has begun so far.
 func (l *Ledger) Begin(id string) int {
-	work, _, _ := strings.Cut(id, attemptMark)
+	work, _, _ := strings.Cut(id, attemptSeparator)
 
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -113,16 +113,16 @@
 	return l.began[work]
 }
 
-// listener counts and bounds connections and makes each one slow to open.
+// listener counts and limits connections and delays the first read of each.
 type listener struct {
 	net.Listener
-	open   time.Duration
-	most   int64
-	now    atomic.Int64
-	counts *counters
+	openDelay time.Duration
+	maxConns  int64
+	conns     atomic.Int64
+	counts    *counters
 }
 
-// Accept returns the next connection within the bound.
+// Accept returns the next connection within the limit and closes those above it.
 func (l *listener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
@@ -130,8 +130,8 @@
 			return nil, err
 		}
 
-		if l.now.Add(1) > l.most && l.most > 0 {
-			l.now.Add(-1)
+		if l.conns.Add(1) > l.maxConns && l.maxConns > 0 {
+			l.conns.Add(-1)
 			l.counts.refused.Add(1)
 
 			_ = c.Close()
@@ -152,19 +152,19 @@
 	closed   sync.Once
 }
 
-// Read makes the first read wait for as long as a connection takes to open.
+// Read delays the first read by the time that a connection takes to open.
 func (c *serverConn) Read(p []byte) (int, error) {
-	c.first.Do(func() { time.Sleep(c.listener.open) })
+	c.first.Do(func() { time.Sleep(c.listener.openDelay) })
 
 	return c.Conn.Read(p)
 }
 
 // Close closes the connection.
 func (c *serverConn) Close() error {
-	c.closed.Do(func() { c.listener.now.Add(-1) })
+	c.closed.Do(func() { c.listener.conns.Add(-1) })
 
 	return c.Conn.Close()
 }
 
-// left tells whether the other side has closed the connection.
-func (c *serverConn) left() bool { return cwsocket.Peek(c.Conn) == cwsocket.Closed }
+// peerClosed reports whether the peer has closed the connection.
+func (c *serverConn) peerClosed() bool { return cwsocket.Peek(c.Conn) == cwsocket.Closed }
--- a/internal/cwstand/server_report.go
+++ b/internal/cwstand/server_report.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// Load is what a server says of itself in a report.
+// Load is the load that a server reports.
 type Load struct {
 	Slots, Running, Queued int
 	Draining               bool
-	// Run numbers the server's runs, rising; 0 leaves it out.
+	// Run is the number of the server's process, higher for each restart. Reports
+	// omit 0.
 	Run uint64
 }
 
-// String returns the report in the text format of ORCA.
+// String returns the report in ORCA's text format.
 func (l Load) String() string {
 	text := fmt.Sprintf("TEXT named_metrics.slots=%d, named_metrics.running=%d, named_metrics.queued=%d",
 		l.Slots, l.Running, l.Queued)
@@ -28,25 +29,25 @@
 	return text
 }
 
-// Lie is how a server's reports mislead.
+// Lie is the way in which a server misreports its load.
 type Lie string
 
 // The lies.
 const (
-	// LieNone reports the truth.
+	// LieNone reports the actual load.
 	LieNone Lie = ""
-	// LieIdle reports an idle server, whatever it does.
+	// LieIdle always reports an idle server.
 	LieIdle Lie = "idle"
-	// LieFull reports that all slots are taken, whatever it does.
+	// LieFull always reports that all slots are in use.
 	LieFull Lie = "full"
 )
 
-// Reporter makes a server's reports, late or misleading ones if so told. It
-// is not safe for use by several goroutines.
+// Reporter produces a server's load reports, which may be stale or wrong. It is
+// not safe for concurrent use.
 type Reporter struct {
-	// Lag is how old the load in a report is.
+	// Lag is the age of the load in a report.
 	Lag time.Duration
-	// Lie is how the reports mislead.
+	// Lie selects how the reports are wrong.
 	Lie Lie
 
 	history []loadAt
@@ -57,13 +58,13 @@
 	load Load
 }
 
-// historyMost bounds the remembered loads.
-const historyMost = 1 << 14
+// maxHistory is the maximum number of loads in the history.
+const maxHistory = 1 << 14
 
-// Report notes the load now and returns the load to report.
+// Report records the current load and returns the load to report.
 func (r *Reporter) Report(now time.Duration, l Load) Load {
 	if r.Lag > 0 {
-		l = r.late(now, l)
+		l = r.lagged(now, l)
 	}
 
 	switch r.Lie {
@@ -77,9 +78,9 @@
 	return l
 }
 
-// late returns the load as it was the lag ago: the last one noted before, or
-// an idle server where there was none.
-func (r *Reporter) late(now time.Duration, l Load) Load {
+// lagged returns the load as of Lag ago: the last one recorded until then, or an
+// idle server if there is none.
+func (r *Reporter) lagged(now time.Duration, l Load) Load {
 	r.history = append(r.history, loadAt{now, l})
 	old := 0
 
@@ -87,7 +88,7 @@
 		old++
 	}
 
-	r.history = r.history[max(old, len(r.history)-historyMost):]
+	r.history = r.history[max(old, len(r.history)-maxHistory):]
 	if r.history[0].at > now-r.Lag {
 		return Load{Slots: l.Slots}
 	}
--- a/internal/cwstand/server_speed.go
+++ b/internal/cwstand/server_speed.go
@@ -8,26 +8,27 @@
 	"time"
 )
 
-// Span is a stretch of time in which a server runs slower. Times count from
-// the start of the server's schedule.
+// Span is a period in which a server runs slower. Times are relative to the
+// start of the server's schedule.
 type Span struct {
 	From, To time.Duration
-	// Factor is how many times slower it is. Infinity stops all work.
+	// Factor is how many times slower the server is. Infinity stops all work.
 	Factor float64
 }
 
-// Noise describes slow-downs by a noisy neighbour.
+// Noise describes random slowdowns by a noisy neighbour.
 type Noise struct {
-	// Every is the mean time from one slow-down to the next.
+	// Every is the mean time from the end of one slowdown to the start of the
+	// next.
 	Every time.Duration
-	// For is how long one lasts.
+	// For is the duration of a slowdown.
 	For time.Duration
-	// Factor is how many times slower the server is meanwhile.
+	// Factor is how many times slower the server is during a slowdown.
 	Factor float64
 }
 
-// Spans draws the slow-downs up to the horizon. The gaps vary evenly between
-// half of Every and one and a half of it.
+// Spans returns random slowdowns until the horizon. The gaps between them are
+// uniformly distributed between 0.5 and 1.5 times Every.
 func (n Noise) Spans(seed uint64, horizon time.Duration) []Span {
 	if n.Every <= 0 || n.For <= 0 {
 		return nil
@@ -46,15 +47,15 @@
 	return spans
 }
 
-// Speed is the speed of a server over time, as steps. It is fixed when it is
-// made, so that several runs see the same server.
+// Speed is the speed of a server over time, as a step function. It is computed
+// in advance, so that repeated runs see the same server.
 type Speed struct {
 	at   []time.Duration
 	rate []float64
 }
 
-// NewSpeed returns the speed that the spans leave; where they overlap, their
-// factors multiply.
+// NewSpeed returns the speed that results from slowdowns. Where they overlap,
+// their factors multiply.
 func NewSpeed(spans []Span) *Speed {
 	s := &Speed{at: []time.Duration{0}}
 	for _, p := range spans {
@@ -79,15 +80,16 @@
 	return s
 }
 
-// step returns the index of the step that holds at a time.
+// step returns the index of the step in effect at a time.
 func (s *Speed) step(at time.Duration) int {
 	return max(sort.Search(len(s.at), func(i int) bool { return s.at[i] > at })-1, 0)
 }
 
-// Rate returns the speed at a time; 1 is full speed.
+// Rate returns the speed at a time, 1 for full speed.
 func (s *Speed) Rate(at time.Duration) float64 { return s.rate[s.step(at)] }
 
-// Work returns how much work at full speed fits between two times.
+// Work returns the amount of work done between two times, as the time that it
+// takes at full speed.
 func (s *Speed) Work(from, to time.Duration) time.Duration {
 	done := 0.0
 
@@ -103,11 +105,11 @@
 	return time.Duration(done)
 }
 
-// Forever is the end of work that never ends.
+// Forever is the end time of work that never ends.
 const Forever = time.Duration(math.MaxInt64)
 
-// Finish returns when work ends that starts at a time and takes as long as
-// work at full speed.
+// Finish returns the time at which work ends that starts at the given time. The
+// work is given as the time that it takes at full speed.
 func (s *Speed) Finish(start, work time.Duration) time.Duration {
 	left := float64(work)
 	now := start
--- a/internal/cwstand/server_test.go
+++ b/internal/cwstand/server_test.go
@@ -17,19 +17,19 @@
 const ms = time.Millisecond
 
 func TestSpeedFinish(t *testing.T) {
-	half := cwstand.Span{From: 10 * ms, To: 20 * ms, Factor: 2}
-	still := cwstand.Span{From: 15 * ms, To: 30 * ms, Factor: math.Inf(1)}
+	slow := cwstand.Span{From: 10 * ms, To: 20 * ms, Factor: 2}
+	stall := cwstand.Span{From: 15 * ms, To: 30 * ms, Factor: math.Inf(1)}
 
 	tests := map[string]struct {
 		spans             []cwstand.Span
 		start, work, want time.Duration
 	}{
 		"full speed":          {nil, 5 * ms, 7 * ms, 12 * ms},
-		"before a slow span":  {[]cwstand.Span{half}, 0, 10 * ms, 10 * ms},
-		"into a slow span":    {[]cwstand.Span{half}, 5 * ms, 7 * ms, 14 * ms},
-		"through a slow span": {[]cwstand.Span{half}, 5 * ms, 12 * ms, 22 * ms},
-		"through a stall":     {[]cwstand.Span{half, still}, 12 * ms, 2 * ms, 30*ms + ms/2},
-		"a stall for good":    {[]cwstand.Span{{Factor: math.Inf(1), To: cwstand.Forever}}, 0, ms, cwstand.Forever},
+		"before a slow span":  {[]cwstand.Span{slow}, 0, 10 * ms, 10 * ms},
+		"into a slow span":    {[]cwstand.Span{slow}, 5 * ms, 7 * ms, 14 * ms},
+		"through a slow span": {[]cwstand.Span{slow}, 5 * ms, 12 * ms, 22 * ms},
+		"through a stall":     {[]cwstand.Span{slow, stall}, 12 * ms, 2 * ms, 30*ms + ms/2},
+		"endless stall":       {[]cwstand.Span{{Factor: math.Inf(1), To: cwstand.Forever}}, 0, ms, cwstand.Forever},
 	}
 
 	for name, tc := range tests {
@@ -46,13 +46,13 @@
 	s := cwstand.NewSpeed(n.Spans(7, time.Minute))
 	share := s.Work(0, time.Minute).Seconds() / time.Minute.Seconds()
 
-	// One eleventh of the time at a fifth of the speed.
+	// The server runs at a fifth of the speed for one eleventh of the time.
 	if want := 1 - 0.8/11; math.Abs(share-want) > 0.01 {
 		t.Errorf("speed: got %v, want %v", share, want)
 	}
 
 	if d := cmp.Diff(n.Spans(7, time.Minute), n.Spans(7, time.Minute)); d != "" {
-		t.Errorf("the same seed gave other spans: %s", d)
+		t.Errorf("the same seed gave different slowdowns: %s", d)
 	}
 }
 
@@ -63,7 +63,7 @@
 		reporter cwstand.Reporter
 		want     []cwstand.Load
 	}{
-		"true":  {cwstand.Reporter{}, []cwstand.Load{busy, {Slots: 4}, busy}},
+		"exact": {cwstand.Reporter{}, []cwstand.Load{busy, {Slots: 4}, busy}},
 		"stale": {cwstand.Reporter{Lag: 15 * ms}, []cwstand.Load{{Slots: 4}, {Slots: 4}, busy}},
 		"idle":  {cwstand.Reporter{Lie: cwstand.LieIdle}, []cwstand.Load{{Slots: 4}, {Slots: 4}, {Slots: 4}}},
 		"full": {cwstand.Reporter{Lie: cwstand.LieFull}, []cwstand.Load{
@@ -92,12 +92,13 @@
 	return s
 }
 
-// never is a speed at which no work ends.
-func never() *cwstand.Speed {
+// neverFinishes returns a speed at which no work completes.
+func neverFinishes() *cwstand.Speed {
 	return cwstand.NewSpeed([]cwstand.Span{{Factor: math.Inf(1), To: cwstand.Forever}})
 }
 
-// send sends a request and leaves the connection open.
+// send sends a request without reading the reply, and returns the open
+// connection.
 func send(t *testing.T, s *cwstand.Server) net.Conn {
 	t.Helper()
 
@@ -115,8 +116,8 @@
 	return c
 }
 
-// ask returns the status and the verdict of a request's reply.
-func ask(t *testing.T, s *cwstand.Server, path, id string) (int, string) {
+// roundTrip sends a request and returns the status and the verdict of the reply.
+func roundTrip(t *testing.T, s *cwstand.Server, path, id string) (int, string) {
 	t.Helper()
 
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
@@ -148,18 +149,18 @@
 			500, "", cwstand.Counts{Failed: 1, Opened: 1},
 		},
 		"with a full queue": {
-			cwstand.ServerOptions{Slots: 1, Queue: 1, Speed: never()}, func(t *testing.T, s *cwstand.Server) {
+			cwstand.ServerOptions{Slots: 1, Queue: 1, Speed: neverFinishes()}, func(t *testing.T, s *cwstand.Server) {
 				send(t, s)
-				cwtest.Wait(t, "one runs", func() bool { return s.Counts().Began == 1 })
+				cwtest.Wait(t, "one request runs", func() bool { return s.Counts().Began == 1 })
 				send(t, s)
-				cwtest.Wait(t, "one waits", func() bool { return s.Waiting() == 1 })
+				cwtest.Wait(t, "one request is queued", func() bool { return s.Waiting() == 1 })
 			},
 			503, "not-run", cwstand.Counts{Began: 1, Shed: 1, Opened: 3},
 		},
-		"when the time is over": {
-			cwstand.ServerOptions{Slots: 1, Speed: never()}, func(t *testing.T, s *cwstand.Server) {
+		"after the timeout": {
+			cwstand.ServerOptions{Slots: 1, Speed: neverFinishes()}, func(t *testing.T, s *cwstand.Server) {
 				send(t, s)
-				cwtest.Wait(t, "one runs", func() bool { return s.Counts().Began == 1 })
+				cwtest.Wait(t, "one request runs", func() bool { return s.Counts().Began == 1 })
 			},
 			503, "not-run", cwstand.Counts{Began: 1, Shed: 1, Opened: 2},
 		},
@@ -170,7 +171,7 @@
 			s := server(t, tc.options)
 			tc.prepare(t, s)
 
-			status, verdict := ask(t, s, "/work", "a")
+			status, verdict := roundTrip(t, s, "/work", "a")
 			if status != tc.status || verdict != tc.verdict {
 				t.Errorf("got %d %q, want %d %q", status, verdict, tc.status, tc.verdict)
 			}
@@ -186,17 +187,17 @@
 }
 
 func TestServerStopsCancelledWork(t *testing.T) {
-	s := server(t, cwstand.ServerOptions{Slots: 1, Speed: never()})
+	s := server(t, cwstand.ServerOptions{Slots: 1, Speed: neverFinishes()})
 	running, waiting := send(t, s), send(t, s)
-	cwtest.Wait(t, "one runs, one waits", func() bool { return s.Counts().Began == 1 && s.Waiting() == 1 })
+	cwtest.Wait(t, "one request runs and one is queued", func() bool { return s.Counts().Began == 1 && s.Waiting() == 1 })
 
 	_ = running.Close()
 	_ = waiting.Close()
 
-	cwtest.Wait(t, "both have ended", func() bool { c := s.Counts(); return c.Cancelled+c.Shed == 2 })
+	cwtest.Wait(t, "both requests have ended", func() bool { c := s.Counts(); return c.Cancelled+c.Shed == 2 })
 
 	if s.Ran() != 0 {
-		t.Error("cancelled work ran to its end")
+		t.Error("cancelled work completed")
 	}
 }
 
@@ -205,21 +206,21 @@
 	s := server(t, cwstand.ServerOptions{Slots: 1, Ledger: l})
 	other := server(t, cwstand.ServerOptions{Slots: 1, Ledger: l})
 
-	ask(t, s, "/work", "a~1")
-	ask(t, s, "/work", "b~1")
-	ask(t, other, "/work", "a~2")
+	roundTrip(t, s, "/work", "a~1")
+	roundTrip(t, s, "/work", "b~1")
+	roundTrip(t, other, "/work", "a~2")
 
-	status, _ := ask(t, s, cwstand.HealthPath, "c")
+	status, _ := roundTrip(t, s, cwstand.HealthPath, "c")
 	s.Drain()
 
-	drained, _ := ask(t, s, cwstand.HealthPath, "c")
+	drained, _ := roundTrip(t, s, cwstand.HealthPath, "c")
 	if status != 200 || drained != 503 {
-		t.Errorf("health: got %d, then %d", status, drained)
+		t.Errorf("health check: got status %d, then %d while draining", status, drained)
 	}
 
 	got := s.Counts().Add(other.Counts())
 	if got.ProbeBytes < 100 || got.ReportBytes < 100 {
-		t.Errorf("bytes of measuring: %+v", got)
+		t.Errorf("too few bytes of health checks or reports counted: %+v", got)
 	}
 
 	got.ProbeBytes, got.ReportBytes = 0, 0
@@ -229,9 +230,9 @@
 }
 
 func TestServerBoundsConnections(t *testing.T) {
-	s := server(t, cwstand.ServerOptions{Slots: 1, Conns: 1, Speed: never()})
+	s := server(t, cwstand.ServerOptions{Slots: 1, Conns: 1, Speed: neverFinishes()})
 	send(t, s)
-	cwtest.Wait(t, "one runs", func() bool { return s.Counts().Began == 1 })
+	cwtest.Wait(t, "one request runs", func() bool { return s.Counts().Began == 1 })
 
 	c, err := net.Dial("tcp", string(s.Address()))
 	if err != nil {
@@ -243,6 +244,6 @@
 	}
 
 	if got := s.Counts().Refused; got != 1 {
-		t.Errorf("refused: got %d", got)
+		t.Errorf("got %d refused connections, want 1", got)
 	}
 }
--- a/internal/cwstand/upstream.go
+++ b/internal/cwstand/upstream.go
@@ -14,14 +14,15 @@
 	"carobward.example/carobward"
 )
 
-// UpstreamWay is how an Upstream treats the requests that it gets.
+// UpstreamWay is the way in which an Upstream handles requests.
 type UpstreamWay uint8
 
-// The ways of an Upstream.
+// The modes of an Upstream.
 const (
-	// UpstreamServes runs each request and answers it.
+	// UpstreamServes runs each request and answers with status 200.
 	UpstreamServes UpstreamWay = iota
-	// UpstreamSheds refuses each request and says that it did not run.
+	// UpstreamSheds refuses each request with a reply that states that it did not
+	// run.
 	UpstreamSheds
 	// UpstreamResets runs each request and resets the connection.
 	UpstreamResets
@@ -29,31 +30,34 @@
 	UpstreamSilent
 	// UpstreamFails runs each request and answers with status 500.
 	UpstreamFails
-	// UpstreamRefuses answers with status 503, and does not say whether the
-	// request ran; it did.
+	// UpstreamRefuses runs each request and answers with status 503, without
+	// stating whether the request ran.
 	UpstreamRefuses
-	// UpstreamCuts runs each request and ends its answer in the middle.
+	// UpstreamCuts runs each request and closes the connection before the end of
+	// the reply.
 	UpstreamCuts
-	// UpstreamUnsigned runs each request and leaves out the signature.
+	// UpstreamUnsigned runs each request and answers without the signature.
 	UpstreamUnsigned
-	// UpstreamRepeats answers each request twice.
+	// UpstreamRepeats runs each request and sends the reply twice.
 	UpstreamRepeats
-	// UpstreamUnframed ends its answers with the connection.
+	// UpstreamUnframed runs each request and answers without a length: the reply
+	// ends when the connection is closed.
 	UpstreamUnframed
 )
 
-// upstreamSlots is the number of slots that an Upstream claims.
+// upstreamSlots is the number of slots in a server's entry in the store.
 const upstreamSlots = 4
 
-// Run is one request that an Upstream ran.
+// Run is a request that an Upstream ran.
 type Run struct {
 	ID     string
 	Method string
 	URI    string
 	Body   string
-	// Left is the time left that came with it, in milliseconds.
+	// Left is the request's Deadline-Ms header: the time left, in milliseconds.
 	Left string
-	// Team is the team that came with it, Key what should never come: an API key.
+	// Team is the request's Tenant header, Key its Authorization header. The API key
+	// in the latter should never reach a server.
 	Team string
 	Key  string
 }
@@ -65,38 +69,40 @@
 	instance carobward.Instance
 
 	mutex sync.Mutex
-	way   UpstreamWay
+	mode  UpstreamWay
 	work  time.Duration
 	load  string
-	// warm is until when it says that it is cold, zero: it says nothing.
-	warm time.Time
-	// limits are what it says of the requests a second that it takes; none: it says
-	// nothing.
+	// warmUntil is the time at which the reported warmup ends. If it is zero, no warmup is
+	// reported.
+	warmUntil time.Time
+	// limits are the rate limits that replies announce, in requests per second.
 	limits []string
-	// fields are header lines of all its answers.
+	// fields are header lines added to all replies.
 	fields string
-	// refusals has when each of the requests came that it refused.
+	// refusals has the arrival time of each refused request.
 	refusals []time.Time
-	// slow is how long answers to health checks take.
-	slow time.Duration
-	// closing ends the connection of each health check.
-	closing bool
-	// body is what answers have.
+	// healthDelay is the delay of replies to health checks.
+	healthDelay time.Duration
+	// closeOnHealth makes the server close the connection after each health check.
+	closeOnHealth bool
+	// body is the body of replies to requests that ran.
 	body string
 	runs []Run
-	// arrivals has when each of the runs began.
-	arrivals []time.Time
-	looks    int
-	// broken counts the requests whose caller left before the answer.
-	broken int
-	// kills tells whether a request ends the server, ended is called then.
-	kills func(Run) bool
-	ended func()
-	stop  chan struct{}
-	once  sync.Once
+	// arrivals has the start time of each run.
+	arrivals     []time.Time
+	healthChecks int
+	// disconnects counts the requests whose sender disconnected before the reply.
+	disconnects int
+	// crashesOn reports whether a request crashes the server. On a crash, onCrash
+	// is called.
+	crashesOn func(Run) bool
+	onCrash   func()
+	stop      chan struct{}
+	once      sync.Once
 }
 
-// NewUpstream returns a server that serves on the listener until Close.
+// NewUpstream returns a server that accepts connections from the listener until
+// Close.
 func NewUpstream(ln net.Listener, instance carobward.Instance) *Upstream {
 	u := &Upstream{instance: instance, load: "0,0,4,100", body: "done", stop: make(chan struct{})}
 	u.acceptor = accept(ln, u.serve)
@@ -104,15 +110,15 @@
 	return u
 }
 
-// Set tells how requests are treated and how long they take.
-func (u *Upstream) Set(way UpstreamWay, work time.Duration) {
+// Set sets the mode and the time that the work of a request takes.
+func (u *Upstream) Set(mode UpstreamWay, work time.Duration) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 
-	u.way, u.work = way, work
+	u.mode, u.work = mode, work
 }
 
-// SetLoad sets what it says of its load.
+// SetLoad sets the value of the Upstream-Load header.
 func (u *Upstream) SetLoad(load string) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
@@ -120,7 +126,7 @@
 	u.load = load
 }
 
-// SetBody sets what answers have, "done" at first.
+// SetBody sets the body of replies. The default is "done".
 func (u *Upstream) SetBody(body string) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
@@ -128,25 +134,26 @@
 	u.body = body
 }
 
-// SetKills sets which requests end the server: once one of them has been worked on,
-// all connections are reset, nothing listens any more, and ended is called.
-func (u *Upstream) SetKills(kills func(Run) bool, ended func()) {
+// SetKills sets which requests crash the server. After the work of such a request the
+// server closes its listener, resets all connections and calls onCrash.
+func (u *Upstream) SetKills(crashesOn func(Run) bool, onCrash func()) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 
-	u.kills, u.ended = kills, ended
+	u.crashesOn, u.onCrash = crashesOn, onCrash
 }
 
-// SetCold has its health check say for a time that it is cold, and from then on that it
-// is not.
+// SetCold makes replies to health checks report a warmup that ends after the given
+// time, and a finished warmup from then on.
 func (u *Upstream) SetCold(left time.Duration) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 
-	u.warm = time.Now().Add(left)
+	u.warmUntil = time.Now().Add(left)
 }
 
-// SetLimit has its answers to requests name a limit, several, or none.
+// SetLimit sets the rate limits that replies to requests announce: one, several or
+// none.
 func (u *Upstream) SetLimit(limits ...string) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
@@ -154,7 +161,8 @@
 	u.limits = limits
 }
 
-// SetFields has all its answers carry header lines, those to health checks among them.
+// SetFields sets header lines that are added to all replies, including those to health
+// checks.
 func (u *Upstream) SetFields(lines ...string) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
@@ -165,15 +173,15 @@
 	}
 }
 
-// SetSlow sets how long its answers to health checks take.
-func (u *Upstream) SetSlow(slow time.Duration) {
+// SetSlow sets the delay of replies to health checks.
+func (u *Upstream) SetSlow(healthDelay time.Duration) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 
-	u.slow = slow
+	u.healthDelay = healthDelay
 }
 
-// Refusals returns when each of the requests came that it refused.
+// Refusals returns the arrival time of each refused request.
 func (u *Upstream) Refusals() []time.Time {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
@@ -181,15 +189,15 @@
 	return append([]time.Time(nil), u.refusals...)
 }
 
-// SetClosing sets whether it ends the connection of each health check.
-func (u *Upstream) SetClosing(closing bool) {
+// SetClosing sets whether the server closes the connection after each health check.
+func (u *Upstream) SetClosing(closeOnHealth bool) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 
-	u.closing = closing
+	u.closeOnHealth = closeOnHealth
 }
 
-// Runs returns the requests that it ran.
+// Runs returns the requests that the server ran.
 func (u *Upstream) Runs() []Run {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
@@ -197,7 +205,7 @@
 	return append([]Run(nil), u.runs...)
 }
 
-// Arrivals returns when each of the requests came that it ran.
+// Arrivals returns the start time of each request that the server ran.
 func (u *Upstream) Arrivals() []time.Time {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
@@ -205,23 +213,23 @@
 	return append([]time.Time(nil), u.arrivals...)
 }
 
-// Looks returns the number of health checks.
+// Looks returns the number of health checks received.
 func (u *Upstream) Looks() int {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 
-	return u.looks
+	return u.healthChecks
 }
 
-// Broken returns how many requests ended since their caller left.
+// Broken returns the number of requests whose sender disconnected before the reply.
 func (u *Upstream) Broken() int {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 
-	return u.broken
+	return u.disconnects
 }
 
-// Close ends it. It may be called again.
+// Close stops the server. It may be called more than once.
 func (u *Upstream) Close() {
 	u.once.Do(func() { close(u.stop) })
 	u.acceptor.Close()
@@ -242,94 +250,96 @@
 	}
 }
 
-// answer answers one request and tells whether the connection stays open.
+// answer answers a request and reports whether the connection stays open.
 func (u *Upstream) answer(c net.Conn, r *bufio.Reader, req *fasthttp.Request) bool {
-	head := func(name string) string { return string(req.Header.Peek(name)) }
+	header := func(name string) string { return string(req.Header.Peek(name)) }
 
 	if string(req.Header.RequestURI()) == "/health" {
-		return u.look(c)
+		return u.answerHealth(c)
 	}
 
 	u.mutex.Lock()
-	way, work, load, fields := u.way, u.work, u.load, u.fields
+	mode, work, load, fields := u.mode, u.work, u.load, u.fields
 	u.mutex.Unlock()
 
-	if expected := head("Expect-Instance"); expected != "" && expected != string(u.instance) {
-		return say(c, "HTTP/1.1 421 Misdirected Request\r\nInstance-Id: %s\r\n%sContent-Length: 0\r\n\r\n", u.instance, fields)
+	if expected := header("Expect-Instance"); expected != "" && expected != string(u.instance) {
+		return writeReply(c, "HTTP/1.1 421 Misdirected Request\r\nInstance-Id: %s\r\n%sContent-Length: 0\r\n\r\n", u.instance, fields)
 	}
 
-	if way == UpstreamSheds {
+	if mode == UpstreamSheds {
 		u.mutex.Lock()
 		u.refusals = append(u.refusals, time.Now())
 		u.mutex.Unlock()
 
-		return say(c, "HTTP/1.1 503 Service Unavailable\r\nNot-Executed: 1\r\n%sContent-Length: 0\r\n\r\n", fields)
+		return writeReply(c, "HTTP/1.1 503 Service Unavailable\r\nNot-Executed: 1\r\n%sContent-Length: 0\r\n\r\n", fields)
 	}
 
 	run := Run{
-		ID: head("Request-Id"), Method: string(req.Header.Method()), URI: string(req.Header.RequestURI()),
-		Body: string(req.Body()), Left: head("Deadline-Ms"),
-		Team: head("Tenant"), Key: head("Authorization"),
+		ID: header("Request-Id"), Method: string(req.Header.Method()), URI: string(req.Header.RequestURI()),
+		Body: string(req.Body()), Left: header("Deadline-Ms"),
+		Team: header("Tenant"), Key: header("Authorization"),
 	}
 
 	u.mutex.Lock()
 	u.runs = append(u.runs, run)
 	u.arrivals = append(u.arrivals, time.Now())
-	kills := u.kills
+	crashesOn := u.crashesOn
 	u.mutex.Unlock()
 
-	if !u.wait(c, r, work) {
+	if !u.simulateWork(c, r, work) {
 		return false
 	}
 
-	if kills != nil && kills(run) {
+	if crashesOn != nil && crashesOn(run) {
 		u.crash()
 
 		return false
 	}
 
-	return u.end(c, way, head("Request-Id"), load)
+	return u.answerRun(c, mode, header("Request-Id"), load)
 }
 
-// crash ends the server as the end of its process does.
+// crash has the effect of a crash of the server's process.
 func (u *Upstream) crash() {
 	u.mutex.Lock()
-	ended := u.ended
+	onCrash := u.onCrash
 	u.mutex.Unlock()
 
-	// Whoever waits for the end of all connections can't be one of them.
+	// The callback may wait for all connections to end, so it must not run in the
+	// goroutine of a connection.
 	if u.reset() {
-		go ended()
+		go onCrash()
 	}
 }
 
-// look answers a health check.
-func (u *Upstream) look(c net.Conn) bool {
+// answerHealth answers a health check.
+func (u *Upstream) answerHealth(c net.Conn) bool {
 	u.mutex.Lock()
-	u.looks++
-	load, closing, warm, fields, slow := u.load, u.closing, u.warm, u.fields, u.slow
+	u.healthChecks++
+	load, closeOnHealth, warmUntil, fields, healthDelay := u.load, u.closeOnHealth, u.warmUntil, u.fields, u.healthDelay
 	u.mutex.Unlock()
 
-	time.Sleep(slow)
+	time.Sleep(healthDelay)
 
 	connection := "keep-alive"
-	if closing {
+	if closeOnHealth {
 		connection = "close"
 	}
 
-	cold := ""
-	if !warm.IsZero() {
-		cold = fmt.Sprintf("Warmup-Ms: %d\r\n", max(0, time.Until(warm).Milliseconds()))
+	warmup := ""
+	if !warmUntil.IsZero() {
+		warmup = fmt.Sprintf("Warmup-Ms: %d\r\n", max(0, time.Until(warmUntil).Milliseconds()))
 	}
 
-	good := say(c, "HTTP/1.1 200 OK\r\nConnection: %s\r\nInstance-Id: %s\r\nUpstream-Load: %s\r\n%s%sContent-Length: 0\r\n\r\n",
-		connection, u.instance, load, cold, fields)
+	ok := writeReply(c, "HTTP/1.1 200 OK\r\nConnection: %s\r\nInstance-Id: %s\r\nUpstream-Load: %s\r\n%s%sContent-Length: 0\r\n\r\n",
+		connection, u.instance, load, warmup, fields)
 
-	return good && !closing
+	return ok && !closeOnHealth
 }
 
-// wait works for a time, or until the caller leaves.
-func (u *Upstream) wait(c net.Conn, r *bufio.Reader, work time.Duration) bool {
+// simulateWork simulates the work of a request. It returns false if the sender disconnects
+// before the end.
+func (u *Upstream) simulateWork(c net.Conn, r *bufio.Reader, work time.Duration) bool {
 	if work == 0 {
 		return true
 	}
@@ -343,26 +353,27 @@
 	}
 
 	u.mutex.Lock()
-	u.broken++
+	u.disconnects++
 	u.mutex.Unlock()
 
 	return false
 }
 
-// end writes the answer to a request that ran.
-func (u *Upstream) end(c net.Conn, way UpstreamWay, id, load string) bool {
+// answerRun writes the reply to a request that ran, and reports whether the connection stays
+// open.
+func (u *Upstream) answerRun(c net.Conn, mode UpstreamWay, id, load string) bool {
 	u.mutex.Lock()
 	body, limits, fields := u.body, u.limits, u.fields
 	u.mutex.Unlock()
 
-	whole := fmt.Sprintf("Request-Id: %s\r\nResponse-Seal: s.%s\r\nUpstream-Load: %s\r\n%s", id, id, load, fields)
+	headers := fmt.Sprintf("Request-Id: %s\r\nResponse-Seal: s.%s\r\nUpstream-Load: %s\r\n%s", id, id, load, fields)
 	for _, limit := range limits {
-		whole += "Server-Limit: " + limit + "\r\n"
+		headers += "Server-Limit: " + limit + "\r\n"
 	}
 
-	good := fmt.Sprintf("HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", whole, len(body), body)
+	reply := fmt.Sprintf("HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", headers, len(body), body)
 
-	switch way {
+	switch mode {
 	case UpstreamResets:
 		if t, ok := c.(*net.TCPConn); ok {
 			_ = t.SetLinger(0)
@@ -374,30 +385,30 @@
 
 		return false
 	case UpstreamFails:
-		return say(c, "HTTP/1.1 500 Internal Server Error\r\n%sContent-Length: 0\r\n\r\n", whole)
+		return writeReply(c, "HTTP/1.1 500 Internal Server Error\r\n%sContent-Length: 0\r\n\r\n", headers)
 	case UpstreamRefuses:
-		return say(c, "HTTP/1.1 503 Service Unavailable\r\n%sContent-Length: 0\r\n\r\n", whole)
+		return writeReply(c, "HTTP/1.1 503 Service Unavailable\r\n%sContent-Length: 0\r\n\r\n", headers)
 	case UpstreamCuts:
 		const missing = 96
 
-		say(c, "HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", whole, len(body)+missing, body)
+		writeReply(c, "HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", headers, len(body)+missing, body)
 
 		return false
 	case UpstreamUnsigned:
-		return say(c, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
+		return writeReply(c, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 	case UpstreamRepeats:
-		return say(c, "%s%s", good, good)
+		return writeReply(c, "%s%s", reply, reply)
 	case UpstreamUnframed:
-		say(c, "HTTP/1.1 200 OK\r\n%s\r\n%s", whole, body)
+		writeReply(c, "HTTP/1.1 200 OK\r\n%s\r\n%s", headers, body)
 
 		return false
 	default:
-		return say(c, "%s", good)
+		return writeReply(c, "%s", reply)
 	}
 }
 
-// say writes an answer and tells whether that went well.
-func say(c net.Conn, format string, values ...any) bool {
+// writeReply writes a formatted reply and reports whether the write succeeded.
+func writeReply(c net.Conn, format string, values ...any) bool {
 	_, err := fmt.Fprintf(c, format, values...)
 
 	return err == nil
