--- a/internal/cwtest/fleet.go
+++ b/internal/cwtest/fleet.go
@@ -11,21 +11,21 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Fleet is a set of separate processes: a platform, entry VMs and servers.
+// Fleet is a platform, entry VMs and servers, each a separate process.
 type Fleet struct {
-	// Carobward and Stand are the built programs.
+	// Carobward and Stand are the paths of the binaries.
 	Carobward string
 	Stand     string
 	// Platform is the address of the platform.
 	Platform string
-	// VMs are the entry VMs by id.
+	// VMs are the entry VMs by ID.
 	VMs map[string]*EntryVM
 
 	platform *Process
 	servers  map[string][]string
 }
 
-// EntryVM is one entry VM's process and its listeners.
+// EntryVM is an entry VM's process and the addresses of its listeners.
 type EntryVM struct {
 	Process                           *Process
 	Domain                            string
@@ -47,9 +47,9 @@
 	return f
 }
 
-var listening = regexp.MustCompile(`listening (\S+)`)
+var listenPattern = regexp.MustCompile(`listening (\S+)`)
 
-// StartStand starts a stand-in and returns the address that it listens on.
+// StartStand starts a stand-in and returns the address on which it listens.
 func (f *Fleet) StartStand(t testing.TB, args ...string) string {
 	t.Helper()
 
@@ -58,7 +58,7 @@
 	return address
 }
 
-// KillPlatform kills the platform.
+// KillPlatform kills the platform's process.
 func (f *Fleet) KillPlatform(t testing.TB) {
 	t.Helper()
 	f.platform.Signal(t, syscall.SIGKILL)
@@ -70,8 +70,8 @@
 
 	p = Start(t, f.Stand, args...)
 
-	Wait(t, "a stand-in that listens", func() bool {
-		if m := listening.FindStringSubmatch(p.Output()); m != nil {
+	Wait(t, "the stand-in listens", func() bool {
+		if m := listenPattern.FindStringSubmatch(p.Output()); m != nil {
 			address = m[1]
 		}
 
@@ -81,7 +81,8 @@
 	return p, address
 }
 
-// StartServer starts a server of a service, lists it and returns its address.
+// StartServer starts a server of a service, adds it to the VM list and returns its
+// address.
 func (f *Fleet) StartServer(t testing.TB, service string, args ...string) string {
 	t.Helper()
 
@@ -91,7 +92,8 @@
 	return address
 }
 
-// AddServer lists a server that the test itself serves.
+// AddServer adds a server that runs elsewhere, such as in the test itself, to the VM
+// list.
 func (f *Fleet) AddServer(t testing.TB, service, address string) {
 	t.Helper()
 
@@ -99,19 +101,20 @@
 	f.List(t)
 }
 
-var serving = regexp.MustCompile(`msg=Serving\..* callers=(\S+) lookup=(\S+) peers=(\S+) operators=(\S+)`)
+var servePattern = regexp.MustCompile(`msg=Serving\..* callers=(\S+) lookup=(\S+) peers=(\S+) operators=(\S+)`)
 
-// StartVM starts an entry VM, without listing it. More settings, such as
-// `"log": "debug"`, replace the defaults.
+// StartVM starts an entry VM without adding it to the VM list. Additional settings,
+// such as `"log": "debug"`, override the defaults.
 func (f *Fleet) StartVM(t testing.TB, vm, domain string, more ...string) *EntryVM {
 	t.Helper()
 
-	const open = "127.0.0.1:0"
+	const anyPort = "127.0.0.1:0"
 
-	return f.StartVMAt(t, vm, EntryVM{Domain: domain, Callers: open, Lookup: open, Peers: open, Operators: open}, more...)
+	return f.StartVMAt(t, vm, EntryVM{Domain: domain, Callers: anyPort, Lookup: anyPort, Peers: anyPort, Operators: anyPort}, more...)
 }
 
-// StartVMAt is StartVM on the addresses of another entry VM.
+// StartVMAt is like StartVM, with the domain and the listen addresses of another entry
+// VM.
 func (f *Fleet) StartVMAt(t testing.TB, vm string, at EntryVM, more ...string) *EntryVM {
 	t.Helper()
 
@@ -127,8 +130,8 @@
 
 	v := &EntryVM{Process: Start(t, f.Carobward, "serve", "--settings", settings), Domain: at.Domain}
 
-	Wait(t, "an entry VM that serves", func() bool {
-		m := serving.FindStringSubmatch(v.Process.Output())
+	Wait(t, "the entry VM serves", func() bool {
+		m := servePattern.FindStringSubmatch(v.Process.Output())
 		if m != nil {
 			v.Callers, v.Lookup, v.Peers, v.Operators = m[1], m[2], m[3], m[4]
 		}
@@ -141,13 +144,13 @@
 	return v
 }
 
-// group is one part of the VM list.
+// group is an entry of the VM list.
 type group struct {
 	Targets []string          `json:"targets"`
 	Labels  map[string]string `json:"labels"`
 }
 
-// List sets the platform's VM list to the servers and entry VMs.
+// List sets the platform's VM list to the servers and entry VMs of the fleet.
 func (f *Fleet) List(t testing.TB) {
 	t.Helper()
 
@@ -169,7 +172,7 @@
 	f.Control(t, fasthttp.MethodPut, "/vms", string(raw))
 }
 
-// Control makes a request to the platform that sets a list or faults.
+// Control sends a request to the platform, to set its VM list or faults.
 func (f *Fleet) Control(t testing.TB, method, path, body string) {
 	t.Helper()
 
@@ -188,8 +191,8 @@
 	}
 }
 
-// InForce waits until each of the entry VMs, or each one if none is named,
-// shows in its own status that so many entry VMs have a revision.
+// InForce waits until the status of each of the given entry VMs, or of all if none is
+// given, shows that count entry VMs have a revision.
 func (f *Fleet) InForce(t testing.TB, revision, count int, vms ...string) {
 	t.Helper()
 
@@ -202,7 +205,7 @@
 	line := regexp.MustCompile(fmt.Sprintf(`(?m)^\S+ .* live +%d$`, revision))
 
 	for _, vm := range vms {
-		Wait(t, fmt.Sprintf("revision %d on %d as %s sees it", revision, count, vm), func() bool {
+		Wait(t, fmt.Sprintf("revision %d on %d entry VMs in the status of %s", revision, count, vm), func() bool {
 			out, _ := Run(t, f.Carobward, "status", "--vm", f.VMs[vm].Operators)
 
 			return len(line.FindAllString(out, -1)) == count
--- a/internal/cwtest/listen.go
+++ b/internal/cwtest/listen.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Listen returns a listener on a free port of loopback, closed at the end of
-// the test.
+// Listen returns a listener on a free loopback port. It is closed when the test
+// ends.
 func Listen(t testing.TB) net.Listener {
 	t.Helper()
 
--- a/internal/cwtest/page.go
+++ b/internal/cwtest/page.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Text returns an error's text, "" for none.
+// Text returns an error's text, or "" if the error is nil.
 func Text(err error) string {
 	if err == nil {
 		return ""
@@ -15,8 +15,8 @@
 	return err.Error()
 }
 
-// WantKeys fails the test for each key that a page of the docs has no line
-// for, as `KEY` at the start of a table's line.
+// WantKeys fails the test for each key that is missing from the tables of a
+// documentation page. The key must be the first cell of a row, as `KEY`.
 func WantKeys(t testing.TB, page string, keys []string) {
 	t.Helper()
 
@@ -27,7 +27,7 @@
 
 	for _, k := range keys {
 		if !bytes.Contains(raw, []byte("\n| `"+k+"` |")) {
-			t.Errorf("%s has no line that starts with | `%s` |; add one", page, k)
+			t.Errorf("%s has no table row that starts with | `%s` |; add one", page, k)
 		}
 	}
 }
--- a/internal/cwtest/process.go
+++ b/internal/cwtest/process.go
@@ -1,4 +1,4 @@
-// Package cwtest has the helpers that tests share.
+// Package cwtest provides helpers shared by the tests of several packages.
 package cwtest
 
 import (
@@ -18,42 +18,43 @@
 	"carobward.example/carobward"
 )
 
-// The bounds of waiting in tests. They are long, since a loaded machine may
-// be slow; a condition ends the waiting.
+// The timeout and the polling interval of Wait. The timeout is long because a
+// loaded machine may be slow; a condition that comes true ends the wait early.
 const (
-	WaitMost = 30 * time.Second
-	poll     = 10 * time.Millisecond
+	WaitMost     = 30 * time.Second
+	pollInterval = 10 * time.Millisecond
 )
 
-// Wait waits until ok returns true, and fails the test if it does not.
+// Wait polls until ok returns true, and fails the test if it does not do so in
+// time.
 func Wait(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 
 	for end := time.Now().Add(WaitMost); !ok(); {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 
-		<-time.After(poll)
+		<-time.After(pollInterval)
 	}
 }
 
-// Build compiles the command at a path below the module's root, such as
-// cmd/carobward, and returns the program's path.
+// Build compiles the command in a directory given relative to the module's root,
+// such as cmd/carobward, and returns the path of the binary.
 func Build(t testing.TB, command string) string {
 	t.Helper()
 
-	to := filepath.Join(t.TempDir(), filepath.Base(command))
+	path := filepath.Join(t.TempDir(), filepath.Base(command))
 
-	out, err := exec.Command("go", "build", "-o", to, "carobward.example/carobward/"+command).CombinedOutput()
+	out, err := exec.Command("go", "build", "-o", path, "carobward.example/carobward/"+command).CombinedOutput()
 	if err != nil {
 		t.Fatalf("build %s: %v\n%s", command, err, out)
 	}
 
-	return to
+	return path
 }
 
-// Process is a separate process that a test started.
+// Process is a child process started by a test.
 type Process struct {
 	command *exec.Cmd
 	output  *buffer
@@ -61,7 +62,7 @@
 	err     error
 }
 
-// buffer collects output that may be read meanwhile.
+// buffer collects output. It is safe for concurrent use.
 type buffer struct {
 	mutex sync.Mutex
 	bytes bytes.Buffer
@@ -81,15 +82,15 @@
 	return b.bytes.String()
 }
 
-// Start starts a process that is killed when the test ends.
+// Start starts a process. It is killed when the test ends.
 func Start(t testing.TB, program string, args ...string) *Process {
 	t.Helper()
 
 	return StartWith(t, nil, program, args...)
 }
 
-// StartWith starts a process with more variables in its environment. It is
-// killed when the test ends.
+// StartWith starts a process with additional environment variables. It is killed
+// when the test ends.
 func StartWith(t testing.TB, environment []string, program string, args ...string) *Process {
 	t.Helper()
 
@@ -119,7 +120,7 @@
 	return p
 }
 
-// Signal sends a signal.
+// Signal sends a signal to the process.
 func (p *Process) Signal(t testing.TB, s syscall.Signal) {
 	t.Helper()
 
@@ -128,7 +129,7 @@
 	}
 }
 
-// Wait returns how the process exited.
+// Wait waits until the process has exited and returns its exit error.
 func (p *Process) Wait(t testing.TB) error {
 	t.Helper()
 
@@ -145,7 +146,7 @@
 // Output returns what the process has printed so far.
 func (p *Process) Output() string { return p.output.String() }
 
-// ServeHTTP serves HTTP on loopback until the test ends.
+// ServeHTTP serves HTTP on a free loopback port until the test ends.
 func ServeHTTP(t testing.TB, h fasthttp.RequestHandler) carobward.Address {
 	t.Helper()
 
@@ -154,8 +155,8 @@
 	return Serve(t, s.Serve, s.Shutdown)
 }
 
-// Serve lets serve have a listener on loopback until the test ends; stop is
-// called before the listener is closed.
+// Serve calls serve with a listener on a free loopback port. When the test ends,
+// it calls stop and then closes the listener.
 func Serve(t testing.TB, serve func(net.Listener) error, stop func() error) carobward.Address {
 	t.Helper()
 
@@ -176,7 +177,7 @@
 	return carobward.Address(ln.Addr().String())
 }
 
-// Run runs a program to its end and returns its output and exit code.
+// Run runs a program until it exits and returns its output and exit code.
 func Run(t testing.TB, program string, args ...string) (string, int) {
 	t.Helper()
 
@@ -193,7 +194,7 @@
 	return string(out), command.ProcessState.ExitCode()
 }
 
-// File writes a file into the test's folder and returns its path.
+// File writes a file into a temporary directory of the test and returns its path.
 func File(t testing.TB, name, text string) string {
 	t.Helper()
 
