--- a/internal/cwsite/site.go
+++ b/internal/cwsite/site.go
@@ -1,5 +1,5 @@
-// Package cwsite starts entry VMs of the users' platform as separate processes,
-// with a stand-in of the platform's store, for tests.
+// Package cwsite lets tests start entry VMs of the users' platform as separate
+// processes, with a stand-in for the platform's metadata store.
 package cwsite
 
 import (
@@ -18,7 +18,7 @@
 	"carobward.example/carobward/platform"
 )
 
-// Gateway is one entry VM of the users' platform, as a process of its own.
+// Gateway is an entry VM of the users' platform, which runs in a process of its own.
 type Gateway struct {
 	ID      string
 	Callers carobward.Address
@@ -31,7 +31,7 @@
 	process *cwtest.Process
 }
 
-// Process returns its present process.
+// Process returns the entry VM's current process.
 func (g *Gateway) Process() *cwtest.Process {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -39,48 +39,48 @@
 	return g.process
 }
 
-// IsReady tells whether it says that it takes callers.
+// IsReady reports whether the readiness endpoint answers with status 200.
 func (g *Gateway) IsReady() bool {
 	status, _, err := fasthttp.Get(nil, "http://"+string(g.Ready)+platform.PathReady)
 
 	return err == nil && status == fasthttp.StatusOK
 }
 
-// Site is a set of entry VMs with a stand-in of the platform's store.
+// Site is a set of entry VMs with a stand-in for the platform's metadata store.
 type Site struct {
-	// Store is the stand-in, StoreProxy what stands before it.
+	// Store is the stand-in, StoreProxy the proxy by which entry VMs reach it.
 	Store      *cwstand.Metadata
 	StoreProxy *cwstand.Proxy
 	All        []*Gateway
 
 	program string
-	net     int
+	network int
 	grace   string
 }
 
-// The ports of each entry VM on its own loopback address.
+// The ports of each entry VM on its loopback address.
 const (
 	portCallers = 8161 + iota
 	portReady
 	portPeers
 	portLookup
-	// portClaim is held by who uses a loopback network.
-	portClaim
+	// portReservation is the port whose listener reserves a loopback network.
+	portReservation
 )
 
-// The loopback networks 127.NET.0.0 that sites may use.
+// The range of the loopback networks 127.NET.0.0 that sites use.
 const (
-	netFirst = 60
-	netLast  = 250
+	minNetwork = 60
+	maxNetwork = 250
 )
 
-// claim returns a loopback network that no other site uses, of this process or another one,
-// until the test ends.
-func claim(t testing.TB) int {
+// reserveNetwork reserves a loopback network until the test ends and returns its number. No other
+// site uses the network meanwhile, in this process or in another one.
+func reserveNetwork(t testing.TB) int {
 	t.Helper()
 
-	for n := netFirst; n <= netLast; n++ {
-		ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.0.254:%d", n, portClaim))
+	for n := minNetwork; n <= maxNetwork; n++ {
+		ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.0.254:%d", n, portReservation))
 		if err == nil {
 			t.Cleanup(func() { _ = ln.Close() })
 
@@ -93,12 +93,12 @@
 	return 0
 }
 
-// New builds the program and starts a store. Entry VMs are on the
-// loopback addresses 127.NET.0.1 and up of a network of its own.
+// New builds the program and starts a store. The entry VMs get the addresses 127.NET.0.1
+// and up in a loopback network reserved for the site.
 func New(t testing.TB, grace string) *Site {
 	t.Helper()
 
-	g := &Site{Store: cwstand.NewMetadata(), program: cwtest.Build(t, "cmd/cwgateway"), net: claim(t), grace: grace}
+	g := &Site{Store: cwstand.NewMetadata(), program: cwtest.Build(t, "cmd/cwgateway"), network: reserveNetwork(t), grace: grace}
 	address := cwtest.Serve(t, g.Store.Serve, g.Store.Stop)
 	g.StoreProxy = cwstand.NewProxy(cwtest.Listen(t), address)
 	t.Cleanup(g.StoreProxy.Close)
@@ -106,12 +106,12 @@
 	return g
 }
 
-// Start starts one more entry VM.
+// Start starts another entry VM.
 func (g *Site) Start(t testing.TB) *Gateway {
 	t.Helper()
 
 	n := len(g.All) + 1
-	ip := fmt.Sprintf("127.%d.0.%d", g.net, n)
+	ip := fmt.Sprintf("127.%d.0.%d", g.network, n)
 	at := func(port int) carobward.Address { return carobward.Address(net.JoinHostPort(ip, fmt.Sprint(port))) }
 	v := &Gateway{ID: fmt.Sprintf("vm-%d", n), Callers: at(portCallers), Ready: at(portReady), Lookup: at(portLookup)}
 
@@ -139,7 +139,7 @@
 probes_per_s = 60
 warmup_overshoot = 1.5
 warmup_slack = 8
-`, v.ID, n%3, g.net, portPeers, g.net, portPeers, v.Callers, v.Ready, at(portPeers), v.Lookup, g.StoreProxy.Address(), g.grace)
+`, v.ID, n%3, g.network, portPeers, g.network, portPeers, v.Callers, v.Ready, at(portPeers), v.Lookup, g.StoreProxy.Address(), g.grace)
 
 	v.Settings = filepath.Join(t.TempDir(), v.ID+".toml")
 
@@ -154,7 +154,7 @@
 	return v
 }
 
-// Restart starts an entry VM whose process has ended, or had none.
+// Restart starts the process of an entry VM that has none or whose last one has exited.
 func (g *Site) Restart(t testing.TB, v *Gateway) {
 	t.Helper()
 
