--- a/test/gateway/process_test.go
+++ b/test/gateway/process_test.go
@@ -20,8 +20,8 @@
 	grace = "1s"
 )
 
-// fleet starts entry VMs with one server.
-func fleet(t *testing.T, n int) (*cwsite.Site, *cwstand.Upstream) {
+// startSite starts n entry VMs with one server and waits until they are ready.
+func startSite(t *testing.T, n int) (*cwsite.Site, *cwstand.Upstream) {
 	t.Helper()
 
 	g := cwsite.New(t, grace)
@@ -38,8 +38,8 @@
 	return g, u
 }
 
-// ask sends one request and returns its status.
-func ask(v *cwsite.Gateway, id string) int {
+// send sends a request and returns the status of the reply, or 0 without one.
+func send(v *cwsite.Gateway, id string) int {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 
 	defer fasthttp.ReleaseRequest(req)
@@ -58,16 +58,16 @@
 	return resp.StatusCode()
 }
 
-// TestSignals wants SIGHUP to cost no request, also with settings that can't be
-// read, and SIGTERM to end the process well.
+// TestSignals checks that requests are served after SIGHUP, also with invalid settings,
+// and that SIGTERM ends the process without an error.
 func TestSignals(t *testing.T) {
-	g, _ := fleet(t, 2)
+	g, _ := startSite(t, 2)
 	v := g.All[1]
 
 	v.Process().Signal(t, syscall.SIGHUP)
-	cwtest.Wait(t, "SIGHUP", func() bool { return strings.Contains(v.Process().Output(), "signal=hangup") })
+	cwtest.Wait(t, "SIGHUP in the log", func() bool { return strings.Contains(v.Process().Output(), "signal=hangup") })
 
-	if status := ask(v, "one"); status != http.StatusOK {
+	if status := send(v, "one"); status != http.StatusOK {
 		t.Errorf("status %d after SIGHUP", status)
 	}
 
@@ -80,30 +80,30 @@
 		return strings.Contains(v.Process().Output(), "network.listen.front")
 	})
 
-	if status := ask(v, "two"); status != http.StatusOK {
-		t.Errorf("status %d after SIGHUP with bad settings", status)
+	if status := send(v, "two"); status != http.StatusOK {
+		t.Errorf("status %d after SIGHUP with invalid settings", status)
 	}
 
 	v.Process().Signal(t, syscall.SIGTERM)
-	cwtest.Wait(t, "the end of readiness", func() bool { return !v.IsReady() })
+	cwtest.Wait(t, "the entry VM is not ready", func() bool { return !v.IsReady() })
 
 	if err := v.Process().Wait(t); err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("the process exited with %v", err)
 	}
 
 	for _, line := range []string{"msg=Started.", "msg=Ready.", "msg=Stopping.", "msg=Stopped."} {
 		if !strings.Contains(v.Process().Output(), line) {
-			t.Errorf("the log lacks %s", line)
+			t.Errorf("the log has no %s", line)
 		}
 	}
 }
 
-// TestReload changes the settings file of a process. A new bound is put in force
-// without a restart, on a signal and without one.
+// TestReload checks that a process applies a changed settings file without a restart, on
+// SIGHUP and without a signal.
 func TestReload(t *testing.T) {
 	for name, signal := range map[string]bool{"on a signal": true, "without one": false} {
 		t.Run(name, func(t *testing.T) {
-			g, _ := fleet(t, 1)
+			g, _ := startSite(t, 1)
 			v := g.All[0]
 
 			raw, err := os.ReadFile(v.Settings)
@@ -120,18 +120,18 @@
 				v.Process().Signal(t, syscall.SIGHUP)
 			}
 
-			cwtest.Wait(t, "the new bound", func() bool {
+			cwtest.Wait(t, "the new bound in the log", func() bool {
 				return strings.Contains(v.Process().Output(), "New bounds are in force") && strings.Contains(v.Process().Output(), "looks=17")
 			})
 
-			if status := ask(v, "one"); status != http.StatusOK {
+			if status := send(v, "one"); status != http.StatusOK {
 				t.Errorf("status %d", status)
 			}
 		})
 	}
 }
 
-// TestBadSettings wants an error that names what is missing.
+// TestBadSettings checks that the error names the missing setting or file.
 func TestBadSettings(t *testing.T) {
 	program := cwtest.Build(t, "cmd/cwgateway")
 
@@ -146,29 +146,29 @@
 		t.Run(name, func(t *testing.T) {
 			p := cwtest.StartWith(t, c.environment, program)
 			if err := p.Wait(t); err == nil || !strings.Contains(p.Output(), c.want) {
-				t.Errorf("ended with %v and %q", err, p.Output())
+				t.Errorf("the process exited with %v and printed %q", err, p.Output())
 			}
 		})
 	}
 }
 
-// TestReplaced kills an entry VM and wants its next process to take part
-// again, with the store away.
+// TestReplaced checks that an entry VM that was killed serves again after a restart while
+// the store is unreachable.
 func TestReplaced(t *testing.T) {
-	g, u := fleet(t, 3)
+	g, u := startSite(t, 3)
 	v := g.All[2]
 
 	g.StoreProxy.Set(cwstand.ProxyResets)
 	v.Process().Signal(t, syscall.SIGKILL)
 
 	if err := v.Process().Wait(t); err == nil {
-		t.Error("a killed process ended well")
+		t.Error("the killed process exited without an error")
 	}
 
 	g.Restart(t, v)
-	cwtest.Wait(t, "ready again", v.IsReady)
+	cwtest.Wait(t, "the restarted entry VM is ready", v.IsReady)
 
-	if status := ask(v, "again"); status != http.StatusOK || len(u.Runs()) != 1 {
+	if status := send(v, "again"); status != http.StatusOK || len(u.Runs()) != 1 {
 		t.Errorf("status %d, %d runs", status, len(u.Runs()))
 	}
 }
--- a/test/leave/budget_test.go
+++ b/test/leave/budget_test.go
@@ -9,13 +9,13 @@
 	"carobward.example/carobward/internal/cwtest"
 )
 
-// sample is what all servers had counted at some time.
+// sample is the sum of all servers' counts, read between two times.
 type sample struct {
 	from, to time.Time
 	counts   cwstand.Counts
 }
 
-func sampleOf(t *testing.T, servers []*backend) sample {
+func readSample(t *testing.T, servers []*backend) sample {
 	t.Helper()
 
 	s := sample{from: time.Now()}
@@ -28,15 +28,16 @@
 	return s
 }
 
-// spent returns the calls and bytes of measuring between two samples.
-func spent(a, b sample) (calls, bytes int64) {
+// measuringCost returns the calls and bytes of measuring between two samples.
+func measuringCost(a, b sample) (calls, bytes int64) {
 	c, d := a.counts, b.counts
 
 	return d.Probes - c.Probes, d.ProbeBytes + d.ReportBytes - c.ProbeBytes - c.ReportBytes
 }
 
-// TestBudgetAtPeak counts at the servers what measuring costs, within each
-// second, under load, while one entry VM is frozen and resumed and one joins.
+// TestBudgetAtPeak checks that health checks and load reports stay within the configured
+// budget in each second, as counted by the servers, under load, while one entry VM is
+// frozen and resumed and another one joins.
 func TestBudgetAtPeak(t *testing.T) {
 	t.Parallel()
 
@@ -61,44 +62,44 @@
 
 	f.InForce(t, 1, 3)
 
-	end := f.load()
-	samples := []sample{sampleOf(t, servers)}
+	stopLoad := f.startLoad()
+	samples := []sample{readSample(t, servers)}
 	worstCalls, worstBytes := int64(0), int64(0)
 
-	// measured waits until so many more bytes have been spent, and notes the worst
-	// second.
-	measured := func(what string, more int64) {
+	// waitMeasured waits until measuring has used that many more bytes, and updates the
+	// worst second.
+	waitMeasured := func(what string, more int64) {
 		first := samples[len(samples)-1]
 
 		cwtest.Wait(t, what, func() bool {
-			now := sampleOf(t, servers)
+			now := readSample(t, servers)
 			samples = append(samples, now)
 
 			for i := len(samples) - 1; i >= 0 && now.to.Sub(samples[i].from) < time.Second; i-- {
-				c, b := spent(samples[i], now)
+				c, b := measuringCost(samples[i], now)
 				worstCalls, worstBytes = max(worstCalls, c), max(worstBytes, b)
 			}
 
-			_, b := spent(first, now)
+			_, b := measuringCost(first, now)
 
 			return b >= more
 		})
 	}
 
-	measured("measuring", phase)
+	waitMeasured("measuring", phase)
 	f.VMs["vm-2"].Process.Signal(t, syscall.SIGSTOP)
-	measured("measuring beside a frozen entry VM", phase)
+	waitMeasured("measuring with a frozen entry VM", phase)
 	f.VMs["vm-2"].Process.Signal(t, syscall.SIGCONT)
 	f.StartVM(t, "vm-4", "Azilal")
 	f.List(t)
-	measured("measuring with one more", phase)
+	waitMeasured("measuring with another entry VM", phase)
 
-	// Requests that were frozen with their entry VM may fail.
-	_ = end()
+	// Requests in flight at the frozen entry VM may fail.
+	_ = stopLoad()
 
-	t.Logf("worst second at the servers: %d calls and %d bytes of %d and %d", worstCalls, worstBytes, calls, bytes)
+	t.Logf("worst second at the servers: %d calls and %d bytes, budget %d and %d", worstCalls, worstBytes, calls, bytes)
 
 	if worstCalls == 0 || worstCalls > calls || worstBytes > bytes {
-		t.Errorf("the servers counted %d calls and %d bytes in a second, of %d and %d", worstCalls, worstBytes, calls, bytes)
+		t.Errorf("the servers counted %d calls and %d bytes in a second, budget %d and %d", worstCalls, worstBytes, calls, bytes)
 	}
 }
--- a/test/leave/drain_test.go
+++ b/test/leave/drain_test.go
@@ -1,4 +1,4 @@
-// Package leave tests leaving servers and the measuring budget with separate
+// Package leave tests the draining of servers and the measuring budget with separate
 // processes.
 package leave
 
@@ -19,7 +19,7 @@
 	"carobward.example/carobward/internal/cwtest"
 )
 
-// fleet is three entry VMs and their servers.
+// fleet is three entry VMs with their servers.
 type fleet struct{ *cwtest.Fleet }
 
 func newFleet(t *testing.T) fleet {
@@ -34,7 +34,7 @@
 	return f
 }
 
-// backend is a stand-in server as a process.
+// backend is a stand-in server in a process of its own.
 type backend struct {
 	process *cwtest.Process
 	address string
@@ -46,8 +46,8 @@
 	p := cwtest.Start(t, f.Stand, append([]string{"server"}, args...)...)
 	b := &backend{process: p}
 
-	cwtest.Wait(t, "a server that listens", func() bool {
-		if m := listening.FindStringSubmatch(p.Output()); m != nil {
+	cwtest.Wait(t, "the server listens", func() bool {
+		if m := listenPattern.FindStringSubmatch(p.Output()); m != nil {
 			b.address = m[1]
 		}
 
@@ -58,9 +58,9 @@
 	return b
 }
 
-var listening = regexp.MustCompile(`listening (\S+)`)
+var listenPattern = regexp.MustCompile(`listening (\S+)`)
 
-// counts returns what a server has counted.
+// counts returns the counts of a server.
 func (b *backend) counts(t *testing.T) cwstand.Counts {
 	t.Helper()
 
@@ -72,7 +72,7 @@
 	return c
 }
 
-// began returns how much work has reached a server.
+// began returns the number of calls that a server ran or shed.
 func (b *backend) began(t *testing.T) int64 {
 	t.Helper()
 
@@ -81,14 +81,14 @@
 	return c.Began + c.Shed
 }
 
-// quiet waits until a server has had no new call for a while, and returns how
-// long after the sign the last one came.
-func (b *backend) quiet(t *testing.T, sign time.Time) time.Duration {
+// waitQuiet waits until a server has received no new call for a second, and returns the time
+// from the start of the drain to the last call.
+func (b *backend) waitQuiet(t *testing.T, start time.Time) time.Duration {
 	t.Helper()
 
-	began, last := b.began(t), sign
+	began, last := b.began(t), start
 
-	cwtest.Wait(t, "no new call", func() bool {
+	cwtest.Wait(t, "no new calls", func() bool {
 		now := time.Now()
 		if n := b.began(t); n != began {
 			began, last = n, now
@@ -97,59 +97,59 @@
 		return now.Sub(last) > time.Second
 	})
 
-	return last.Sub(sign)
+	return last.Sub(start)
 }
 
-// leaving waits until an entry VM shows a server as leaving by a sign, or
-// not.
-func (f fleet) leaving(t *testing.T, vm, server, sign string, want bool) {
+// waitLeaving waits until an entry VM lists a server as leaving, with that source, or
+// does not list it so if want is false.
+func (f fleet) waitLeaving(t *testing.T, vm, server, source string, want bool) {
 	t.Helper()
 
-	cwtest.Wait(t, fmt.Sprintf("%s shows that %s leaves by %s: %v", vm, server, sign, want), func() bool {
+	cwtest.Wait(t, fmt.Sprintf("%s lists %s as leaving by %s: %v", vm, server, source, want), func() bool {
 		out, code := cwtest.Run(t, f.Carobward, "drain", "--vm", f.VMs[vm].Operators)
 
 		found := false
 		for line := range strings.Lines(out) {
-			found = found || strings.HasPrefix(line, server) && strings.Contains(line, sign)
+			found = found || strings.HasPrefix(line, server) && strings.Contains(line, source)
 		}
 
 		return code == 0 && found == want
 	})
 }
 
-// lookups sends some requests by way of each entry VM.
-func (f fleet) lookups(t *testing.T, count int) {
+// sendLookups sends a number of requests through each entry VM.
+func (f fleet) sendLookups(t *testing.T, count int) {
 	t.Helper()
 
 	for vm, n := range f.VMs {
 		for range count {
 			status, _, err := fasthttp.Get(nil, "http://"+n.Callers+"/sheets/today")
 			if err != nil || status != fasthttp.StatusOK {
-				t.Fatalf("lookup by way of %s: %v, status %d", vm, err, status)
+				t.Fatalf("lookup through %s: %v, status %d", vm, err, status)
 			}
 		}
 	}
 }
 
-// load sends lookups by way of each entry VM until the returned function is
-// called, which tells of one that was cut, if any: that has neither an answer
-// nor the word that it did not run. A server that drains sheds what was on its
-// way to it, and the entry VM may be out of retries then.
-func (f fleet) load() func() string {
+// startLoad sends lookups through each entry VM until the returned function is called, which
+// describes a failed request, or returns "" if there is none. A reply that says that the
+// request did not run is no failure: a draining server sheds the requests that were on
+// their way to it, and the entry VM may have no retry left for them.
+func (f fleet) startLoad() func() string {
 	var (
 		group   sync.WaitGroup
 		failed  = make(chan string, 1)
 		stopped = make(chan struct{})
 	)
 
-	ask := func(vm, url string) {
+	request := func(vm, url string) {
 		status, body, err := fasthttp.Get(nil, url)
 		if err == nil && (status == fasthttp.StatusOK || bytes.Contains(body, []byte(`"verdict":"not-run"`))) {
 			return
 		}
 
 		select {
-		case failed <- fmt.Sprintf("by way of %s: %v, status %d, %s", vm, err, status, body):
+		case failed <- fmt.Sprintf("through %s: %v, status %d, %s", vm, err, status, body):
 		default:
 		}
 	}
@@ -162,7 +162,7 @@
 					case <-stopped:
 						return
 					default:
-						ask(vm, "http://"+n.Callers+"/sheets/today")
+						request(vm, "http://"+n.Callers+"/sheets/today")
 					}
 				}
 			})
@@ -174,15 +174,15 @@
 		group.Wait()
 
 		select {
-		case why := <-failed:
-			return why
+		case failure := <-failed:
+			return failure
 		default:
 			return ""
 		}
 	}
 }
 
-func drainFleet(t *testing.T) (fleet, []*backend) {
+func newDrainFleet(t *testing.T) (fleet, []*backend) {
 	t.Helper()
 
 	f := newFleet(t)
@@ -196,8 +196,8 @@
 	f.InForce(t, 1, 3)
 
 	for _, s := range servers {
-		cwtest.Wait(t, "work on each server", func() bool {
-			f.lookups(t, 1)
+		cwtest.Wait(t, "the server gets requests", func() bool {
+			f.sendLookups(t, 1)
 
 			return s.began(t) > 0
 		})
@@ -206,36 +206,36 @@
 	return f, servers
 }
 
-// TestDrain drains a server by an operator's word, replaces the entry VM that
-// was told, and undoes it by way of another.
+// TestDrain drains a server by an operator's command, replaces the entry VM that got the
+// command, and undoes the drain through another one.
 func TestDrain(t *testing.T) {
 	t.Parallel()
 
-	f, servers := drainFleet(t)
+	f, servers := newDrainFleet(t)
 	address := servers[0].address
 
 	if out, code := cwtest.Run(t, f.Carobward, "drain", "--vm", f.VMs["vm-1"].Operators, "10.9.9.9:1"); code == 0 {
-		t.Errorf("a server that is not there: %s", out)
+		t.Errorf("drain of an unknown server: exit code 0, %s", out)
 	}
 
-	end, sign := f.load(), time.Now()
+	stopLoad, start := f.startLoad(), time.Now()
 
 	if out, code := cwtest.Run(t, f.Carobward, "drain", "--vm", f.VMs["vm-1"].Operators, address); code != 0 || !strings.Contains(out, address) {
 		t.Fatalf("drain: exit code %d\n%s", code, out)
 	}
 
-	t.Logf("the last new call came %s after the operator's word", servers[0].quiet(t, sign))
+	t.Logf("the last new call came %s after the operator's command", servers[0].waitQuiet(t, start))
 
-	if why := end(); why != "" {
-		t.Errorf("a request was cut: %s", why)
+	if failure := stopLoad(); failure != "" {
+		t.Errorf("a request failed: %s", failure)
 	}
 
 	for vm := range f.VMs {
-		f.leaving(t, vm, address, "operator", true)
+		f.waitLeaving(t, vm, address, "operator", true)
 	}
 
 	before := servers[0].began(t)
-	f.lookups(t, 30)
+	f.sendLookups(t, 30)
 
 	if after := servers[0].began(t); after != before {
 		t.Errorf("%d new calls on the drained server", after-before)
@@ -245,12 +245,12 @@
 	delete(f.VMs, "vm-1")
 	f.StartVM(t, "vm-4", "Ifrane")
 	f.List(t)
-	f.leaving(t, "vm-4", address, "operator", true)
+	f.waitLeaving(t, "vm-4", address, "operator", true)
 	f.InForce(t, 1, 3)
-	f.lookups(t, 30)
+	f.sendLookups(t, 30)
 
 	if after := servers[0].began(t); after != before {
-		t.Errorf("%d new calls on the drained server after a replacement", after-before)
+		t.Errorf("%d new calls on the drained server after the replacement of an entry VM", after-before)
 	}
 
 	if out, code := cwtest.Run(t, f.Carobward, "drain", "--undo", "--vm", f.VMs["vm-2"].Operators, address); code != 0 {
@@ -258,41 +258,42 @@
 	}
 
 	for vm := range f.VMs {
-		f.leaving(t, vm, address, "operator", false)
+		f.waitLeaving(t, vm, address, "operator", false)
 	}
 
-	cwtest.Wait(t, "work on the server again", func() bool {
-		f.lookups(t, 1)
+	cwtest.Wait(t, "the server gets requests again", func() bool {
+		f.sendLookups(t, 1)
 
 		return servers[0].began(t) > before
 	})
 }
 
-// TestServerStops has two servers drain by their own word and stop under load:
-// no request is cut, and all entry VMs know while the VM list still shows it.
+// TestServerStops makes two servers announce that they leave, and stops them under load.
+// No request may fail, and all entry VMs must know while the servers are still in the VM
+// list.
 func TestServerStops(t *testing.T) {
 	t.Parallel()
 
-	f, servers := drainFleet(t)
+	f, servers := newDrainFleet(t)
 
-	end := f.load()
+	stopLoad := f.startLoad()
 	for _, s := range servers[:2] {
-		sign := time.Now()
+		start := time.Now()
 		s.process.Signal(t, syscall.SIGUSR1)
-		t.Logf("the last new call came %s after the server's word", s.quiet(t, sign))
+		t.Logf("the last new call came %s after the server's announcement", s.waitQuiet(t, start))
 
 		for vm := range f.VMs {
-			f.leaving(t, vm, s.address, "server", true)
+			f.waitLeaving(t, vm, s.address, "server", true)
 		}
 
 		s.process.Signal(t, syscall.SIGTERM)
 
 		if err := s.process.Wait(t); err != nil {
-			t.Errorf("the server's stop: %v", err)
+			t.Errorf("the server's exit: %v", err)
 		}
 	}
 
-	if why := end(); why != "" {
-		t.Errorf("a request was cut: %s", why)
+	if failure := stopLoad(); failure != "" {
+		t.Errorf("a request failed: %s", failure)
 	}
 }
--- a/test/once/fleet_test.go
+++ b/test/once/fleet_test.go
@@ -1,5 +1,5 @@
-// Package once tests at most once with entry VMs as separate processes, which
-// are killed, frozen and stopped in mid work.
+// Package once tests at-most-once execution while entry VMs, which run as separate
+// processes, are killed, frozen and stopped during the work.
 package once
 
 import (
@@ -16,8 +16,8 @@
 	"carobward.example/carobward/internal/cwtest"
 )
 
-// server is a backend server that counts its runs by the request's body and
-// holds requests back while it is told to.
+// server is a backend server that counts runs by request body and can hold its replies
+// back.
 type server struct {
 	address string
 
@@ -51,7 +51,7 @@
 	ctx.SetBodyString("charged " + body)
 }
 
-// holdBack makes requests wait until the returned function is called.
+// holdBack delays replies until the returned function is called.
 func (s *server) holdBack(t *testing.T) func() {
 	c := make(chan struct{})
 
@@ -83,11 +83,11 @@
 	server *server
 }
 
-func name(i int) string { return fmt.Sprintf("vm-%d", i) }
+func vmName(i int) string { return fmt.Sprintf("vm-%d", i) }
 
-func (f *fleet) at(i int) *cwtest.EntryVM { return f.VMs[name(i)] }
+func (f *fleet) at(i int) *cwtest.EntryVM { return f.VMs[vmName(i)] }
 
-// newFleet starts entry VMs that all have the targets in force.
+// newFleet starts entry VMs and waits until all of them have the targets.
 func newFleet(t *testing.T, size int) *fleet {
 	t.Helper()
 
@@ -95,7 +95,7 @@
 	f.AddServer(t, "billing", f.server.address)
 
 	for i := range size {
-		f.StartVM(t, name(i), "Ifrane")
+		f.StartVM(t, vmName(i), "Ifrane")
 	}
 
 	f.List(t)
@@ -111,24 +111,24 @@
 	return f
 }
 
-// replace kills an entry VM and starts another on its addresses.
+// replace kills an entry VM and starts another one on the same addresses.
 func (f *fleet) replace(t *testing.T, i int) {
 	t.Helper()
 
 	old := f.at(i)
 	old.Process.Signal(t, syscall.SIGKILL)
 	_ = old.Process.Wait(t)
-	f.StartVMAt(t, name(i), *old)
+	f.StartVMAt(t, vmName(i), *old)
 }
 
-// reply is what a caller is told.
+// reply has the parts of a reply that matter to the caller.
 type reply struct {
 	verdict, ticket, body string
 	status                int
 	retry                 bool
 }
 
-// send charges a fee at an entry VM.
+// send charges a fee through an entry VM.
 func (f *fleet) send(i int, body, ticket string) reply {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 
@@ -157,7 +157,7 @@
 	}
 }
 
-// prefix asks the first entry VM's lookup for a ticket prefix.
+// prefix gets a ticket prefix from the first entry VM's lookup endpoint.
 func (f *fleet) prefix(t *testing.T) string {
 	t.Helper()
 
--- a/test/once/once_test.go
+++ b/test/once/once_test.go
@@ -14,8 +14,8 @@
 	"carobward.example/carobward/pkg/cwcaller"
 )
 
-// begin starts a fee at an entry VM and returns once it runs on the server.
-func (f *fleet) begin(at int, body, ticket string) <-chan reply {
+// startFee charges a fee through an entry VM and returns once the fee runs on the server.
+func (f *fleet) startFee(at int, body, ticket string) <-chan reply {
 	done := make(chan reply, 1)
 
 	go func() { done <- f.send(at, body, ticket) }()
@@ -25,9 +25,8 @@
 	return done
 }
 
-// TestOwnerKilled kills the owner in mid work, with the store down. The retry
-// at another entry VM, and at a replacement on the same address, is answered
-// at once, and the fee has run once.
+// TestOwnerKilled kills the ticket's owner during the work, while the store is down.
+// Retries at other entry VMs must be answered as unknown, and the fee must run once.
 func TestOwnerKilled(t *testing.T) {
 	t.Parallel()
 
@@ -36,16 +35,16 @@
 
 	ticket := f.prefix(t) + ".1"
 	release := f.server.holdBack(t)
-	first := f.begin(0, "fee", ticket)
+	first := f.startFee(0, "fee", ticket)
 
 	f.at(0).Process.Signal(t, syscall.SIGKILL)
 
 	if got := <-first; got.verdict != "none" {
-		t.Errorf("the first try: %+v", got)
+		t.Errorf("first attempt: %+v", got)
 	}
 
 	want := reply{verdict: "unknown", status: 503, retry: true, ticket: ticket}
-	asked := func(when string, at int) {
+	checkUnknown := func(when string, at int) {
 		got := f.send(at, "fee", ticket)
 		got.body = ""
 
@@ -54,18 +53,18 @@
 		}
 	}
 
-	asked("another entry VM", 1)
+	checkUnknown("another entry VM", 1)
 	release()
-	asked("another entry VM, after the work", 2)
-	asked("again", 1)
+	checkUnknown("another entry VM, after the work", 2)
+	checkUnknown("again", 1)
 
 	if n := f.server.ran("fee"); n != 1 {
 		t.Errorf("%d runs", n)
 	}
 }
 
-// TestOwnerReplaced replaces the killed owner on its addresses. It does not
-// know the ticket and must not start its work.
+// TestOwnerReplaced kills the ticket's owner and starts another entry VM on its addresses.
+// The new process does not know the ticket and must not start the work again.
 func TestOwnerReplaced(t *testing.T) {
 	t.Parallel()
 
@@ -90,8 +89,8 @@
 	}
 }
 
-// TestOwnerFrozen stops the owner in mid work and lets it go on. While it is
-// silent the retry is answered as unknown, afterwards with the outcome.
+// TestOwnerFrozen freezes the ticket's owner during the work and resumes it. Retries must be
+// answered as unknown while the owner is frozen, and with the outcome afterwards.
 func TestOwnerFrozen(t *testing.T) {
 	t.Parallel()
 
@@ -99,13 +98,13 @@
 
 	ticket := f.prefix(t) + ".1"
 	release := f.server.holdBack(t)
-	first := f.begin(0, "fee", ticket)
+	first := f.startFee(0, "fee", ticket)
 
 	f.at(0).Process.Signal(t, syscall.SIGSTOP)
 
-	// The signal takes a moment to stop all threads; until then the owner
-	// says that the work runs.
-	cwtest.Wait(t, "an answer while the owner is silent", func() bool {
+	// SIGSTOP takes a moment to stop all threads. Until then the owner reports that
+	// the work is running.
+	cwtest.Wait(t, "a reply while the owner is frozen", func() bool {
 		got := f.send(1, "fee", ticket)
 		if got.verdict != "unknown" || !got.retry {
 			t.Errorf("while the owner is frozen: %+v", got)
@@ -115,7 +114,7 @@
 	})
 
 	f.at(0).Process.Signal(t, syscall.SIGCONT)
-	cwtest.Wait(t, "the owner's word that the work runs", func() bool {
+	cwtest.Wait(t, "the owner reports that the work is running", func() bool {
 		got := f.send(1, "fee", ticket)
 
 		return got.verdict == "unknown" && got.status == 409 && got.retry
@@ -133,9 +132,9 @@
 	}
 }
 
-// TestOwnerLeaves stops the owner gracefully, with the store down: what ran
-// is replayed elsewhere, also what was in flight, and what was never sent is
-// not-run.
+// TestOwnerLeaves stops the ticket's owner gracefully while the store is down. The other
+// entry VMs must replay the outcomes of completed requests and of the one in flight, and
+// answer a ticket that was never used as not-run.
 func TestOwnerLeaves(t *testing.T) {
 	t.Parallel()
 
@@ -146,10 +145,10 @@
 	before := f.send(0, "before", prefix+".1")
 
 	release := f.server.holdBack(t)
-	during := f.begin(0, "during", prefix+".2")
+	during := f.startFee(0, "during", prefix+".2")
 
 	f.at(0).Process.Signal(t, syscall.SIGTERM)
-	cwtest.Wait(t, "an owner that takes no connections", func() bool {
+	cwtest.Wait(t, "the owner accepts no connections", func() bool {
 		c, err := net.Dial("tcp", f.at(0).Callers)
 		if err == nil {
 			_ = c.Close()
@@ -167,13 +166,13 @@
 
 	for ticket, want := range want {
 		if want.verdict != "ran" {
-			t.Errorf("the first try: %+v", want)
+			t.Errorf("first attempt: %+v", want)
 		}
 
 		body := want.body[len("charged "):]
 
 		for _, at := range []int{1, 2} {
-			cwtest.Wait(t, "an outcome that was handed over", func() bool { return f.send(at, body, ticket).verdict == "ran" })
+			cwtest.Wait(t, "the outcome was handed over", func() bool { return f.send(at, body, ticket).verdict == "ran" })
 
 			if diff := cmp.Diff(want, f.send(at, body, ticket), cmp.AllowUnexported(reply{})); diff != "" {
 				t.Errorf("%s at vm-%d: %s", body, at, diff)
@@ -186,12 +185,12 @@
 	}
 
 	if got := f.send(1, "never", prefix+".3"); got.verdict != "not-run" || got.ticket == prefix+".3" {
-		t.Errorf("a ticket that was never used: %+v", got)
+		t.Errorf("unused ticket: %+v", got)
 	}
 }
 
-// TestCallersThroughKills charges fees with the callers' library while entry
-// VMs are killed and replaced.
+// TestCallersThroughKills charges fees with the caller library while entry VMs are killed
+// and replaced. No fee may run twice, and each verdict must fit the number of runs.
 func TestCallersThroughKills(t *testing.T) {
 	t.Parallel()
 
@@ -203,7 +202,7 @@
 	}
 
 	c := cwcaller.New(cwcaller.Options{Caller: "kiosk", Domain: "Ifrane", Lookup: lookup, Timeout: 5 * time.Second}, carobward.SystemClock{})
-	told := map[string]int{}
+	verdicts := map[string]int{}
 
 	const fees = 90
 	for n := range fees {
@@ -219,16 +218,16 @@
 			v = carobward.VerdictOf(err)
 		}
 
-		told[v.String()]++
+		verdicts[v.String()]++
 
 		if ran := f.server.ran(body); ran > 1 || (v == carobward.Ran && ran != 1) || (v == carobward.NotRun && ran != 0) {
-			t.Errorf("%s: %d runs, told %s", body, ran, v)
+			t.Errorf("%s: %d runs, verdict %s", body, ran, v)
 		}
 	}
 
-	t.Logf("told: %v", told)
+	t.Logf("verdicts: %v", verdicts)
 
-	if told["ran"] < fees/2 {
-		t.Errorf("too few ran: %v", told)
+	if verdicts["ran"] < fees/2 {
+		t.Errorf("too few fees ran: %v", verdicts)
 	}
 }
--- a/test/path/member_test.go
+++ b/test/path/member_test.go
@@ -10,8 +10,8 @@
 	"carobward.example/carobward/internal/cwtest"
 )
 
-// sees waits until each of some entry VMs sees a VM in a state.
-func sees(t *testing.T, f *cwtest.Fleet, by []string, vm, state string) {
+// waitState waits until each of the given entry VMs shows a VM in a state.
+func waitState(t *testing.T, f *cwtest.Fleet, by []string, vm, state string) {
 	t.Helper()
 
 	line := regexp.MustCompile(fmt.Sprintf(`(?m)^%s .* %s +\d+$`, vm, state))
@@ -25,9 +25,9 @@
 	}
 }
 
-// TestMembers freezes an entry VM until it is taken for dead and resumes it,
-// kills one and starts it on the same address, and offers one that has
-// another key.
+// TestMembers freezes an entry VM until its peers take it for dead and resumes it, kills it
+// and starts it again on the same addresses, and starts one with another key, which the
+// others must refuse.
 func TestMembers(t *testing.T) {
 	t.Parallel()
 
@@ -37,22 +37,22 @@
 	last := f.VMs["vm-3"]
 
 	last.Process.Signal(t, syscall.SIGSTOP)
-	sees(t, f, others, "vm-3", "dead")
+	waitState(t, f, others, "vm-3", "dead")
 	last.Process.Signal(t, syscall.SIGCONT)
-	sees(t, f, others, "vm-3", "live")
-	sees(t, f, []string{"vm-3"}, "vm-1", "live")
+	waitState(t, f, others, "vm-3", "live")
+	waitState(t, f, []string{"vm-3"}, "vm-1", "live")
 
 	last.Process.Signal(t, syscall.SIGKILL)
-	sees(t, f, others, "vm-3", "(suspect|dead)")
+	waitState(t, f, others, "vm-3", "(suspect|dead)")
 	f.StartVMAt(t, "vm-3", *last, more)
-	sees(t, f, []string{"vm-1", "vm-2"}, "vm-3", "live")
+	waitState(t, f, []string{"vm-1", "vm-2"}, "vm-3", "live")
 
-	const open = "127.0.0.1:0"
+	const anyPort = "127.0.0.1:0"
 
-	stranger := fmt.Sprintf(`"keys": {"peers": %q},`, cwtest.File(t, "other.key", strings.Repeat("a5", 16)))
-	f.StartVMAt(t, "vm-4", cwtest.EntryVM{Domain: "Ifrane", Callers: open, Lookup: open, Peers: open, Operators: open}, stranger)
+	otherKey := fmt.Sprintf(`"keys": {"peers": %q},`, cwtest.File(t, "other.key", strings.Repeat("a5", 16)))
+	f.StartVMAt(t, "vm-4", cwtest.EntryVM{Domain: "Ifrane", Callers: anyPort, Lookup: anyPort, Peers: anyPort, Operators: anyPort}, otherKey)
 	f.List(t)
-	cwtest.Wait(t, "the stranger was refused", func() bool {
+	cwtest.Wait(t, "the entry VM with another key was refused", func() bool {
 		return strings.Contains(f.VMs["vm-1"].Process.Output()+f.VMs["vm-2"].Process.Output()+
 			f.VMs["vm-3"].Process.Output(), "A connection was refused.")
 	})
@@ -60,26 +60,26 @@
 	for vm, n := range f.VMs {
 		out, _ := cwtest.Run(t, f.Carobward, "status", "--vm", n.Operators)
 		if known := strings.Contains(out, "vm-4 "); known != (vm == "vm-4") {
-			t.Errorf("%s sees:\n%s", vm, out)
+			t.Errorf("status of %s:\n%s", vm, out)
 		}
 	}
 }
 
-// TestReplaced replaces an entry VM while it is frozen. The old run must stop
-// when it resumes, and the new one stay.
+// TestReplaced starts a new process of an entry VM while the old one is frozen. The old
+// process must stop when it resumes, and the new one must stay.
 func TestReplaced(t *testing.T) {
 	t.Parallel()
 
-	const open = "127.0.0.1:0"
+	const anyPort = "127.0.0.1:0"
 
 	more := peersKey(t)
 	f := newStopFleet(t, more, "127.0.0.1:9")
 	old := f.VMs["vm-2"]
 
 	old.Process.Signal(t, syscall.SIGSTOP)
-	f.StartVMAt(t, "vm-2", cwtest.EntryVM{Domain: "Ifrane", Callers: open, Lookup: open, Peers: open, Operators: open}, more)
+	f.StartVMAt(t, "vm-2", cwtest.EntryVM{Domain: "Ifrane", Callers: anyPort, Lookup: anyPort, Peers: anyPort, Operators: anyPort}, more)
 	f.List(t)
-	sees(t, f, []string{"vm-2"}, "vm-1", "live")
+	waitState(t, f, []string{"vm-2"}, "vm-1", "live")
 	f.InForce(t, 1, 3)
 	old.Process.Signal(t, syscall.SIGCONT)
 
@@ -88,8 +88,8 @@
 	}
 
 	if !strings.Contains(old.Process.Output(), "A later run of this VM has taken its place.") {
-		t.Error("the cause is not logged")
+		t.Error("the reason of the exit is not logged")
 	}
 
-	sees(t, f, []string{"vm-1", "vm-3"}, "vm-2", "live")
+	waitState(t, f, []string{"vm-1", "vm-3"}, "vm-2", "live")
 }
--- a/test/path/observe_test.go
+++ b/test/path/observe_test.go
@@ -15,14 +15,14 @@
 	"carobward.example/carobward/internal/cwtrace"
 )
 
-// The traces of two callers.
+// The trace IDs of two callers, and the span ID of both.
 const (
 	lookupTrace = "11111111111111111111111111111111"
 	feeTrace    = "22222222222222222222222222222222"
 	callerSpan  = "00f067aa0ba902b7"
 )
 
-// send makes one request with a trace and returns the status and the body.
+// send sends a request with a trace ID and returns the reply's status and body.
 func send(t *testing.T, method, url, trace, ticket string) (int, string) {
 	t.Helper()
 
@@ -45,15 +45,15 @@
 	return resp.StatusCode(), string(resp.Body())
 }
 
-// span is what is read of an exported span.
+// span has the fields of an exported span that the test reads.
 type span struct {
 	Name        string
 	SpanContext struct{ TraceID, SpanID string }
 	Parent      struct{ SpanID string }
 }
 
-// spans returns the spans of a trace in a process's output, each with its
-// parent, such as "request/attempt".
+// spans returns the spans of a trace in a process's output, each as parent/name, such as
+// "request/attempt". It adds their names to names, by span ID.
 func spans(output, trace string, names map[string]string) []string {
 	var all []span
 
@@ -73,7 +73,7 @@
 	return out
 }
 
-// paths returns the paths of all numbers in a JSON value.
+// paths adds all numbers in a JSON value to into, by their path below prefix.
 func paths(prefix string, v any, into map[string]float64) {
 	switch x := v.(type) {
 	case map[string]any:
@@ -85,8 +85,8 @@
 	}
 }
 
-// TestObserve takes a lookup, and a fee whose ticket belongs to another entry
-// VM, through separate processes, and reads the metrics and the spans.
+// TestObserve sends a lookup, and a fee whose ticket belongs to another entry VM, through
+// separate processes, and checks their metrics and spans.
 func TestObserve(t *testing.T) {
 	f := cwtest.NewFleet(t)
 	one := f.StartVM(t, "vm-1", "Ifrane", `"trace": {"to": "stdout", "share": 0},`)
@@ -148,7 +148,8 @@
 	}
 }
 
-// checkMetrics wants the requests counted, and each metric in the table.
+// checkMetrics checks that the requests are counted and that the table of metrics has each
+// metric that the entry VM exports.
 func checkMetrics(t *testing.T, v *cwtest.EntryVM) {
 	t.Helper()
 
@@ -167,7 +168,7 @@
 
 	for path := range got {
 		if _, ok := cwmetric.Find(path); !ok {
-			t.Errorf("the table of metrics lacks %s", path)
+			t.Errorf("the table of metrics has no %s", path)
 		}
 	}
 
--- a/test/path/path_test.go
+++ b/test/path/path_test.go
@@ -1,4 +1,5 @@
-// Package path tests the whole path as separate processes.
+// Package path tests the path of requests from callers through entry VMs to servers, all of
+// them separate processes.
 package path
 
 import (
@@ -28,8 +29,7 @@
 	return f
 }
 
-// TestWholePath takes a lookup, a fee and a target change through separate
-// processes.
+// TestWholePath sends a lookup and a fee and changes the targets, with separate processes.
 func TestWholePath(t *testing.T) {
 	f := newFleet(t)
 	first := f.VMs["vm-1"]
@@ -42,12 +42,12 @@
 	f.InForce(t, 1, 3)
 
 	for vm, n := range f.VMs {
-		// Until its peers have told their revisions, an entry VM leaves them
-		// out of its answers, but each lookup is served.
-		cwtest.Wait(t, "a lookup by way of "+vm+" that vm-1 serves", func() bool {
+		// An entry VM omits its peers from lookup replies until it knows their
+		// revisions, so other entry VMs may serve at first.
+		cwtest.Wait(t, "lookup through "+vm+" served by vm-1", func() bool {
 			out, _ = cwtest.Run(t, f.Stand, "caller", "--lookup", n.Lookup, "--domain", "Ifrane")
 			if !strings.Contains(out, "GET /sheets/today") || !strings.HasPrefix(out, "200 ran vm-") {
-				t.Fatalf("lookup by way of %s: %s", vm, out)
+				t.Fatalf("lookup through %s: %s", vm, out)
 			}
 
 			return strings.HasPrefix(out, "200 ran vm-1 ")
@@ -71,7 +71,7 @@
 
 	out, code = cwtest.Run(t, f.Stand, "caller", "--lookup", first.Lookup, "--method", "POST", "--uri", "/fees")
 	if code == 0 || !strings.Contains(out, "not-run") {
-		t.Errorf("the old path is served still: %s", out)
+		t.Errorf("the old path is still served: %s", out)
 	}
 
 	first.Process.Signal(t, syscall.SIGTERM)
--- a/test/path/stop_test.go
+++ b/test/path/stop_test.go
@@ -17,23 +17,23 @@
 	"carobward.example/carobward/internal/lab/cwload"
 )
 
-// peersKey names a key file that the entry VMs share.
+// peersKey returns the setting that names a key file for the connections between entry VMs.
 func peersKey(t *testing.T) string {
 	t.Helper()
 
 	return fmt.Sprintf(`"keys": {"peers": %q}`, cwtest.File(t, "peers.key", strings.Repeat("5a", 16)))
 }
 
-// newStopFleet returns three entry VMs of one failure domain with a key, and
-// the server that charges.
+// newStopFleet starts three entry VMs of one failure domain with additional settings, and
+// adds the address of the server that charges fees.
 func newStopFleet(t *testing.T, more, billing string) *cwtest.Fleet {
 	t.Helper()
 
 	f := cwtest.NewFleet(t)
 
-	const open = "127.0.0.1:0"
+	const anyPort = "127.0.0.1:0"
 	for i := range 3 {
-		at := cwtest.EntryVM{Domain: "Ifrane", Callers: open, Lookup: open, Peers: open, Operators: open}
+		at := cwtest.EntryVM{Domain: "Ifrane", Callers: anyPort, Lookup: anyPort, Peers: anyPort, Operators: anyPort}
 		f.StartVMAt(t, fmt.Sprintf("vm-%d", i+1), at, more)
 	}
 
@@ -53,15 +53,15 @@
 	return f
 }
 
-// TestStop stops an entry VM under constant load and replaces it on the same
-// address, twice in a row. The naive version, which a second signal is, ends
-// at once.
+// TestStop stops an entry VM under constant load and starts it again on the same addresses,
+// twice in a row. No request may fail in a graceful stop. For comparison, some must fail if
+// a second signal ends the process at once.
 func TestStop(t *testing.T) {
 	for name, tt := range map[string]struct {
-		naive bool
+		immediate bool
 	}{
-		"graceful":            {},
-		"naive, ends at once": {naive: true},
+		"graceful":  {},
+		"immediate": {immediate: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -85,51 +85,51 @@
 			defer l.Stop()
 
 			for range 2 {
-				replace(t, f, l, more, tt.naive)
+				replace(t, f, l, more, tt.immediate)
 			}
 
 			l.Stop()
 
 			got := l.Counts()
-			t.Logf("%d requests by vm-1, %d by the others, %d cut", got.By["vm-1"], got.By["vm-2"]+got.By["vm-3"], got.Cut)
+			t.Logf("%d requests by vm-1, %d by the others, %d failed", got.By["vm-1"], got.By["vm-2"]+got.By["vm-3"], got.Cut)
 
-			if tt.naive != (got.Cut > 0) {
-				t.Errorf("%d requests were cut: %v", got.Cut, got.First)
+			if tt.immediate != (got.Cut > 0) {
+				t.Errorf("%d requests failed: %v", got.Cut, got.First)
 			}
 
-			if ran, want := billing.Ran(), got.Charged; !tt.naive && ran != want {
+			if ran, want := billing.Ran(), got.Charged; !tt.immediate && ran != want {
 				t.Errorf("%d fees ran, %d were confirmed", ran, want)
 			}
 		})
 	}
 }
 
-// replace stops vm-1 while it is in use and starts its successor.
-func replace(t *testing.T, f *cwtest.Fleet, l *cwload.Load, more string, naive bool) {
+// replace stops vm-1 while it serves requests and starts it again.
+func replace(t *testing.T, f *cwtest.Fleet, l *cwload.Load, more string, immediate bool) {
 	t.Helper()
 
 	const enough = 50
 
 	old := f.VMs["vm-1"]
 	before := l.Served("vm-1")
-	cwtest.Wait(t, "vm-1 is in use", func() bool { return l.Served("vm-1") > before+enough })
+	cwtest.Wait(t, "vm-1 serves requests", func() bool { return l.Served("vm-1") > before+enough })
 
 	old.Process.Signal(t, syscall.SIGTERM)
 
-	if naive {
-		cwtest.Wait(t, "vm-1 leaves", func() bool { return strings.Contains(old.Process.Output(), "Leaving.") })
+	if immediate {
+		cwtest.Wait(t, "vm-1 logs that it leaves", func() bool { return strings.Contains(old.Process.Output(), "Leaving.") })
 		old.Process.Signal(t, syscall.SIGTERM)
 	}
 
-	if err := old.Process.Wait(t); (err != nil) != naive {
+	if err := old.Process.Wait(t); (err != nil) != immediate {
 		t.Errorf("exit: %v", err)
 	}
 
 	f.StartVMAt(t, "vm-1", *old, more)
 }
 
-// acceptPost returns the first connection on which a POST arrives; others,
-// such as those of health checks, are closed.
+// acceptPost returns the first connection on which a POST arrives. It closes others, such as
+// those of health checks.
 func acceptPost(t *testing.T, ln net.Listener) net.Conn {
 	t.Helper()
 
@@ -148,7 +148,8 @@
 	}
 }
 
-// TestStopBound stops an entry VM whose request is stuck at a server.
+// TestStopBound stops an entry VM with a request that its server never answers. The request
+// must be answered as unknown, and the process must exit with an error.
 func TestStopBound(t *testing.T) {
 	t.Parallel()
 
@@ -184,7 +185,7 @@
 	n.Process.Signal(t, syscall.SIGTERM)
 
 	if got := <-answered; got.err != nil || got.verdict != carobward.Unknown.String() {
-		t.Errorf("the stuck request got %+v", got)
+		t.Errorf("the unanswered request got %+v", got)
 	}
 
 	if err := n.Process.Wait(t); err == nil || err.Error() != "exit status 1" {
@@ -192,6 +193,6 @@
 	}
 
 	if !strings.Contains(n.Process.Output(), "Requests in flight are given up at the bound.") {
-		t.Error("the bound is not logged")
+		t.Error("the time limit is not logged")
 	}
 }
--- a/test/soak/evacuate_test.go
+++ b/test/soak/evacuate_test.go
@@ -13,21 +13,21 @@
 // domain returns the failure domain of a server.
 func domain(i int) carobward.Domain { return carobward.Domain(fmt.Sprintf("zone-%d", i%domains)) }
 
-// evacuationOf returns the key by which operators evacuate a failure domain.
-func evacuationOf(d carobward.Domain) string { return "op/evacuate/" + string(d) }
+// evacuationKey returns the store key with which operators evacuate a failure domain.
+func evacuationKey(d carobward.Domain) string { return "op/evacuate/" + string(d) }
 
-// evacuated has one failure domain after the other evacuated and taken back, and wants
-// its servers to get nothing from each entry VM in between.
-func (w *world) evacuated(t *testing.T) {
+// checkEvacuation evacuates one failure domain after the other and lifts the evacuation again. It
+// checks that no entry VM sends requests to the servers of an evacuated domain.
+func (w *world) checkEvacuation(t *testing.T) {
 	t.Helper()
 
 	const requests = 12
 
 	for i := range domains {
 		d := domain(i)
-		w.Store.Put(evacuationOf(d), []byte("{}"))
+		w.Store.Put(evacuationKey(d), []byte("{}"))
 
-		ask := func(v *cwsite.Gateway) int {
+		sendAndCount := func(v *cwsite.Gateway) int {
 			before := w.runsIn(d)
 			for range requests {
 				w.history.add(send(v, http.MethodPost, "/charge/a", newID()))
@@ -37,16 +37,16 @@
 		}
 
 		for _, v := range w.All {
-			cwtest.Wait(t, fmt.Sprintf("%s sends nothing to %s", v.ID, d), func() bool { return ask(v) == 0 })
+			cwtest.Wait(t, fmt.Sprintf("%s sends nothing to %s", v.ID, d), func() bool { return sendAndCount(v) == 0 })
 		}
 
 		for _, v := range w.All {
-			if n := ask(v); n > 0 {
-				t.Errorf("%s sent %d requests to %s, which is evacuated", v.ID, n, d)
+			if n := sendAndCount(v); n > 0 {
+				t.Errorf("%s sent %d requests to the evacuated domain %s", v.ID, n, d)
 			}
 		}
 
-		w.Store.Delete(evacuationOf(d))
+		w.Store.Delete(evacuationKey(d))
 	}
 }
 
--- a/test/soak/history_test.go
+++ b/test/soak/history_test.go
@@ -15,18 +15,18 @@
 
 const host = "club.example"
 
-// result is what a caller saw of one request.
+// result is the outcome of a request as its caller sees it.
 type result struct {
 	id     string
 	charge bool
 	status int
 	body   string
-	signed string
-	// named is the id that the answer has.
-	named string
+	seal   string
+	// replyID is the request ID in the reply.
+	replyID string
 }
 
-// history has all results of a run.
+// history has the results of all requests of a run.
 type history struct {
 	mutex sync.Mutex
 	all   []result
@@ -43,14 +43,14 @@
 
 func newID() string { return strconv.FormatUint(rand.Uint64(), 16) }
 
-// caller keeps its connections open until they are gone.
+// caller is the HTTP client of all callers. It never retries.
 var caller = &fasthttp.Client{
 	MaxIdemponentCallAttempts: 1,
 	RetryIfErr:                func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 	ReadTimeout:               3 * time.Second,
 }
 
-// send sends one request.
+// send sends a request through an entry VM.
 func send(v *cwsite.Gateway, method, path, id string) result {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 
@@ -70,13 +70,13 @@
 	}
 
 	r.status, r.body = resp.StatusCode(), string(resp.Body())
-	r.signed, r.named = string(resp.Header.Peek("Response-Seal")), string(resp.Header.Peek("Request-Id"))
+	r.seal, r.replyID = string(resp.Header.Peek("Response-Seal")), string(resp.Header.Peek("Request-Id"))
 
 	return r
 }
 
-// call sends requests until told to stop.
-func (w *world) call(n int, stop <-chan struct{}) {
+// sendRequests sends random requests until stop is closed.
+func (w *world) sendRequests(n int, stop <-chan struct{}) {
 	random := rand.New(rand.NewPCG(uint64(n), 1))
 
 	for {
@@ -95,7 +95,8 @@
 	}
 }
 
-// check wants what callers and servers saw to fit the promises.
+// check checks each result against the runs at the servers and the guarantees given to
+// callers.
 func (h *history) check(t *testing.T, w *world) {
 	t.Helper()
 
@@ -107,16 +108,16 @@
 		}
 	}
 
-	ended := map[int]int{}
+	byStatus := map[int]int{}
 
 	for _, r := range h.all {
-		ended[r.status]++
+		byStatus[r.status]++
 		h.checkOne(t, r, runs[r.id])
 	}
 
-	t.Logf("%d requests, by status %v", len(h.all), ended)
+	t.Logf("%d requests, by status %v", len(h.all), byStatus)
 
-	if ended[http.StatusOK] == 0 {
+	if byStatus[http.StatusOK] == 0 {
 		t.Error("no request was served")
 	}
 }
@@ -132,12 +133,12 @@
 	case runs > attempts:
 		t.Errorf("%+v ran %d times", r, runs)
 	case r.charge && (r.status == http.StatusServiceUnavailable || r.status == http.StatusTooManyRequests) && runs > 0:
-		t.Errorf("%+v is said not to have run, and ran", r)
-	case r.status == http.StatusOK && (r.body != "done" || r.signed != "s."+r.id || runs == 0):
-		t.Errorf("%+v is no answer of a server", r)
-	case r.status != 0 && r.named != r.id:
-		t.Errorf("%+v answers another request", r)
+		t.Errorf("%+v was answered as not run, but ran", r)
+	case r.status == http.StatusOK && (r.body != "done" || r.seal != "s."+r.id || runs == 0):
+		t.Errorf("%+v is not the reply of a server that ran it", r)
+	case r.status != 0 && r.replyID != r.id:
+		t.Errorf("%+v is the reply to another request", r)
 	case r.status == http.StatusNotFound:
-		t.Errorf("%+v: the route was in each configuration", r)
+		t.Errorf("%+v: no route was found, although each configuration has one", r)
 	}
 }
--- a/test/soak/restore_test.go
+++ b/test/soak/restore_test.go
@@ -13,13 +13,13 @@
 // metricsPort is where entry VMs serve their metrics.
 const metricsPort = "9464"
 
-// writeAgain has the operator and the servers write again what a store that came back from
-// a copy may have lost.
-func (w *world) writeAgain() {
+// rewriteStore writes the configuration, the evacuations and the servers' entries again, as the
+// operator and the servers do after the store was restored from a backup.
+func (w *world) rewriteStore() {
 	w.configure()
 
-	for d := range w.emptied {
-		w.Store.Put(evacuationOf(d), nil)
+	for d := range w.evacuated {
+		w.Store.Put(evacuationKey(d), nil)
 	}
 
 	for _, s := range w.servers {
@@ -31,8 +31,8 @@
 	}
 }
 
-// forward wants no process to go back to an older configuration.
-func (w *world) forward(t *testing.T) {
+// checkVersions checks that no process has gone back to an older configuration.
+func (w *world) checkVersions(t *testing.T) {
 	t.Helper()
 
 	for _, v := range w.All {
@@ -51,10 +51,12 @@
 	}
 }
 
-// client asks for metrics; a process that is suspended or about to start has none.
+// client reads metrics. The timeout is short, since frozen and starting processes do not
+// answer.
 var client = &http.Client{Timeout: 200 * time.Millisecond}
 
-// versionOf returns the version of the configuration that an entry VM has in force.
+// versionOf returns the version of an entry VM's effective configuration, and false if it
+// can't be read.
 func versionOf(v *cwsite.Gateway) (int, bool) {
 	host, _, _ := net.SplitHostPort(string(v.Callers))
 
--- a/test/soak/server_test.go
+++ b/test/soak/server_test.go
@@ -19,19 +19,20 @@
 	domain   carobward.Domain
 
 	mutex sync.Mutex
-	// up is the process that runs, ended are those before it.
-	up    *cwstand.Upstream
-	ended []*cwstand.Upstream
-	proxy *cwstand.Proxy
-	// start is that of the process, in milliseconds since the Unix epoch.
+	// current is the running process, previous are the earlier ones.
+	current  *cwstand.Upstream
+	previous []*cwstand.Upstream
+	proxy    *cwstand.Proxy
+	// start is the start time of the process, in milliseconds since the Unix epoch.
 	start  int64
 	closed bool
-	// state and writes are those of its entry in the store.
+	// state is the state in the server's entry in the store, writes the number of
+	// writes of the entry.
 	state  string
 	writes uint64
 }
 
-// Proxy returns the proxy before the server.
+// Proxy returns the proxy in front of the server.
 func (s *server) Proxy() *cwstand.Proxy {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -39,64 +40,65 @@
 	return s.proxy
 }
 
-// Set tells the process how it treats requests.
-func (s *server) Set(way cwstand.UpstreamWay) {
+// Set sets the way in which the process handles requests.
+func (s *server) Set(mode cwstand.UpstreamWay) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
-	s.up.Set(way, workTime)
+	s.current.Set(mode, workTime)
 }
 
-// SetCold has the process say that it is cold for a time.
+// SetCold makes the process report a warmup that ends after the given time.
 func (s *server) SetCold(left time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
-	s.up.SetCold(left)
+	s.current.SetCold(left)
 }
 
-// words are what servers say in all their answers.
-var words = [][]string{
+// replyHeaders are the header lines that servers add to all their replies: leaving notices and
+// pauses, valid and invalid.
+var replyHeaders = [][]string{
 	nil, nil, {"Server-Leaving: 1"}, {"Server-Leaving: soon"}, {"Retry-After: 0.3"}, {"Retry-After: 2"}, {"Retry-After: -1"},
 	{"Server-Leaving: 1", "Retry-After: 1"},
 }
 
-// SetFields has the process add header lines to all its answers.
+// SetFields sets header lines that the process adds to all its replies.
 func (s *server) SetFields(lines ...string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
-	s.up.SetFields(lines...)
+	s.current.SetFields(lines...)
 }
 
-// SetLimit has the process name limits of the requests a second that it takes, or none.
+// SetLimit sets the rate limits that the process announces.
 func (s *server) SetLimit(limits ...string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
-	s.up.SetLimit(limits...)
+	s.current.SetLimit(limits...)
 }
 
-// Runs returns the requests that all processes ran.
+// Runs returns the requests that all processes of the server ran.
 func (s *server) Runs() []cwstand.Run {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
-	runs := s.up.Runs()
-	for _, u := range s.ended {
+	runs := s.current.Runs()
+	for _, u := range s.previous {
 		runs = append(runs, u.Runs()...)
 	}
 
 	return runs
 }
 
-// Close ends the server.
+// Close stops the server for good.
 func (s *server) Close() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
 	s.closed = true
-	s.up.Close()
+	s.current.Close()
 	s.proxy.Close()
 }
 
@@ -107,14 +109,15 @@
 	s := &server{instance: fmt.Sprintf("i-%d", i), domain: domain(i), start: time.Now().UnixMilli()}
 	ln := cwtest.Listen(t)
 	s.address = carobward.Address(ln.Addr().String())
-	w.begin(s, cwtest.Listen(t), ln)
+	w.startProcess(s, cwtest.Listen(t), ln)
 	t.Cleanup(s.Close)
 	w.servers = append(w.servers, s)
 	w.register(s, "ready")
 }
 
-// begin starts the next process of a server, behind a proxy that listens at its address.
-func (w *world) begin(s *server, own, listener net.Listener) {
+// startProcess starts the next process of a server, behind a proxy that listens on the server's
+// address.
+func (w *world) startProcess(s *server, own, listener net.Listener) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
@@ -124,23 +127,24 @@
 		return
 	}
 
-	if s.up != nil {
-		s.ended = append(s.ended, s.up)
+	if s.current != nil {
+		s.previous = append(s.previous, s.current)
 	}
 
-	s.up = cwstand.NewUpstream(own, carobward.Instance(s.instance))
-	s.up.Set(cwstand.UpstreamServes, workTime)
-	s.up.SetKills(isPoison, func() { w.crashed(s) })
-	s.proxy = cwstand.NewProxy(listener, s.up.Address())
+	s.current = cwstand.NewUpstream(own, carobward.Instance(s.instance))
+	s.current.Set(cwstand.UpstreamServes, workTime)
+	s.current.SetKills(isPoison, func() { w.restartCrashed(s) })
+	s.proxy = cwstand.NewProxy(listener, s.current.Address())
 }
 
-// crashed starts a server again, under the same instance, whose process a request ended.
-func (w *world) crashed(s *server) {
+// restartCrashed restarts a server whose process crashed while it ran a request. The instance ID
+// stays the same.
+func (w *world) restartCrashed(s *server) {
 	w.crashes.Add(1)
 
 	s.mutex.Lock()
 	s.proxy.Close()
-	s.up.Close()
+	s.current.Close()
 	s.start++
 	s.mutex.Unlock()
 
@@ -153,7 +157,7 @@
 
 	for {
 		if ln, err := net.Listen("tcp", string(s.address)); err == nil {
-			w.begin(s, own, ln)
+			w.startProcess(s, own, ln)
 			w.register(s, "ready")
 
 			return
@@ -161,9 +165,9 @@
 	}
 }
 
-// restart has the list name a later process of a server: one that said that it leaves gets
-// nothing for as long as it runs.
-func (w *world) restart(s *server) {
+// registerRestart registers a server with a later start time, as after a restart. A process that
+// announced that it leaves gets no requests for as long as it runs.
+func (w *world) registerRestart(s *server) {
 	s.mutex.Lock()
 	s.start++
 	s.mutex.Unlock()
@@ -171,7 +175,7 @@
 	w.register(s, "ready")
 }
 
-// isPoison tells whether a request ends the process that runs it.
+// isPoison reports whether a request crashes the process that runs it.
 func isPoison(r cwstand.Run) bool { return r.URI == poison }
 
 func (w *world) register(s *server, state string) {
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -1,5 +1,5 @@
-// Package soak runs the real programs as separate processes, harms them from
-// outside at random, and checks what callers and servers see.
+// Package soak runs the real programs as separate processes, injects random faults, and
+// checks what callers and servers see.
 package soak
 
 import (
@@ -27,7 +27,7 @@
 	steps = flag.Int("steps", 24, "how many faults and changes a seed has")
 )
 
-// regressions has the seeds that failed once, with the cause.
+// regressions are seeds to run always, since they have failed before, with the cause.
 var regressions = map[uint64]string{}
 
 const (
@@ -36,15 +36,15 @@
 	callers = 6
 	domains = 3
 	grace   = "2s"
-	// workTime is how long a request takes, downTime for how long a server is down whose
-	// process a request ended.
+	// workTime is the service time of a request, downTime the time from the crash of a
+	// server's process to its restart.
 	workTime = 2 * time.Millisecond
 	downTime = 100 * time.Millisecond
-	// poison is the path of requests that end the process which runs them.
+	// poison is the path of requests that crash the process that runs them.
 	poison = "/charge/poison"
 )
 
-// TestSoak runs the seeds one after the other.
+// TestSoak runs all seeds in sequence.
 func TestSoak(t *testing.T) {
 	list := []uint64{}
 	for s := range regressions {
@@ -68,11 +68,11 @@
 	servers []*server
 	version int
 	history *history
-	// emptied has the failure domains that operators evacuate now.
-	emptied map[carobward.Domain]bool
-	// versions has the highest version that each process had in force.
+	// evacuated has the failure domains that are currently evacuated.
+	evacuated map[carobward.Domain]bool
+	// versions has the version of the configuration last seen at each process.
 	versions map[*cwtest.Process]int
-	// crashes counts the processes that a request ended.
+	// crashes counts the server processes that crashed while they ran a request.
 	crashes atomic.Int64
 }
 
@@ -80,7 +80,7 @@
 	w := &world{
 		Site:   cwsite.New(t, grace),
 		random: rand.New(rand.NewPCG(seed, seed)), history: newHistory(),
-		emptied: map[carobward.Domain]bool{}, versions: map[*cwtest.Process]int{},
+		evacuated: map[carobward.Domain]bool{}, versions: map[*cwtest.Process]int{},
 	}
 
 	for i := range servers {
@@ -100,12 +100,12 @@
 
 	var group conc.WaitGroup
 	for i := range callers {
-		group.Go(func() { w.call(i, stop) })
+		group.Go(func() { w.sendRequests(i, stop) })
 	}
 
 	for range *steps {
 		w.step(t)
-		w.forward(t)
+		w.checkVersions(t)
 	}
 
 	w.heal(t)
@@ -114,11 +114,11 @@
 	w.history.check(t, w)
 }
 
-// spoiled are entries of another writer.
-var spoiled = []string{"", "{}", "\x00", `{"address":"127.0.0.1:9","info":{"service":"records","zone":"a","slots":"4"}}`}
+// invalidEntries are invalid entries, as a faulty writer might leave them.
+var invalidEntries = []string{"", "{}", "\x00", `{"address":"127.0.0.1:9","info":{"service":"records","zone":"a","slots":"4"}}`}
 
-// configure writes the next configuration, with a route of its own by which it
-// can be told from others.
+// configure writes the next configuration. A route that only this configuration has makes it
+// distinguishable.
 func (w *world) configure() {
 	w.version++
 	route := func(prefix, kind string) cwstand.MetadataRoute {
@@ -128,7 +128,7 @@
 		route("/read/", "safe"), route("/charge/", "unsafe"), route(fmt.Sprintf("/version-%d/", w.version), "safe")))
 }
 
-// step does one thing at random and lets it last for a while.
+// step makes one random change and waits for a random time.
 func (w *world) step(t *testing.T) {
 	t.Helper()
 
@@ -138,7 +138,7 @@
 		cwstand.ProxyPasses, cwstand.ProxyDelays, cwstand.ProxyLosesRequests, cwstand.ProxyLosesReplies, cwstand.ProxyResets,
 	}
 
-	emptied := domain(w.random.IntN(domains))
+	evacuated := domain(w.random.IntN(domains))
 
 	switch w.random.IntN(32) {
 	case 0:
@@ -162,15 +162,15 @@
 	case 11:
 		w.StoreProxy.Silence()
 	case 12:
-		w.Store.Put("servers/"+s.instance, []byte(spoiled[w.random.IntN(len(spoiled))]))
+		w.Store.Put("servers/"+s.instance, []byte(invalidEntries[w.random.IntN(len(invalidEntries))]))
 	case 13, 14:
 		w.history.add(send(v, http.MethodPost, poison, newID()))
 	case 15:
-		w.emptied[emptied] = true
-		w.Store.Put(evacuationOf(emptied), []byte(spoiled[w.random.IntN(len(spoiled))]))
+		w.evacuated[evacuated] = true
+		w.Store.Put(evacuationKey(evacuated), []byte(invalidEntries[w.random.IntN(len(invalidEntries))]))
 	case 16:
-		delete(w.emptied, emptied)
-		w.Store.Delete(evacuationOf(emptied))
+		delete(w.evacuated, evacuated)
+		w.Store.Delete(evacuationKey(evacuated))
 	case 17, 18:
 		s.SetCold(time.Duration(w.random.IntN(3000)) * time.Millisecond)
 	case 19, 20:
@@ -184,19 +184,19 @@
 	case 24, 25:
 		w.Store.Restore()
 	case 26, 27:
-		w.writeAgain()
+		w.rewriteStore()
 	case 28, 29, 30:
-		s.SetFields(words[w.random.IntN(len(words))]...)
+		s.SetFields(replyHeaders[w.random.IntN(len(replyHeaders))]...)
 	case 31:
 		for _, s := range w.servers {
-			s.SetFields(words[w.random.IntN(len(words))]...)
+			s.SetFields(replyHeaders[w.random.IntN(len(replyHeaders))]...)
 		}
 	}
 
 	<-time.After(time.Duration(50+w.random.IntN(300)) * time.Millisecond)
 }
 
-// replace ends a process and starts the next one.
+// replace sends SIGHUP and then a signal that ends a process, and starts the next process.
 func (w *world) replace(t *testing.T, v *cwsite.Gateway, s syscall.Signal) {
 	t.Helper()
 
@@ -211,19 +211,19 @@
 	w.Restart(t, v)
 }
 
-// pause freezes a process for a while.
+// pause freezes a process for a random time.
 func (w *world) pause(t *testing.T, v *cwsite.Gateway) {
 	t.Helper()
 
-	const longest = 1500
+	const maxMillis = 1500
 
 	v.Process().Signal(t, syscall.SIGSTOP)
-	<-time.After(time.Duration(w.random.IntN(longest)) * time.Millisecond)
+	<-time.After(time.Duration(w.random.IntN(maxMillis)) * time.Millisecond)
 	v.Process().Signal(t, syscall.SIGCONT)
 }
 
-// heal ends all faults and wants the newest configuration to be in force on
-// each entry VM, and requests to be served again.
+// heal removes all faults and checks that each entry VM gets the newest configuration and
+// serves requests again.
 func (w *world) heal(t *testing.T) {
 	t.Helper()
 
@@ -234,11 +234,11 @@
 		s.Set(cwstand.UpstreamServes)
 		s.SetLimit()
 		s.SetFields()
-		w.restart(s)
+		w.registerRestart(s)
 	}
 
 	for i := range domains {
-		w.Store.Delete(evacuationOf(domain(i)))
+		w.Store.Delete(evacuationKey(domain(i)))
 	}
 
 	w.configure()
@@ -250,9 +250,9 @@
 		})
 	}
 
-	w.limited(t)
-	w.evacuated(t)
-	w.poisoned(t)
+	w.checkLimit(t)
+	w.checkEvacuation(t)
+	w.checkPoison(t)
 
 	for _, v := range w.All {
 		if text := v.Process().Output(); strings.Contains(text, "panic:") || strings.Contains(text, "DATA RACE") {
@@ -261,19 +261,20 @@
 	}
 }
 
-// poisoned sends the request that ends servers to each entry VM again and again, and
-// wants it to be refused in the end: after the third end no more than three sends reach
-// servers, but for those until all know, who have no fault left by now.
-func (w *world) poisoned(t *testing.T) {
+// checkPoison sends the request that crashes servers through each entry VM until all of them
+// refuse it, and checks that no more than three later sends crash a server. The rule is that
+// after the third crash at most three sends reach servers, apart from those sent before all
+// entry VMs know of the crashes. All faults have been removed by then.
+func (w *world) checkPoison(t *testing.T) {
 	t.Helper()
 
 	const (
-		tries = 40
-		most  = 3
+		tries      = 40
+		maxCrashes = 3
 	)
 
 	for _, v := range w.All {
-		cwtest.Wait(t, v.ID+" refuses the request that ends servers", func() bool {
+		cwtest.Wait(t, v.ID+" refuses the request that crashes servers", func() bool {
 			return send(v, http.MethodPost, poison, newID()).status == http.StatusServiceUnavailable
 		})
 	}
@@ -284,9 +285,9 @@
 		w.history.add(send(w.All[i%vms], http.MethodPost, poison, newID()))
 	}
 
-	if n := w.crashes.Load() - before; n > most {
-		t.Errorf("%d servers had ended under a request, and it ended %d more", before, n)
+	if n := w.crashes.Load() - before; n > maxCrashes {
+		t.Errorf("%d servers had crashed when the request was refused, and it crashed %d more", before, n)
 	}
 
-	t.Logf("%d servers ended under a request, %d of them once it was refused", w.crashes.Load(), w.crashes.Load()-before)
+	t.Logf("%d servers crashed, %d of them after the request was refused", w.crashes.Load(), w.crashes.Load()-before)
 }
