--- a/cmd/cwstand/server.go
+++ b/cmd/cwstand/server.go
@@ -71,7 +71,7 @@
 		Slots: c.Slots, Work: c.Work, Spread: c.Spread, Queue: c.Queue, Conns: c.Conns, Open: c.Open,
 		Speed: cwstand.NewSpeed(c.spans()), Repeat: noisyHorizon,
 		ReportLag: c.ReportLag, ReportLie: cwstand.Lie(c.ReportLie), HealthLag: c.HealthLag,
-		Asked: c.Asked, Run: uint64(time.Now().Unix()),
+		ReportOnRequest: c.Asked, Run: uint64(time.Now().Unix()),
 	})
 	s.SetFailing(c.Failing)
 
--- a/internal/cwstand/server.go
+++ b/internal/cwstand/server.go
@@ -57,9 +57,9 @@
 	// ReportLag and ReportLie make the load reports stale or wrong.
 	ReportLag time.Duration
 	ReportLie Lie
-	// Asked limits load reports to the replies to requests that ask for one. While
+	// ReportOnRequest limits load reports to the replies to requests that ask for one. While
 	// the server drains, all replies have one.
-	Asked bool
+	ReportOnRequest bool
 	// Run is the number of the server's process in its reports. Reports omit 0.
 	Run uint64
 	// HealthLag is the time for which the health endpoint still answers with
@@ -340,7 +340,7 @@
 	const separators = len(": \r\n")
 
 	asked := ctx.Request.Header.Peek(carobward.HeaderAsk)
-	if s.options.Asked && len(asked) == 0 && s.drained.Load() == 0 {
+	if s.options.ReportOnRequest && len(asked) == 0 && s.drained.Load() == 0 {
 		return
 	}
 
