--- a/internal/cwstand/server.go
+++ b/internal/cwstand/server.go
@@ -41,10 +41,10 @@
 	// Queue is the maximum number of queued requests. More are shed. Zero means
 	// no limit.
 	Queue int
-	// Open is the time that a new connection takes to open, Conns the maximum
+	// OpenDelay is the time that a new connection takes to open, Conns the maximum
 	// number of open connections.
-	Open  time.Duration
-	Conns int
+	OpenDelay time.Duration
+	Conns     int
 	// Speed is the server's speed over time, relative to Epoch.
 	Speed *Speed
 	// Epoch is the start of the speed schedule. Zero means the server's start.
@@ -100,7 +100,7 @@
 	s := &Server{options: o, slots: make(chan struct{}, o.Slots), ln: ln}
 	s.reporter = Reporter{Lag: o.ReportLag, Lie: o.ReportLie}
 	s.server = &fasthttp.Server{Handler: s.handle, CloseOnShutdown: true}
-	counted := &listener{Listener: ln, openDelay: o.Open, maxConns: int64(o.Conns), counts: &s.counters}
+	counted := &listener{Listener: ln, openDelay: o.OpenDelay, maxConns: int64(o.Conns), counts: &s.counters}
 
 	go func() { _ = s.server.Serve(counted) }()
 
