--- a/internal/cwstand/server.go
+++ b/internal/cwstand/server.go
@@ -44,7 +44,7 @@
 	// OpenDelay is the time that a new connection takes to open, Conns the maximum
 	// number of open connections.
 	OpenDelay time.Duration
-	Conns     int
+	MaxConns  int
 	// Speed is the server's speed over time, relative to Epoch.
 	Speed *Speed
 	// Epoch is the start of the speed schedule. Zero means the server's start.
@@ -100,7 +100,7 @@
 	s := &Server{options: o, slots: make(chan struct{}, o.Slots), ln: ln}
 	s.reporter = Reporter{Lag: o.ReportLag, Lie: o.ReportLie}
 	s.server = &fasthttp.Server{Handler: s.handle, CloseOnShutdown: true}
-	counted := &listener{Listener: ln, openDelay: o.OpenDelay, maxConns: int64(o.Conns), counts: &s.counters}
+	counted := &listener{Listener: ln, openDelay: o.OpenDelay, maxConns: int64(o.MaxConns), counts: &s.counters}
 
 	go func() { _ = s.server.Serve(counted) }()
 
--- a/internal/cwstand/server_test.go
+++ b/internal/cwstand/server_test.go
@@ -230,7 +230,7 @@
 }
 
 func TestServerBoundsConnections(t *testing.T) {
-	s := server(t, cwstand.ServerOptions{Slots: 1, Conns: 1, Speed: neverFinishes()})
+	s := server(t, cwstand.ServerOptions{Slots: 1, MaxConns: 1, Speed: neverFinishes()})
 	send(t, s)
 	cwtest.Wait(t, "one request runs", func() bool { return s.Counts().Began == 1 })
 
