--- a/internal/cwstand/server.go
+++ b/internal/cwstand/server.go
@@ -38,9 +38,9 @@
 	// Spread is the sigma of the lognormal service time. With zero, all requests
 	// take the mean.
 	Spread float64
-	// Queue is the maximum number of queued requests. More are shed. Zero means
+	// MaxQueue is the maximum number of queued requests. More are shed. Zero means
 	// no limit.
-	Queue int
+	MaxQueue int
 	// OpenDelay is the time that a new connection takes to open, Conns the maximum
 	// number of open connections.
 	OpenDelay time.Duration
@@ -223,7 +223,7 @@
 	waiting := s.queued.Add(1)
 	defer s.queued.Add(-1)
 
-	if maxQueue := int64(s.options.Queue); maxQueue > 0 && waiting > maxQueue {
+	if maxQueue := int64(s.options.MaxQueue); maxQueue > 0 && waiting > maxQueue {
 		return false
 	}
 
--- a/internal/cwstand/server_test.go
+++ b/internal/cwstand/server_test.go
@@ -149,7 +149,7 @@
 			500, "", cwstand.Counts{Failed: 1, Opened: 1},
 		},
 		"with a full queue": {
-			cwstand.ServerOptions{Slots: 1, Queue: 1, Speed: neverFinishes()}, func(t *testing.T, s *cwstand.Server) {
+			cwstand.ServerOptions{Slots: 1, MaxQueue: 1, Speed: neverFinishes()}, func(t *testing.T, s *cwstand.Server) {
 				send(t, s)
 				cwtest.Wait(t, "one request runs", func() bool { return s.Counts().Began == 1 })
 				send(t, s)
--- a/internal/lab/cwbench/live.go
+++ b/internal/lab/cwbench/live.go
@@ -129,7 +129,7 @@
 		Name: "bench", Domains: domains(s.Domains), VMs: s.VMs, Keep: time.Second,
 		Services: []cwfleet.Service{{Name: service, Count: s.Servers, Options: func(i int) cwstand.ServerOptions {
 			o := cwstand.ServerOptions{
-				Slots: s.Slots, Work: s.Work, Spread: s.Spread, Queue: s.Queue, OpenDelay: s.Open, MaxConns: s.Conns * l.variants,
+				Slots: s.Slots, Work: s.Work, Spread: s.Spread, MaxQueue: s.Queue, OpenDelay: s.Open, MaxConns: s.Conns * l.variants,
 				Speed: s.speed(i, order), Epoch: l.epoch, Repeat: l.slice, Delay: s.Between,
 			}
 
