--- a/cmd/cwstand/server.go
+++ b/cmd/cwstand/server.go
@@ -69,7 +69,7 @@
 
 	s := cwstand.NewServer(ln, cwstand.ServerOptions{
 		Slots: c.Slots, Work: c.Work, Spread: c.Spread, MaxQueue: c.Queue, MaxConns: c.Conns, OpenDelay: c.Open,
-		Speed: cwstand.NewSpeed(c.spans()), Repeat: noisyHorizon,
+		Speed: cwstand.NewSpeed(c.spans()), SpeedPeriod: noisyHorizon,
 		ReportLag: c.ReportLag, ReportLie: cwstand.Lie(c.ReportLie), HealthLag: c.HealthLag,
 		ReportOnRequest: c.Asked, Run: uint64(time.Now().Unix()),
 	})
--- a/internal/cwstand/server.go
+++ b/internal/cwstand/server.go
@@ -49,9 +49,9 @@
 	Speed *Speed
 	// Epoch is the start of the speed schedule. Zero means the server's start.
 	Epoch time.Time
-	// Repeat is the period after which the speed schedule starts again. Zero
+	// SpeedPeriod is the period after which the speed schedule starts again. Zero
 	// means never.
-	Repeat time.Duration
+	SpeedPeriod time.Duration
 	// Delay is the one-way network latency between the server and its callers.
 	Delay time.Duration
 	// ReportLag and ReportLie make the load reports stale or wrong.
@@ -279,8 +279,8 @@
 // scheduleTime converts a time to a time in the speed schedule.
 func (s *Server) scheduleTime(now time.Time) time.Duration {
 	at := now.Sub(s.options.Epoch)
-	if s.options.Repeat > 0 {
-		at %= s.options.Repeat
+	if s.options.SpeedPeriod > 0 {
+		at %= s.options.SpeedPeriod
 	}
 
 	return at
--- a/internal/lab/cwbench/live.go
+++ b/internal/lab/cwbench/live.go
@@ -130,7 +130,7 @@
 		Services: []cwfleet.Service{{Name: service, Count: s.Servers, Options: func(i int) cwstand.ServerOptions {
 			o := cwstand.ServerOptions{
 				Slots: s.Slots, Work: s.Work, Spread: s.Spread, MaxQueue: s.Queue, OpenDelay: s.Open, MaxConns: s.Conns * l.variants,
-				Speed: s.speed(i, order), Epoch: l.epoch, Repeat: l.slice, Delay: s.Between,
+				Speed: s.speed(i, order), Epoch: l.epoch, SpeedPeriod: l.slice, Delay: s.Between,
 			}
 
 			if order[i] < s.Misleading {
