--- a/cmd/cwstand/server.go
+++ b/cmd/cwstand/server.go
@@ -124,20 +124,20 @@
 }
 
 // spans are the stretches in which the server is slower.
-func (c *serverCommand) spans() []cwstand.Span {
+func (c *serverCommand) spans() []cwstand.Slowdown {
 	noise := cwstand.Noise{Every: c.NoisyEvery, For: c.NoisyFor, Factor: c.Factor}
 	spans := noise.Spans(c.Seed, noisyHorizon)
 
 	if c.Slow > 1 {
-		spans = append(spans, cwstand.Span{To: cwstand.Forever, Factor: c.Slow})
+		spans = append(spans, cwstand.Slowdown{To: cwstand.Forever, Factor: c.Slow})
 	}
 
 	if c.Cold > 0 {
-		spans = append(spans, cwstand.Span{To: c.Cold, Factor: c.Factor})
+		spans = append(spans, cwstand.Slowdown{To: c.Cold, Factor: c.Factor})
 	}
 
 	if c.StallFor > 0 {
-		spans = append(spans, cwstand.Span{From: c.StallAt, To: c.StallAt + c.StallFor, Factor: math.Inf(1)})
+		spans = append(spans, cwstand.Slowdown{From: c.StallAt, To: c.StallAt + c.StallFor, Factor: math.Inf(1)})
 	}
 
 	return spans
--- a/internal/cwstand/server_speed.go
+++ b/internal/cwstand/server_speed.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Span is a period in which a server runs slower. Times are relative to the
+// Slowdown is a period in which a server runs slower. Times are relative to the
 // start of the server's schedule.
-type Span struct {
+type Slowdown struct {
 	From, To time.Duration
 	// Factor is how many times slower the server is. Infinity stops all work.
 	Factor float64
@@ -29,18 +29,18 @@
 
 // Spans returns random slowdowns until the horizon. The gaps between them are
 // uniformly distributed between 0.5 and 1.5 times Every.
-func (n Noise) Spans(seed uint64, horizon time.Duration) []Span {
+func (n Noise) Spans(seed uint64, horizon time.Duration) []Slowdown {
 	if n.Every <= 0 || n.For <= 0 {
 		return nil
 	}
 
-	var spans []Span
+	var spans []Slowdown
 
 	rng := rand.New(rand.NewPCG(seed, 0))
 	at := time.Duration(rng.Float64() * float64(n.Every))
 
 	for at < horizon {
-		spans = append(spans, Span{From: at, To: at + n.For, Factor: n.Factor})
+		spans = append(spans, Slowdown{From: at, To: at + n.For, Factor: n.Factor})
 		at += n.For + n.Every/2 + time.Duration(rng.Float64()*float64(n.Every))
 	}
 
@@ -56,7 +56,7 @@
 
 // NewSpeed returns the speed that results from slowdowns. Where they overlap,
 // their factors multiply.
-func NewSpeed(spans []Span) *Speed {
+func NewSpeed(spans []Slowdown) *Speed {
 	s := &Speed{at: []time.Duration{0}}
 	for _, p := range spans {
 		s.at = append(s.at, p.From, p.To)
--- a/internal/cwstand/server_test.go
+++ b/internal/cwstand/server_test.go
@@ -17,19 +17,19 @@
 const ms = time.Millisecond
 
 func TestSpeedFinish(t *testing.T) {
-	slow := cwstand.Span{From: 10 * ms, To: 20 * ms, Factor: 2}
-	stall := cwstand.Span{From: 15 * ms, To: 30 * ms, Factor: math.Inf(1)}
+	slow := cwstand.Slowdown{From: 10 * ms, To: 20 * ms, Factor: 2}
+	stall := cwstand.Slowdown{From: 15 * ms, To: 30 * ms, Factor: math.Inf(1)}
 
 	tests := map[string]struct {
-		spans             []cwstand.Span
+		spans             []cwstand.Slowdown
 		start, work, want time.Duration
 	}{
 		"full speed":          {nil, 5 * ms, 7 * ms, 12 * ms},
-		"before a slow span":  {[]cwstand.Span{slow}, 0, 10 * ms, 10 * ms},
-		"into a slow span":    {[]cwstand.Span{slow}, 5 * ms, 7 * ms, 14 * ms},
-		"through a slow span": {[]cwstand.Span{slow}, 5 * ms, 12 * ms, 22 * ms},
-		"through a stall":     {[]cwstand.Span{slow, stall}, 12 * ms, 2 * ms, 30*ms + ms/2},
-		"endless stall":       {[]cwstand.Span{{Factor: math.Inf(1), To: cwstand.Forever}}, 0, ms, cwstand.Forever},
+		"before a slow span":  {[]cwstand.Slowdown{slow}, 0, 10 * ms, 10 * ms},
+		"into a slow span":    {[]cwstand.Slowdown{slow}, 5 * ms, 7 * ms, 14 * ms},
+		"through a slow span": {[]cwstand.Slowdown{slow}, 5 * ms, 12 * ms, 22 * ms},
+		"through a stall":     {[]cwstand.Slowdown{slow, stall}, 12 * ms, 2 * ms, 30*ms + ms/2},
+		"endless stall":       {[]cwstand.Slowdown{{Factor: math.Inf(1), To: cwstand.Forever}}, 0, ms, cwstand.Forever},
 	}
 
 	for name, tc := range tests {
@@ -94,7 +94,7 @@
 
 // neverFinishes returns a speed at which no work completes.
 func neverFinishes() *cwstand.Speed {
-	return cwstand.NewSpeed([]cwstand.Span{{Factor: math.Inf(1), To: cwstand.Forever}})
+	return cwstand.NewSpeed([]cwstand.Slowdown{{Factor: math.Inf(1), To: cwstand.Forever}})
 }
 
 // send sends a request without reading the reply, and returns the open
--- a/internal/lab/cwbench/backend.go
+++ b/internal/lab/cwbench/backend.go
@@ -84,12 +84,12 @@
 	return cwstand.NewSpeed(spans)
 }
 
-func (f *Fault) spans() []cwstand.Span {
+func (f *Fault) spans() []cwstand.Slowdown {
 	switch f.Kind {
 	case FaultStall:
-		return []cwstand.Span{{From: f.From, To: f.To, Factor: math.Inf(1)}}
+		return []cwstand.Slowdown{{From: f.From, To: f.To, Factor: math.Inf(1)}}
 	case FaultSlow:
-		return []cwstand.Span{{From: f.From, To: f.To, Factor: f.Factor}}
+		return []cwstand.Slowdown{{From: f.From, To: f.To, Factor: f.Factor}}
 	case FaultFail, FaultDrain:
 	}
 
