--- a/cmd/cwstand/server.go
+++ b/cmd/cwstand/server.go
@@ -126,7 +126,7 @@
 // spans are the stretches in which the server is slower.
 func (c *serverCommand) spans() []cwstand.Slowdown {
 	noise := cwstand.Noise{Every: c.NoisyEvery, For: c.NoisyFor, Factor: c.Factor}
-	spans := noise.Spans(c.Seed, noisyHorizon)
+	spans := noise.Slowdowns(c.Seed, noisyHorizon)
 
 	if c.Slow > 1 {
 		spans = append(spans, cwstand.Slowdown{To: cwstand.Forever, Factor: c.Slow})
--- a/internal/cwstand/server_speed.go
+++ b/internal/cwstand/server_speed.go
@@ -27,9 +27,9 @@
 	Factor float64
 }
 
-// Spans returns random slowdowns until the horizon. The gaps between them are
+// Slowdowns returns random slowdowns until the horizon. The gaps between them are
 // uniformly distributed between 0.5 and 1.5 times Every.
-func (n Noise) Spans(seed uint64, horizon time.Duration) []Slowdown {
+func (n Noise) Slowdowns(seed uint64, horizon time.Duration) []Slowdown {
 	if n.Every <= 0 || n.For <= 0 {
 		return nil
 	}
--- a/internal/cwstand/server_test.go
+++ b/internal/cwstand/server_test.go
@@ -43,7 +43,7 @@
 
 func TestNoiseTakesItsShare(t *testing.T) {
 	n := cwstand.Noise{Every: 600 * ms, For: 60 * ms, Factor: 5}
-	s := cwstand.NewSpeed(n.Spans(7, time.Minute))
+	s := cwstand.NewSpeed(n.Slowdowns(7, time.Minute))
 	share := s.Work(0, time.Minute).Seconds() / time.Minute.Seconds()
 
 	// The server runs at a fifth of the speed for one eleventh of the time.
@@ -51,7 +51,7 @@
 		t.Errorf("speed: got %v, want %v", share, want)
 	}
 
-	if d := cmp.Diff(n.Spans(7, time.Minute), n.Spans(7, time.Minute)); d != "" {
+	if d := cmp.Diff(n.Slowdowns(7, time.Minute), n.Slowdowns(7, time.Minute)); d != "" {
 		t.Errorf("the same seed gave different slowdowns: %s", d)
 	}
 }
--- a/internal/lab/cwbench/backend.go
+++ b/internal/lab/cwbench/backend.go
@@ -73,7 +73,7 @@
 
 // speed draws the speed of a server.
 func (s *Scenario) speed(server int, order []int) *cwstand.Speed {
-	spans := s.Noise.Spans(s.Seed*uint64(s.Servers)+uint64(server), s.end()+s.Timeout)
+	spans := s.Noise.Slowdowns(s.Seed*uint64(s.Servers)+uint64(server), s.end()+s.Timeout)
 
 	for j := range s.Faults {
 		if f := &s.Faults[j]; f.hits(order[server]) {
