--- a/internal/cwfront/health_check_test.go
+++ b/internal/cwfront/health_check_test.go
@@ -80,7 +80,7 @@
 			}
 
 			proxy.Forget()
-			proxy.Set(c.fault)
+			proxy.SetFault(c.fault)
 
 			ok := check().ok
 			blocked := f.Servers.Views("records", time.Now(), time.Second)[0].Blocked
--- a/internal/cwstand/proxy.go
+++ b/internal/cwstand/proxy.go
@@ -65,8 +65,8 @@
 	return p
 }
 
-// Set sets the fault. ProxyPasses removes it.
-func (p *Proxy) Set(f ProxyFault) {
+// SetFault sets the fault. ProxyPasses removes it.
+func (p *Proxy) SetFault(f ProxyFault) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 
--- a/test/gateway/process_test.go
+++ b/test/gateway/process_test.go
@@ -158,7 +158,7 @@
 	g, u := startSite(t, 3)
 	v := g.All[2]
 
-	g.StoreProxy.Set(cwstand.ProxyResets)
+	g.StoreProxy.SetFault(cwstand.ProxyResets)
 	v.Process().Signal(t, syscall.SIGKILL)
 
 	if err := v.Process().Wait(t); err == nil {
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -144,9 +144,9 @@
 	case 0:
 		w.configure()
 	case 1:
-		w.StoreProxy.Set(faults[w.random.IntN(len(faults))])
+		w.StoreProxy.SetFault(faults[w.random.IntN(len(faults))])
 	case 2, 3:
-		s.Proxy().Set(faults[w.random.IntN(len(faults))])
+		s.Proxy().SetFault(faults[w.random.IntN(len(faults))])
 	case 4, 5:
 		s.Set(cwstand.UpstreamWay(w.random.IntN(int(cwstand.UpstreamUnframed) + 1)))
 	case 6:
@@ -227,10 +227,10 @@
 func (w *world) heal(t *testing.T) {
 	t.Helper()
 
-	w.StoreProxy.Set(cwstand.ProxyPasses)
+	w.StoreProxy.SetFault(cwstand.ProxyPasses)
 
 	for _, s := range w.servers {
-		s.Proxy().Set(cwstand.ProxyPasses)
+		s.Proxy().SetFault(cwstand.ProxyPasses)
 		s.Set(cwstand.UpstreamServes)
 		s.SetLimit()
 		s.SetFields()
