--- a/internal/cwlink/silent_conn_test.go
+++ b/internal/cwlink/silent_conn_test.go
@@ -66,7 +66,7 @@
 			}
 
 			if c.silent {
-				proxy.Silence()
+				proxy.Blackhole()
 			}
 
 			one := newCall("one")
--- a/internal/cwpeer/silent_conn_test.go
+++ b/internal/cwpeer/silent_conn_test.go
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 
-	proxy.Silence()
+	proxy.Blackhole()
 
 	if err := ask(limit); err == nil {
 		t.Fatal("a call over the silent connection succeeded")
--- a/internal/cwstand/proxy.go
+++ b/internal/cwstand/proxy.go
@@ -73,9 +73,9 @@
 	p.fault = f
 }
 
-// Silence makes the proxy drop all data of the connections that are open now, for as
+// Blackhole makes the proxy drop all data of the connections that are open now, for as
 // long as they last. New connections follow the fault set with SetFault.
-func (p *Proxy) Silence() { p.markAll(markBlackhole) }
+func (p *Proxy) Blackhole() { p.markAll(markBlackhole) }
 
 // Forget makes the proxy reset each of the connections that are open now when it next
 // carries data.
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -158,9 +158,9 @@
 	case 9:
 		w.pause(t, v)
 	case 10:
-		s.Proxy().Silence()
+		s.Proxy().Blackhole()
 	case 11:
-		w.StoreProxy.Silence()
+		w.StoreProxy.Blackhole()
 	case 12:
 		w.Store.Put("servers/"+s.instance, []byte(invalidEntries[w.random.IntN(len(invalidEntries))]))
 	case 13, 14:
