--- a/internal/cwfront/health_check_test.go
+++ b/internal/cwfront/health_check_test.go
@@ -79,7 +79,7 @@
 				t.Fatal("the first health check failed")
 			}
 
-			proxy.Forget()
+			proxy.ResetOnData()
 			proxy.SetFault(c.fault)
 
 			ok := check().ok
@@ -110,7 +110,7 @@
 		got.release()
 	}
 
-	proxy.Forget()
+	proxy.ResetOnData()
 	r.state.checks.SetLimit(0)
 
 	for r.state.checks.Allow() {
--- a/internal/cwstand/proxy.go
+++ b/internal/cwstand/proxy.go
@@ -77,9 +77,9 @@
 // long as they last. New connections follow the fault set with SetFault.
 func (p *Proxy) Blackhole() { p.markAll(markBlackhole) }
 
-// Forget makes the proxy reset each of the connections that are open now when it next
+// ResetOnData makes the proxy reset each of the connections that are open now when it next
 // carries data.
-func (p *Proxy) Forget() { p.markAll(markResetOnData) }
+func (p *Proxy) ResetOnData() { p.markAll(markResetOnData) }
 
 func (p *Proxy) markAll(m proxyMark) {
 	p.mutex.Lock()
