--- a/internal/cwgateway/ends_test.go
+++ b/internal/cwgateway/ends_test.go
@@ -21,7 +21,7 @@
 	const two = 2
 
 	for name, c := range map[string]struct {
-		way          cwstand.UpstreamWay
+		way          cwstand.UpstreamMode
 		read, charge int
 		// readRuns and chargeRuns are how often the request ran at most.
 		readRuns, chargeRuns int
@@ -96,7 +96,7 @@
 // idempotent one also after a failure.
 func TestRetry(t *testing.T) {
 	for name, c := range map[string]struct {
-		way          cwstand.UpstreamWay
+		way          cwstand.UpstreamMode
 		read, charge bool
 	}{
 		"sheds":  {cwstand.UpstreamSheds, true, true},
--- a/internal/cwgateway/quarantine_test.go
+++ b/internal/cwgateway/quarantine_test.go
@@ -90,7 +90,7 @@
 	const last = charging + "last"
 
 	for name, c := range map[string]struct {
-		way cwstand.UpstreamWay
+		way cwstand.UpstreamMode
 		// fatal tells that the server ends, leaves that the list said so before.
 		fatal, leaves bool
 		blamed        bool
--- a/internal/cwgateway/words_test.go
+++ b/internal/cwgateway/words_test.go
@@ -50,7 +50,7 @@
 // TestSaysLeaving has a server whose entry stays ready say that it leaves, in any answer, and
 // wants it to get nothing more, with the store away, too, until another process is there.
 func TestSaysLeaving(t *testing.T) {
-	for name, way := range map[string]cwstand.UpstreamWay{
+	for name, way := range map[string]cwstand.UpstreamMode{
 		"in answers":            cwstand.UpstreamServes,
 		"in refusals":           cwstand.UpstreamSheds,
 		"in failures":           cwstand.UpstreamFails,
--- a/internal/cwstand/upstream.go
+++ b/internal/cwstand/upstream.go
@@ -14,13 +14,13 @@
 	"carobward.example/carobward"
 )
 
-// UpstreamWay is the way in which an Upstream handles requests.
-type UpstreamWay uint8
+// UpstreamMode is the way in which an Upstream handles requests.
+type UpstreamMode uint8
 
 // The modes of an Upstream.
 const (
 	// UpstreamServes runs each request and answers with status 200.
-	UpstreamServes UpstreamWay = iota
+	UpstreamServes UpstreamMode = iota
 	// UpstreamSheds refuses each request with a reply that states that it did not
 	// run.
 	UpstreamSheds
@@ -69,7 +69,7 @@
 	instance carobward.Instance
 
 	mutex sync.Mutex
-	mode  UpstreamWay
+	mode  UpstreamMode
 	work  time.Duration
 	load  string
 	// warmUntil is the time at which the reported warmup ends. If it is zero, no warmup is
@@ -111,7 +111,7 @@
 }
 
 // Set sets the mode and the time that the work of a request takes.
-func (u *Upstream) Set(mode UpstreamWay, work time.Duration) {
+func (u *Upstream) Set(mode UpstreamMode, work time.Duration) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 
@@ -361,7 +361,7 @@
 
 // answerRun writes the reply to a request that ran, and reports whether the connection stays
 // open.
-func (u *Upstream) answerRun(c net.Conn, mode UpstreamWay, id, load string) bool {
+func (u *Upstream) answerRun(c net.Conn, mode UpstreamMode, id, load string) bool {
 	u.mutex.Lock()
 	body, limits, fields := u.body, u.limits, u.fields
 	u.mutex.Unlock()
--- a/test/soak/server_test.go
+++ b/test/soak/server_test.go
@@ -41,7 +41,7 @@
 }
 
 // Set sets the way in which the process handles requests.
-func (s *server) Set(mode cwstand.UpstreamWay) {
+func (s *server) Set(mode cwstand.UpstreamMode) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
