--- a/internal/cwgateway/ends_test.go
+++ b/internal/cwgateway/ends_test.go
@@ -32,7 +32,7 @@
 		"is silent":             {cwstand.UpstreamSilent, 504, 504, two, 1},
 		"fails":                 {cwstand.UpstreamFails, 500, 500, two, 1},
 		"refuses, having run":   {cwstand.UpstreamRefuses, 502, 502, two, 1},
-		"cuts its answer":       {cwstand.UpstreamCuts, 502, 502, two, 1},
+		"cuts its answer":       {cwstand.UpstreamTruncates, 502, 502, two, 1},
 		"does not sign":         {cwstand.UpstreamUnsigned, 502, 502, two, 1},
 		"answers twice":         {cwstand.UpstreamRepeats, 200, 200, 1, 1},
 		"ends by its connexion": {cwstand.UpstreamUnframed, 200, 200, 1, 1},
--- a/internal/cwgateway/quarantine_test.go
+++ b/internal/cwgateway/quarantine_test.go
@@ -99,7 +99,7 @@
 		"a process that leaves ends": {cwstand.UpstreamServes, true, true, false},
 		"it resets the connection":   {cwstand.UpstreamResets, false, false, false},
 		"it is silent":               {cwstand.UpstreamSilent, false, false, false},
-		"it cuts its answer":         {cwstand.UpstreamCuts, false, false, false},
+		"it cuts its answer":         {cwstand.UpstreamTruncates, false, false, false},
 		"it fails":                   {cwstand.UpstreamFails, false, false, false},
 		"it refuses, having run":     {cwstand.UpstreamRefuses, false, false, false},
 	} {
--- a/internal/cwstand/upstream.go
+++ b/internal/cwstand/upstream.go
@@ -33,9 +33,9 @@
 	// UpstreamRefuses runs each request and answers with status 503, without
 	// stating whether the request ran.
 	UpstreamRefuses
-	// UpstreamCuts runs each request and closes the connection before the end of
+	// UpstreamTruncates runs each request and closes the connection before the end of
 	// the reply.
-	UpstreamCuts
+	UpstreamTruncates
 	// UpstreamUnsigned runs each request and answers without the signature.
 	UpstreamUnsigned
 	// UpstreamRepeats runs each request and sends the reply twice.
@@ -388,7 +388,7 @@
 		return writeReply(c, "HTTP/1.1 500 Internal Server Error\r\n%sContent-Length: 0\r\n\r\n", headers)
 	case UpstreamRefuses:
 		return writeReply(c, "HTTP/1.1 503 Service Unavailable\r\n%sContent-Length: 0\r\n\r\n", headers)
-	case UpstreamCuts:
+	case UpstreamTruncates:
 		const missing = 96
 
 		writeReply(c, "HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", headers, len(body)+missing, body)
