--- a/internal/cwgateway/download_test.go
+++ b/internal/cwgateway/download_test.go
@@ -60,7 +60,7 @@
 	f := newFleet(t)
 	u := f.upstream(t, "packs", "i-1")
 	u.SetBody(pack)
-	u.Set(cwstand.UpstreamTruncates, 0)
+	u.SetMode(cwstand.UpstreamTruncates, 0)
 	f.configure(packs())
 
 	v := f.start(t, "vm-1")
--- a/internal/cwgateway/ends_test.go
+++ b/internal/cwgateway/ends_test.go
@@ -43,7 +43,7 @@
 			f.configure(safe("fees"), unsafe())
 
 			for _, s := range servers {
-				s.Set(c.way, 0)
+				s.SetMode(c.way, 0)
 			}
 
 			v := f.start(t, "vm-1")
@@ -107,7 +107,7 @@
 			f := newFleet(t)
 			bad, good := f.upstream(t, "fees", "i-1"), f.upstream(t, "fees", "i-2")
 			f.configure(safe("fees"), unsafe())
-			bad.Set(c.way, 0)
+			bad.SetMode(c.way, 0)
 			good.SetLoad("2,0,4,100") // So that the bad one is preferred.
 
 			v := f.start(t, "vm-1")
@@ -137,8 +137,8 @@
 	f := newFleet(t)
 	breaks, refuses := f.upstream(t, "fees", "i-1"), f.upstream(t, "fees", "i-2")
 	f.configure(safe("fees"), unsafe())
-	breaks.Set(cwstand.UpstreamResets, 0)
-	refuses.Set(cwstand.UpstreamSheds, 0)
+	breaks.SetMode(cwstand.UpstreamResets, 0)
+	refuses.SetMode(cwstand.UpstreamSheds, 0)
 
 	v := f.start(t, "vm-1")
 	v.waitReady(t)
@@ -162,7 +162,7 @@
 	r := unsafe()
 	r["timeout"] = "300ms"
 	f.configure(r)
-	u.Set(cwstand.UpstreamSilent, 0)
+	u.SetMode(cwstand.UpstreamSilent, 0)
 
 	v := f.start(t, "vm-1")
 	v.waitReady(t)
@@ -187,7 +187,7 @@
 			f := newFleet(t)
 			u := f.upstream(t, "fees", "i-1")
 			f.configure(safe("fees"), unsafe())
-			u.Set(cwstand.UpstreamServes, time.Second)
+			u.SetMode(cwstand.UpstreamServes, time.Second)
 
 			v := f.start(t, "vm-1", func(o *cwgateway.Options) { o.Grace = 3 * time.Second })
 			v.waitReady(t)
@@ -232,7 +232,7 @@
 			f := newFleet(t)
 			slow, good := f.upstream(t, "fees", "i-1"), f.upstream(t, "fees", "i-2")
 			f.configure(safe("fees"), unsafe())
-			slow.Set(cwstand.UpstreamServes, time.Minute)
+			slow.SetMode(cwstand.UpstreamServes, time.Minute)
 			good.SetLoad("2,0,4,100") // So that the slow one is preferred.
 
 			v := f.start(t, "vm-1")
@@ -262,8 +262,8 @@
 	f := newFleet(t)
 	slow, good := f.upstream(t, "fees", "i-1"), f.upstream(t, "fees", "i-2")
 	f.configure(safe("fees"))
-	slow.Set(cwstand.UpstreamServes, time.Minute)
-	good.Set(cwstand.UpstreamServes, time.Minute)
+	slow.SetMode(cwstand.UpstreamServes, time.Minute)
+	good.SetMode(cwstand.UpstreamServes, time.Minute)
 
 	v := f.start(t, "vm-1", func(o *cwgateway.Options) {
 		o.Limits.ExtraShare = 0
--- a/internal/cwgateway/entry_test.go
+++ b/internal/cwgateway/entry_test.go
@@ -100,7 +100,7 @@
 		"a charge": {http.MethodPost, charging, http.StatusBadGateway},
 	} {
 		t.Run(name, func(t *testing.T) {
-			lost.Set(cwstand.UpstreamSilent, 0)
+			lost.SetMode(cwstand.UpstreamSilent, 0)
 			f.store.Put("servers/i-1", entry(time.Now().UnixMilli()))
 			f.waitCopy(t, v)
 
@@ -112,7 +112,7 @@
 			cwtest.Wait(t, "the send", func() bool { return len(lost.Runs()) > before })
 
 			// The process that follows answers.
-			lost.Set(cwstand.UpstreamServes, 0)
+			lost.SetMode(cwstand.UpstreamServes, 0)
 			f.store.Put("servers/i-1", entry(time.Now().UnixMilli()+1))
 
 			if got := <-ends; got.status != c.want {
--- a/internal/cwgateway/gateway_test.go
+++ b/internal/cwgateway/gateway_test.go
@@ -214,7 +214,7 @@
 	f := newFleet(t)
 	u := f.upstream(t, "records", "i-1")
 	f.configure(safe("records"))
-	u.Set(cwstand.UpstreamServes, 20*time.Millisecond)
+	u.SetMode(cwstand.UpstreamServes, 20*time.Millisecond)
 
 	v := f.start(t, "vm-1")
 	v.waitReady(t)
--- a/internal/cwgateway/limit_test.go
+++ b/internal/cwgateway/limit_test.go
@@ -52,7 +52,7 @@
 	for i := range 5 {
 		instance := fmt.Sprint("i-", i)
 		u := l.upstream(t, "fees", instance)
-		u.Set(cwstand.UpstreamServes, 2*time.Millisecond)
+		u.SetMode(cwstand.UpstreamServes, 2*time.Millisecond)
 		l.store.Put("servers/"+instance, cwstand.MetadataServer("fees", u.Address(), limitedDomain(i/3), "ready"))
 		l.servers = append(l.servers, u)
 	}
--- a/internal/cwgateway/quarantine_test.go
+++ b/internal/cwgateway/quarantine_test.go
@@ -117,7 +117,7 @@
 
 				return c.fatal
 			})
-			servers.places[0].server.Set(c.way, 0)
+			servers.places[0].server.SetMode(c.way, 0)
 			f.configure(unsafe())
 
 			v := f.start(t, "vm-1")
@@ -313,7 +313,7 @@
 	cwtest.Wait(t, "both servers", func() bool { return v.gauge(t, "servers") == 2 })
 
 	before := servers.count()
-	servers.places[0].server.Set(cwstand.UpstreamSheds, 0)
+	servers.places[0].server.SetMode(cwstand.UpstreamSheds, 0)
 	servers.places[1].server.SetLoad("3,0,4,100") // The other one is the first choice.
 
 	clock.by.Add(int64(trialAfter))
@@ -399,7 +399,7 @@
 	all := startAll(t, f, "vm-", carobward.SystemClock{})
 
 	for _, p := range servers.places {
-		p.server.Set(cwstand.UpstreamServes, 20*time.Millisecond)
+		p.server.SetMode(cwstand.UpstreamServes, 20*time.Millisecond)
 	}
 
 	var (
--- a/internal/cwgateway/team_test.go
+++ b/internal/cwgateway/team_test.go
@@ -198,7 +198,7 @@
 
 	f := newFleet(t)
 	sheds, takes := f.upstream(t, "photos", "i-1"), f.upstream(t, "photos", "i-2")
-	sheds.Set(cwstand.UpstreamSheds, 0)
+	sheds.SetMode(cwstand.UpstreamSheds, 0)
 	f.configure(cwstand.MetadataRoute{"prefix": charging, "kind": "upload", "service": "photos"})
 
 	v := f.start(t, "vm-1")
--- a/internal/cwgateway/words_test.go
+++ b/internal/cwgateway/words_test.go
@@ -58,7 +58,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSpeaking(t)
-			s.one.Set(way, 0)
+			s.one.SetMode(way, 0)
 			s.one.SetFields("Server-Leaving: 1")
 			s.store.SetFaults(cwstand.MetadataFaults{Status: http.StatusServiceUnavailable})
 
@@ -80,7 +80,7 @@
 				t.Errorf("%d requests at a server that leaves", n)
 			}
 
-			s.one.Set(cwstand.UpstreamServes, 0)
+			s.one.SetMode(cwstand.UpstreamServes, 0)
 			s.one.SetFields()
 			s.store.SetFaults(cwstand.MetadataFaults{})
 			s.store.Put("servers/i-1", cwstand.MetadataStart(cwstand.MetadataServer("fees", s.one.Address(), "a", "ready"), 7))
@@ -120,7 +120,7 @@
 	for name, pause := range map[string]time.Duration{"seconds": 2 * time.Second, "a fraction": 1250 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
 			s := newSpeaking(t)
-			s.one.Set(cwstand.UpstreamSheds, 0)
+			s.one.SetMode(cwstand.UpstreamSheds, 0)
 			s.one.SetFields(fmt.Sprintf("Retry-After: %g", pause.Seconds()))
 
 			cwtest.Wait(t, "a refusal", func() bool {
@@ -145,7 +145,7 @@
 				t.Errorf("%d requests reached a server that wants none", within)
 			}
 
-			s.one.Set(cwstand.UpstreamServes, 0)
+			s.one.SetMode(cwstand.UpstreamServes, 0)
 			cwtest.Wait(t, "use of the server", func() bool {
 				s.ask(1)
 
@@ -161,7 +161,7 @@
 	s := newSpeaking(t)
 
 	for i, u := range []*cwstand.Upstream{s.one, s.other} {
-		u.Set(cwstand.UpstreamSheds, 0)
+		u.SetMode(cwstand.UpstreamSheds, 0)
 		u.SetFields(fmt.Sprint("Retry-After: ", 20+20*i))
 	}
 
--- a/internal/cwstand/upstream.go
+++ b/internal/cwstand/upstream.go
@@ -110,8 +110,8 @@
 	return u
 }
 
-// Set sets the mode and the time that the work of a request takes.
-func (u *Upstream) Set(mode UpstreamMode, work time.Duration) {
+// SetMode sets the mode and the time that the work of a request takes.
+func (u *Upstream) SetMode(mode UpstreamMode, work time.Duration) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 
--- a/test/soak/server_test.go
+++ b/test/soak/server_test.go
@@ -45,7 +45,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
-	s.current.Set(mode, workTime)
+	s.current.SetMode(mode, workTime)
 }
 
 // SetCold makes the process report a warmup that ends after the given time.
@@ -132,7 +132,7 @@
 	}
 
 	s.current = cwstand.NewUpstream(own, carobward.Instance(s.instance))
-	s.current.Set(cwstand.UpstreamServes, workTime)
+	s.current.SetMode(cwstand.UpstreamServes, workTime)
 	s.current.SetKills(isPoison, func() { w.restartCrashed(s) })
 	s.proxy = cwstand.NewProxy(listener, s.current.Address())
 }
