--- a/internal/cwgateway/poison_test.go
+++ b/internal/cwgateway/poison_test.go
@@ -84,7 +84,7 @@
 
 	p.starts++
 	u := cwstand.NewUpstream(ln, carobward.Instance(p.instance()))
-	u.SetKills(c.isFatal, func() { c.ended(p) })
+	u.SetCrash(c.isFatal, func() { c.ended(p) })
 	p.server = u
 	c.fleet.register("fees", p.instance(), p.address, "ready")
 }
--- a/internal/cwstand/upstream.go
+++ b/internal/cwstand/upstream.go
@@ -134,9 +134,9 @@
 	u.body = body
 }
 
-// SetKills sets which requests crash the server. After the work of such a request the
+// SetCrash sets which requests crash the server. After the work of such a request the
 // server closes its listener, resets all connections and calls onCrash.
-func (u *Upstream) SetKills(crashesOn func(Run) bool, onCrash func()) {
+func (u *Upstream) SetCrash(crashesOn func(Run) bool, onCrash func()) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 
--- a/test/soak/server_test.go
+++ b/test/soak/server_test.go
@@ -133,7 +133,7 @@
 
 	s.current = cwstand.NewUpstream(own, carobward.Instance(s.instance))
 	s.current.SetMode(cwstand.UpstreamServes, workTime)
-	s.current.SetKills(isPoison, func() { w.restartCrashed(s) })
+	s.current.SetCrash(isPoison, func() { w.restartCrashed(s) })
 	s.proxy = cwstand.NewProxy(listener, s.current.Address())
 }
 
