--- a/internal/cwgateway/cold_test.go
+++ b/internal/cwgateway/cold_test.go
@@ -38,7 +38,7 @@
 		})
 	}
 
-	u.SetCold(time.Minute)
+	u.SetWarmup(time.Minute)
 
 	// Requests before do not count. The entry VMs know each other, and send as they will.
 	for i, v := range vms {
--- a/internal/cwstand/upstream.go
+++ b/internal/cwstand/upstream.go
@@ -143,9 +143,9 @@
 	u.crashesOn, u.onCrash = crashesOn, onCrash
 }
 
-// SetCold makes replies to health checks report a warmup that ends after the given
+// SetWarmup makes replies to health checks report a warmup that ends after the given
 // time, and a finished warmup from then on.
-func (u *Upstream) SetCold(left time.Duration) {
+func (u *Upstream) SetWarmup(left time.Duration) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 
--- a/test/soak/server_test.go
+++ b/test/soak/server_test.go
@@ -53,7 +53,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
-	s.current.SetCold(left)
+	s.current.SetWarmup(left)
 }
 
 // replyHeaders are the header lines that servers add to all their replies: leaving notices and
