--- a/internal/cwgateway/words_test.go
+++ b/internal/cwgateway/words_test.go
@@ -59,7 +59,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := newSpeaking(t)
 			s.one.SetMode(way, 0)
-			s.one.SetFields("Server-Leaving: 1")
+			s.one.SetHeaders("Server-Leaving: 1")
 			s.store.SetFaults(cwstand.MetadataFaults{Status: http.StatusServiceUnavailable})
 
 			cwtest.Wait(t, "the word", func() bool {
@@ -81,7 +81,7 @@
 			}
 
 			s.one.SetMode(cwstand.UpstreamServes, 0)
-			s.one.SetFields()
+			s.one.SetHeaders()
 			s.store.SetFaults(cwstand.MetadataFaults{})
 			s.store.Put("servers/i-1", cwstand.MetadataStart(cwstand.MetadataServer("fees", s.one.Address(), "a", "ready"), 7))
 			cwtest.Wait(t, "use of the next process", func() bool {
@@ -97,7 +97,7 @@
 // TestUnreadableWords wants words that can't be read to say nothing.
 func TestUnreadableWords(t *testing.T) {
 	s := newSpeaking(t)
-	s.one.SetFields("Server-Leaving: maybe", "Retry-After: never")
+	s.one.SetHeaders("Server-Leaving: maybe", "Retry-After: never")
 
 	cwtest.Wait(t, "use", func() bool {
 		before := len(s.one.Runs())
@@ -121,7 +121,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := newSpeaking(t)
 			s.one.SetMode(cwstand.UpstreamSheds, 0)
-			s.one.SetFields(fmt.Sprintf("Retry-After: %g", pause.Seconds()))
+			s.one.SetHeaders(fmt.Sprintf("Retry-After: %g", pause.Seconds()))
 
 			cwtest.Wait(t, "a refusal", func() bool {
 				s.ask(1)
@@ -162,7 +162,7 @@
 
 	for i, u := range []*cwstand.Upstream{s.one, s.other} {
 		u.SetMode(cwstand.UpstreamSheds, 0)
-		u.SetFields(fmt.Sprint("Retry-After: ", 20+20*i))
+		u.SetHeaders(fmt.Sprint("Retry-After: ", 20+20*i))
 	}
 
 	cwtest.Wait(t, "both words", func() bool {
--- a/internal/cwstand/upstream.go
+++ b/internal/cwstand/upstream.go
@@ -161,9 +161,9 @@
 	u.limits = limits
 }
 
-// SetFields sets header lines that are added to all replies, including those to health
+// SetHeaders sets header lines that are added to all replies, including those to health
 // checks.
-func (u *Upstream) SetFields(lines ...string) {
+func (u *Upstream) SetHeaders(lines ...string) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 
--- a/test/soak/server_test.go
+++ b/test/soak/server_test.go
@@ -68,7 +68,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
-	s.current.SetFields(lines...)
+	s.current.SetHeaders(lines...)
 }
 
 // SetLimit sets the rate limits that the process announces.
