--- a/internal/cwgateway/gateway_test.go
+++ b/internal/cwgateway/gateway_test.go
@@ -130,7 +130,7 @@
 
 	f := newFleet(t)
 	for i := range 3 {
-		f.upstream(t, "records", fmt.Sprint("i-", i)).SetSlow(slow)
+		f.upstream(t, "records", fmt.Sprint("i-", i)).SetHealthDelay(slow)
 	}
 
 	f.configure(safe("records"))
--- a/internal/cwstand/upstream.go
+++ b/internal/cwstand/upstream.go
@@ -173,8 +173,8 @@
 	}
 }
 
-// SetSlow sets the delay of replies to health checks.
-func (u *Upstream) SetSlow(healthDelay time.Duration) {
+// SetHealthDelay sets the delay of replies to health checks.
+func (u *Upstream) SetHealthDelay(healthDelay time.Duration) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 
