--- a/internal/cwgateway/gateway_test.go
+++ b/internal/cwgateway/gateway_test.go
@@ -107,7 +107,7 @@
 func TestClosing(t *testing.T) {
 	f := newFleet(t)
 	u := f.upstream(t, "fees", "i-1")
-	u.SetClosing(true)
+	u.SetCloseOnHealth(true)
 	f.configure(safe("fees"), unsafe())
 
 	v := f.start(t, "vm-1")
--- a/internal/cwstand/upstream.go
+++ b/internal/cwstand/upstream.go
@@ -189,8 +189,8 @@
 	return append([]time.Time(nil), u.refusals...)
 }
 
-// SetClosing sets whether the server closes the connection after each health check.
-func (u *Upstream) SetClosing(closeOnHealth bool) {
+// SetCloseOnHealth sets whether the server closes the connection after each health check.
+func (u *Upstream) SetCloseOnHealth(closeOnHealth bool) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 
