--- a/internal/cwgateway/evacuate_test.go
+++ b/internal/cwgateway/evacuate_test.go
@@ -98,7 +98,7 @@
 				e.emptied(t, v)
 			}
 
-			looks := e.near.Looks()
+			looks := e.near.HealthChecks()
 
 			for _, v := range e.vms {
 				if near, answered := e.shares(v); near > 0 || answered < 12 {
@@ -110,8 +110,8 @@
 				}
 			}
 
-			if e.near.Looks() > looks {
-				t.Errorf("%d looks at the evacuated server", e.near.Looks()-looks)
+			if e.near.HealthChecks() > looks {
+				t.Errorf("%d looks at the evacuated server", e.near.HealthChecks()-looks)
 			}
 
 			e.store.Delete(domainKey)
--- a/internal/cwstand/upstream.go
+++ b/internal/cwstand/upstream.go
@@ -213,8 +213,8 @@
 	return append([]time.Time(nil), u.arrivals...)
 }
 
-// Looks returns the number of health checks received.
-func (u *Upstream) Looks() int {
+// HealthChecks returns the number of health checks received.
+func (u *Upstream) HealthChecks() int {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 
