--- a/internal/cwgateway/ends_test.go
+++ b/internal/cwgateway/ends_test.go
@@ -210,7 +210,7 @@
 			<-left
 			v.end() // It waits for what is in flight.
 
-			if got := u.Broken(); got != broken {
+			if got := u.Disconnects(); got != broken {
 				t.Errorf("%d requests were broken off, want %d", got, broken)
 			}
 		})
@@ -246,7 +246,7 @@
 				t.Error(diff)
 			}
 
-			cwtest.Wait(t, "the end of the work at the slow server", func() bool { return slow.Broken() == c.broken })
+			cwtest.Wait(t, "the end of the work at the slow server", func() bool { return slow.Disconnects() == c.broken })
 		})
 	}
 }
--- a/internal/cwstand/upstream.go
+++ b/internal/cwstand/upstream.go
@@ -221,8 +221,8 @@
 	return u.healthChecks
 }
 
-// Broken returns the number of requests whose sender disconnected before the reply.
-func (u *Upstream) Broken() int {
+// Disconnects returns the number of requests whose sender disconnected before the reply.
+func (u *Upstream) Disconnects() int {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 
