--- a/internal/cwgateway/ends_test.go
+++ b/internal/cwgateway/ends_test.go
@@ -174,7 +174,7 @@
 		t.Errorf("%+v after %s", got, time.Since(began))
 	}
 
-	if left := u.Runs()[0].Left; len(left) != 3 || left > "300" {
+	if left := u.Runs()[0].TimeLeft; len(left) != 3 || left > "300" {
 		t.Errorf("the server was given %s ms of 300", left)
 	}
 }
--- a/internal/cwgateway/gateway_test.go
+++ b/internal/cwgateway/gateway_test.go
@@ -46,7 +46,7 @@
 			}
 
 			runs := c.server.Runs()
-			runs[0].Left = ""
+			runs[0].TimeLeft = ""
 
 			want := []cwstand.Run{{ID: "id-" + c.method, Method: c.method, URI: c.path, Body: c.body}}
 			if diff := cmp.Diff(want, runs); diff != "" {
--- a/internal/cwgateway/team_test.go
+++ b/internal/cwgateway/team_test.go
@@ -105,7 +105,7 @@
 
 			got := u.Runs()[before:]
 			for i := range got {
-				got[i].Left = ""
+				got[i].TimeLeft = ""
 			}
 
 			if diff := cmp.Diff(want, append([]cwstand.Run(nil), got...)); diff != "" {
--- a/internal/cwstand/upstream.go
+++ b/internal/cwstand/upstream.go
@@ -54,8 +54,8 @@
 	Method string
 	URI    string
 	Body   string
-	// Left is the request's Deadline-Ms header: the time left, in milliseconds.
-	Left string
+	// TimeLeft is the request's Deadline-Ms header: the time left, in milliseconds.
+	TimeLeft string
 	// Team is the request's Tenant header, Key its Authorization header. The API key
 	// in the latter should never reach a server.
 	Team string
@@ -276,7 +276,7 @@
 
 	run := Run{
 		ID: header("Request-Id"), Method: string(req.Header.Method()), URI: string(req.Header.RequestURI()),
-		Body: string(req.Body()), Left: header("Deadline-Ms"),
+		Body: string(req.Body()), TimeLeft: header("Deadline-Ms"),
 		Team: header("Tenant"), Key: header("Authorization"),
 	}
 
