--- a/internal/cwgateway/fleet_test.go
+++ b/internal/cwgateway/fleet_test.go
@@ -30,7 +30,7 @@
 
 // fleet is a store, servers and entry VMs on loopback.
 type fleet struct {
-	store   *cwstand.Metadata
+	store   *cwstand.MetadataStore
 	address carobward.Address
 	version int
 
--- a/internal/cwgateway/know_test.go
+++ b/internal/cwgateway/know_test.go
@@ -20,10 +20,10 @@
 // TestChange wants a change to be in force on each entry VM, with few calls to
 // the store, also when the history is dropped and watches hear nothing.
 func TestChange(t *testing.T) {
-	for name, fault := range map[string]func(*cwstand.Metadata){
-		"calm":             func(*cwstand.Metadata) {},
-		"history dropped":  (*cwstand.Metadata).Compact,
-		"watches are deaf": func(m *cwstand.Metadata) { m.SetFaults(cwstand.MetadataFaults{Deaf: true}) },
+	for name, fault := range map[string]func(*cwstand.MetadataStore){
+		"calm":             func(*cwstand.MetadataStore) {},
+		"history dropped":  (*cwstand.MetadataStore).Compact,
+		"watches are deaf": func(m *cwstand.MetadataStore) { m.SetFaults(cwstand.MetadataFaults{Deaf: true}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t)
--- a/internal/cwsite/site.go
+++ b/internal/cwsite/site.go
@@ -49,7 +49,7 @@
 // Site is a set of entry VMs with a stand-in for the platform's metadata store.
 type Site struct {
 	// Store is the stand-in, StoreProxy the proxy by which entry VMs reach it.
-	Store      *cwstand.Metadata
+	Store      *cwstand.MetadataStore
 	StoreProxy *cwstand.Proxy
 	All        []*Gateway
 
--- a/internal/cwstand/metadata.go
+++ b/internal/cwstand/metadata.go
@@ -36,10 +36,10 @@
 	Tombstone bool   `json:"tombstone,omitempty"`
 }
 
-// Metadata is a stand-in for the users' metadata store. It serves reads of single
+// MetadataStore is a stand-in for the users' metadata store. It serves reads of single
 // keys, paged ranges, watches by prefix and transactions, and can inject faults.
 // Tests write what operators and servers would write through its methods.
-type Metadata struct {
+type MetadataStore struct {
 	*fasthttp.Server
 
 	mutex     sync.Mutex
@@ -63,15 +63,15 @@
 
 // NewMetadata returns an empty store. It starts to serve with the Serve method of
 // the embedded server.
-func NewMetadata() *Metadata {
-	m := &Metadata{items: map[string]metadataItem{}, changed: make(chan struct{}), page: pageItems, done: make(chan struct{})}
+func NewMetadata() *MetadataStore {
+	m := &MetadataStore{items: map[string]metadataItem{}, changed: make(chan struct{}), page: pageItems, done: make(chan struct{})}
 	m.Server = &fasthttp.Server{Handler: m.handle, CloseOnShutdown: true}
 
 	return m
 }
 
 // Put writes a key and returns its revision.
-func (m *Metadata) Put(key string, value []byte) uint64 {
+func (m *MetadataStore) Put(key string, value []byte) uint64 {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
@@ -79,7 +79,7 @@
 }
 
 // put writes a key. The caller holds the mutex.
-func (m *Metadata) put(key string, value []byte) uint64 {
+func (m *MetadataStore) put(key string, value []byte) uint64 {
 	m.revision++
 	old, ok := m.items[key]
 	it := metadataItem{Key: key, Value: value, Revision: m.revision, Created: m.revision}
@@ -95,7 +95,7 @@
 }
 
 // Delete deletes a key.
-func (m *Metadata) Delete(key string) {
+func (m *MetadataStore) Delete(key string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
@@ -103,7 +103,7 @@
 }
 
 // remove deletes a key. The caller holds the mutex.
-func (m *Metadata) remove(key string) {
+func (m *MetadataStore) remove(key string) {
 	m.revision++
 	delete(m.items, key)
 	m.add(metadataItem{Key: key, Revision: m.revision, Tombstone: true})
@@ -111,14 +111,14 @@
 
 // add appends a change to the history and wakes the watches. The caller holds the
 // mutex.
-func (m *Metadata) add(it metadataItem) {
+func (m *MetadataStore) add(it metadataItem) {
 	m.log = append(m.log, it)
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
 // Revision returns the revision of the last change.
-func (m *Metadata) Revision() uint64 {
+func (m *MetadataStore) Revision() uint64 {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
@@ -126,7 +126,7 @@
 }
 
 // Keys returns the keys with a prefix in sorted order.
-func (m *Metadata) Keys(prefix string) []string {
+func (m *MetadataStore) Keys(prefix string) []string {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
@@ -135,7 +135,7 @@
 
 // keys returns the keys with a prefix that sort after another key, in sorted order.
 // The caller holds the mutex.
-func (m *Metadata) keys(prefix, after string) []string {
+func (m *MetadataStore) keys(prefix, after string) []string {
 	var keys []string
 
 	for key := range m.items {
@@ -150,7 +150,7 @@
 }
 
 // Has reports whether a key exists.
-func (m *Metadata) Has(key string) bool {
+func (m *MetadataStore) Has(key string) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
@@ -160,7 +160,7 @@
 }
 
 // Compact discards the history of changes.
-func (m *Metadata) Compact() {
+func (m *MetadataStore) Compact() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
@@ -174,7 +174,7 @@
 }
 
 // Save takes the backup that Restore restores.
-func (m *Metadata) Save() {
+func (m *MetadataStore) Save() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
@@ -183,7 +183,7 @@
 
 // Restore restores the store from the backup. Writes since the backup are lost, and
 // their revisions are assigned again.
-func (m *Metadata) Restore() {
+func (m *MetadataStore) Restore() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
@@ -201,7 +201,7 @@
 }
 
 // SetFaults replaces the faults.
-func (m *Metadata) SetFaults(f MetadataFaults) {
+func (m *MetadataStore) SetFaults(f MetadataFaults) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
@@ -211,7 +211,7 @@
 }
 
 // SetPage sets the maximum number of items in a reply.
-func (m *Metadata) SetPage(n int) {
+func (m *MetadataStore) SetPage(n int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
@@ -219,7 +219,7 @@
 }
 
 // Calls returns the number of calls so far.
-func (m *Metadata) Calls() int {
+func (m *MetadataStore) Calls() int {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
@@ -227,13 +227,13 @@
 }
 
 // Stop stops the store and ends blocked watches.
-func (m *Metadata) Stop() error {
+func (m *MetadataStore) Stop() error {
 	close(m.done)
 
 	return m.Shutdown()
 }
 
-func (m *Metadata) handle(ctx *fasthttp.RequestCtx) {
+func (m *MetadataStore) handle(ctx *fasthttp.RequestCtx) {
 	m.mutex.Lock()
 	m.calls++
 	faults := m.faults
@@ -266,7 +266,7 @@
 }
 
 // setEra sets the header that names the store's era.
-func (m *Metadata) setEra(ctx *fasthttp.RequestCtx) {
+func (m *MetadataStore) setEra(ctx *fasthttp.RequestCtx) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
@@ -274,7 +274,7 @@
 }
 
 // awaitSilenceEnd blocks until the Silent fault ends.
-func (m *Metadata) awaitSilenceEnd() {
+func (m *MetadataStore) awaitSilenceEnd() {
 	for {
 		m.mutex.Lock()
 		silent, changed := m.faults.Silent, m.changed
@@ -292,7 +292,7 @@
 	}
 }
 
-func (m *Metadata) key(ctx *fasthttp.RequestCtx) {
+func (m *MetadataStore) key(ctx *fasthttp.RequestCtx) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
@@ -310,7 +310,7 @@
 	}{it, m.revision})
 }
 
-func (m *Metadata) list(ctx *fasthttp.RequestCtx) {
+func (m *MetadataStore) list(ctx *fasthttp.RequestCtx) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
@@ -326,7 +326,7 @@
 	writeJSON(ctx, map[string]any{"items": items, "has_more": more, "current_rev": m.revision})
 }
 
-func (m *Metadata) watch(ctx *fasthttp.RequestCtx) {
+func (m *MetadataStore) watch(ctx *fasthttp.RequestCtx) {
 	prefix := string(ctx.QueryArgs().Peek("prefix"))
 	after, _ := strconv.ParseUint(string(ctx.QueryArgs().Peek("after")), 10, 64)
 	wait, _ := strconv.Atoi(string(ctx.QueryArgs().Peek("wait_ms")))
@@ -372,7 +372,7 @@
 }
 
 // write applies a transaction.
-func (m *Metadata) write(ctx *fasthttp.RequestCtx) {
+func (m *MetadataStore) write(ctx *fasthttp.RequestCtx) {
 	var t transaction
 	if err := json.Unmarshal(ctx.PostBody(), &t); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
@@ -406,7 +406,7 @@
 
 // since returns the changes after a revision and the store's revision, whether the
 // history of these changes is lost, and a channel that is closed at the next change.
-func (m *Metadata) since(prefix string, after uint64) ([]metadataItem, uint64, bool, <-chan struct{}) {
+func (m *MetadataStore) since(prefix string, after uint64) ([]metadataItem, uint64, bool, <-chan struct{}) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
