--- a/internal/cwgateway/fleet_test.go
+++ b/internal/cwgateway/fleet_test.go
@@ -49,7 +49,7 @@
 func newFleet(t *testing.T) *fleet {
 	t.Helper()
 
-	f := &fleet{store: cwstand.NewMetadata()}
+	f := &fleet{store: cwstand.NewMetadataStore()}
 	f.address = cwtest.Serve(t, f.store.Serve, f.store.Stop)
 
 	return f
--- a/internal/cwgateway/know_test.go
+++ b/internal/cwgateway/know_test.go
@@ -277,7 +277,7 @@
 	f.upstream(t, "records", "i-1")
 	f.configure(safe("records"))
 
-	other := cwstand.NewMetadata()
+	other := cwstand.NewMetadataStore()
 	other.SetFaults(cwstand.MetadataFaults{Status: http.StatusTooManyRequests})
 	refused := cwtest.Serve(t, other.Serve, other.Stop)
 
@@ -341,7 +341,7 @@
 	fees := f.upstream(t, "fees", "i-2")
 	f.configure(safe("records"))
 
-	other := cwstand.NewMetadata()
+	other := cwstand.NewMetadataStore()
 	other.SetFaults(cwstand.MetadataFaults{Status: http.StatusTooManyRequests})
 	refused := cwtest.Serve(t, other.Serve, other.Stop)
 
--- a/internal/cwsite/site.go
+++ b/internal/cwsite/site.go
@@ -98,7 +98,7 @@
 func New(t testing.TB, grace string) *Site {
 	t.Helper()
 
-	g := &Site{Store: cwstand.NewMetadata(), program: cwtest.Build(t, "cmd/cwgateway"), network: reserveNetwork(t), grace: grace}
+	g := &Site{Store: cwstand.NewMetadataStore(), program: cwtest.Build(t, "cmd/cwgateway"), network: reserveNetwork(t), grace: grace}
 	address := cwtest.Serve(t, g.Store.Serve, g.Store.Stop)
 	g.StoreProxy = cwstand.NewProxy(cwtest.Listen(t), address)
 	t.Cleanup(g.StoreProxy.Close)
--- a/internal/cwstand/metadata.go
+++ b/internal/cwstand/metadata.go
@@ -61,9 +61,9 @@
 // pageItems is the default maximum number of items in a reply.
 const pageItems = 500
 
-// NewMetadata returns an empty store. It starts to serve with the Serve method of
+// NewMetadataStore returns an empty store. It starts to serve with the Serve method of
 // the embedded server.
-func NewMetadata() *MetadataStore {
+func NewMetadataStore() *MetadataStore {
 	m := &MetadataStore{items: map[string]metadataItem{}, changed: make(chan struct{}), page: pageItems, done: make(chan struct{})}
 	m.Server = &fasthttp.Server{Handler: m.handle, CloseOnShutdown: true}
 
