--- a/internal/cwgateway/entry_test.go
+++ b/internal/cwgateway/entry_test.go
@@ -20,17 +20,17 @@
 	f.configure(unsafe())
 
 	all := startAll(t, f, "vm-", carobward.SystemClock{})
-	good := cwstand.MetadataServer("fees", spoiled.Address(), "a", "ready")
+	good := cwstand.ServerEntry("fees", spoiled.Address(), "a", "ready")
 	named := cwstand.MetadataStart(good, 1_700_000_000_000)
 
 	for name, value := range map[string][]byte{
 		"empty":                  {},
 		"an empty table":         []byte("{}"),
-		"another state":          cwstand.MetadataServer("fees", spoiled.Address(), "a", "starting"),
+		"another state":          cwstand.ServerEntry("fees", spoiled.Address(), "a", "starting"),
 		"without the start":      good,
-		"no address":             cwstand.MetadataServer("fees", "", "a", "ready"),
-		"an address of no use":   cwstand.MetadataServer("fees", "server.example:1", "a", "ready"),
-		"without failure domain": cwstand.MetadataServer("fees", spoiled.Address(), "", "ready"),
+		"no address":             cwstand.ServerEntry("fees", "", "a", "ready"),
+		"an address of no use":   cwstand.ServerEntry("fees", "server.example:1", "a", "ready"),
+		"without failure domain": cwstand.ServerEntry("fees", spoiled.Address(), "", "ready"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			f.store.Put("servers/i-1", named)
@@ -86,7 +86,7 @@
 	f.configure(lookup, unsafe())
 
 	entry := func(start int64) []byte {
-		return cwstand.MetadataStart(cwstand.MetadataServer("fees", lost.Address(), "a", "ready"), start)
+		return cwstand.MetadataStart(cwstand.ServerEntry("fees", lost.Address(), "a", "ready"), start)
 	}
 	f.store.Put("servers/i-1", entry(1000))
 	v := f.start(t, "vm-1")
--- a/internal/cwgateway/evacuate_test.go
+++ b/internal/cwgateway/evacuate_test.go
@@ -28,7 +28,7 @@
 
 	e := &evacuation{fleet: newFleet(t)}
 	e.near, e.far = e.upstream(t, "fees", "i-1"), e.upstream(t, "fees", "i-2")
-	e.store.Put("servers/i-2", cwstand.MetadataServer("fees", e.far.Address(), "b", "ready"))
+	e.store.Put("servers/i-2", cwstand.ServerEntry("fees", e.far.Address(), "b", "ready"))
 	e.configure(safe("fees"), unsafe())
 
 	for i := range 2 {
--- a/internal/cwgateway/fleet_test.go
+++ b/internal/cwgateway/fleet_test.go
@@ -67,7 +67,7 @@
 }
 
 func (f *fleet) register(service, instance string, at carobward.Address, state string) {
-	f.store.Put("servers/"+instance, cwstand.MetadataServer(carobward.Service(service), at, "a", state))
+	f.store.Put("servers/"+instance, cwstand.ServerEntry(carobward.Service(service), at, "a", state))
 }
 
 // safe is the route of idempotent requests.
--- a/internal/cwgateway/homes_test.go
+++ b/internal/cwgateway/homes_test.go
@@ -37,7 +37,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t)
 			servers := []*cwstand.Upstream{f.upstream(t, "fees", "i-north"), f.upstream(t, "fees", "i-south")}
-			f.store.Put("servers/i-south", cwstand.MetadataServer("fees", servers[1].Address(), "b", "ready"))
+			f.store.Put("servers/i-south", cwstand.ServerEntry("fees", servers[1].Address(), "b", "ready"))
 			f.configure(c.routes...)
 
 			for i, d := range []carobward.Domain{"a", "b"} {
--- a/internal/cwgateway/limit_test.go
+++ b/internal/cwgateway/limit_test.go
@@ -53,7 +53,7 @@
 		instance := fmt.Sprint("i-", i)
 		u := l.upstream(t, "fees", instance)
 		u.SetMode(cwstand.UpstreamServes, 2*time.Millisecond)
-		l.store.Put("servers/"+instance, cwstand.MetadataServer("fees", u.Address(), limitedDomain(i/3), "ready"))
+		l.store.Put("servers/"+instance, cwstand.ServerEntry("fees", u.Address(), limitedDomain(i/3), "ready"))
 		l.servers = append(l.servers, u)
 	}
 
--- a/internal/cwstand/metadata_value.go
+++ b/internal/cwstand/metadata_value.go
@@ -9,8 +9,8 @@
 	"carobward.example/carobward"
 )
 
-// MetadataServer returns the value of a server's entry in the store.
-func MetadataServer(service carobward.Service, address carobward.Address, domain carobward.Domain, state string) []byte {
+// ServerEntry returns the value of a server's entry in the store.
+func ServerEntry(service carobward.Service, address carobward.Address, domain carobward.Domain, state string) []byte {
 	raw, err := json.Marshal(map[string]any{
 		"address": address,
 		"info":    map[string]any{"service": service, "version": "v1", "zone": domain, "slots": upstreamSlots},
--- a/test/gateway/process_test.go
+++ b/test/gateway/process_test.go
@@ -27,7 +27,7 @@
 	g := cwsite.New(t, grace)
 	u := cwstand.NewUpstream(cwtest.Listen(t), "i-1")
 	t.Cleanup(u.Close)
-	g.Store.Put("servers/i-1", cwstand.MetadataServer("records", u.Address(), "zone-1", "ready"))
+	g.Store.Put("servers/i-1", cwstand.ServerEntry("records", u.Address(), "zone-1", "ready"))
 	g.Store.Put("op/config", cwstand.MetadataConfig(1, host, cwstand.MetadataRoute{"prefix": "/", "kind": "safe", "service": "records"}))
 
 	for range n {
--- a/test/soak/server_test.go
+++ b/test/soak/server_test.go
@@ -179,7 +179,7 @@
 func isPoison(r cwstand.Run) bool { return r.URI == poison }
 
 func (w *world) register(s *server, state string) {
-	entry := cwstand.MetadataServer("records", s.address, s.domain, state)
+	entry := cwstand.ServerEntry("records", s.address, s.domain, state)
 
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
