--- a/internal/cwgateway/entry_test.go
+++ b/internal/cwgateway/entry_test.go
@@ -21,7 +21,7 @@
 
 	all := startAll(t, f, "vm-", carobward.SystemClock{})
 	good := cwstand.ServerEntry("fees", spoiled.Address(), "a", "ready")
-	named := cwstand.MetadataStart(good, 1_700_000_000_000)
+	named := cwstand.ServerEntryWithStart(good, 1_700_000_000_000)
 
 	for name, value := range map[string][]byte{
 		"empty":                  {},
@@ -86,7 +86,7 @@
 	f.configure(lookup, unsafe())
 
 	entry := func(start int64) []byte {
-		return cwstand.MetadataStart(cwstand.ServerEntry("fees", lost.Address(), "a", "ready"), start)
+		return cwstand.ServerEntryWithStart(cwstand.ServerEntry("fees", lost.Address(), "a", "ready"), start)
 	}
 	f.store.Put("servers/i-1", entry(1000))
 	v := f.start(t, "vm-1")
--- a/internal/cwgateway/words_test.go
+++ b/internal/cwgateway/words_test.go
@@ -25,7 +25,7 @@
 
 	s := &speaking{fleet: newFleet(t)}
 	s.one, s.other = s.upstream(t, "fees", "i-1"), s.upstream(t, "fees", "i-2")
-	s.store.Put("servers/i-1", cwstand.MetadataStart(cwstand.ServerEntry("fees", s.one.Address(), "a", "ready"), 6))
+	s.store.Put("servers/i-1", cwstand.ServerEntryWithStart(cwstand.ServerEntry("fees", s.one.Address(), "a", "ready"), 6))
 	s.configure(safe("fees"), unsafe())
 	s.vm = s.start(t, "vm-1")
 	s.vm.waitReady(t)
@@ -83,7 +83,7 @@
 			s.one.SetMode(cwstand.UpstreamServes, 0)
 			s.one.SetHeaders()
 			s.store.SetFaults(cwstand.MetadataFaults{})
-			s.store.Put("servers/i-1", cwstand.MetadataStart(cwstand.ServerEntry("fees", s.one.Address(), "a", "ready"), 7))
+			s.store.Put("servers/i-1", cwstand.ServerEntryWithStart(cwstand.ServerEntry("fees", s.one.Address(), "a", "ready"), 7))
 			cwtest.Wait(t, "use of the next process", func() bool {
 				before := len(s.one.Runs())
 				s.ask(1)
--- a/internal/cwstand/metadata_value.go
+++ b/internal/cwstand/metadata_value.go
@@ -23,9 +23,9 @@
 	return raw
 }
 
-// MetadataStart returns a copy of a server's entry with the start time of the server's
+// ServerEntryWithStart returns a copy of a server's entry with the start time of the server's
 // process, in milliseconds since the Unix epoch.
-func MetadataStart(entry []byte, start int64) []byte {
+func ServerEntryWithStart(entry []byte, start int64) []byte {
 	all := map[string]any{}
 	if err := json.Unmarshal(entry, &all); err != nil {
 		return nil
