--- a/internal/cwgateway/restore_test.go
+++ b/internal/cwgateway/restore_test.go
@@ -123,7 +123,7 @@
 // write registers the near server in a state, with a higher count each time.
 func (r *restored) write(state string) {
 	r.writes++
-	r.store.Put("servers/i-1", cwstand.MetadataWrite(cwstand.ServerEntry("fees", r.near.Address(), "a", state), r.writes))
+	r.store.Put("servers/i-1", cwstand.ServerEntryWithSeq(cwstand.ServerEntry("fees", r.near.Address(), "a", state), r.writes))
 }
 
 // TestStays brings the store back without what keeps requests from a server, and wants it
--- a/internal/cwstand/metadata_value.go
+++ b/internal/cwstand/metadata_value.go
@@ -41,9 +41,9 @@
 	return raw
 }
 
-// MetadataWrite returns a copy of a server's entry with the sequence number of its nth
+// ServerEntryWithSeq returns a copy of a server's entry with the sequence number of its nth
 // write.
-func MetadataWrite(entry []byte, nth uint64) []byte {
+func ServerEntryWithSeq(entry []byte, nth uint64) []byte {
 	all := struct {
 		Address json.RawMessage `json:"address"`
 		Born    json.RawMessage `json:"born,omitempty"`
--- a/test/soak/server_test.go
+++ b/test/soak/server_test.go
@@ -186,5 +186,5 @@
 
 	s.state = state
 	s.writes++
-	w.Store.Put("servers/"+s.instance, cwstand.ServerEntryWithStart(cwstand.MetadataWrite(entry, s.writes), s.start))
+	w.Store.Put("servers/"+s.instance, cwstand.ServerEntryWithStart(cwstand.ServerEntryWithSeq(entry, s.writes), s.start))
 }
