--- a/internal/cwgateway/team_test.go
+++ b/internal/cwgateway/team_test.go
@@ -31,7 +31,7 @@
 // teams writes the next configuration with teams.
 func (f *fleet) teams(teams []cwstand.MetadataTeam, routes ...cwstand.MetadataRoute) {
 	f.version += 3
-	f.store.Put("op/config", cwstand.MetadataTeams(cwstand.MetadataConfig(f.version, host, routes...), teams...))
+	f.store.Put("op/config", cwstand.MetadataConfigWithTeams(cwstand.MetadataConfig(f.version, host, routes...), teams...))
 }
 
 // askAs sends one request with header fields of the caller's, by name.
--- a/internal/cwstand/metadata_value.go
+++ b/internal/cwstand/metadata_value.go
@@ -115,9 +115,9 @@
 	Burst float64 `json:"burst,omitempty"`
 }
 
-// MetadataTeams returns a copy of a configuration with teams, whose API keys identify
+// MetadataConfigWithTeams returns a copy of a configuration with teams, whose API keys identify
 // callers.
-func MetadataTeams(config []byte, teams ...MetadataTeam) []byte {
+func MetadataConfigWithTeams(config []byte, teams ...MetadataTeam) []byte {
 	all := map[string]any{}
 	if err := json.Unmarshal(config, &all); err != nil {
 		return nil
