--- a/internal/cwgateway/know_test.go
+++ b/internal/cwgateway/know_test.go
@@ -23,7 +23,7 @@
 	for name, fault := range map[string]func(*cwstand.MetadataStore){
 		"calm":             func(*cwstand.MetadataStore) {},
 		"history dropped":  (*cwstand.MetadataStore).Compact,
-		"watches are deaf": func(m *cwstand.MetadataStore) { m.SetFaults(cwstand.MetadataFaults{Deaf: true}) },
+		"watches are deaf": func(m *cwstand.MetadataStore) { m.SetFaults(cwstand.MetadataFaults{NoEvents: true}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t)
--- a/internal/cwstand/metadata.go
+++ b/internal/cwstand/metadata.go
@@ -21,8 +21,8 @@
 	Reset bool
 	// Silent holds each call until the fault ends, then answers with status 503.
 	Silent bool
-	// Deaf makes watches return no events.
-	Deaf bool
+	// NoEvents makes watches return no events.
+	NoEvents bool
 	// Wait delays each reply.
 	Wait time.Duration
 }
@@ -416,7 +416,7 @@
 
 	events := []metadataItem{}
 
-	if m.faults.Deaf {
+	if m.faults.NoEvents {
 		return events, after, false, m.changed
 	}
 
