--- a/internal/cwstand/metadata.go
+++ b/internal/cwstand/metadata.go
@@ -23,8 +23,8 @@
 	Silent bool
 	// NoEvents makes watches return no events.
 	NoEvents bool
-	// Wait delays each reply.
-	Wait time.Duration
+	// Delay delays each reply.
+	Delay time.Duration
 }
 
 // metadataItem is a key with its value, or the tombstone of a deleted key.
@@ -241,7 +241,7 @@
 
 	defer m.setEra(ctx)
 
-	time.Sleep(faults.Wait)
+	time.Sleep(faults.Delay)
 
 	switch {
 	case faults.Reset:
