--- a/internal/cwstand/platformfault.go
+++ b/internal/cwstand/platformfault.go
@@ -69,10 +69,10 @@
 	p.saved = maps.Clone(p.values)
 }
 
-// Older restores the values of the last Save, like a service restored from a
+// Restore restores the values of the last Save, like a service restored from a
 // backup. The values get back their old indexes; later writes continue from the
 // highest index given out so far.
-func (p *Platform) Older() {
+func (p *Platform) Restore() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 
@@ -102,7 +102,7 @@
 	case path == SavePath && ctx.IsPost():
 		p.Save()
 	case path == OlderPath && ctx.IsPost():
-		p.Older()
+		p.Restore()
 	default:
 		return false
 	}
