--- a/internal/cwstand/platform.go
+++ b/internal/cwstand/platform.go
@@ -26,8 +26,8 @@
 	StoreCountsPath = "/counts"
 	// SavePath takes a POST that calls Save.
 	SavePath = "/save"
-	// OlderPath takes a POST that restores the saved values.
-	OlderPath = "/older"
+	// RestorePath takes a POST that restores the saved values.
+	RestorePath = "/older"
 )
 
 // Platform is a stand-in for the platform. It serves a part of the Consul KV HTTP
--- a/internal/cwstand/platformfault.go
+++ b/internal/cwstand/platformfault.go
@@ -101,7 +101,7 @@
 		writeJSON(ctx, p.Counts())
 	case path == SavePath && ctx.IsPost():
 		p.Save()
-	case path == OlderPath && ctx.IsPost():
+	case path == RestorePath && ctx.IsPost():
 		p.Restore()
 	default:
 		return false
