--- a/internal/cwstand/server_test.go
+++ b/internal/cwstand/server_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestNoiseTakesItsShare(t *testing.T) {
+func TestNoiseSpeedLoss(t *testing.T) {
 	n := cwstand.Noise{Every: 600 * ms, For: 60 * ms, Factor: 5}
 	s := cwstand.NewSpeed(n.Slowdowns(7, time.Minute))
 	share := s.Work(0, time.Minute).Seconds() / time.Minute.Seconds()
