--- a/internal/cwstand/server_test.go
+++ b/internal/cwstand/server_test.go
@@ -201,7 +201,7 @@
 	}
 }
 
-func TestServerCountsMeasuringAndRepeats(t *testing.T) {
+func TestServerCounts(t *testing.T) {
 	l := cwstand.NewLedger()
 	s := server(t, cwstand.ServerOptions{Slots: 1, Ledger: l})
 	other := server(t, cwstand.ServerOptions{Slots: 1, Ledger: l})
