--- a/internal/cwentry/carry_test.go
+++ b/internal/cwentry/carry_test.go
@@ -169,7 +169,7 @@
 			return failed(carobward.Unknown)
 		case <-release:
 			return good()
-		case <-time.After(cwtest.WaitMost):
+		case <-time.After(cwtest.MaxWait):
 			return failed(carobward.Unknown)
 		}
 	}}
--- a/internal/cwgateway/gateway_test.go
+++ b/internal/cwgateway/gateway_test.go
@@ -296,7 +296,7 @@
 				if err == nil || !strings.Contains(err.Error(), name) {
 					t.Errorf("%v", err)
 				}
-			case <-time.After(cwtest.WaitMost):
+			case <-time.After(cwtest.MaxWait):
 				t.Error("it does not end")
 			}
 		})
--- a/internal/cwowner/owner_test.go
+++ b/internal/cwowner/owner_test.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	patience = cwtest.WaitMost
+	patience = cwtest.MaxWait
 	errTest  = errors.ConstError("test")
 )
 
--- a/internal/cwpeer/peer_test.go
+++ b/internal/cwpeer/peer_test.go
@@ -201,7 +201,7 @@
 			defer func() { _ = n.Close() }()
 
 			_, _ = n.Write(sent)
-			_ = n.SetReadDeadline(time.Now().Add(cwtest.WaitMost))
+			_ = n.SetReadDeadline(time.Now().Add(cwtest.MaxWait))
 
 			got, err := io.ReadAll(n)
 			if len(got) > 0 || errors.Is(err, os.ErrDeadlineExceeded) {
@@ -223,7 +223,7 @@
 
 	defer func() { _ = n.Close() }()
 
-	_ = n.SetDeadline(time.Now().Add(cwtest.WaitMost))
+	_ = n.SetDeadline(time.Now().Add(cwtest.MaxWait))
 	in := bufio.NewReader(n)
 	nonce := bytes.Repeat([]byte{7}, 32)
 
--- a/internal/cwstand/server_test.go
+++ b/internal/cwstand/server_test.go
@@ -125,7 +125,7 @@
 	req.Header.Set(carobward.HeaderID, id)
 	req.Header.Set(carobward.HeaderTimeout, "20")
 
-	if err := (&fasthttp.Client{}).DoTimeout(req, resp, cwtest.WaitMost); err != nil {
+	if err := (&fasthttp.Client{}).DoTimeout(req, resp, cwtest.MaxWait); err != nil {
 		t.Fatal(err)
 	}
 
--- a/internal/cwtest/process.go
+++ b/internal/cwtest/process.go
@@ -21,7 +21,7 @@
 // The timeout and the polling interval of Wait. The timeout is long because a
 // loaded machine may be slow; a condition that comes true ends the wait early.
 const (
-	WaitMost     = 30 * time.Second
+	MaxWait      = 30 * time.Second
 	pollInterval = 10 * time.Millisecond
 )
 
@@ -30,7 +30,7 @@
 func Wait(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 
-	for end := time.Now().Add(WaitMost); !ok(); {
+	for end := time.Now().Add(MaxWait); !ok(); {
 		if time.Now().After(end) {
 			t.Fatalf("timed out waiting for: %s", what)
 		}
@@ -136,7 +136,7 @@
 	select {
 	case <-p.exited:
 		return p.err
-	case <-time.After(WaitMost):
+	case <-time.After(MaxWait):
 		t.Fatal("the process did not exit")
 
 		return nil
@@ -181,7 +181,7 @@
 func Run(t testing.TB, program string, args ...string) (string, int) {
 	t.Helper()
 
-	ctx, cancel := context.WithTimeout(context.Background(), WaitMost)
+	ctx, cancel := context.WithTimeout(context.Background(), MaxWait)
 	defer cancel()
 
 	command := exec.CommandContext(ctx, program, args...)
--- a/test/once/fleet_test.go
+++ b/test/once/fleet_test.go
@@ -144,7 +144,7 @@
 		MaxIdemponentCallAttempts: 1,
 		RetryIfErr:                func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 	}
-	if err := c.DoTimeout(req, resp, cwtest.WaitMost); err != nil {
+	if err := c.DoTimeout(req, resp, cwtest.MaxWait); err != nil {
 		return reply{verdict: "none", ticket: ticket}
 	}
 
--- a/test/path/observe_test.go
+++ b/test/path/observe_test.go
@@ -38,7 +38,7 @@
 		req.Header.Set(carobward.HeaderTicket, ticket)
 	}
 
-	if err := fasthttp.DoTimeout(req, resp, cwtest.WaitMost); err != nil {
+	if err := fasthttp.DoTimeout(req, resp, cwtest.MaxWait); err != nil {
 		t.Fatal(err)
 	}
 
--- a/test/path/stop_test.go
+++ b/test/path/stop_test.go
@@ -175,7 +175,7 @@
 		req.Header.SetMethod(fasthttp.MethodPost)
 		req.SetRequestURI("http://" + n.Callers + "/fees")
 
-		err := fasthttp.DoTimeout(req, resp, cwtest.WaitMost)
+		err := fasthttp.DoTimeout(req, resp, cwtest.MaxWait)
 		answered <- result{string(resp.Header.Peek(carobward.HeaderVerdict)), err}
 	}()
 
