--- a/internal/cwmetric/metric_test.go
+++ b/internal/cwmetric/metric_test.go
@@ -128,7 +128,7 @@
 		paths = append(paths, m.Path)
 	}
 
-	cwtest.WantKeys(t, "../../docs/operators.md", paths)
+	cwtest.CheckDocKeys(t, "../../docs/operators.md", paths)
 }
 
 func TestFind(t *testing.T) {
--- a/internal/cwsettings/settings_test.go
+++ b/internal/cwsettings/settings_test.go
@@ -118,7 +118,7 @@
 }
 
 func TestPageHasEachKey(t *testing.T) {
-	cwtest.WantKeys(t, "../../docs/settings.md", cwjson.Keys(reflect.TypeFor[cwsettings.Settings]()))
+	cwtest.CheckDocKeys(t, "../../docs/settings.md", cwjson.Keys(reflect.TypeFor[cwsettings.Settings]()))
 }
 
 func TestExamples(t *testing.T) {
--- a/internal/cwtarget/file_test.go
+++ b/internal/cwtarget/file_test.go
@@ -111,7 +111,7 @@
 }
 
 func TestPageHasEachKey(t *testing.T) {
-	cwtest.WantKeys(t, "../../docs/targets.md", cwjson.Keys(reflect.TypeFor[cwtarget.Set]()))
+	cwtest.CheckDocKeys(t, "../../docs/targets.md", cwjson.Keys(reflect.TypeFor[cwtarget.Set]()))
 }
 
 func TestExamples(t *testing.T) {
--- a/internal/cwtest/page.go
+++ b/internal/cwtest/page.go
@@ -15,9 +15,9 @@
 	return err.Error()
 }
 
-// WantKeys fails the test for each key that is missing from the tables of a
+// CheckDocKeys fails the test for each key that is missing from the tables of a
 // documentation page. The key must be the first cell of a row, as `KEY`.
-func WantKeys(t testing.TB, page string, keys []string) {
+func CheckDocKeys(t testing.TB, page string, keys []string) {
 	t.Helper()
 
 	raw, err := os.ReadFile(page)
