--- a/internal/cwjson/decode_test.go
+++ b/internal/cwjson/decode_test.go
@@ -65,7 +65,7 @@
 			var got document
 
 			_, err := cwjson.Decode("f", []byte(tt.text), &got)
-			if diff := cmp.Diff(tt.err, cwtest.Text(err)); diff != "" {
+			if diff := cmp.Diff(tt.err, cwtest.ErrorText(err)); diff != "" {
 				t.Fatalf("error (-want +got):\n%s", diff)
 			}
 
--- a/internal/cwsettings/settings_test.go
+++ b/internal/cwsettings/settings_test.go
@@ -55,7 +55,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			_, err := cwsettings.Parse("s", []byte(tt.text))
-			if diff := cmp.Diff(tt.err, cwtest.Text(err)); diff != "" {
+			if diff := cmp.Diff(tt.err, cwtest.ErrorText(err)); diff != "" {
 				t.Errorf("error (-want +got):\n%s", diff)
 			}
 		})
@@ -87,7 +87,7 @@
 			}
 
 			got, err := cwsettings.ReadKey(path)
-			if got != tt.want || !strings.Contains(cwtest.Text(err), tt.err) || (err == nil) != (tt.err == "") {
+			if got != tt.want || !strings.Contains(cwtest.ErrorText(err), tt.err) || (err == nil) != (tt.err == "") {
 				t.Errorf("got %q, %v; want %q, %q", got, err, tt.want, tt.err)
 			}
 		})
@@ -146,7 +146,7 @@
 			t.Errorf("accepted, but %v", s.Validate())
 		}
 
-		for line := range strings.Lines(cwtest.Text(err)) {
+		for line := range strings.Lines(cwtest.ErrorText(err)) {
 			if !strings.HasPrefix(line, "s:") {
 				t.Errorf("no place in %q", line)
 			}
--- a/internal/cwtarget/file_test.go
+++ b/internal/cwtarget/file_test.go
@@ -43,7 +43,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			_, err := cwtarget.Parse("f", []byte(tt.text))
-			if diff := cmp.Diff(tt.err, cwtest.Text(err)); diff != "" {
+			if diff := cmp.Diff(tt.err, cwtest.ErrorText(err)); diff != "" {
 				t.Errorf("error (-want +got):\n%s", diff)
 			}
 		})
@@ -93,7 +93,7 @@
 
 			s, err := cwtarget.Load(folder)
 			for _, want := range tt.err {
-				if !strings.Contains(cwtest.Text(err), want) {
+				if !strings.Contains(cwtest.ErrorText(err), want) {
 					t.Errorf("got error %v, want %q in it", err, want)
 				}
 			}
@@ -126,7 +126,7 @@
 // found before.
 func TestTooMuchForTheStore(t *testing.T) {
 	s := cwtarget.Set{Targets: fleet(1800)}
-	if got := cwtest.Text(s.Validate()); !strings.Contains(got, "want at most 4096 targets, got 5400") || !strings.Contains(got, "want at most 900000 bytes") {
+	if got := cwtest.ErrorText(s.Validate()); !strings.Contains(got, "want at most 4096 targets, got 5400") || !strings.Contains(got, "want at most 900000 bytes") {
 		t.Errorf("got %q, want both bounds named", got)
 	}
 
--- a/internal/cwtest/page.go
+++ b/internal/cwtest/page.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Text returns an error's text, or "" if the error is nil.
-func Text(err error) string {
+// ErrorText returns an error's text, or "" if the error is nil.
+func ErrorText(err error) string {
 	if err == nil {
 		return ""
 	}
