--- a/internal/cwsite/site.go
+++ b/internal/cwsite/site.go
@@ -161,5 +161,5 @@
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 
-	v.process = cwtest.StartWith(t, []string{"CAROBWARD_BOOT=" + v.Settings}, g.program)
+	v.process = cwtest.StartWithEnv(t, []string{"CAROBWARD_BOOT=" + v.Settings}, g.program)
 }
--- a/internal/cwtest/process.go
+++ b/internal/cwtest/process.go
@@ -86,12 +86,12 @@
 func Start(t testing.TB, program string, args ...string) *Process {
 	t.Helper()
 
-	return StartWith(t, nil, program, args...)
+	return StartWithEnv(t, nil, program, args...)
 }
 
-// StartWith starts a process with additional environment variables. It is killed
+// StartWithEnv starts a process with additional environment variables. It is killed
 // when the test ends.
-func StartWith(t testing.TB, environment []string, program string, args ...string) *Process {
+func StartWithEnv(t testing.TB, environment []string, program string, args ...string) *Process {
 	t.Helper()
 
 	p := &Process{command: exec.Command(program, args...), output: &buffer{}, exited: make(chan struct{})}
--- a/test/gateway/process_test.go
+++ b/test/gateway/process_test.go
@@ -144,7 +144,7 @@
 		"empty file": {[]string{"CAROBWARD_BOOT=" + cwtest.File(t, "empty.toml", "")}, "self.node"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := cwtest.StartWith(t, c.environment, program)
+			p := cwtest.StartWithEnv(t, c.environment, program)
 			if err := p.Wait(t); err == nil || !strings.Contains(p.Output(), c.want) {
 				t.Errorf("the process exited with %v and printed %q", err, p.Output())
 			}
