--- a/internal/cwtest/fleet.go
+++ b/internal/cwtest/fleet.go
@@ -191,9 +191,9 @@
 	}
 }
 
-// InForce waits until the status of each of the given entry VMs, or of all if none is
+// WaitRevision waits until the status of each of the given entry VMs, or of all if none is
 // given, shows that count entry VMs have a revision.
-func (f *Fleet) InForce(t testing.TB, revision, count int, vms ...string) {
+func (f *Fleet) WaitRevision(t testing.TB, revision, count int, vms ...string) {
 	t.Helper()
 
 	if len(vms) == 0 {
--- a/test/config/config_test.go
+++ b/test/config/config_test.go
@@ -73,14 +73,14 @@
 	o := newOperator(t, 4)
 
 	o.run(t, 0, "Accepted as revision 1.", "vm-1", "apply", "--author", "ana", writeTargets(t, "/sheets"))
-	o.InForce(t, 1, 4)
+	o.WaitRevision(t, 1, 4)
 	o.Control(t, "POST", "/save", "")
 
 	// The platform goes down right after the acceptance.
 	second := writeTargets(t, "/launches")
 	o.run(t, 0, "Accepted as revision 2.", "vm-2", "apply", "--wait", "0s", "--author", "bo", second)
 	o.setFaults(t, `{"down": true, "list_down": true}`)
-	o.InForce(t, 2, 4)
+	o.WaitRevision(t, 2, 4)
 	o.runUntil(t, 0, "Nothing to change.\nIn force on 4", "vm-3", "apply", "--author", "bo", second)
 	o.run(t, 3, "nothing was changed", "vm-3", "apply", "--author", "ana", "--timeout", "1s", writeTargets(t, "/other"))
 
@@ -95,7 +95,7 @@
 
 	o.List(t)
 	o.setFaults(t, `{"down": true}`)
-	o.InForce(t, 2, 5)
+	o.WaitRevision(t, 2, 5)
 	o.run(t, 0, "// Revision 2.", "vm-5", "get")
 
 	// The store is restored from the backup with revision 1.
@@ -103,9 +103,9 @@
 	o.setFaults(t, `{}`)
 	o.runUntil(t, 5, "alarm on vm-", "vm-1", "status", "--check")
 	o.run(t, 3, "apply --restore", "vm-1", "apply", "--author", "ana", writeTargets(t, "/other"))
-	o.InForce(t, 2, 5)
+	o.WaitRevision(t, 2, 5)
 	o.run(t, 0, "Accepted as revision 3.", "vm-4", "apply", "--restore", "--author", "cy")
-	o.InForce(t, 3, 5)
+	o.WaitRevision(t, 3, 5)
 	o.runUntil(t, 0, "", "vm-1", "status", "--check")
 	o.run(t, 0, "/launches", "vm-1", "get")
 	o.run(t, 3, "nothing to restore", "vm-4", "apply", "--restore", "--author", "ana")
@@ -124,7 +124,7 @@
 	o.run(t, 4, "--base 1", "vm-1", "apply", "--author", "ana", "--timeout", "1s", mine)
 
 	o.setFaults(t, `{}`)
-	o.InForce(t, 2, 3)
+	o.WaitRevision(t, 2, 3)
 	o.run(t, 0, "Accepted as revision 3.", "vm-2", "apply", "--author", "bo", writeTargets(t, "/his"))
 
 	// The repeated command reports that the change was accepted, and keeps bo's later
@@ -144,7 +144,7 @@
 
 	o := newOperator(t, 6)
 	o.run(t, 0, "Accepted as revision 1.", "vm-1", "apply", "--author", "ana", writeTargets(t, "/sheets"))
-	o.InForce(t, 1, 6)
+	o.WaitRevision(t, 1, 6)
 
 	frozen := []string{"vm-2", "vm-3", "vm-4"}
 	for _, vm := range frozen {
--- a/test/leave/budget_test.go
+++ b/test/leave/budget_test.go
@@ -60,7 +60,7 @@
 		t.Fatalf("apply: %s", out)
 	}
 
-	f.InForce(t, 1, 3)
+	f.WaitRevision(t, 1, 3)
 
 	stopLoad := f.startLoad()
 	samples := []sample{readSample(t, servers)}
--- a/test/leave/drain_test.go
+++ b/test/leave/drain_test.go
@@ -193,7 +193,7 @@
 		t.Fatalf("apply: %s", out)
 	}
 
-	f.InForce(t, 1, 3)
+	f.WaitRevision(t, 1, 3)
 
 	for _, s := range servers {
 		cwtest.Wait(t, "the server gets requests", func() bool {
@@ -246,7 +246,7 @@
 	f.StartVM(t, "vm-4", "Ifrane")
 	f.List(t)
 	f.waitLeaving(t, "vm-4", address, "operator", true)
-	f.InForce(t, 1, 3)
+	f.WaitRevision(t, 1, 3)
 	f.sendLookups(t, 30)
 
 	if after := servers[0].began(t); after != before {
--- a/test/once/fleet_test.go
+++ b/test/once/fleet_test.go
@@ -106,7 +106,7 @@
 		t.Fatalf("apply: exit code %d\n%s", code, out)
 	}
 
-	f.InForce(t, 1, size)
+	f.WaitRevision(t, 1, size)
 
 	return f
 }
--- a/test/once/once_test.go
+++ b/test/once/once_test.go
@@ -76,7 +76,7 @@
 	}
 
 	f.replace(t, 0)
-	f.InForce(t, 1, 2)
+	f.WaitRevision(t, 1, 2)
 
 	for at := range 2 {
 		if got := f.send(at, "fee", ticket); got.verdict != "unknown" || got.status != 503 || !got.retry {
--- a/test/path/member_test.go
+++ b/test/path/member_test.go
@@ -80,7 +80,7 @@
 	f.StartVMAt(t, "vm-2", cwtest.EntryVM{Domain: "Ifrane", Callers: anyPort, Lookup: anyPort, Peers: anyPort, Operators: anyPort}, more)
 	f.List(t)
 	waitState(t, f, []string{"vm-2"}, "vm-1", "live")
-	f.InForce(t, 1, 3)
+	f.WaitRevision(t, 1, 3)
 	old.Process.Signal(t, syscall.SIGCONT)
 
 	if err := old.Process.Wait(t); err == nil || err.Error() != "exit status 1" {
--- a/test/path/observe_test.go
+++ b/test/path/observe_test.go
@@ -99,7 +99,7 @@
 		t.Fatalf("apply: exit code %d\n%s", code, out)
 	}
 
-	f.InForce(t, 1, 2)
+	f.WaitRevision(t, 1, 2)
 
 	if status, body := send(t, "GET", "http://"+one.Operators+"/ready", lookupTrace, ""); status != fasthttp.StatusOK {
 		t.Errorf("ready: %d %s", status, body)
--- a/test/path/path_test.go
+++ b/test/path/path_test.go
@@ -39,7 +39,7 @@
 		t.Fatalf("apply: exit code %d\n%s", code, out)
 	}
 
-	f.InForce(t, 1, 3)
+	f.WaitRevision(t, 1, 3)
 
 	for vm, n := range f.VMs {
 		// An entry VM omits its peers from lookup replies until it knows their
@@ -67,7 +67,7 @@
 		t.Fatalf("second apply: exit code %d\n%s", code, diff)
 	}
 
-	f.InForce(t, 2, 3)
+	f.WaitRevision(t, 2, 3)
 
 	out, code = cwtest.Run(t, f.Stand, "caller", "--lookup", first.Lookup, "--method", "POST", "--uri", "/fees")
 	if code == 0 || !strings.Contains(out, "not-run") {
--- a/test/path/stop_test.go
+++ b/test/path/stop_test.go
@@ -48,7 +48,7 @@
 		t.Fatalf("apply: exit code %d\n%s", code, out)
 	}
 
-	f.InForce(t, 1, 3)
+	f.WaitRevision(t, 1, 3)
 
 	return f
 }
