--- a/internal/cwtest/fleet.go
+++ b/internal/cwtest/fleet.go
@@ -98,7 +98,7 @@
 	t.Helper()
 
 	f.servers[service] = append(f.servers[service], address)
-	f.List(t)
+	f.PublishList(t)
 }
 
 var servePattern = regexp.MustCompile(`msg=Serving\..* callers=(\S+) lookup=(\S+) peers=(\S+) operators=(\S+)`)
@@ -150,8 +150,8 @@
 	Labels  map[string]string `json:"labels"`
 }
 
-// List sets the platform's VM list to the servers and entry VMs of the fleet.
-func (f *Fleet) List(t testing.TB) {
+// PublishList sets the platform's VM list to the servers and entry VMs of the fleet.
+func (f *Fleet) PublishList(t testing.TB) {
 	t.Helper()
 
 	var groups []group
--- a/test/config/config_test.go
+++ b/test/config/config_test.go
@@ -93,7 +93,7 @@
 		t.Errorf("a new entry VM without peers did not refuse: exit code %d, %s", code, out)
 	}
 
-	o.List(t)
+	o.PublishList(t)
 	o.setFaults(t, `{"down": true}`)
 	o.WaitRevision(t, 2, 5)
 	o.run(t, 0, "// Revision 2.", "vm-5", "get")
--- a/test/leave/budget_test.go
+++ b/test/leave/budget_test.go
@@ -91,7 +91,7 @@
 	waitMeasured("measuring with a frozen entry VM", phase)
 	f.VMs["vm-2"].Process.Signal(t, syscall.SIGCONT)
 	f.StartVM(t, "vm-4", "Azilal")
-	f.List(t)
+	f.PublishList(t)
 	waitMeasured("measuring with another entry VM", phase)
 
 	// Requests in flight at the frozen entry VM may fail.
--- a/test/leave/drain_test.go
+++ b/test/leave/drain_test.go
@@ -244,7 +244,7 @@
 	f.VMs["vm-1"].Process.Signal(t, syscall.SIGKILL)
 	delete(f.VMs, "vm-1")
 	f.StartVM(t, "vm-4", "Ifrane")
-	f.List(t)
+	f.PublishList(t)
 	f.waitLeaving(t, "vm-4", address, "operator", true)
 	f.WaitRevision(t, 1, 3)
 	f.sendLookups(t, 30)
--- a/test/once/fleet_test.go
+++ b/test/once/fleet_test.go
@@ -98,7 +98,7 @@
 		f.StartVM(t, vmName(i), "Ifrane")
 	}
 
-	f.List(t)
+	f.PublishList(t)
 
 	targets := cwtest.File(t, "targets.jsonc", `{"targets": [{"name": "launch-fee", "service": "billing",
 		"promise": "once", "match": [{"method": "POST", "path": "/fees"}], "within": "20s"}]}`)
--- a/test/path/member_test.go
+++ b/test/path/member_test.go
@@ -51,7 +51,7 @@
 
 	otherKey := fmt.Sprintf(`"keys": {"peers": %q},`, cwtest.File(t, "other.key", strings.Repeat("a5", 16)))
 	f.StartVMAt(t, "vm-4", cwtest.EntryVM{Domain: "Ifrane", Callers: anyPort, Lookup: anyPort, Peers: anyPort, Operators: anyPort}, otherKey)
-	f.List(t)
+	f.PublishList(t)
 	cwtest.Wait(t, "the entry VM with another key was refused", func() bool {
 		return strings.Contains(f.VMs["vm-1"].Process.Output()+f.VMs["vm-2"].Process.Output()+
 			f.VMs["vm-3"].Process.Output(), "A connection was refused.")
@@ -78,7 +78,7 @@
 
 	old.Process.Signal(t, syscall.SIGSTOP)
 	f.StartVMAt(t, "vm-2", cwtest.EntryVM{Domain: "Ifrane", Callers: anyPort, Lookup: anyPort, Peers: anyPort, Operators: anyPort}, more)
-	f.List(t)
+	f.PublishList(t)
 	waitState(t, f, []string{"vm-2"}, "vm-1", "live")
 	f.WaitRevision(t, 1, 3)
 	old.Process.Signal(t, syscall.SIGCONT)
