--- a/internal/cwtest/fleet.go
+++ b/internal/cwtest/fleet.go
@@ -169,11 +169,11 @@
 		t.Fatal(err)
 	}
 
-	f.Control(t, fasthttp.MethodPut, "/vms", string(raw))
+	f.RequestPlatform(t, fasthttp.MethodPut, "/vms", string(raw))
 }
 
-// Control sends a request to the platform, to set its VM list or faults.
-func (f *Fleet) Control(t testing.TB, method, path, body string) {
+// RequestPlatform sends a request to the platform, to set its VM list or faults.
+func (f *Fleet) RequestPlatform(t testing.TB, method, path, body string) {
 	t.Helper()
 
 	req := fasthttp.AcquireRequest()
--- a/test/config/config_test.go
+++ b/test/config/config_test.go
@@ -48,7 +48,7 @@
 
 func (o *operator) setFaults(t *testing.T, faults string) {
 	t.Helper()
-	o.Control(t, "PUT", "/faults", faults)
+	o.RequestPlatform(t, "PUT", "/faults", faults)
 }
 
 func newOperator(t *testing.T, vms int) *operator {
@@ -74,7 +74,7 @@
 
 	o.run(t, 0, "Accepted as revision 1.", "vm-1", "apply", "--author", "ana", writeTargets(t, "/sheets"))
 	o.WaitRevision(t, 1, 4)
-	o.Control(t, "POST", "/save", "")
+	o.RequestPlatform(t, "POST", "/save", "")
 
 	// The platform goes down right after the acceptance.
 	second := writeTargets(t, "/launches")
@@ -99,7 +99,7 @@
 	o.run(t, 0, "// Revision 2.", "vm-5", "get")
 
 	// The store is restored from the backup with revision 1.
-	o.Control(t, "POST", "/older", "")
+	o.RequestPlatform(t, "POST", "/older", "")
 	o.setFaults(t, `{}`)
 	o.runUntil(t, 5, "alarm on vm-", "vm-1", "status", "--check")
 	o.run(t, 3, "apply --restore", "vm-1", "apply", "--author", "ana", writeTargets(t, "/other"))
