--- a/internal/cwsite/site.go
+++ b/internal/cwsite/site.go
@@ -51,7 +51,7 @@
 	// Store is the stand-in, StoreProxy the proxy by which entry VMs reach it.
 	Store      *cwstand.MetadataStore
 	StoreProxy *cwstand.Proxy
-	All        []*Gateway
+	VMs        []*Gateway
 
 	program string
 	network int
@@ -110,7 +110,7 @@
 func (g *Site) Start(t testing.TB) *Gateway {
 	t.Helper()
 
-	n := len(g.All) + 1
+	n := len(g.VMs) + 1
 	ip := fmt.Sprintf("127.%d.0.%d", g.network, n)
 	at := func(port int) carobward.Address { return carobward.Address(net.JoinHostPort(ip, fmt.Sprint(port))) }
 	v := &Gateway{ID: fmt.Sprintf("vm-%d", n), Callers: at(portCallers), Ready: at(portReady), Lookup: at(portLookup)}
@@ -148,7 +148,7 @@
 		t.Fatal(err)
 	}
 
-	g.All = append(g.All, v)
+	g.VMs = append(g.VMs, v)
 	g.Restart(t, v)
 
 	return v
--- a/test/gateway/process_test.go
+++ b/test/gateway/process_test.go
@@ -62,7 +62,7 @@
 // and that SIGTERM ends the process without an error.
 func TestSignals(t *testing.T) {
 	g, _ := startSite(t, 2)
-	v := g.All[1]
+	v := g.VMs[1]
 
 	v.Process().Signal(t, syscall.SIGHUP)
 	cwtest.Wait(t, "SIGHUP in the log", func() bool { return strings.Contains(v.Process().Output(), "signal=hangup") })
@@ -104,7 +104,7 @@
 	for name, signal := range map[string]bool{"on a signal": true, "without one": false} {
 		t.Run(name, func(t *testing.T) {
 			g, _ := startSite(t, 1)
-			v := g.All[0]
+			v := g.VMs[0]
 
 			raw, err := os.ReadFile(v.Settings)
 			if err != nil {
@@ -156,7 +156,7 @@
 // the store is unreachable.
 func TestReplaced(t *testing.T) {
 	g, u := startSite(t, 3)
-	v := g.All[2]
+	v := g.VMs[2]
 
 	g.StoreProxy.SetFault(cwstand.ProxyResets)
 	v.Process().Signal(t, syscall.SIGKILL)
--- a/test/soak/evacuate_test.go
+++ b/test/soak/evacuate_test.go
@@ -36,11 +36,11 @@
 			return w.runsIn(d) - before
 		}
 
-		for _, v := range w.All {
+		for _, v := range w.VMs {
 			cwtest.Wait(t, fmt.Sprintf("%s sends nothing to %s", v.ID, d), func() bool { return sendAndCount(v) == 0 })
 		}
 
-		for _, v := range w.All {
+		for _, v := range w.VMs {
 			if n := sendAndCount(v); n > 0 {
 				t.Errorf("%s sent %d requests to the evacuated domain %s", v.ID, n, d)
 			}
--- a/test/soak/history_test.go
+++ b/test/soak/history_test.go
@@ -86,7 +86,7 @@
 		default:
 		}
 
-		v := w.All[random.IntN(vms)]
+		v := w.VMs[random.IntN(vms)]
 		if random.IntN(2) == 0 {
 			w.history.add(send(v, http.MethodGet, "/read/a", newID()))
 		} else {
--- a/test/soak/restore_test.go
+++ b/test/soak/restore_test.go
@@ -35,7 +35,7 @@
 func (w *world) checkVersions(t *testing.T) {
 	t.Helper()
 
-	for _, v := range w.All {
+	for _, v := range w.VMs {
 		p := v.Process()
 
 		version, ok := versionOf(v)
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -133,7 +133,7 @@
 	t.Helper()
 
 	s := w.servers[w.random.IntN(servers)]
-	v := w.All[w.random.IntN(vms)]
+	v := w.VMs[w.random.IntN(vms)]
 	faults := []cwstand.ProxyFault{
 		cwstand.ProxyPasses, cwstand.ProxyDelays, cwstand.ProxyLosesRequests, cwstand.ProxyLosesReplies, cwstand.ProxyResets,
 	}
@@ -243,7 +243,7 @@
 
 	w.configure()
 
-	for _, v := range w.All {
+	for _, v := range w.VMs {
 		cwtest.Wait(t, v.ID+" is ready", v.IsReady)
 		cwtest.Wait(t, v.ID+" has the newest configuration and serves", func() bool {
 			return send(v, http.MethodGet, fmt.Sprintf("/version-%d/", w.version), newID()).status == http.StatusOK
@@ -254,7 +254,7 @@
 	w.checkEvacuation(t)
 	w.checkPoison(t)
 
-	for _, v := range w.All {
+	for _, v := range w.VMs {
 		if text := v.Process().Output(); strings.Contains(text, "panic:") || strings.Contains(text, "DATA RACE") {
 			t.Errorf("%s: %s", v.ID, text)
 		}
@@ -273,7 +273,7 @@
 		maxCrashes = 3
 	)
 
-	for _, v := range w.All {
+	for _, v := range w.VMs {
 		cwtest.Wait(t, v.ID+" refuses the request that crashes servers", func() bool {
 			return send(v, http.MethodPost, poison, newID()).status == http.StatusServiceUnavailable
 		})
@@ -282,7 +282,7 @@
 	before := w.crashes.Load()
 
 	for i := range tries {
-		w.history.add(send(w.All[i%vms], http.MethodPost, poison, newID()))
+		w.history.add(send(w.VMs[i%vms], http.MethodPost, poison, newID()))
 	}
 
 	if n := w.crashes.Load() - before; n > maxCrashes {
