--- a/internal/cwsite/site.go
+++ b/internal/cwsite/site.go
@@ -18,8 +18,8 @@
 	"carobward.example/carobward/platform"
 )
 
-// Gateway is an entry VM of the users' platform, which runs in a process of its own.
-type Gateway struct {
+// EntryVM is an entry VM of the users' platform, which runs in a process of its own.
+type EntryVM struct {
 	ID      string
 	Callers carobward.Address
 	Ready   carobward.Address
@@ -32,7 +32,7 @@
 }
 
 // Process returns the entry VM's current process.
-func (g *Gateway) Process() *cwtest.Process {
+func (g *EntryVM) Process() *cwtest.Process {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 
@@ -40,7 +40,7 @@
 }
 
 // IsReady reports whether the readiness endpoint answers with status 200.
-func (g *Gateway) IsReady() bool {
+func (g *EntryVM) IsReady() bool {
 	status, _, err := fasthttp.Get(nil, "http://"+string(g.Ready)+platform.PathReady)
 
 	return err == nil && status == fasthttp.StatusOK
@@ -51,7 +51,7 @@
 	// Store is the stand-in, StoreProxy the proxy by which entry VMs reach it.
 	Store      *cwstand.MetadataStore
 	StoreProxy *cwstand.Proxy
-	VMs        []*Gateway
+	VMs        []*EntryVM
 
 	program string
 	network int
@@ -107,13 +107,13 @@
 }
 
 // Start starts another entry VM.
-func (g *Site) Start(t testing.TB) *Gateway {
+func (g *Site) Start(t testing.TB) *EntryVM {
 	t.Helper()
 
 	n := len(g.VMs) + 1
 	ip := fmt.Sprintf("127.%d.0.%d", g.network, n)
 	at := func(port int) carobward.Address { return carobward.Address(net.JoinHostPort(ip, fmt.Sprint(port))) }
-	v := &Gateway{ID: fmt.Sprintf("vm-%d", n), Callers: at(portCallers), Ready: at(portReady), Lookup: at(portLookup)}
+	v := &EntryVM{ID: fmt.Sprintf("vm-%d", n), Callers: at(portCallers), Ready: at(portReady), Lookup: at(portLookup)}
 
 	text := fmt.Sprintf(`
 [self]
@@ -155,7 +155,7 @@
 }
 
 // Restart starts the process of an entry VM that has none or whose last one has exited.
-func (g *Site) Restart(t testing.TB, v *Gateway) {
+func (g *Site) Restart(t testing.TB, v *EntryVM) {
 	t.Helper()
 
 	v.mutex.Lock()
--- a/test/gateway/process_test.go
+++ b/test/gateway/process_test.go
@@ -39,7 +39,7 @@
 }
 
 // send sends a request and returns the status of the reply, or 0 without one.
-func send(v *cwsite.Gateway, id string) int {
+func send(v *cwsite.EntryVM, id string) int {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 
 	defer fasthttp.ReleaseRequest(req)
--- a/test/soak/evacuate_test.go
+++ b/test/soak/evacuate_test.go
@@ -27,7 +27,7 @@
 		d := domain(i)
 		w.Store.Put(evacuationKey(d), []byte("{}"))
 
-		sendAndCount := func(v *cwsite.Gateway) int {
+		sendAndCount := func(v *cwsite.EntryVM) int {
 			before := w.runsIn(d)
 			for range requests {
 				w.history.add(send(v, http.MethodPost, "/charge/a", newID()))
--- a/test/soak/history_test.go
+++ b/test/soak/history_test.go
@@ -51,7 +51,7 @@
 }
 
 // send sends a request through an entry VM.
-func send(v *cwsite.Gateway, method, path, id string) result {
+func send(v *cwsite.EntryVM, method, path, id string) result {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 
 	defer fasthttp.ReleaseRequest(req)
--- a/test/soak/restore_test.go
+++ b/test/soak/restore_test.go
@@ -57,7 +57,7 @@
 
 // versionOf returns the version of an entry VM's effective configuration, and false if it
 // can't be read.
-func versionOf(v *cwsite.Gateway) (int, bool) {
+func versionOf(v *cwsite.EntryVM) (int, bool) {
 	host, _, _ := net.SplitHostPort(string(v.Callers))
 
 	resp, err := client.Get("http://" + net.JoinHostPort(host, metricsPort) + "/metrics")
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -197,7 +197,7 @@
 }
 
 // replace sends SIGHUP and then a signal that ends a process, and starts the next process.
-func (w *world) replace(t *testing.T, v *cwsite.Gateway, s syscall.Signal) {
+func (w *world) replace(t *testing.T, v *cwsite.EntryVM, s syscall.Signal) {
 	t.Helper()
 
 	p := v.Process()
@@ -212,7 +212,7 @@
 }
 
 // pause freezes a process for a random time.
-func (w *world) pause(t *testing.T, v *cwsite.Gateway) {
+func (w *world) pause(t *testing.T, v *cwsite.EntryVM) {
 	t.Helper()
 
 	const maxMillis = 1500
