--- a/test/config/config_test.go
+++ b/test/config/config_test.go
@@ -64,10 +64,10 @@
 	return o
 }
 
-// TestAcceptedHoldsThroughFailures checks that an accepted configuration survives: an
+// TestAcceptedSurvivesFailures checks that an accepted configuration survives: an
 // outage of the platform right after the acceptance, entry VMs that start during the
 // outage, a store restored from an older backup, and the operators' restore command.
-func TestAcceptedHoldsThroughFailures(t *testing.T) {
+func TestAcceptedSurvivesFailures(t *testing.T) {
 	t.Parallel()
 
 	o := newOperator(t, 4)
