--- a/test/config/config_test.go
+++ b/test/config/config_test.go
@@ -111,9 +111,9 @@
 	o.run(t, 3, "nothing to restore", "vm-4", "apply", "--restore", "--author", "ana")
 }
 
-// TestUnknownIsResolved loses the reply to a write and takes the store down, so that the
+// TestUnknownOutcomeResolved loses the reply to a write and takes the store down, so that the
 // outcome of apply is unknown. The command that apply prints must resolve it later.
-func TestUnknownIsResolved(t *testing.T) {
+func TestUnknownOutcomeResolved(t *testing.T) {
 	t.Parallel()
 
 	o := newOperator(t, 3)
