--- a/test/leave/budget_test.go
+++ b/test/leave/budget_test.go
@@ -35,10 +35,10 @@
 	return d.Probes - c.Probes, d.ProbeBytes + d.ReportBytes - c.ProbeBytes - c.ReportBytes
 }
 
-// TestBudgetAtPeak checks that health checks and load reports stay within the configured
+// TestMeasuringBudget checks that health checks and load reports stay within the configured
 // budget in each second, as counted by the servers, under load, while one entry VM is
 // frozen and resumed and another one joins.
-func TestBudgetAtPeak(t *testing.T) {
+func TestMeasuringBudget(t *testing.T) {
 	t.Parallel()
 
 	const (
