--- a/test/once/once_test.go
+++ b/test/once/once_test.go
@@ -189,9 +189,9 @@
 	}
 }
 
-// TestCallersThroughKills charges fees with the caller library while entry VMs are killed
+// TestCallersDuringKills charges fees with the caller library while entry VMs are killed
 // and replaced. No fee may run twice, and each verdict must fit the number of runs.
-func TestCallersThroughKills(t *testing.T) {
+func TestCallersDuringKills(t *testing.T) {
 	t.Parallel()
 
 	f := newFleet(t, 3)
