--- a/test/soak/server_test.go
+++ b/test/soak/server_test.go
@@ -48,8 +48,8 @@
 	s.current.SetMode(mode, workTime)
 }
 
-// SetCold makes the process report a warmup that ends after the given time.
-func (s *server) SetCold(left time.Duration) {
+// SetWarmup makes the process report a warmup that ends after the given time.
+func (s *server) SetWarmup(left time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -172,7 +172,7 @@
 		delete(w.evacuated, evacuated)
 		w.Store.Delete(evacuationKey(evacuated))
 	case 17, 18:
-		s.SetCold(time.Duration(w.random.IntN(3000)) * time.Millisecond)
+		s.SetWarmup(time.Duration(w.random.IntN(3000)) * time.Millisecond)
 	case 19, 20:
 		s.SetLimit(limits[w.random.IntN(len(limits))]...)
 	case 21:
