--- a/test/soak/server_test.go
+++ b/test/soak/server_test.go
@@ -63,8 +63,8 @@
 	{"Server-Leaving: 1", "Retry-After: 1"},
 }
 
-// SetFields sets header lines that the process adds to all its replies.
-func (s *server) SetFields(lines ...string) {
+// SetHeaders sets header lines that the process adds to all its replies.
+func (s *server) SetHeaders(lines ...string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -186,10 +186,10 @@
 	case 26, 27:
 		w.rewriteStore()
 	case 28, 29, 30:
-		s.SetFields(replyHeaders[w.random.IntN(len(replyHeaders))]...)
+		s.SetHeaders(replyHeaders[w.random.IntN(len(replyHeaders))]...)
 	case 31:
 		for _, s := range w.servers {
-			s.SetFields(replyHeaders[w.random.IntN(len(replyHeaders))]...)
+			s.SetHeaders(replyHeaders[w.random.IntN(len(replyHeaders))]...)
 		}
 	}
 
@@ -233,7 +233,7 @@
 		s.Proxy().SetFault(cwstand.ProxyPasses)
 		s.Set(cwstand.UpstreamServes)
 		s.SetLimit()
-		s.SetFields()
+		s.SetHeaders()
 		w.registerRestart(s)
 	}
 
