--- a/test/soak/server_test.go
+++ b/test/soak/server_test.go
@@ -40,8 +40,8 @@
 	return s.proxy
 }
 
-// Set sets the way in which the process handles requests.
-func (s *server) Set(mode cwstand.UpstreamMode) {
+// SetMode sets the way in which the process handles requests.
+func (s *server) SetMode(mode cwstand.UpstreamMode) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -148,7 +148,7 @@
 	case 2, 3:
 		s.Proxy().SetFault(faults[w.random.IntN(len(faults))])
 	case 4, 5:
-		s.Set(cwstand.UpstreamMode(w.random.IntN(int(cwstand.UpstreamUnframed) + 1)))
+		s.SetMode(cwstand.UpstreamMode(w.random.IntN(int(cwstand.UpstreamUnframed) + 1)))
 	case 6:
 		w.register(s, []string{"ready", "draining"}[w.random.IntN(2)])
 	case 7:
@@ -231,7 +231,7 @@
 
 	for _, s := range w.servers {
 		s.Proxy().SetFault(cwstand.ProxyPasses)
-		s.Set(cwstand.UpstreamServes)
+		s.SetMode(cwstand.UpstreamServes)
 		s.SetLimit()
 		s.SetHeaders()
 		w.registerRestart(s)
