--- a/internal/cwstand/metadata.go
+++ b/internal/cwstand/metadata.go
@@ -13,7 +13,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// MetadataFaults are the faults that a Metadata store injects.
+// MetadataFaults are the faults that a MetadataStore injects.
 type MetadataFaults struct {
 	// Status is the status with which all calls fail. 0 means no fault.
 	Status int
--- a/internal/cwstand/server.go
+++ b/internal/cwstand/server.go
@@ -41,15 +41,15 @@
 	// MaxQueue is the maximum number of queued requests. More are shed. Zero means
 	// no limit.
 	MaxQueue int
-	// OpenDelay is the time that a new connection takes to open, Conns the maximum
-	// number of open connections.
+	// OpenDelay is the time that a new connection takes to open, MaxConns the
+	// maximum number of open connections. Zero means no limit.
 	OpenDelay time.Duration
 	MaxConns  int
 	// Speed is the server's speed over time, relative to Epoch.
 	Speed *Speed
 	// Epoch is the start of the speed schedule. Zero means the server's start.
 	Epoch time.Time
-	// SpeedPeriod is the period after which the speed schedule starts again. Zero
+	// SpeedPeriod is the time after which the speed schedule starts again. Zero
 	// means never.
 	SpeedPeriod time.Duration
 	// Delay is the one-way network latency between the server and its callers.
@@ -57,8 +57,8 @@
 	// ReportLag and ReportLie make the load reports stale or wrong.
 	ReportLag time.Duration
 	ReportLie Lie
-	// ReportOnRequest limits load reports to the replies to requests that ask for one. While
-	// the server drains, all replies have one.
+	// ReportOnRequest limits load reports to the replies to requests that ask for
+	// one. While the server drains, all replies have one.
 	ReportOnRequest bool
 	// Run is the number of the server's process in its reports. Reports omit 0.
 	Run uint64
--- a/internal/cwstand/server_speed.go
+++ b/internal/cwstand/server_speed.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Slowdown is a period in which a server runs slower. Times are relative to the
-// start of the server's schedule.
+// Slowdown is a period in which a server runs slower. From and To are relative
+// to the start of the server's speed schedule.
 type Slowdown struct {
 	From, To time.Duration
 	// Factor is how many times slower the server is. Infinity stops all work.
@@ -34,17 +34,17 @@
 		return nil
 	}
 
-	var spans []Slowdown
+	var slowdowns []Slowdown
 
 	rng := rand.New(rand.NewPCG(seed, 0))
 	at := time.Duration(rng.Float64() * float64(n.Every))
 
 	for at < horizon {
-		spans = append(spans, Slowdown{From: at, To: at + n.For, Factor: n.Factor})
+		slowdowns = append(slowdowns, Slowdown{From: at, To: at + n.For, Factor: n.Factor})
 		at += n.For + n.Every/2 + time.Duration(rng.Float64()*float64(n.Every))
 	}
 
-	return spans
+	return slowdowns
 }
 
 // Speed is the speed of a server over time, as a step function. It is computed
@@ -56,9 +56,9 @@
 
 // NewSpeed returns the speed that results from slowdowns. Where they overlap,
 // their factors multiply.
-func NewSpeed(spans []Slowdown) *Speed {
+func NewSpeed(slowdowns []Slowdown) *Speed {
 	s := &Speed{at: []time.Duration{0}}
-	for _, p := range spans {
+	for _, p := range slowdowns {
 		s.at = append(s.at, p.From, p.To)
 	}
 
@@ -68,7 +68,7 @@
 	for _, at := range s.at {
 		rate := 1.0
 
-		for _, p := range spans {
+		for _, p := range slowdowns {
 			if p.From <= at && at < p.To {
 				rate /= p.Factor
 			}
--- a/internal/cwstand/server_test.go
+++ b/internal/cwstand/server_test.go
@@ -21,20 +21,20 @@
 	stall := cwstand.Slowdown{From: 15 * ms, To: 30 * ms, Factor: math.Inf(1)}
 
 	tests := map[string]struct {
-		spans             []cwstand.Slowdown
+		slowdowns         []cwstand.Slowdown
 		start, work, want time.Duration
 	}{
-		"full speed":          {nil, 5 * ms, 7 * ms, 12 * ms},
-		"before a slow span":  {[]cwstand.Slowdown{slow}, 0, 10 * ms, 10 * ms},
-		"into a slow span":    {[]cwstand.Slowdown{slow}, 5 * ms, 7 * ms, 14 * ms},
-		"through a slow span": {[]cwstand.Slowdown{slow}, 5 * ms, 12 * ms, 22 * ms},
-		"through a stall":     {[]cwstand.Slowdown{slow, stall}, 12 * ms, 2 * ms, 30*ms + ms/2},
-		"endless stall":       {[]cwstand.Slowdown{{Factor: math.Inf(1), To: cwstand.Forever}}, 0, ms, cwstand.Forever},
+		"full speed":         {nil, 5 * ms, 7 * ms, 12 * ms},
+		"before a slowdown":  {[]cwstand.Slowdown{slow}, 0, 10 * ms, 10 * ms},
+		"into a slowdown":    {[]cwstand.Slowdown{slow}, 5 * ms, 7 * ms, 14 * ms},
+		"through a slowdown": {[]cwstand.Slowdown{slow}, 5 * ms, 12 * ms, 22 * ms},
+		"through a stall":    {[]cwstand.Slowdown{slow, stall}, 12 * ms, 2 * ms, 30*ms + ms/2},
+		"endless stall":      {[]cwstand.Slowdown{{Factor: math.Inf(1), To: cwstand.Forever}}, 0, ms, cwstand.Forever},
 	}
 
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			if d := cmp.Diff(tc.want, cwstand.NewSpeed(tc.spans).Finish(tc.start, tc.work)); d != "" {
+			if d := cmp.Diff(tc.want, cwstand.NewSpeed(tc.slowdowns).Finish(tc.start, tc.work)); d != "" {
 				t.Error(d)
 			}
 		})
--- a/internal/cwstand/upstream.go
+++ b/internal/cwstand/upstream.go
@@ -14,7 +14,7 @@
 	"carobward.example/carobward"
 )
 
-// UpstreamMode is the way in which an Upstream handles requests.
+// UpstreamMode selects how an Upstream handles requests.
 type UpstreamMode uint8
 
 // The modes of an Upstream.
