--- a/internal/cwgateway/addresses.go
+++ b/internal/cwgateway/addresses.go
@@ -8,64 +8,64 @@
 	"carobward.example/carobward/internal/cwmesh"
 )
 
-// asker is a caller that asks which addresses to use for a host.
-type asker struct {
+// lookupQuery is a caller's question which addresses to use for a host.
+type lookupQuery struct {
 	domain carobward.Domain
 	region carobward.Region
 	host   string
 }
 
-// The distances of entry VMs from a caller; the nearest that are enough are named.
+// Distances of entry VMs from a caller, nearest first.
 const (
 	inDomain = iota
 	inRegion
-	inHome
+	inAllowedRegion
 	anywhere
 )
 
-// addresses returns the addresses that a caller should use, of the entry VMs that take
-// callers.
-func (g *Gateway) addresses(a asker) []carobward.Address {
-	if a.region == "" {
-		a.region = g.Regions[a.domain]
+// addresses returns the entry VMs to which a caller should connect. All of them take callers.
+func (g *Gateway) addresses(q lookupQuery) []carobward.Address {
+	if q.region == "" {
+		q.region = g.Regions[q.domain]
 	}
 
-	byDomain := map[carobward.Domain][]carobward.Address{g.Self.Domain: g.near()}
+	byDomain := map[carobward.Domain][]carobward.Address{g.Self.Domain: g.localAddresses()}
 	for _, s := range g.table.Domains(g.Clock.Now()) {
-		byDomain[s.Domain] = g.callable(s.Domain)
+		byDomain[s.Domain] = g.remoteAddresses(s.Domain)
 	}
 
-	return drawn(nearest(a, byDomain, g.Regions, g.front.AllowedRegions(a.host)))
+	return sampleAddresses(nearest(q, byDomain, g.Regions, g.front.AllowedRegions(q.host)))
 }
 
-// nearest returns the addresses of the nearest failure domains that have enough: the
-// caller's own, or else those of its region; then of the regions to which the host's
-// requests may go, and of any as the last resort.
+// nearest returns the addresses of the caller's own failure domain. While there are fewer
+// than minAddresses, it adds those of the caller's region, then those of the regions where the
+// host's requests are allowed, and at last all others.
 func nearest(
-	a asker, byDomain map[carobward.Domain][]carobward.Address, regions map[carobward.Domain]carobward.Region, homes []carobward.Region,
+	q lookupQuery, byDomain map[carobward.Domain][]carobward.Address, regions map[carobward.Domain]carobward.Region, allowed []carobward.Region,
 ) []carobward.Address {
 	var byDistance [anywhere + 1][]carobward.Address
 
 	for d, list := range byDomain {
-		n := anywhere
+		distance := anywhere
 
 		switch region := regions[d]; {
-		case d == a.domain:
-			n = inDomain
-		case region == a.region:
-			n = inRegion
-		case slices.Contains(homes, region):
-			n = inHome
+		case d == q.domain:
+			distance = inDomain
+		case region == q.region:
+			distance = inRegion
+		case slices.Contains(allowed, region):
+			distance = inAllowedRegion
 		}
 
-		byDistance[n] = append(byDistance[n], list...)
+		byDistance[distance] = append(byDistance[distance], list...)
 	}
 
 	var list []carobward.Address
 
-	for n, more := range byDistance {
-		// Few entry VMs near by are better than any where requests must not go.
-		if len(list) >= nearLeast || n == anywhere && len(list) > 0 && len(homes) > 0 {
+	for distance, more := range byDistance {
+		// A few allowed entry VMs are better than more of them in regions where the host's
+		// requests must not go.
+		if len(list) >= minAddresses || distance == anywhere && len(list) > 0 && len(allowed) > 0 {
 			break
 		}
 
@@ -75,21 +75,20 @@
 	return list
 }
 
-// drawn returns as many addresses as a caller takes, drawn at random where there
-// are more: each entry VM gets callers, not only the first by name.
-func drawn(list []carobward.Address) []carobward.Address {
-	if len(list) <= addressesMost {
+// sampleAddresses returns at most maxAddresses of the addresses, a random sample if there
+// are more: all entry VMs get callers, not only the first by name.
+func sampleAddresses(list []carobward.Address) []carobward.Address {
+	if len(list) <= maxAddresses {
 		return list
 	}
 
 	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 
-	return list[:addressesMost]
+	return list[:maxAddresses]
 }
 
-// near returns the addresses of the entry VMs of this failure domain that take
-// callers.
-func (g *Gateway) near() []carobward.Address {
+// localAddresses returns the addresses of this failure domain's entry VMs that take callers.
+func (g *Gateway) localAddresses() []carobward.Address {
 	var list []carobward.Address
 
 	if g.isReady() {
@@ -105,8 +104,9 @@
 	return list
 }
 
-// callable returns the addresses of some entry VMs of another failure domain.
-func (g *Gateway) callable(domain carobward.Domain) []carobward.Address {
+// remoteAddresses returns the addresses of another failure domain's entry VMs that are known
+// to take callers.
+func (g *Gateway) remoteAddresses(domain carobward.Domain) []carobward.Address {
 	var list []carobward.Address
 	for _, n := range g.table.Callable(domain, g.Clock.Now()) {
 		list = append(list, n.Callers)
--- a/internal/cwgateway/addresses_test.go
+++ b/internal/cwgateway/addresses_test.go
@@ -7,13 +7,13 @@
 	"carobward.example/carobward"
 )
 
-// TestDrawn wants each entry VM of a large failure domain to be named to callers
-// about as often as any other.
+// TestDrawn verifies that each entry VM of a large failure domain is given to about as many
+// callers as any other.
 func TestDrawn(t *testing.T) {
 	const (
 		vms     = 106
 		callers = 2000
-		even    = callers * addressesMost / vms
+		average = callers * maxAddresses / vms
 	)
 
 	named := map[carobward.Address]int{}
@@ -24,8 +24,8 @@
 			list = append(list, carobward.Address(fmt.Sprintf("10.0.0.%d:80", i)))
 		}
 
-		got := drawn(list)
-		if len(got) != addressesMost {
+		got := sampleAddresses(list)
+		if len(got) != maxAddresses {
 			t.Fatalf("%d addresses", len(got))
 		}
 
@@ -36,8 +36,8 @@
 
 	for i := range vms {
 		a := carobward.Address(fmt.Sprintf("10.0.0.%d:80", i))
-		if n := named[a]; n < even*8/10 || n > even*12/10 {
-			t.Errorf("%s is named to %d of %d callers, %d are even", a, n, callers, even)
+		if n := named[a]; n < average*8/10 || n > average*12/10 {
+			t.Errorf("%s is given to %d of %d callers, the average is %d", a, n, callers, average)
 		}
 	}
 }
--- a/internal/cwgateway/bound_test.go
+++ b/internal/cwgateway/bound_test.go
@@ -11,9 +11,8 @@
 	"carobward.example/carobward/internal/cwtest"
 )
 
-// request writes a request on a connection of its own, from which nothing is
-// read.
-func (v *vm) request(t *testing.T, id string) {
+// sendUnread sends a request on a connection of its own and never reads the reply.
+func (v *vm) sendUnread(t *testing.T, id string) {
 	t.Helper()
 
 	c, err := net.Dial("tcp", string(v.options.Self.Callers))
@@ -23,47 +22,48 @@
 
 	t.Cleanup(func() { _ = c.Close() })
 
-	if _, err := fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: %s\r\nRequest-Id: %s\r\nDeadline-Ms: 3000\r\n\r\n", reading, host, id); err != nil {
+	if _, err := fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: %s\r\nRequest-Id: %s\r\nDeadline-Ms: 3000\r\n\r\n", readPath, host, id); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// TestDeafCallers has callers that ask for long answers and read nothing of
-// them. Others are served meanwhile, and the entry VM ends all the same.
+// TestDeafCallers has callers that request large replies and never read them. The entry VM
+// serves other callers meanwhile, and still stops in time.
 func TestDeafCallers(t *testing.T) {
 	const (
 		callers = 24
-		size    = 8 << 20 // More than the kernel takes for a caller that does not read.
+		size    = 8 << 20 // More than the kernel buffers for a caller that does not read.
 	)
 
 	f := newFleet(t)
 	u := f.upstream(t, "records", "i-1")
-	f.configure(safe("records"))
+	f.configure(safeRoute("records"))
 
 	v := f.start(t, "vm-1")
 	v.waitReady(t)
 	u.SetBody(strings.Repeat("a", size))
 
 	for i := range callers {
-		v.request(t, fmt.Sprint("deaf-", i))
+		v.sendUnread(t, fmt.Sprint("deaf-", i))
 	}
 
-	// Some are refused, since all ask one server at once; others come for them.
-	more := 0
+	// The server is asked by all of them at once, so some requests are refused; further ones
+	// take their place.
+	extra := 0
 
-	cwtest.Wait(t, "answers to those that read nothing", func() bool {
-		more++
-		v.request(t, fmt.Sprint("more-", more))
+	cwtest.Wait(t, "replies to callers that read nothing", func() bool {
+		extra++
+		v.sendUnread(t, fmt.Sprint("more-", extra))
 
 		return len(u.Runs()) >= callers/4
 	})
 	u.SetBody("done")
 
 	for i := range 4 {
-		// With all those answers under way a look at the only server may come too
-		// late. Such a caller is refused, and comes back.
-		cwtest.Wait(t, "an answer beside them", func() bool {
-			got := v.ask(http.MethodGet, reading, fmt.Sprint("id-", i), "")
+		// With all those replies in progress, the health check of the only server may take too
+		// long. The request is then refused, and repeated here.
+		cwtest.Wait(t, "a reply to another caller", func() bool {
+			got := v.send(http.MethodGet, readPath, fmt.Sprint("id-", i), "")
 			if got.status == http.StatusServiceUnavailable && got.header.Get("Retry-After") != "" {
 				return false
 			}
@@ -79,14 +79,14 @@
 	v.end()
 }
 
-// TestManyCallers has many connections on which nothing or half a request comes.
-// They hold no server and no place in what is in flight.
+// TestManyCallers has many connections on which no request arrives, or half of one. They
+// occupy no server and do not count as requests in flight.
 func TestManyCallers(t *testing.T) {
 	const callers = 500
 
 	f := newFleet(t)
 	f.upstream(t, "records", "i-1")
-	f.configure(safe("records"))
+	f.configure(safeRoute("records"))
 
 	v := f.start(t, "vm-1")
 	v.waitReady(t)
@@ -100,16 +100,16 @@
 		defer func() { _ = c.Close() }()
 
 		if i%2 == 0 {
-			_, _ = fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: ", reading)
+			_, _ = fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: ", readPath)
 		}
 	}
 
-	if got := v.ask(http.MethodGet, reading, "one", ""); got.status != http.StatusOK {
+	if got := v.send(http.MethodGet, readPath, "one", ""); got.status != http.StatusOK {
 		t.Errorf("status %d, %v", got.status, got.err)
 	}
 
 	if page := get(v.options.Metrics, "/metrics").body; !strings.Contains(page, `"flight": 0`) {
-		t.Error("connections without a request are in flight")
+		t.Error("connections without a request count as in flight")
 	}
 
 	v.end()
--- a/internal/cwgateway/bounds.go
+++ b/internal/cwgateway/bounds.go
@@ -10,26 +10,25 @@
 	"carobward.example/carobward/internal/cwquota"
 )
 
-// Bounds are the operators' figures. They may change while an entry VM runs.
+// Bounds are the operators' limits. They may change while an entry VM runs.
 type Bounds struct {
-	// Grace is the time that a stopping entry VM has.
+	// Grace is the time that an entry VM has to stop.
 	Grace time.Duration
-	// AnswerMost is the longest time that callers keep an answer which addresses
-	// to use.
+	// MaxLookupTTL is the longest time that callers keep a lookup reply.
 	AnswerMost time.Duration
 	Limits     cwfront.Limits
-	// ColdOvershoot times what a cold server tolerates in a second, and ColdSlack more,
-	// is the most requests that it may get in any second.
+	// A server that is warming up may get, in any second, WarmupOvershoot times the requests
+	// a second that it tolerates, and WarmupSlack more.
 	ColdOvershoot float64
 	ColdSlack     float64
-	// Quota says what may be sent beyond teams' quotas.
+	// Quota limits what may be sent beyond teams' quotas.
 	Quota cwquota.Bounds
-	// Seeds are the addresses of entry VMs to begin with.
+	// Seeds are the addresses of the first peers to contact.
 	Seeds []carobward.Address
 }
 
-// SetBounds puts new bounds in force, but for the length of the window of extra
-// calls, which a restart changes.
+// SetBounds puts new bounds in force. Only the retry window keeps its length until the
+// process restarts.
 func (g *Gateway) SetBounds(b Bounds) {
 	old := g.bounds.Load()
 	if reflect.DeepEqual(*old, b) {
@@ -37,12 +36,12 @@
 	}
 
 	if b.Limits.ExtraWindow != old.Limits.ExtraWindow {
-		g.log.Info("The window of extra calls changes with a restart.", "window", old.Limits.ExtraWindow.String(), "file", b.Limits.ExtraWindow.String())
+		g.log.Info("A change of the retry window takes effect after a restart.", "window", old.Limits.ExtraWindow.String(), "file", b.Limits.ExtraWindow.String())
 	}
 
 	g.bounds.Store(&b)
 	g.front.SetLimits(b.Limits)
-	g.setColdBounds()
+	g.setWarmupBounds()
 	g.quota.SetBounds(b.Quota)
 	g.mesh.AddSeeds(b.Seeds)
 	g.log.Info("New bounds are in force.", "grace", b.Grace.String(), "answer", b.AnswerMost.String(),
@@ -50,20 +49,20 @@
 		"keyage", b.Limits.MaxKeyAge.String(), "quota", b.Quota.Slack, "window", b.Quota.Window.String(), "seeds", b.Seeds)
 }
 
-// setColdBounds tells the table of servers what cold ones bear, by the configuration and
-// the bounds in force.
-func (g *Gateway) setColdBounds() {
+// setWarmupBounds passes the limits for servers that are warming up to the table of
+// servers, from the configuration and the bounds in force.
+func (g *Gateway) setWarmupBounds() {
 	t := g.front.Routes()
 	if t == nil {
 		return
 	}
 
 	b := g.bounds.Load()
-	cold := map[carobward.Service]cwbackend.WarmupBound{}
+	byService := map[carobward.Service]cwbackend.WarmupBound{}
 
 	for name, s := range t.Services() {
-		cold[name] = cwbackend.WarmupBound{Rate: s.WarmupRate, Overshoot: b.ColdOvershoot, Slack: b.ColdSlack}
+		byService[name] = cwbackend.WarmupBound{Rate: s.WarmupRate, Overshoot: b.ColdOvershoot, Slack: b.ColdSlack}
 	}
 
-	g.servers.SetWarmupBounds(cold)
+	g.servers.SetWarmupBounds(byService)
 }
--- a/internal/cwgateway/download_test.go
+++ b/internal/cwgateway/download_test.go
@@ -13,29 +13,29 @@
 	"carobward.example/carobward/internal/cwtest"
 )
 
-// pack is a large reply, beyond what is held whole before it is passed on.
-var pack = strings.Repeat("measured. ", 60_000)
+// largeReply is too large to be buffered whole before it is forwarded.
+var largeReply = strings.Repeat("measured. ", 60_000)
 
-// packsMillis is how long callers wait for large replies, in milliseconds.
-const packsMillis = 9000
+// downloadTimeoutMillis is how long callers wait for large replies.
+const downloadTimeoutMillis = 9000
 
-// packs is the route of large replies. There is time enough, so that none is refused
-// for being late on a slow machine.
-func packs() cwstand.MetadataRoute {
+// downloadRoute is the route of large replies. Its timeouts are long, so that no request is
+// refused as late on a slow machine.
+func downloadRoute() cwstand.MetadataRoute {
 	return cwstand.MetadataRoute{
-		"prefix": reading, "kind": "download", "service": "packs", "target_latency": "8s", "timeout": "9s",
+		"prefix": readPath, "kind": "download", "service": "packs", "target_latency": "8s", "timeout": "9s",
 	}
 }
 
-// TestDownload wants large replies to reach their callers whole, many at once, over
-// connections that are used again.
+// TestDownload verifies that many large replies at once reach their callers whole, over
+// connections that are reused.
 func TestDownload(t *testing.T) {
 	const callers = 20
 
 	f := newFleet(t)
 	u := f.upstream(t, "packs", "i-1")
-	u.SetBody(pack)
-	f.configure(packs())
+	u.SetBody(largeReply)
+	f.configure(downloadRoute())
 
 	v := f.start(t, "vm-1")
 	v.waitReady(t)
@@ -44,9 +44,9 @@
 
 	for i := range callers {
 		group.Go(func() {
-			got := v.askWithin(http.MethodGet, reading, fmt.Sprint("one-", i), "", packsMillis)
-			if got.status != http.StatusOK || got.err != nil || got.body != pack || got.header.Get("Response-Seal") == "" {
-				t.Errorf("status %d, %d of %d bytes, %v", got.status, len(got.body), len(pack), got.err)
+			got := v.sendWithin(http.MethodGet, readPath, fmt.Sprint("one-", i), "", downloadTimeoutMillis)
+			if got.status != http.StatusOK || got.err != nil || got.body != largeReply || got.header.Get("Response-Seal") == "" {
+				t.Errorf("status %d, %d of %d bytes, %v", got.status, len(got.body), len(largeReply), got.err)
 			}
 		})
 	}
@@ -54,25 +54,24 @@
 	group.Wait()
 }
 
-// TestDownloadCut wants a large reply that its server breaks off to reach the caller
-// as one that is not whole.
+// TestDownloadCut verifies that a large reply that its server breaks off reaches the caller
+// as an incomplete one.
 func TestDownloadCut(t *testing.T) {
 	f := newFleet(t)
 	u := f.upstream(t, "packs", "i-1")
-	u.SetBody(pack)
+	u.SetBody(largeReply)
 	u.SetMode(cwstand.UpstreamTruncates, 0)
-	f.configure(packs())
+	f.configure(downloadRoute())
 
 	v := f.start(t, "vm-1")
 	v.waitReady(t)
 
-	if got := v.ask(http.MethodGet, reading, "one", ""); got.err == nil {
+	if got := v.send(http.MethodGet, readPath, "one", ""); got.err == nil {
 		t.Errorf("status %d, %d bytes and no error", got.status, len(got.body))
 	}
 }
 
-// TestDownloadStop stops an entry VM while large replies are on their way: none is
-// cut off.
+// TestDownloadStop verifies that a stopping entry VM cuts off no large reply in progress.
 func TestDownloadStop(t *testing.T) {
 	const (
 		callers = 8
@@ -82,8 +81,8 @@
 
 	f := newFleet(t)
 	u := f.upstream(t, "packs", "i-1")
-	u.SetBody(strings.Repeat(pack, parts))
-	f.configure(packs())
+	u.SetBody(strings.Repeat(largeReply, parts))
+	f.configure(downloadRoute())
 
 	v := f.start(t, "vm-1", func(o *cwgateway.Options) { o.Grace = grace })
 	v.waitReady(t)
@@ -92,8 +91,8 @@
 
 	for i := range callers {
 		group.Go(func() {
-			got := v.askWithin(http.MethodGet, reading, fmt.Sprint("one-", i), "", packsMillis)
-			if got.status != http.StatusOK || got.err != nil || len(got.body) != parts*len(pack) {
+			got := v.sendWithin(http.MethodGet, readPath, fmt.Sprint("one-", i), "", downloadTimeoutMillis)
+			if got.status != http.StatusOK || got.err != nil || len(got.body) != parts*len(largeReply) {
 				t.Errorf("status %d, %d bytes, %v", got.status, len(got.body), got.err)
 			}
 		})
--- a/internal/cwgateway/ends_test.go
+++ b/internal/cwgateway/ends_test.go
@@ -15,32 +15,32 @@
 	"carobward.example/carobward/internal/cwtest"
 )
 
-// TestEnds has a way in which servers treat all requests against what the
-// caller of each kind gets, and how often its request ran.
+// TestEnds verifies, for each way in which servers treat requests, the status that callers get
+// and how often the request ran.
 func TestEnds(t *testing.T) {
 	const two = 2
 
 	for name, c := range map[string]struct {
 		way          cwstand.UpstreamMode
 		read, charge int
-		// readRuns and chargeRuns are how often the request ran at most.
+		// readRuns and chargeRuns are how often each request may run at most.
 		readRuns, chargeRuns int
 	}{
-		"serves":                {cwstand.UpstreamServes, 200, 200, 1, 1},
-		"sheds":                 {cwstand.UpstreamSheds, 503, 503, 0, 0},
-		"resets":                {cwstand.UpstreamResets, 502, 502, two, 1},
-		"is silent":             {cwstand.UpstreamSilent, 504, 504, two, 1},
-		"fails":                 {cwstand.UpstreamFails, 500, 500, two, 1},
-		"refuses, having run":   {cwstand.UpstreamRefuses, 502, 502, two, 1},
-		"cuts its answer":       {cwstand.UpstreamTruncates, 502, 502, two, 1},
-		"does not sign":         {cwstand.UpstreamUnsigned, 502, 502, two, 1},
-		"answers twice":         {cwstand.UpstreamRepeats, 200, 200, 1, 1},
-		"ends by its connexion": {cwstand.UpstreamUnframed, 200, 200, 1, 1},
+		"serves":              {cwstand.UpstreamServes, 200, 200, 1, 1},
+		"sheds":               {cwstand.UpstreamSheds, 503, 503, 0, 0},
+		"resets":              {cwstand.UpstreamResets, 502, 502, two, 1},
+		"is silent":           {cwstand.UpstreamSilent, 504, 504, two, 1},
+		"fails":               {cwstand.UpstreamFails, 500, 500, two, 1},
+		"refuses, having run": {cwstand.UpstreamRefuses, 502, 502, two, 1},
+		"cuts its answer":     {cwstand.UpstreamTruncates, 502, 502, two, 1},
+		"does not sign":       {cwstand.UpstreamUnsigned, 502, 502, two, 1},
+		"answers twice":       {cwstand.UpstreamRepeats, 200, 200, 1, 1},
+		"closes the connection to end its answer": {cwstand.UpstreamUnframed, 200, 200, 1, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t)
 			servers := []*cwstand.Upstream{f.upstream(t, "fees", "i-1"), f.upstream(t, "fees", "i-2"), f.upstream(t, "fees", "i-3")}
-			f.configure(safe("fees"), unsafe())
+			f.configure(safeRoute("fees"), unsafeRoute())
 
 			for _, s := range servers {
 				s.SetMode(c.way, 0)
@@ -51,7 +51,7 @@
 
 			for i := range 3 {
 				read, charge := fmt.Sprintf("read-%d", i), fmt.Sprintf("charge-%d", i)
-				a, b := v.askWithin(http.MethodGet, reading, read, "", 400), v.askWithin(http.MethodPost, charging, charge, "", 400)
+				a, b := v.sendWithin(http.MethodGet, readPath, read, "", 400), v.sendWithin(http.MethodPost, chargePath, charge, "", 400)
 
 				if diff := cmp.Diff([]int{c.read, c.charge}, []int{a.status, b.status}); diff != "" {
 					t.Errorf("%s %v %v", diff, a.err, b.err)
@@ -66,11 +66,11 @@
 				}
 
 				if a.status == http.StatusServiceUnavailable && a.header.Get("Retry-After") == "" {
-					t.Error("a refusal does not say when to come back")
+					t.Error("a refusal has no Retry-After")
 				}
 
 				if a.status != http.StatusOK && a.status != http.StatusInternalServerError && a.header.Get("Response-Seal") != "" {
-					t.Error("a failure of ours has a server's signature")
+					t.Error("a failure of the entry VM has a server's signature")
 				}
 			}
 		})
@@ -92,8 +92,8 @@
 	return n
 }
 
-// TestRetry wants a request that a server refused to go to another one, and an
-// idempotent one also after a failure.
+// TestRetry verifies that a request that a server refused is sent to another one, and that
+// an idempotent request is also sent again after a failure.
 func TestRetry(t *testing.T) {
 	for name, c := range map[string]struct {
 		way          cwstand.UpstreamMode
@@ -106,21 +106,21 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t)
 			bad, good := f.upstream(t, "fees", "i-1"), f.upstream(t, "fees", "i-2")
-			f.configure(safe("fees"), unsafe())
+			f.configure(safeRoute("fees"), unsafeRoute())
 			bad.SetMode(c.way, 0)
-			good.SetLoad("2,0,4,100") // So that the bad one is preferred.
+			good.SetLoad("2,0,4,100") // Makes the bad server the preferred one.
 
 			v := f.start(t, "vm-1")
 			v.waitReady(t)
 
-			a := v.ask(http.MethodGet, reading, "read", "")
+			a := v.send(http.MethodGet, readPath, "read", "")
 			if a.status != http.StatusOK != !c.read {
 				t.Errorf("read: %+v", a)
 			}
 
 			cwtest.Wait(t, "the end of the block", func() bool {
 				n := len(bad.Runs())
-				b := v.ask(http.MethodPost, charging, fmt.Sprint("charge-", time.Now()), "")
+				b := v.send(http.MethodPost, chargePath, fmt.Sprint("charge-", time.Now()), "")
 
 				return len(bad.Runs()) > n && b.status != http.StatusOK || c.charge && b.status == http.StatusOK
 			})
@@ -128,38 +128,38 @@
 	}
 }
 
-// TestNotRunIsTrue has one server that runs what it gets and breaks off, and one
-// that refuses. Whichever comes first, a caller that is told to come back since
-// its request did not run must not have had it run.
+// TestNotRunIsTrue has one server that runs requests and resets the connection, and one that
+// refuses them. Whichever gets a request first, a caller that is told to come back because its
+// request did not run must not have had it run.
 func TestNotRunIsTrue(t *testing.T) {
 	const requests = 24
 
 	f := newFleet(t)
-	breaks, refuses := f.upstream(t, "fees", "i-1"), f.upstream(t, "fees", "i-2")
-	f.configure(safe("fees"), unsafe())
-	breaks.SetMode(cwstand.UpstreamResets, 0)
-	refuses.SetMode(cwstand.UpstreamSheds, 0)
+	resetting, refusing := f.upstream(t, "fees", "i-1"), f.upstream(t, "fees", "i-2")
+	f.configure(safeRoute("fees"), unsafeRoute())
+	resetting.SetMode(cwstand.UpstreamResets, 0)
+	refusing.SetMode(cwstand.UpstreamSheds, 0)
 
 	v := f.start(t, "vm-1")
 	v.waitReady(t)
 
 	for i := range requests {
-		for _, path := range []string{reading, charging} {
+		for _, path := range []string{readPath, chargePath} {
 			id := fmt.Sprint(path, i)
-			got := v.ask(http.MethodPost, path, id, "")
+			got := v.send(http.MethodPost, path, id, "")
 
-			if n := runs([]*cwstand.Upstream{breaks}, id); got.status == http.StatusServiceUnavailable && n > 0 {
-				t.Errorf("%s is said not to have run, and ran %d times", id, n)
+			if n := runs([]*cwstand.Upstream{resetting}, id); got.status == http.StatusServiceUnavailable && n > 0 {
+				t.Errorf("%s was reported as not run, and ran %d times", id, n)
 			}
 		}
 	}
 }
 
-// TestTimeout wants a request to end by the route's timeout.
+// TestTimeout verifies that a request ends by its route's timeout.
 func TestTimeout(t *testing.T) {
 	f := newFleet(t)
 	u := f.upstream(t, "fees", "i-1")
-	r := unsafe()
+	r := unsafeRoute()
 	r["timeout"] = "300ms"
 	f.configure(r)
 	u.SetMode(cwstand.UpstreamSilent, 0)
@@ -168,25 +168,25 @@
 	v.waitReady(t)
 
 	began := time.Now()
-	got := v.ask(http.MethodPost, charging, "one", "")
+	got := v.send(http.MethodPost, chargePath, "one", "")
 
 	if got.status != http.StatusGatewayTimeout || time.Since(began) < 300*time.Millisecond {
 		t.Errorf("%+v after %s", got, time.Since(began))
 	}
 
 	if left := u.Runs()[0].TimeLeft; len(left) != 3 || left > "300" {
-		t.Errorf("the server was given %s ms of 300", left)
+		t.Errorf("the server was given %s of 300 ms", left)
 	}
 }
 
-// TestCallerGone wants the server to learn that the caller of idempotent work
-// has gone, and other work to go on.
+// TestCallerGone verifies that an idempotent request is canceled at the server when its caller
+// disconnects, and that other requests go on.
 func TestCallerGone(t *testing.T) {
-	for name, broken := range map[string]int{reading: 1, charging: 0} {
+	for name, aborted := range map[string]int{readPath: 1, chargePath: 0} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t)
 			u := f.upstream(t, "fees", "i-1")
-			f.configure(safe("fees"), unsafe())
+			f.configure(safeRoute("fees"), unsafeRoute())
 			u.SetMode(cwstand.UpstreamServes, time.Second)
 
 			v := f.start(t, "vm-1", func(o *cwgateway.Options) { o.Grace = 3 * time.Second })
@@ -202,43 +202,42 @@
 			req.Host = host
 			req.Header.Set("Request-Id", "one")
 
-			left := make(chan answer)
-			go func() { left <- do(req) }()
+			done := make(chan answer)
+			go func() { done <- do(req) }()
 
 			cwtest.Wait(t, "the run", func() bool { return len(u.Runs()) == 1 })
 			cancel()
-			<-left
-			v.end() // It waits for what is in flight.
+			<-done
+			v.end() // It waits for requests in flight.
 
-			if got := u.Disconnects(); got != broken {
-				t.Errorf("%d requests were broken off, want %d", got, broken)
+			if got := u.Disconnects(); got != aborted {
+				t.Errorf("%d requests were canceled, want %d", got, aborted)
 			}
 		})
 	}
 }
 
-// TestHedge lets a server keep requests for longer than their callers wait. One
-// that may be repeated is answered by another server, and broken off at the
-// first; other work stays where it is.
+// TestHedge has a server that takes longer than callers wait. A request that may be repeated
+// is answered by a second server and canceled at the first; other requests are not sent twice.
 func TestHedge(t *testing.T) {
 	for name, c := range map[string]struct {
-		path                 string
-		status, runs, broken int
+		path                  string
+		status, runs, aborted int
 	}{
-		"idempotent work": {reading, http.StatusOK, 1, 1},
-		"other work":      {charging, http.StatusGatewayTimeout, 0, 1},
+		"idempotent work": {readPath, http.StatusOK, 1, 1},
+		"other work":      {chargePath, http.StatusGatewayTimeout, 0, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t)
 			slow, good := f.upstream(t, "fees", "i-1"), f.upstream(t, "fees", "i-2")
-			f.configure(safe("fees"), unsafe())
+			f.configure(safeRoute("fees"), unsafeRoute())
 			slow.SetMode(cwstand.UpstreamServes, time.Minute)
-			good.SetLoad("2,0,4,100") // So that the slow one is preferred.
+			good.SetLoad("2,0,4,100") // Makes the slow server the preferred one.
 
 			v := f.start(t, "vm-1")
 			v.waitReady(t)
 
-			if got := v.ask(http.MethodPost, c.path, "one", ""); got.status != c.status {
+			if got := v.send(http.MethodPost, c.path, "one", ""); got.status != c.status {
 				t.Errorf("%+v", got)
 			}
 
@@ -246,13 +245,13 @@
 				t.Error(diff)
 			}
 
-			cwtest.Wait(t, "the end of the work at the slow server", func() bool { return slow.Disconnects() == c.broken })
+			cwtest.Wait(t, "the request to be canceled at the slow server", func() bool { return slow.Disconnects() == c.aborted })
 		})
 	}
 }
 
-// TestHedgeBound wants second sends to stay within the bound on calls beyond
-// the first, however many answers are overdue.
+// TestHedgeBound verifies that hedged sends stay within the limit on extra sends, however
+// many replies are overdue.
 func TestHedgeBound(t *testing.T) {
 	const (
 		requests = 8
@@ -261,20 +260,20 @@
 
 	f := newFleet(t)
 	slow, good := f.upstream(t, "fees", "i-1"), f.upstream(t, "fees", "i-2")
-	f.configure(safe("fees"))
+	f.configure(safeRoute("fees"))
 	slow.SetMode(cwstand.UpstreamServes, time.Minute)
 	good.SetMode(cwstand.UpstreamServes, time.Minute)
 
 	v := f.start(t, "vm-1", func(o *cwgateway.Options) {
 		o.Limits.ExtraShare = 0
-		o.Limits.ExtraMin = extra + 1 // Nine tenths of it are used.
+		o.Limits.ExtraMin = extra + 1 // An entry VM uses nine tenths of it.
 	})
 	v.waitReady(t)
 
 	var group sync.WaitGroup
 
 	for i := range requests {
-		group.Go(func() { v.askWithin(http.MethodGet, reading, fmt.Sprint("id-", i), "", 900) })
+		group.Go(func() { v.sendWithin(http.MethodGet, readPath, fmt.Sprint("id-", i), "", 900) })
 	}
 
 	group.Wait()
--- a/internal/cwgateway/entry_test.go
+++ b/internal/cwgateway/entry_test.go
@@ -11,32 +11,31 @@
 	"carobward.example/carobward/internal/cwtest"
 )
 
-// TestUnusableEntry lets another writer spoil the entry of one of two servers, and wants
-// the server to be out of use on each entry VM, the other one to serve, and the first to
-// be back with its next entry.
+// TestUnusableEntry has another writer corrupt the entry of one of two servers. No entry VM may
+// use that server until its next valid entry, and the other server serves meanwhile.
 func TestUnusableEntry(t *testing.T) {
 	f := newFleet(t)
 	spoiled, other := f.upstream(t, "fees", "i-1"), f.upstream(t, "fees", "i-2")
-	f.configure(unsafe())
+	f.configure(unsafeRoute())
 
 	all := startAll(t, f, "vm-", carobward.SystemClock{})
-	good := cwstand.ServerEntry("fees", spoiled.Address(), "a", "ready")
-	named := cwstand.ServerEntryWithStart(good, 1_700_000_000_000)
+	withoutStart := cwstand.ServerEntry("fees", spoiled.Address(), "a", "ready")
+	valid := cwstand.ServerEntryWithStart(withoutStart, 1_700_000_000_000)
 
 	for name, value := range map[string][]byte{
 		"empty":                  {},
 		"an empty table":         []byte("{}"),
-		"another state":          cwstand.ServerEntry("fees", spoiled.Address(), "a", "starting"),
-		"without the start":      good,
+		"an unknown state":       cwstand.ServerEntry("fees", spoiled.Address(), "a", "starting"),
+		"without the start":      withoutStart,
 		"no address":             cwstand.ServerEntry("fees", "", "a", "ready"),
-		"an address of no use":   cwstand.ServerEntry("fees", "server.example:1", "a", "ready"),
+		"a host name as address": cwstand.ServerEntry("fees", "server.example:1", "a", "ready"),
 		"without failure domain": cwstand.ServerEntry("fees", spoiled.Address(), "", "ready"),
 	} {
 		t.Run(name, func(t *testing.T) {
-			f.store.Put("servers/i-1", named)
+			f.store.Put("servers/i-1", valid)
 
 			for _, v := range all {
-				f.waitCopy(t, v)
+				f.waitReplica(t, v)
 
 				if servers, unusable := v.gauge(t, "servers"), v.gauge(t, "unusable"); servers != 2 || unusable != 0 {
 					t.Errorf("%d servers, %d unusable", servers, unusable)
@@ -46,7 +45,7 @@
 			f.store.Put("servers/i-1", value)
 
 			for i, v := range all {
-				f.waitCopy(t, v)
+				f.waitReplica(t, v)
 
 				if servers, unusable := v.gauge(t, "servers"), v.gauge(t, "unusable"); servers != 1 || unusable != 1 {
 					t.Errorf("%d servers, %d unusable", servers, unusable)
@@ -55,40 +54,40 @@
 				before := len(spoiled.Runs())
 
 				for n := range 10 {
-					if got := v.ask(http.MethodPost, charging, fmt.Sprint(name, i, n), ""); got.status != http.StatusOK {
+					if got := v.send(http.MethodPost, chargePath, fmt.Sprint(name, i, n), ""); got.status != http.StatusOK {
 						t.Errorf("%+v", got)
 					}
 				}
 
 				if len(spoiled.Runs()) > before || len(other.Runs()) == 0 {
-					t.Error("the server whose entry is spoiled got requests")
+					t.Error("the server with an unusable entry got requests")
 				}
 			}
 		})
 	}
 
 	f.store.Delete("servers/i-1")
-	cwtest.Wait(t, "the end of the count", func() bool { return all[0].gauge(t, "unusable") == 0 })
+	cwtest.Wait(t, "no entry to be unusable", func() bool { return all[0].gauge(t, "unusable") == 0 })
 }
 
-// TestStartedAgain lets a server start again under its instance, behind a cut: what was
-// sent to the process before gets no answer and no reset. It wants the lookup that is
-// there to be sent again as soon as the list says so, and the charge to end as one that
-// may have run.
+// TestStartedAgain restarts a server under the same instance name behind a network partition:
+// requests sent to the earlier process get neither a reply nor a reset. As soon as the list of
+// servers shows the restart, the entry VM must send the pending lookup again, and end the
+// charge as one that may have run.
 func TestStartedAgain(t *testing.T) {
 	f := newFleet(t)
-	lost := f.upstream(t, "fees", "i-1")
+	server := f.upstream(t, "fees", "i-1")
 
-	// Time enough for the list to be known before the lookup would be given up or sent to
-	// a second server for its lateness.
-	lookup := safe("fees")
+	// The timeouts are long enough for the list to arrive before the lookup is given up, or
+	// hedged because it is late.
+	lookup := safeRoute("fees")
 	lookup["timeout"], lookup["target_latency"] = "9s", "8s"
-	f.configure(lookup, unsafe())
+	f.configure(lookup, unsafeRoute())
 
-	entry := func(start int64) []byte {
-		return cwstand.ServerEntryWithStart(cwstand.ServerEntry("fees", lost.Address(), "a", "ready"), start)
+	entryWithStart := func(start int64) []byte {
+		return cwstand.ServerEntryWithStart(cwstand.ServerEntry("fees", server.Address(), "a", "ready"), start)
 	}
-	f.store.Put("servers/i-1", entry(1000))
+	f.store.Put("servers/i-1", entryWithStart(1000))
 	v := f.start(t, "vm-1")
 	v.waitReady(t)
 
@@ -96,32 +95,32 @@
 		method, path string
 		want         int
 	}{
-		"a lookup": {http.MethodGet, reading, http.StatusOK},
-		"a charge": {http.MethodPost, charging, http.StatusBadGateway},
+		"a lookup": {http.MethodGet, readPath, http.StatusOK},
+		"a charge": {http.MethodPost, chargePath, http.StatusBadGateway},
 	} {
 		t.Run(name, func(t *testing.T) {
-			lost.SetMode(cwstand.UpstreamSilent, 0)
-			f.store.Put("servers/i-1", entry(time.Now().UnixMilli()))
-			f.waitCopy(t, v)
+			server.SetMode(cwstand.UpstreamSilent, 0)
+			f.store.Put("servers/i-1", entryWithStart(time.Now().UnixMilli()))
+			f.waitReplica(t, v)
 
-			before := len(lost.Runs())
-			ends := make(chan answer, 1)
+			before := len(server.Runs())
+			answers := make(chan answer, 1)
 
-			go func() { ends <- v.askWithin(c.method, c.path, name, "", 9000) }()
+			go func() { answers <- v.sendWithin(c.method, c.path, name, "", 9000) }()
 
-			cwtest.Wait(t, "the send", func() bool { return len(lost.Runs()) > before })
+			cwtest.Wait(t, "the send", func() bool { return len(server.Runs()) > before })
 
-			// The process that follows answers.
-			lost.SetMode(cwstand.UpstreamServes, 0)
-			f.store.Put("servers/i-1", entry(time.Now().UnixMilli()+1))
+			// The next process answers.
+			server.SetMode(cwstand.UpstreamServes, 0)
+			f.store.Put("servers/i-1", entryWithStart(time.Now().UnixMilli()+1))
 
-			if got := <-ends; got.status != c.want {
+			if got := <-answers; got.status != c.want {
 				t.Errorf("%+v", got)
 			}
 		})
 	}
 
 	if n := v.metric(t, "front", "hedges"); n > 0 {
-		t.Errorf("%d second sends for lateness: the first was waited for", n)
+		t.Errorf("%d hedged sends, so the restart was not what ended the wait", n)
 	}
 }
--- a/internal/cwgateway/evacuate.go
+++ b/internal/cwgateway/evacuate.go
@@ -8,19 +8,19 @@
 	"carobward.example/carobward"
 )
 
-// evacuated is what is known of an evacuation: when this entry VM learned of it, and
-// the store's index of it.
-type evacuated struct {
+// evacuationRecord is when this entry VM learned of an evacuation, and the store's index
+// of it.
+type evacuationRecord struct {
 	since time.Time
 	index carobward.StoreIndex
 }
 
-// evacuate takes a change of a key by which the operators evacuate a failure domain or
-// take it back; other keys are passed over. The key lies in the copy of the store that
-// entry VMs hand to each other, so that one that starts again, joins, or is cut off from
-// the store has it with the list of servers, and only its removal ends it. The mutex is
-// held.
-func (g *Gateway) evacuate(it *carobward.Item, now time.Time) {
+// applyEvacuation handles a changed key by which operators evacuate a failure domain or end
+// its evacuation; it ignores all other keys. The key is part of the replica of the store that
+// entry VMs pass to each other, so one that restarts, joins or has lost the store receives it
+// together with the list of servers. Only the removal of the key ends an evacuation. The
+// caller holds g.mutex.
+func (g *Gateway) applyEvacuation(it *carobward.Item, now time.Time) {
 	d, ok := g.Adapter.Evacuated(it.Key)
 	if !ok {
 		return
@@ -34,24 +34,24 @@
 
 	if it.Gone {
 		delete(g.evacuated, d)
-		g.log.Info("A failure domain is taken back.", "domain", d, "servers", servers, "index", it.Index)
+		g.log.Info("The evacuation of a failure domain has ended.", "domain", d, "servers", servers, "index", it.Index)
 
 		return
 	}
 
-	g.evacuated[d] = evacuated{now, it.Index}
-	g.log.Info("A failure domain is evacuated, its servers get nothing more.", "domain", d, "servers", servers, "index", it.Index)
+	g.evacuated[d] = evacuationRecord{now, it.Index}
+	g.log.Info("A failure domain is evacuated; its servers get no further requests.", "domain", d, "servers", servers, "index", it.Index)
 }
 
-// evacuation is an evacuated failure domain as operators see it.
+// evacuation is an evacuated failure domain as shown to operators.
 type evacuation struct {
 	Domain carobward.Domain `json:"domain"`
-	// Age is for how long this entry VM has known of it.
+	// Age is how long this entry VM has known of it.
 	Age   string               `json:"age"`
 	Index carobward.StoreIndex `json:"index"`
 }
 
-// evacuations returns the evacuated failure domains in the order of their names.
+// evacuations returns the evacuated failure domains, sorted by name.
 func (g *Gateway) evacuations() []evacuation {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/cwgateway/evacuate_test.go
+++ b/internal/cwgateway/evacuate_test.go
@@ -18,10 +18,10 @@
 
 	near, far *cwstand.Upstream
 	vms       []*vm
-	asked     int
+	sent      int
 }
 
-const domainKey = "op/evacuate/a"
+const evacuationKey = "op/evacuate/a"
 
 func newEvacuation(t *testing.T) *evacuation {
 	t.Helper()
@@ -29,7 +29,7 @@
 	e := &evacuation{fleet: newFleet(t)}
 	e.near, e.far = e.upstream(t, "fees", "i-1"), e.upstream(t, "fees", "i-2")
 	e.store.Put("servers/i-2", cwstand.ServerEntry("fees", e.far.Address(), "b", "ready"))
-	e.configure(safe("fees"), unsafe())
+	e.configure(safeRoute("fees"), unsafeRoute())
 
 	for i := range 2 {
 		e.vms = append(e.vms, e.start(t, fmt.Sprint("vm-", i)))
@@ -39,18 +39,18 @@
 	return e
 }
 
-// shares asks an entry VM for some requests of each kind, and returns how many of
-// them the near server got, and how many were answered at all.
-func (e *evacuation) shares(v *vm) (int, int) {
+// sendEachKind sends some requests of each kind to an entry VM. It returns how many the near
+// server got, and how many were answered by either.
+func (e *evacuation) sendEachKind(v *vm) (int, int) {
 	const requests = 6
 
 	before, answered := len(e.near.Runs()), 0
 
 	for range requests {
-		for method, path := range map[string]string{http.MethodGet: reading, http.MethodPost: charging} {
-			e.asked++
+		for method, path := range map[string]string{http.MethodGet: readPath, http.MethodPost: chargePath} {
+			e.sent++
 
-			if v.ask(method, path, fmt.Sprint("id-", e.asked), "").status == http.StatusOK {
+			if v.send(method, path, fmt.Sprint("id-", e.sent), "").status == http.StatusOK {
 				answered++
 			}
 		}
@@ -59,49 +59,49 @@
 	return len(e.near.Runs()) - before, answered
 }
 
-// emptied waits until an entry VM sends all requests elsewhere.
-func (e *evacuation) emptied(t *testing.T, v *vm) {
+// waitEvacuated waits until an entry VM sends no requests to the near server.
+func (e *evacuation) waitEvacuated(t *testing.T, v *vm) {
 	t.Helper()
 
 	cwtest.Wait(t, "the evacuation", func() bool {
-		near, answered := e.shares(v)
+		near, answered := e.sendEachKind(v)
 
 		return near == 0 && answered > 0
 	})
 }
 
-// used waits until an entry VM uses the near server.
-func (e *evacuation) used(t *testing.T, v *vm) {
+// waitNearUsed waits until an entry VM sends requests to the near server.
+func (e *evacuation) waitNearUsed(t *testing.T, v *vm) {
 	t.Helper()
 
 	cwtest.Wait(t, "use of the near server", func() bool {
-		near, _ := e.shares(v)
+		near, _ := e.sendEachKind(v)
 
 		return near > 0
 	})
 }
 
-// TestEvacuate wants no request, and no look, to go to a failure domain from when
-// operators evacuate it until they take it back, whatever the value of the key says.
+// TestEvacuate verifies that an evacuated failure domain gets neither requests nor health
+// checks until operators end the evacuation, whatever the value of the key.
 func TestEvacuate(t *testing.T) {
 	e := newEvacuation(t)
 
-	for name, value := range map[string]string{"an object": "{}", "no object": "\x00{"} {
+	for name, value := range map[string]string{"an object": "{}", "invalid JSON": "\x00{"} {
 		t.Run(name, func(t *testing.T) {
 			for _, v := range e.vms {
-				e.used(t, v)
+				e.waitNearUsed(t, v)
 			}
 
-			e.store.Put(domainKey, []byte(value))
+			e.store.Put(evacuationKey, []byte(value))
 
 			for _, v := range e.vms {
-				e.emptied(t, v)
+				e.waitEvacuated(t, v)
 			}
 
-			looks := e.near.HealthChecks()
+			checks := e.near.HealthChecks()
 
 			for _, v := range e.vms {
-				if near, answered := e.shares(v); near > 0 || answered < 12 {
+				if near, answered := e.sendEachKind(v); near > 0 || answered < 12 {
 					t.Errorf("%d requests at the evacuated server, %d answered", near, answered)
 				}
 
@@ -110,26 +110,26 @@
 				}
 			}
 
-			if e.near.HealthChecks() > looks {
-				t.Errorf("%d looks at the evacuated server", e.near.HealthChecks()-looks)
+			if e.near.HealthChecks() > checks {
+				t.Errorf("%d health checks of the evacuated server", e.near.HealthChecks()-checks)
 			}
 
-			e.store.Delete(domainKey)
+			e.store.Delete(evacuationKey)
 
 			for _, v := range e.vms {
-				e.used(t, v)
+				e.waitNearUsed(t, v)
 			}
 		})
 	}
 }
 
-// TestEvacuateKept wants an evacuation to hold while the store is away, on an entry VM
-// that joins then, too, and after the history was dropped.
+// TestEvacuateKept verifies that an evacuation holds while the store is unreachable, after its
+// history was dropped, and on an entry VM that joins meanwhile.
 func TestEvacuateKept(t *testing.T) {
 	e := newEvacuation(t)
-	e.store.Put(domainKey, []byte("{}"))
-	e.emptied(t, e.vms[0])
-	e.emptied(t, e.vms[1])
+	e.store.Put(evacuationKey, []byte("{}"))
+	e.waitEvacuated(t, e.vms[0])
+	e.waitEvacuated(t, e.vms[1])
 
 	e.store.SetFaults(cwstand.MetadataFaults{Reset: true})
 	e.store.Compact()
@@ -138,34 +138,34 @@
 	joined.waitReady(t)
 
 	for _, v := range append(e.vms, joined) {
-		if near, answered := e.shares(v); near > 0 || answered == 0 {
+		if near, answered := e.sendEachKind(v); near > 0 || answered == 0 {
 			t.Errorf("%s: %d requests at the evacuated server, %d answered", v.options.Self.ID, near, answered)
 		}
 	}
 
-	e.store.Delete(domainKey)
+	e.store.Delete(evacuationKey)
 	e.store.SetFaults(cwstand.MetadataFaults{})
 
 	for _, v := range append(e.vms, joined) {
-		e.used(t, v)
+		e.waitNearUsed(t, v)
 	}
 }
 
-// TestEvacuateAll wants a request to be refused at once, with a time to come back, and
-// truly not run, where all servers are in evacuated failure domains.
+// TestEvacuateAll verifies that requests are refused at once, with a Retry-After and without
+// having run, if all servers are in evacuated failure domains.
 func TestEvacuateAll(t *testing.T) {
 	e := newEvacuation(t)
-	e.store.Put(domainKey, []byte("{}"))
+	e.store.Put(evacuationKey, []byte("{}"))
 	e.store.Put("op/evacuate/b", []byte("{}"))
 
 	cwtest.Wait(t, "refusals", func() bool {
-		e.asked++
+		e.sent++
 
-		return e.vms[0].ask(http.MethodPost, charging, fmt.Sprint("id-", e.asked), "").status == http.StatusServiceUnavailable
+		return e.vms[0].send(http.MethodPost, chargePath, fmt.Sprint("id-", e.sent), "").status == http.StatusServiceUnavailable
 	})
 
-	for _, path := range []string{reading, charging} {
-		got := e.vms[0].ask(http.MethodPost, path, "refused"+path, "")
+	for _, path := range []string{readPath, chargePath} {
+		got := e.vms[0].send(http.MethodPost, path, "refused"+path, "")
 		if got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" || !strings.Contains(got.body, "evacuated") {
 			t.Errorf("%+v", got)
 		}
@@ -176,19 +176,19 @@
 	}
 }
 
-// TestEvacuateRestart wants an entry VM that starts during an evacuation to send
-// nothing there, from its first request on.
+// TestEvacuateRestart verifies that an entry VM that starts during an evacuation sends nothing
+// to the evacuated failure domain from its first request on.
 func TestEvacuateRestart(t *testing.T) {
 	e := newEvacuation(t)
-	e.store.Put(domainKey, []byte("{}"))
-	e.emptied(t, e.vms[0])
+	e.store.Put(evacuationKey, []byte("{}"))
+	e.waitEvacuated(t, e.vms[0])
 
 	before := len(e.near.Runs())
 
 	for i := range 3 {
 		v := e.start(t, fmt.Sprint("new-", i), func(o *cwgateway.Options) { o.Self.Domain = carobward.Domain("ab"[i%2 : i%2+1]) })
 		v.waitReady(t)
-		e.shares(v)
+		e.sendEachKind(v)
 		v.end()
 	}
 
--- a/internal/cwgateway/fault_test.go
+++ b/internal/cwgateway/fault_test.go
@@ -8,28 +8,28 @@
 	"carobward.example/carobward/internal/cwgateway"
 )
 
-// faulty is a callers' dialect with a fault that one request meets.
-type faulty struct{ carobward.CallerDialect }
+// panickingDialect is a callers' dialect that panics on one header field.
+type panickingDialect struct{ carobward.CallerDialect }
 
-func (f faulty) Hides(name string, keyed bool) bool {
+func (f panickingDialect) Hides(name string, keyed bool) bool {
 	if name == "X-Fault" {
-		panic("a fault")
+		panic("test panic")
 	}
 
 	return f.CallerDialect.Hides(name, keyed)
 }
 
-// TestFault wants a request that meets a fault of an entry VM to cost nobody but its
-// caller: the process goes on, and no answer says that the request did not run.
+// TestFault verifies that a request that makes an entry VM panic affects only its own caller:
+// the process goes on, and the answer does not claim that the request did not run.
 func TestFault(t *testing.T) {
 	f := newFleet(t)
 	f.upstream(t, "records", "i-1")
-	f.configure(safe("records"))
+	f.configure(safeRoute("records"))
 
-	v := f.start(t, "vm-1", func(o *cwgateway.Options) { o.Adapter.Caller = faulty{o.Adapter.Caller} })
+	v := f.start(t, "vm-1", func(o *cwgateway.Options) { o.Adapter.Caller = panickingDialect{o.Adapter.Caller} })
 	v.waitReady(t)
 
-	req, err := http.NewRequest(http.MethodGet, "http://"+string(v.options.Self.Callers)+reading, nil)
+	req, err := http.NewRequest(http.MethodGet, "http://"+string(v.options.Self.Callers)+readPath, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,7 +42,7 @@
 		t.Errorf("%+v", got)
 	}
 
-	if got := v.ask(http.MethodGet, reading, "two", ""); got.status != http.StatusOK {
-		t.Errorf("after it: %+v", got)
+	if got := v.send(http.MethodGet, readPath, "two", ""); got.status != http.StatusOK {
+		t.Errorf("request after the panic: %+v", got)
 	}
 }
--- a/internal/cwgateway/fleet_test.go
+++ b/internal/cwgateway/fleet_test.go
@@ -23,9 +23,9 @@
 )
 
 const (
-	host     = "club.example"
-	reading  = "/sheets/"
-	charging = "/fees/"
+	host       = "club.example"
+	readPath   = "/sheets/"
+	chargePath = "/fees/"
 )
 
 // fleet is a store, servers and entry VMs on loopback.
@@ -38,7 +38,7 @@
 	vms   []*vm
 }
 
-// vm is one entry VM that runs.
+// vm is a running entry VM.
 type vm struct {
 	options cwgateway.Options
 	stop    chan struct{}
@@ -70,40 +70,39 @@
 	f.store.Put("servers/"+instance, cwstand.ServerEntry(carobward.Service(service), at, "a", state))
 }
 
-// safe is the route of idempotent requests.
-func safe(service string) cwstand.MetadataRoute {
-	return cwstand.MetadataRoute{"prefix": reading, "kind": "safe", "service": service}
+// safeRoute returns the route of idempotent requests.
+func safeRoute(service string) cwstand.MetadataRoute {
+	return cwstand.MetadataRoute{"prefix": readPath, "kind": "safe", "service": service}
 }
 
-// unsafe is the route of requests that may run once at most.
-func unsafe() cwstand.MetadataRoute {
-	return cwstand.MetadataRoute{"prefix": charging, "kind": "unsafe", "service": "fees"}
+// unsafeRoute returns the route of requests that may run at most once.
+func unsafeRoute() cwstand.MetadataRoute {
+	return cwstand.MetadataRoute{"prefix": chargePath, "kind": "unsafe", "service": "fees"}
 }
 
-// configure writes the next configuration.
+// configure writes the next version of the configuration.
 func (f *fleet) configure(routes ...cwstand.MetadataRoute) {
 	f.version += 3
 	f.store.Put("op/config", cwstand.MetadataConfig(f.version, host, routes...))
 }
 
-// The ports that entry VMs of tests listen on: below those that a kernel gives to
-// connections, one of which would otherwise take a port between the moment at
-// which it was found free and the start of the entry VM.
+// Ports of the entry VMs of tests. They are below the kernel's ephemeral ports: a connection
+// could otherwise take a port between the check that it is free and the start of the entry VM.
 const (
-	portFirst = 10_000
+	firstPort = 10_000
 	portCount = 20_000
 )
 
-// ports has the addresses that were given out.
-var ports sync.Map
+// usedAddresses has the addresses that freeAddress has returned or rejected.
+var usedAddresses sync.Map
 
-// free returns an address that is free for TCP and UDP.
-func free(t *testing.T) carobward.Address {
+// freeAddress returns an address whose port is free for TCP and UDP.
+func freeAddress(t *testing.T) carobward.Address {
 	t.Helper()
 
 	for {
-		address := fmt.Sprintf("127.0.0.1:%d", portFirst+rand.IntN(portCount))
-		if _, drawn := ports.LoadOrStore(address, true); drawn {
+		address := fmt.Sprintf("127.0.0.1:%d", firstPort+rand.IntN(portCount))
+		if _, drawn := usedAddresses.LoadOrStore(address, true); drawn {
 			continue // Another entry VM of these tests may be about to listen there.
 		}
 
@@ -122,13 +121,13 @@
 	}
 }
 
-// options returns those of an entry VM, with addresses of its own.
+// options returns the options of an entry VM with addresses of its own.
 func (f *fleet) options(t *testing.T, id string) cwgateway.Options {
 	t.Helper()
 
 	return cwgateway.Options{
-		Self:  cwmesh.Node{ID: carobward.VMID(id), Domain: "a", Callers: free(t), Peers: free(t)},
-		Ready: free(t), Lookup: free(t), Metrics: free(t),
+		Self:  cwmesh.Node{ID: carobward.VMID(id), Domain: "a", Callers: freeAddress(t), Peers: freeAddress(t)},
+		Ready: freeAddress(t), Lookup: freeAddress(t), Metrics: freeAddress(t),
 		Bounds: cwgateway.Bounds{
 			Grace: 400 * time.Millisecond, AnswerMost: 5 * time.Second, ColdOvershoot: 1.5, ColdSlack: 8,
 			Limits: cwfront.Limits{ExtraShare: 0.2, ExtraWindow: 10 * time.Second, ExtraMin: 64, ChecksPerSecond: 60},
@@ -138,7 +137,7 @@
 	}
 }
 
-// start starts an entry VM that knows the first one.
+// start starts an entry VM with the first one of the fleet as its seed.
 func (f *fleet) start(t *testing.T, id string, change ...func(*cwgateway.Options)) *vm {
 	t.Helper()
 
@@ -178,13 +177,13 @@
 	return v
 }
 
-// end stops an entry VM and waits for its end.
+// end stops an entry VM and waits until it has stopped.
 func (v *vm) end() {
 	v.once.Do(func() { close(v.stop) })
 	<-v.done
 }
 
-// answer is what a caller got.
+// answer is what a caller received.
 type answer struct {
 	status int
 	body   string
@@ -194,12 +193,12 @@
 
 var client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}, Timeout: 10 * time.Second}
 
-// ask sends one request.
-func (v *vm) ask(method, path, id, body string) answer {
-	return v.askWithin(method, path, id, body, 3000)
+// send sends one request with a timeout of 3 s.
+func (v *vm) send(method, path, id, body string) answer {
+	return v.sendWithin(method, path, id, body, 3000)
 }
 
-func (v *vm) askWithin(method, path, id, body string, ms int) answer {
+func (v *vm) sendWithin(method, path, id, body string, ms int) answer {
 	req, err := http.NewRequest(method, "http://"+string(v.options.Self.Callers)+path, strings.NewReader(body))
 	if err != nil {
 		return answer{err: err}
@@ -234,7 +233,7 @@
 	return do(req)
 }
 
-// isReady tells whether an entry VM says that it is ready.
+// isReady reports whether an entry VM announces itself as ready.
 func (v *vm) isReady() bool { return get(v.options.Ready, platform.PathReady).status == http.StatusOK }
 
 // waitReady waits until an entry VM is ready.
--- a/internal/cwgateway/gateway.go
+++ b/internal/cwgateway/gateway.go
@@ -1,6 +1,6 @@
-// Package cwgateway puts the parts of one entry VM on the users' platform
-// together: the callers' requests, the answer which addresses to use, the
-// readiness check, the other entry VMs and the platform's store.
+// Package cwgateway assembles one entry VM on the users' platform: the proxy for
+// callers' requests, the address lookup, the readiness check, the exchange with the
+// other entry VMs and the connection to the platform's store.
 package cwgateway
 
 import (
@@ -29,48 +29,47 @@
 	"carobward.example/carobward/internal/cwquota"
 )
 
-// The figures of an entry VM.
+// Intervals, timeouts and limits of an entry VM.
 const (
-	// tickTime is the pace of the systems that run over the tables. A caller
-	// that goes is noticed within two ticks.
-	tickTime = 100 * time.Millisecond
-	// answerTime is how long callers may keep an answer which addresses to
-	// use. Some keep it three times as long, and an entry VM that stops has to
-	// outlast that.
-	answerTime = 1200 * time.Millisecond
-	// nearLeast is how many entry VMs of the caller's failure domain are
-	// enough, so that the loss of several leaves one.
-	nearLeast = 4
-	// addressesMost is how many addresses a caller takes.
-	addressesMost = 64
-	// serveShare is the part of the grace for which a stopping entry VM still
-	// takes connections, and endShare by when it ends in any case.
-	serveShare = 0.7
-	endShare   = 0.93
-	// connsFirst is the bound on connections to one server before a
-	// configuration gives it.
-	connsFirst = 200
-	// connIdle is how long an idle connection is used where the server does
-	// not say how long it keeps it.
-	connIdle = 4 * time.Second
-	// connIdleMost is how long one is used at most: new connections are paid
-	// for, and idle ones cost some hundred bytes each.
-	connIdleMost = 30 * time.Second
-	// dialTime bounds opening a connection to a server.
-	dialTime = 300 * time.Millisecond
-	// headerBytes is the largest header of a reply.
-	headerBytes = 8 * carobward.Kilobyte
-	// listenTime bounds reading and writing of the small listeners.
-	listenTime = 5 * time.Second
+	// tickInterval is the interval of the periodic work on the tables. A caller that
+	// disconnects is noticed within two ticks.
+	tickInterval = 100 * time.Millisecond
+	// defaultLookupTTL is how long callers may keep a lookup reply. Some keep it three
+	// times as long, and a stopping entry VM has to go on serving for that time.
+	defaultLookupTTL = 1200 * time.Millisecond
+	// minAddresses is how many entry VMs near the caller are enough for a lookup reply:
+	// should several fail, one is left.
+	minAddresses = 4
+	// maxAddresses is the largest number of addresses that a caller accepts.
+	maxAddresses = 64
+	// acceptShare is the share of the grace period during which a stopping entry VM still
+	// accepts connections, drainShare the one after which it exits in any case.
+	acceptShare = 0.7
+	drainShare  = 0.93
+	// defaultConns is the limit on connections to one server until a configuration
+	// sets it.
+	defaultConns = 200
+	// defaultIdleTimeout is how long an idle connection is reused if the server does not
+	// say how long it keeps it open.
+	defaultIdleTimeout = 4 * time.Second
+	// maxIdleTimeout bounds what servers say of that. It is long: each new connection has a
+	// cost, while an idle one takes only some hundred bytes.
+	maxIdleTimeout = 30 * time.Second
+	// dialTimeout limits opening a connection to a server.
+	dialTimeout = 300 * time.Millisecond
+	// maxReplyHeaderBytes is the largest accepted header of a server's reply.
+	maxReplyHeaderBytes = 8 * carobward.Kilobyte
+	// listenerTimeout limits reads and writes of the lookup, readiness and operators' listeners.
+	listenerTimeout = 5 * time.Second
 )
 
-// Adapter translates between the platform and the product.
+// Adapter translates between the platform's protocols and carobward's types.
 type Adapter struct {
 	Feed    carobward.Feed
 	Caller  carobward.CallerDialect
 	Lookup  carobward.LookupDialect
 	Servers carobward.Dialect
-	// LookupPath and ReadyPath are the paths of the two questions.
+	// LookupPath and ReadyPath are the paths of the address lookup and the readiness check.
 	LookupPath string
 	ReadyPath  string
 
@@ -79,35 +78,35 @@
 	// Evacuated returns the failure domain that is evacuated while a key exists.
 	Evacuated func(carobward.Key) (carobward.Domain, bool)
 	Instance  func(carobward.Key) carobward.Instance
-	// Rank returns the rank of a value.
+	// Rank returns the rank of a value, which orders the writes to one key.
 	Rank    func(carobward.Key, []byte) carobward.Rank
 	Routing func([]byte) (*carobward.Routing, error)
 	Backend func(carobward.Key, []byte) (carobward.Backend, error)
 }
 
-// Options are what one entry VM is told.
+// Options configure one entry VM.
 type Options struct {
 	Self    cwmesh.Node
 	Ready   carobward.Address
 	Lookup  carobward.Address
 	Metrics carobward.Address
-	// Bounds are those at the start, see SetBounds.
+	// Bounds are the bounds at the start; see SetBounds.
 	Bounds
-	// Regions has the region of each failure domain.
+	// Regions maps each failure domain to its region.
 	Regions map[carobward.Domain]carobward.Region
-	// First tells that the whole fleet starts for the first time.
+	// FirstStart reports that the whole fleet starts for the first time.
 	First bool
 	Key   cwpeer.Key
-	// Link is the speed of the VM's link in bytes a second, 0 if it is not known.
+	// LinkSpeed is the speed of the VM's network link in bytes a second, 0 if unknown.
 	Link    carobward.ByteCount
 	Adapter Adapter
-	// Dropped returns the number of log lines that were dropped, Calls that of
-	// the calls to the store.
+	// DroppedLines returns the number of dropped log lines, StoreCalls the number of
+	// calls to the store.
 	Dropped func() int64
 	Calls   func() int64
 	Clock   carobward.Clock
-	// Suspended returns for how long the VM was suspended since the last call, which
-	// Clock does not count. Pending returns the same and leaves it to be counted.
+	// Suspended returns for how long the VM was suspended since the last call, a time
+	// that Clock does not count. PendingSuspension returns the same without resetting it.
 	Suspended func() time.Duration
 	Pending   func() time.Duration
 	Log       logr.Logger
@@ -126,38 +125,39 @@
 	front   *cwfront.Front
 	mesh    *cwmesh.Mesh
 	follow  *cwfollow.Follower
-	// suspects has the requests under which servers ended, keeper shares them.
-	suspects *cwquarantine.Table
-	keeper   *cwquarantine.Keeper
-	quota    *cwquota.Keeper
+	// quarantine has the requests under which servers crashed, quarantineKeeper shares
+	// them with the other entry VMs.
+	quarantine       *cwquarantine.Table
+	quarantineKeeper *cwquarantine.Keeper
+	quota            *cwquota.Keeper
 
 	bounds atomic.Pointer[Bounds]
 
 	mutex sync.Mutex
-	// unusable has the servers whose entry can't be used.
+	// unusable has the servers whose entry in the store is unusable.
 	unusable map[carobward.Instance]bool
-	// evacuated has the failure domains that the operators evacuate.
-	evacuated map[carobward.Domain]evacuated
-	// rate is this entry VM's requests a second, and counted the requests at
-	// the last tick; only the tick writes them.
-	rate    atomic.Uint64
-	counted int64
+	// evacuated has the failure domains that operators have evacuated.
+	evacuated map[carobward.Domain]evacuationRecord
+	// rate is the bits of a float64, this entry VM's requests a second; lastTotal is the
+	// number of requests at the last tick. Only the tick writes them.
+	rate      atomic.Uint64
+	lastTotal int64
 }
 
-// New returns an entry VM whose parts do not run yet.
+// New returns an entry VM that is not running yet.
 func New(o Options) (*Gateway, error) {
 	g := &Gateway{
-		Options: o, log: o.Log.WithName("gateway"), unusable: map[carobward.Instance]bool{}, evacuated: map[carobward.Domain]evacuated{}, metrics: cwmetric.New(),
+		Options: o, log: o.Log.WithName("gateway"), unusable: map[carobward.Instance]bool{}, evacuated: map[carobward.Domain]evacuationRecord{}, metrics: cwmetric.New(),
 		table: cwmesh.NewTable(o.Self), mirror: newMirror(&o.Adapter), servers: cwbackend.New(cwbackend.VM{ID: o.Self.ID, Domain: o.Self.Domain, Regions: o.Regions}),
 	}
 
 	g.link = cwlink.New(cwlink.Options{
-		MaxConns: connsFirst, IdleTimeout: connIdle, MaxIdleTimeout: connIdleMost, DialTimeout: dialTime, MaxHeaderSize: headerBytes, Dialect: o.Adapter.Servers,
+		MaxConns: defaultConns, IdleTimeout: defaultIdleTimeout, MaxIdleTimeout: maxIdleTimeout, DialTimeout: dialTimeout, MaxHeaderSize: maxReplyHeaderBytes, Dialect: o.Adapter.Servers,
 	}, o.Clock)
 
-	g.suspects = cwquarantine.NewTable()
-	g.keeper = cwquarantine.New(cwquarantine.Options{
-		VM: o.Self.ID, Table: g.suspects, Feed: o.Adapter.Feed, Clock: o.Clock, Log: o.Log,
+	g.quarantine = cwquarantine.NewTable()
+	g.quarantineKeeper = cwquarantine.New(cwquarantine.Options{
+		VM: o.Self.ID, Table: g.quarantine, Feed: o.Adapter.Feed, Clock: o.Clock, Log: o.Log,
 		LastAnswer: func() time.Time { return g.mesh.LastStoreAnswer() },
 		Leads:      func() bool { return g.follow.Leads() },
 		Era:        func() carobward.StoreEra { return g.mirror.State().Era },
@@ -176,10 +176,10 @@
 	g.quota.SetBounds(o.Quota)
 
 	g.front = cwfront.New(cwfront.Options{
-		Dialect: o.Adapter.Caller, Domain: o.Self.Domain, Regions: o.Regions, Servers: g.servers, Link: g.link, Quarantine: g.keeper, Quota: g.quota, Clock: o.Clock,
+		Dialect: o.Adapter.Caller, Domain: o.Self.Domain, Regions: o.Regions, Servers: g.servers, Link: g.link, Quarantine: g.quarantineKeeper, Quota: g.quota, Clock: o.Clock,
 		Metrics: g.metrics, Log: o.Log, Limits: o.Limits,
 		FleetSize:    func() int { return g.table.Size(o.Clock.Now()) },
-		TrafficShare: func() float64 { return g.part(o.Clock.Now()) },
+		TrafficShare: func() float64 { return g.trafficShare(o.Clock.Now()) },
 
 		KeyAge: func(now time.Time) time.Duration { return now.Sub(g.mesh.Checked()) + o.Pending() },
 	})
@@ -192,21 +192,21 @@
 	}
 
 	g.mesh = cwmesh.New(cwmesh.Options{
-		Table: g.table, Mirror: g.mirror, Seeds: o.Seeds, Key: o.Key, Link: o.Link, Clock: o.Clock, Log: o.Log, Changed: g.changed,
-		Notices: g.servers.Announcements, TakeNotices: g.takeWords, Grant: g.quota.Grant, DomainGrant: g.quota.Near, Domains: slices.Collect(maps.Keys(o.Regions)),
+		Table: g.table, Mirror: g.mirror, Seeds: o.Seeds, Key: o.Key, Link: o.Link, Clock: o.Clock, Log: o.Log, Changed: g.applyChanges,
+		Notices: g.servers.Announcements, TakeNotices: g.applyReports, Grant: g.quota.Grant, DomainGrant: g.quota.Near, Domains: slices.Collect(maps.Keys(o.Regions)),
 	}, conn)
 
 	g.follow = cwfollow.New(cwfollow.Options{
-		Feed: o.Adapter.Feed, Mirror: g.mirror, Mesh: g.mesh, Table: g.table, Clock: o.Clock, Log: o.Log, Changed: g.changed,
+		Feed: o.Adapter.Feed, Mirror: g.mirror, Mesh: g.mesh, Table: g.table, Clock: o.Clock, Log: o.Log, Changed: g.applyChanges,
 		First: o.First, Seed: slices.Contains(o.Seeds, o.Self.Peers),
 	})
 
-	g.gauges()
+	g.registerGauges()
 
 	return g, nil
 }
 
-// Run serves until stop is closed, and then stops within the grace.
+// Run serves until stop is closed, and then stops within the grace period.
 func (g *Gateway) Run(stop <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -222,7 +222,7 @@
 
 	group.Go(func() { g.mesh.Run(ctx) })
 	group.Go(func() { g.follow.Run(ctx) })
-	group.Go(func() { g.keeper.Run(ctx) })
+	group.Go(func() { g.quarantineKeeper.Run(ctx) })
 	group.Go(func() { g.tick(ctx) })
 	g.log.Info("Started.", "vm", g.Self.ID, "domain", g.Self.Domain, "callers", g.Self.Callers, "seeds", g.Seeds)
 
@@ -232,24 +232,25 @@
 	return nil
 }
 
-// ready tells the peers once there is a configuration and a list of servers, and it is known
-// which keys are in force where callers show them.
-func (g *Gateway) ready() {
-	if g.mesh.State() == cwmesh.Starting && g.front.Routes() != nil && g.servers.Count() > 0 && g.knowsKeys() {
+// announceReady announces this entry VM as ready to its peers once it has a configuration
+// and a list of servers and, if callers authenticate with keys, knows which keys are in force.
+func (g *Gateway) announceReady() {
+	if g.mesh.State() == cwmesh.Starting && g.front.Routes() != nil && g.servers.Count() > 0 && g.knowsKeysInForce() {
 		g.log.Info("Ready.", "version", g.front.Routes().Version, "servers", g.servers.Count())
 		g.mesh.SetState(cwmesh.Ready)
 	}
 }
 
-// knowsKeys tells whether it is known which keys are in force, or none are needed.
-func (g *Gateway) knowsKeys() bool {
+// knowsKeysInForce reports whether the keys in force are known, or none are needed.
+func (g *Gateway) knowsKeysInForce() bool {
 	return !g.front.Routes().HasTeams() || !g.mesh.Checked().IsZero()
 }
 
 func (g *Gateway) isReady() bool { return g.mesh.State() == cwmesh.Ready }
 
-// stop lets the callers go: the entry VM leaves all answers, serves those that
-// still come by an older one, and ends once none is left or the grace is over.
+// stop drains the entry VM: it withdraws from all lookup replies, serves callers that
+// still use an older reply, and returns once no request is in flight or the grace period is
+// nearly over.
 func (g *Gateway) stop(listeners []net.Listener) {
 	began := g.Clock.Now()
 	grace := float64(g.bounds.Load().Grace)
@@ -257,13 +258,13 @@
 	g.front.Leave()
 	g.mesh.SetState(cwmesh.Leaving)
 
-	time.Sleep(time.Duration(serveShare * grace))
+	time.Sleep(time.Duration(acceptShare * grace))
 
 	// The callers' listener is the first.
 	_ = listeners[0].Close()
 
-	for g.front.InFlight() > 0 && g.Clock.Now().Sub(began) < time.Duration(endShare*grace) {
-		time.Sleep(tickTime / 4)
+	for g.front.InFlight() > 0 && g.Clock.Now().Sub(began) < time.Duration(drainShare*grace) {
+		time.Sleep(tickInterval / 4)
 	}
 
 	g.log.Info("Stopped.", "flight", g.front.InFlight(), "took", g.Clock.Now().Sub(began).String())
--- a/internal/cwgateway/gateway_test.go
+++ b/internal/cwgateway/gateway_test.go
@@ -18,12 +18,11 @@
 	"carobward.example/carobward/platform"
 )
 
-// TestServes sends one request of each kind and wants it to reach its server
-// unchanged.
+// TestServes verifies that a request of each kind reaches its server unchanged.
 func TestServes(t *testing.T) {
 	f := newFleet(t)
 	records, fees := f.upstream(t, "records", "i-1"), f.upstream(t, "fees", "i-2")
-	f.configure(safe("records"), unsafe())
+	f.configure(safeRoute("records"), unsafeRoute())
 
 	v := f.start(t, "vm-1")
 	v.waitReady(t)
@@ -36,7 +35,7 @@
 		"a charge": {http.MethodPost, "/fees/17", "launch 17", fees},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got := v.ask(c.method, c.path, "id-"+c.method, c.body)
+			got := v.send(c.method, c.path, "id-"+c.method, c.body)
 			if got.err != nil || got.status != http.StatusOK || got.body != "done" {
 				t.Fatalf("%+v", got)
 			}
@@ -56,18 +55,18 @@
 	}
 }
 
-// TestChunked sends a body in chunks.
+// TestChunked verifies that a body sent in chunks reaches the server whole.
 func TestChunked(t *testing.T) {
 	f := newFleet(t)
 	fees := f.upstream(t, "fees", "i-1")
-	f.configure(unsafe())
+	f.configure(unsafeRoute())
 
 	v := f.start(t, "vm-1")
 	v.waitReady(t)
 
 	body := strings.Repeat("launch ", 10_000)
 
-	req, err := http.NewRequest(http.MethodPut, "http://"+string(v.options.Self.Callers)+charging, struct{ *strings.Reader }{strings.NewReader(body)})
+	req, err := http.NewRequest(http.MethodPut, "http://"+string(v.options.Self.Callers)+chargePath, struct{ *strings.Reader }{strings.NewReader(body)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,19 +79,19 @@
 	}
 }
 
-// TestLargeBody wants a body above the operator's limit to be refused.
+// TestLargeBody verifies that a body above the operators' limit is refused.
 func TestLargeBody(t *testing.T) {
-	const limit = 1 << 20 // That of the stand-in's configuration.
+	const limit = 1 << 20 // The limit of the stand-in's configuration.
 
 	f := newFleet(t)
 	u := f.upstream(t, "fees", "i-1")
-	f.configure(unsafe())
+	f.configure(unsafeRoute())
 
 	v := f.start(t, "vm-1")
 	v.waitReady(t)
 
 	for size, want := range map[int]int{limit: http.StatusOK, limit + 1: http.StatusRequestEntityTooLarge} {
-		if got := v.ask(http.MethodPost, charging, fmt.Sprint("id-", size), strings.Repeat("a", size)); got.status != want {
+		if got := v.send(http.MethodPost, chargePath, fmt.Sprint("id-", size), strings.Repeat("a", size)); got.status != want {
 			t.Errorf("%d bytes: status %d, %v", size, got.status, got.err)
 		}
 	}
@@ -102,30 +101,30 @@
 	}
 }
 
-// TestClosing wants a server that ends the connection of a health check to get
-// the request over another one.
+// TestClosing verifies that a server that closes the connection after a health check gets the
+// request over another connection.
 func TestClosing(t *testing.T) {
 	f := newFleet(t)
 	u := f.upstream(t, "fees", "i-1")
 	u.SetCloseOnHealth(true)
-	f.configure(safe("fees"), unsafe())
+	f.configure(safeRoute("fees"), unsafeRoute())
 
 	v := f.start(t, "vm-1")
 	v.waitReady(t)
 
-	for i, path := range []string{reading, charging} {
-		if got := v.ask(http.MethodPost, path, fmt.Sprint("id-", i), ""); got.status != http.StatusOK {
+	for i, path := range []string{readPath, chargePath} {
+		if got := v.send(http.MethodPost, path, fmt.Sprint("id-", i), ""); got.status != http.StatusOK {
 			t.Errorf("%s: %+v", path, got)
 		}
 	}
 }
 
-// TestSlowLooks wants healthy servers that all take long for a health check to be used.
+// TestSlowLooks verifies that healthy servers with slow health checks are used.
 func TestSlowLooks(t *testing.T) {
 	const (
-		slow  = 80 * time.Millisecond
-		asked = 20
-		least = 15
+		slow      = 80 * time.Millisecond
+		requests  = 20
+		minServed = 15
 	)
 
 	f := newFleet(t)
@@ -133,26 +132,26 @@
 		f.upstream(t, "records", fmt.Sprint("i-", i)).SetHealthDelay(slow)
 	}
 
-	f.configure(safe("records"))
+	f.configure(safeRoute("records"))
 
 	v := f.start(t, "vm-1")
 	v.waitReady(t)
 
 	served := 0
 
-	for i := range asked {
-		if v.ask(http.MethodGet, reading, fmt.Sprint("one-", i), "").status == http.StatusOK {
+	for i := range requests {
+		if v.send(http.MethodGet, readPath, fmt.Sprint("one-", i), "").status == http.StatusOK {
 			served++
 		}
 	}
 
-	if served < least {
-		t.Errorf("%d of %d requests served", served, asked)
+	if served < minServed {
+		t.Errorf("%d of %d requests served", served, requests)
 	}
 }
 
-// TestNoRoute wants a newcomer without a configuration to refuse, and a
-// request without a route to get 404.
+// TestNoRoute verifies that an entry VM refuses requests before it has a configuration, and
+// answers a request without a route with 404.
 func TestNoRoute(t *testing.T) {
 	f := newFleet(t)
 	v := f.start(t, "vm-1")
@@ -160,7 +159,7 @@
 	var early answer
 
 	cwtest.Wait(t, "an answer", func() bool {
-		early = v.ask(http.MethodGet, reading, "one", "")
+		early = v.send(http.MethodGet, readPath, "one", "")
 
 		return early.err == nil
 	})
@@ -170,20 +169,20 @@
 	}
 
 	f.upstream(t, "records", "i-1")
-	f.configure(safe("records"))
+	f.configure(safeRoute("records"))
 	v.waitReady(t)
 
-	if got := v.ask(http.MethodGet, "/elsewhere", "two", ""); got.status != http.StatusNotFound {
+	if got := v.send(http.MethodGet, "/elsewhere", "two", ""); got.status != http.StatusNotFound {
 		t.Errorf("without a route: %+v", got)
 	}
 }
 
-// TestLookup wants the answer which addresses to use to have the entry VMs
-// that take callers, near ones first, and a stopping one to be left out.
+// TestLookup verifies that lookup replies list the entry VMs that take callers, and leave out
+// a stopping one.
 func TestLookup(t *testing.T) {
 	f := newFleet(t)
 	f.upstream(t, "records", "i-1")
-	f.configure(safe("records"))
+	f.configure(safeRoute("records"))
 
 	var all []*vm
 	for i := range 3 {
@@ -197,10 +196,10 @@
 
 	cwtest.Wait(t, "all addresses", func() bool { return has(all[0]) && has(all[1]) && has(all[2]) })
 	all[2].once.Do(func() { close(all[2].stop) })
-	cwtest.Wait(t, "the end of an address", func() bool { return !has(all[2]) })
+	cwtest.Wait(t, "the stopping entry VM to be left out", func() bool { return !has(all[2]) })
 
 	if all[2].isReady() {
-		t.Error("a stopping entry VM says that it is ready")
+		t.Error("a stopping entry VM reports that it is ready")
 	}
 
 	if got := get(all[0].options.Lookup, "/elsewhere"); got.status != http.StatusNotFound {
@@ -208,22 +207,22 @@
 	}
 }
 
-// TestStop stops an entry VM under load and wants no request to be lost: each
-// gets its answer, or was never read.
+// TestStop stops an entry VM under load and verifies that no request is lost: each gets its
+// answer, or never reached a server.
 func TestStop(t *testing.T) {
 	f := newFleet(t)
 	u := f.upstream(t, "records", "i-1")
-	f.configure(safe("records"))
+	f.configure(safeRoute("records"))
 	u.SetMode(cwstand.UpstreamServes, 20*time.Millisecond)
 
 	v := f.start(t, "vm-1")
 	v.waitReady(t)
 
 	var (
-		group sync.WaitGroup
-		mutex sync.Mutex
-		ended = map[int]int{}
-		lost  int
+		group    sync.WaitGroup
+		mutex    sync.Mutex
+		statuses = map[int]int{}
+		lost     int
 	)
 
 	stop := make(chan struct{})
@@ -231,10 +230,10 @@
 	for i := range 4 {
 		group.Go(func() {
 			for n := 0; ; n++ {
-				got := v.ask(http.MethodGet, reading, fmt.Sprint("id-", i, "-", n), "")
+				got := v.send(http.MethodGet, readPath, fmt.Sprint("id-", i, "-", n), "")
 
 				mutex.Lock()
-				ended[got.status]++
+				statuses[got.status]++
 
 				if got.err != nil && !strings.Contains(got.err.Error(), "refused") && runs([]*cwstand.Upstream{u}, fmt.Sprint("id-", i, "-", n)) > 0 {
 					lost++
@@ -259,13 +258,13 @@
 	close(stop)
 	group.Wait()
 
-	if lost > 0 || ended[http.StatusOK] < 20 {
-		t.Errorf("%d lost, ends %v", lost, ended)
+	if lost > 0 || statuses[http.StatusOK] < 20 {
+		t.Errorf("%d lost, statuses %v", lost, statuses)
 	}
 }
 
-// TestBusyAddress wants an entry VM whose address is in use to end with an error,
-// not to stay without serving anybody.
+// TestBusyAddress verifies that an entry VM whose address is in use returns an error instead
+// of running on without serving anybody.
 func TestBusyAddress(t *testing.T) {
 	for name, busy := range map[string]func(*cwgateway.Options) carobward.Address{
 		"callers": func(o *cwgateway.Options) carobward.Address { return o.Self.Callers },
@@ -297,7 +296,7 @@
 					t.Errorf("%v", err)
 				}
 			case <-time.After(cwtest.MaxWait):
-				t.Error("it does not end")
+				t.Error("Run does not return")
 			}
 		})
 	}
--- a/internal/cwgateway/homes_test.go
+++ b/internal/cwgateway/homes_test.go
@@ -11,28 +11,28 @@
 	"carobward.example/carobward/internal/cwstand"
 )
 
-// TestHomesRequests has two regions with a server and an entry VM each. A request must
-// reach no server outside its route's homes, from either entry VM, is refused where no
-// home has a server, and without homes stays in the entry VM's region.
+// TestHomesRequests has two regions with a server and an entry VM each. From either entry VM, a
+// request must reach no server outside its route's allowed regions and is refused if these have
+// no servers. If all regions are allowed, it stays in the entry VM's region.
 func TestHomesRequests(t *testing.T) {
 	regions := map[carobward.Domain]carobward.Region{"a": "north", "b": "south"}
-	with := func(r cwstand.MetadataRoute, homes ...string) cwstand.MetadataRoute {
+	withRegions := func(r cwstand.MetadataRoute, allowed ...string) cwstand.MetadataRoute {
 		r = maps.Clone(r)
-		r["allowed_regions"] = homes
+		r["allowed_regions"] = allowed
 
 		return r
 	}
 
 	for name, c := range map[string]struct {
 		routes []cwstand.MetadataRoute
-		// want has the number of requests that each server gets of those at both entry
-		// VMs, in the order north, south.
+		// want is how many requests each server gets from both entry VMs, in the order north,
+		// south.
 		want [2]int
 	}{
-		"no homes":   {[]cwstand.MetadataRoute{safe("fees"), unsafe()}, [2]int{12, 12}},
-		"one home":   {[]cwstand.MetadataRoute{with(safe("fees"), "south"), with(unsafe(), "south")}, [2]int{0, 24}},
-		"both are":   {[]cwstand.MetadataRoute{with(safe("fees"), "south"), with(unsafe(), "north")}, [2]int{12, 12}},
-		"neither is": {[]cwstand.MetadataRoute{with(safe("fees"), "east"), with(unsafe(), "east")}, [2]int{0, 0}},
+		"all regions":      {[]cwstand.MetadataRoute{safeRoute("fees"), unsafeRoute()}, [2]int{12, 12}},
+		"one region":       {[]cwstand.MetadataRoute{withRegions(safeRoute("fees"), "south"), withRegions(unsafeRoute(), "south")}, [2]int{0, 24}},
+		"one region each":  {[]cwstand.MetadataRoute{withRegions(safeRoute("fees"), "south"), withRegions(unsafeRoute(), "north")}, [2]int{12, 12}},
+		"no servers there": {[]cwstand.MetadataRoute{withRegions(safeRoute("fees"), "east"), withRegions(unsafeRoute(), "east")}, [2]int{0, 0}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t)
@@ -45,8 +45,8 @@
 				v.waitReady(t)
 
 				for n := range 6 {
-					for method, path := range map[string]string{http.MethodGet: reading, http.MethodPost: charging} {
-						got := v.ask(method, path, fmt.Sprint(method, i, n), "")
+					for method, path := range map[string]string{http.MethodGet: readPath, http.MethodPost: chargePath} {
+						got := v.send(method, path, fmt.Sprint(method, i, n), "")
 						if refused := got.status == http.StatusServiceUnavailable; refused != (c.want == [2]int{}) {
 							t.Errorf("%s: %+v", path, got)
 						}
--- a/internal/cwgateway/know_test.go
+++ b/internal/cwgateway/know_test.go
@@ -17,19 +17,19 @@
 	"carobward.example/carobward/platform"
 )
 
-// TestChange wants a change to be in force on each entry VM, with few calls to
-// the store, also when the history is dropped and watches hear nothing.
+// TestChange verifies that a new configuration comes into force on all entry VMs, also if the
+// store has dropped its history or watches report nothing.
 func TestChange(t *testing.T) {
 	for name, fault := range map[string]func(*cwstand.MetadataStore){
-		"calm":             func(*cwstand.MetadataStore) {},
-		"history dropped":  (*cwstand.MetadataStore).Compact,
-		"watches are deaf": func(m *cwstand.MetadataStore) { m.SetFaults(cwstand.MetadataFaults{NoEvents: true}) },
+		"no fault":        func(*cwstand.MetadataStore) {},
+		"history dropped": (*cwstand.MetadataStore).Compact,
+		"silent watches":  func(m *cwstand.MetadataStore) { m.SetFaults(cwstand.MetadataFaults{NoEvents: true}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t)
 			f.upstream(t, "records", "i-1")
 			fees := f.upstream(t, "fees", "i-2")
-			f.configure(safe("records"))
+			f.configure(safeRoute("records"))
 
 			var all []*vm
 			for i := range 5 {
@@ -42,14 +42,14 @@
 			}
 
 			fault(f.store)
-			f.configure(safe("fees"))
+			f.configure(safeRoute("fees"))
 			f.store.Compact()
 			f.store.SetFaults(cwstand.MetadataFaults{})
 
 			for i, v := range all {
 				cwtest.Wait(t, "the change", func() bool {
 					before := len(fees.Runs())
-					got := v.ask(http.MethodGet, reading, fmt.Sprint("one-", i, before), "")
+					got := v.send(http.MethodGet, readPath, fmt.Sprint("one-", i, before), "")
 
 					return got.status == http.StatusOK && len(fees.Runs()) > before
 				})
@@ -58,8 +58,8 @@
 	}
 }
 
-// TestFirstListOnce wants the first list of servers to be one line in the log, and
-// each change after it one.
+// TestFirstListOnce verifies that the first list of servers is logged as one line, and each
+// later change as one more.
 func TestFirstListOnce(t *testing.T) {
 	const servers = 40
 
@@ -68,16 +68,16 @@
 		f.register("records", fmt.Sprint("i-", i), "127.0.0.1:9", "ready")
 	}
 
-	f.configure(safe("records"))
+	f.configure(safeRoute("records"))
 
 	var lists, entries atomic.Int64
 
 	v := f.start(t, "vm-1", func(o *cwgateway.Options) {
 		o.Log = funcr.New(func(_, line string) {
 			switch {
-			case strings.Contains(line, `"msg"="The first list of servers." "servers"=40`):
+			case strings.Contains(line, `"msg"="Received the first list of servers." "servers"=40`):
 				lists.Add(1)
-			case strings.Contains(line, `"msg"="A server's entry."`):
+			case strings.Contains(line, `"msg"="A server entry was read."`):
 				entries.Add(1)
 			}
 		}, funcr.Options{})
@@ -85,28 +85,28 @@
 	v.waitReady(t)
 
 	if l, e := lists.Load(), entries.Load(); l != 1 || e != 0 {
-		t.Errorf("%d lines for the list, %d for entries of it", l, e)
+		t.Errorf("%d lines for the first list, %d for its entries", l, e)
 	}
 
 	f.register("records", "i-new", "127.0.0.1:9", "ready")
 	cwtest.Wait(t, "the new server's line", func() bool { return entries.Load() == 1 })
 }
 
-// TestFewCalls wants most entry VMs to leave the store alone.
+// TestFewCalls verifies that most entry VMs do not call the store.
 func TestFewCalls(t *testing.T) {
 	const (
 		vms = 8
-		// enough is the number of calls in which each entry VM would ask several
-		// times if each watched.
+		// enough is a number of calls in which each entry VM would call several times if all of
+		// them watched the store.
 		enough = 3 * vms
-		// watching is the number of entry VMs that watch, and one that takes
-		// over where a heartbeat is late.
+		// watching is the number of entry VMs that watch the store: one, and one that takes over
+		// when a heartbeat is late.
 		watching = 2
 	)
 
 	f := newFleet(t)
 	f.upstream(t, "records", "i-1")
-	f.configure(safe("records"))
+	f.configure(safeRoute("records"))
 
 	var calls [vms]atomic.Int64
 
@@ -145,21 +145,22 @@
 	}
 
 	if asking > watching {
-		t.Errorf("%d of %d entry VMs asked the store", asking, vms)
+		t.Errorf("%d of %d entry VMs called the store", asking, vms)
 	}
 }
 
-// TestHoldCalls wants few calls while removals are held back after an outage: each
-// one waits for changes. Without that an entry VM calls as fast as the store answers,
-// hundreds of times in two seconds. A server that went in the outage goes in the end.
+// TestHoldCalls verifies that an entry VM makes few calls to the store while it holds back
+// removals after an outage: each call waits for changes. Otherwise it would call as fast as
+// the store answers, hundreds of times in two seconds. A server removed during the outage is
+// removed in the end.
 func TestHoldCalls(t *testing.T) {
-	// enough is the number of calls in the time of holding back.
+	// enough is the largest number of calls while removals are held back.
 	const enough = 16
 
 	f := newFleet(t)
 	f.upstream(t, "records", "i-1")
 	f.upstream(t, "records", "i-2")
-	f.configure(safe("records"))
+	f.configure(safeRoute("records"))
 
 	var held, gone atomic.Bool
 
@@ -168,7 +169,7 @@
 			switch {
 			case strings.Contains(line, `"msg"="The store is back."`) && strings.Contains(line, `"hold"=true`):
 				held.Store(true)
-			case strings.Contains(line, `"msg"="A server is gone." "server"="i-2"`):
+			case strings.Contains(line, `"msg"="A server entry was removed." "server"="i-2"`):
 				gone.Store(true)
 
 				if !held.Load() {
@@ -195,12 +196,12 @@
 	}
 }
 
-// TestStoreAway wants entry VMs to go on without the store, to take part of
-// one that the store does not serve, and a newcomer to start from its peers.
+// TestStoreAway verifies that entry VMs go on while the store is unavailable, that one can
+// join and start from its peers, and that all learn of changes after the outage.
 func TestStoreAway(t *testing.T) {
 	f := newFleet(t)
 	records := f.upstream(t, "records", "i-1")
-	f.configure(safe("records"))
+	f.configure(safeRoute("records"))
 
 	first := f.start(t, "vm-1")
 	first.waitReady(t)
@@ -210,41 +211,41 @@
 	next.waitReady(t)
 
 	for i, v := range []*vm{first, next} {
-		if got := v.ask(http.MethodGet, reading, fmt.Sprint("id-", i), ""); got.status != http.StatusOK {
+		if got := v.send(http.MethodGet, readPath, fmt.Sprint("id-", i), ""); got.status != http.StatusOK {
 			t.Errorf("%+v", got)
 		}
 	}
 
 	if len(records.Runs()) != 2 {
-		t.Error("lost")
+		t.Error("not both requests ran")
 	}
 
 	f.store.SetFaults(cwstand.MetadataFaults{})
 	f.upstream(t, "fees", "i-2")
-	f.configure(safe("fees"))
+	f.configure(safeRoute("fees"))
 
 	for _, v := range []*vm{first, next} {
 		cwtest.Wait(t, "the change after the outage", func() bool {
 			before := len(records.Runs())
-			got := v.ask(http.MethodGet, reading, "late", "")
+			got := v.send(http.MethodGet, readPath, "late", "")
 
 			return got.status == http.StatusOK && len(records.Runs()) == before
 		})
 	}
 }
 
-// TestFirst wants the first start of a fleet to ask the store once, by its
-// seed, and an entry VM that finds no seed to ask all the same.
+// TestFirst starts a fleet for the first time, when only its seed asks the store, and verifies
+// that all become ready. An entry VM that reaches no seed must ask the store itself.
 func TestFirst(t *testing.T) {
 	f := newFleet(t)
 	f.upstream(t, "records", "i-1")
-	f.configure(safe("records"))
+	f.configure(safeRoute("records"))
 
-	var asked atomic.Int64
+	var calls atomic.Int64
 
 	first := func(o *cwgateway.Options) {
 		o.First = true
-		o.Adapter = platform.Adapter(f.address, func() { asked.Add(1) })
+		o.Adapter = platform.Adapter(f.address, func() { calls.Add(1) })
 	}
 
 	seed := f.start(t, "vm-1", func(o *cwgateway.Options) {
@@ -255,18 +256,18 @@
 	seed.waitReady(t)
 	next.waitReady(t)
 
-	alone := f.start(t, "vm-3", first, func(o *cwgateway.Options) { o.Seeds = []carobward.Address{free(t)} })
-	before := asked.Load()
-	alone.waitReady(t)
+	withoutSeed := f.start(t, "vm-3", first, func(o *cwgateway.Options) { o.Seeds = []carobward.Address{freeAddress(t)} })
+	before := calls.Load()
+	withoutSeed.waitReady(t)
 
-	if asked.Load() == before {
+	if calls.Load() == before {
 		t.Error("an entry VM without a seed did not ask the store")
 	}
 }
 
-// TestBulk lets many servers register while only one entry VM, over a slow link,
-// is served by the store. All entry VMs must come to know all servers: by those
-// that have them already, since the first can't send them to all.
+// TestBulk registers many servers while the store serves only one entry VM, which has a slow
+// link. All entry VMs must learn of all servers from those that already know them, since the
+// first one can't send them to all.
 func TestBulk(t *testing.T) {
 	const (
 		vms     = 8
@@ -275,7 +276,7 @@
 
 	f := newFleet(t)
 	f.upstream(t, "records", "i-1")
-	f.configure(safe("records"))
+	f.configure(safeRoute("records"))
 
 	other := cwstand.NewMetadataStore()
 	other.SetFaults(cwstand.MetadataFaults{Status: http.StatusTooManyRequests})
@@ -308,22 +309,22 @@
 	}
 }
 
-// TestSeedsGone wants a newcomer whose seeds are all gone to find the others by
-// the store, and they it.
+// TestSeedsGone verifies that an entry VM whose seeds are all gone finds the others through
+// the store, and they find it.
 func TestSeedsGone(t *testing.T) {
 	f := newFleet(t)
 	f.upstream(t, "records", "i-1")
-	f.configure(safe("records"))
+	f.configure(safeRoute("records"))
 
 	first := f.start(t, "vm-1")
 	first.waitReady(t)
 	f.start(t, "vm-2").waitReady(t)
 
-	gone := func(o *cwgateway.Options) { o.Seeds = []carobward.Address{free(t)} }
+	withGoneSeed := func(o *cwgateway.Options) { o.Seeds = []carobward.Address{freeAddress(t)} }
 
 	cwtest.Wait(t, "the list in the store", func() bool { return f.store.Has(string(carobward.KeyFleet)) })
 
-	late := f.start(t, "vm-3", gone)
+	late := f.start(t, "vm-3", withGoneSeed)
 	late.waitReady(t)
 
 	for _, v := range []*vm{first, late} {
@@ -333,13 +334,13 @@
 	}
 }
 
-// TestTurnedAway wants an entry VM that the store refuses to learn of a change
-// from the others.
+// TestTurnedAway verifies that an entry VM that the store refuses to serve learns of changes
+// from its peers.
 func TestTurnedAway(t *testing.T) {
 	f := newFleet(t)
 	f.upstream(t, "records", "i-1")
 	fees := f.upstream(t, "fees", "i-2")
-	f.configure(safe("records"))
+	f.configure(safeRoute("records"))
 
 	other := cwstand.NewMetadataStore()
 	other.SetFaults(cwstand.MetadataFaults{Status: http.StatusTooManyRequests})
@@ -349,37 +350,37 @@
 
 	v := f.start(t, "vm-2", func(o *cwgateway.Options) { o.Adapter = platform.Adapter(refused, func() {}) })
 	v.waitReady(t)
-	f.configure(safe("fees"))
+	f.configure(safeRoute("fees"))
 
 	cwtest.Wait(t, "the change", func() bool {
-		v.ask(http.MethodGet, reading, "one", "")
+		v.send(http.MethodGet, readPath, "one", "")
 
 		return len(fees.Runs()) > 0
 	})
 }
 
-// TestDrain wants a server that leaves to get no more work, whether it says so
-// or its entry goes.
+// TestDrain verifies that a leaving server gets no more requests, whether it announces that in
+// its entry or the entry is removed.
 func TestDrain(t *testing.T) {
 	for name, leave := range map[string]func(*fleet, carobward.Address){
-		"it says so":     func(f *fleet, at carobward.Address) { f.register("records", "i-1", at, "draining") },
-		"its entry goes": func(f *fleet, _ carobward.Address) { f.store.Delete("servers/i-1") },
+		"its entry says so":    func(f *fleet, at carobward.Address) { f.register("records", "i-1", at, "draining") },
+		"its entry is removed": func(f *fleet, _ carobward.Address) { f.store.Delete("servers/i-1") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t)
 			leaving := f.upstream(t, "records", "i-1")
-			f.configure(safe("records"))
+			f.configure(safeRoute("records"))
 
 			v := f.start(t, "vm-1")
 			v.waitReady(t)
-			v.ask(http.MethodGet, reading, "one", "")
+			v.send(http.MethodGet, readPath, "one", "")
 			f.upstream(t, "records", "i-2")
 			leave(f, leaving.Address())
 
 			cwtest.Wait(t, "no more work", func() bool {
 				before := len(leaving.Runs())
 				for range 10 {
-					v.ask(http.MethodGet, reading, "two", "")
+					v.send(http.MethodGet, readPath, "two", "")
 				}
 
 				return len(leaving.Runs()) == before
@@ -388,42 +389,42 @@
 	}
 }
 
-// TestAddressReused wants a server at the address of another one to get none
-// of that one's work.
+// TestAddressReused verifies that a server gets no requests that are meant for another server
+// with the same address.
 func TestAddressReused(t *testing.T) {
 	f := newFleet(t)
 	other := f.upstream(t, "fees", "i-2")
 	f.register("records", "i-1", other.Address(), "ready")
-	f.configure(safe("records"))
+	f.configure(safeRoute("records"))
 
 	v := f.start(t, "vm-1")
 	v.waitReady(t)
 
-	if got := v.ask(http.MethodGet, reading, "one", ""); got.status != http.StatusServiceUnavailable || len(other.Runs()) != 0 {
+	if got := v.send(http.MethodGet, readPath, "one", ""); got.status != http.StatusServiceUnavailable || len(other.Runs()) != 0 {
 		t.Errorf("%+v, %d runs", got, len(other.Runs()))
 	}
 }
 
-// TestSuspended lets an entry VM be suspended while the store tells it nothing, and wants
-// its copy to count as older by that time, so that it asks as soon as it can.
+// TestSuspended suspends an entry VM while the store sends it nothing. Its replica must age by
+// that time, so that the entry VM asks the store as soon as it can.
 func TestSuspended(t *testing.T) {
-	const away = time.Hour
+	const suspended = time.Hour
 
 	f := newFleet(t)
 	f.upstream(t, "records", "i-1")
-	f.configure(safe("records"))
+	f.configure(safeRoute("records"))
 
-	var slept atomic.Int64
+	var pending atomic.Int64
 
 	v := f.start(t, "vm-1", func(o *cwgateway.Options) {
-		o.Suspended = func() time.Duration { return time.Duration(slept.Swap(0)) }
+		o.Suspended = func() time.Duration { return time.Duration(pending.Swap(0)) }
 	})
 	v.waitReady(t)
 
 	f.store.SetFaults(cwstand.MetadataFaults{Silent: true})
-	slept.Store(int64(away))
-	cwtest.Wait(t, "the age", func() bool { return v.gauge(t, "fresh") >= int(away.Milliseconds()) })
+	pending.Store(int64(suspended))
+	cwtest.Wait(t, "the replica to age", func() bool { return v.gauge(t, "fresh") >= int(suspended.Milliseconds()) })
 
 	f.store.SetFaults(cwstand.MetadataFaults{})
-	cwtest.Wait(t, "a fresh copy", func() bool { return v.gauge(t, "fresh") < int(away.Milliseconds())/2 })
+	cwtest.Wait(t, "a fresh replica", func() bool { return v.gauge(t, "fresh") < int(suspended.Milliseconds())/2 })
 }
--- a/internal/cwgateway/limit.go
+++ b/internal/cwgateway/limit.go
@@ -6,12 +6,12 @@
 	"carobward.example/carobward"
 )
 
-// takeWords takes what servers said to another entry VM.
-func (g *Gateway) takeWords(words carobward.ServerWords, from carobward.VMID) {
+// applyReports takes over what servers reported to another entry VM.
+func (g *Gateway) applyReports(words carobward.ServerWords, from carobward.VMID) {
 	now := g.Clock.Now()
 
 	for _, w := range g.servers.MergeLeaving(words.Leaving, now) {
-		g.log.Info("A server says that it leaves, it gets nothing more.", "server", w.Server, "start", w.Start, "from", "peer", "vm", from)
+		g.log.Info("A server reports that it is leaving; it gets no further requests.", "server", w.Server, "start", w.Start, "from", "peer", "vm", from)
 	}
 
 	for _, w := range g.servers.MergeLimits(words.Limits) {
@@ -20,27 +20,27 @@
 	}
 }
 
-// limited is a server that names a limit, as operators see it.
-type limited struct {
+// limitedServer is a server that reports a limit, as shown to operators.
+type limitedServer struct {
 	Server  carobward.Instance `json:"server"`
 	Service carobward.Service  `json:"service"`
-	// Rate is the requests a second that it takes from all entry VMs together; Readable
-	// tells whether what it says could be read.
+	// Rate is the requests a second that it accepts from all entry VMs together; Readable
+	// reports whether its last report could be parsed.
 	Rate     carobward.Rate `json:"rate"`
 	Readable bool           `json:"readable"`
-	// Age is how old its last word is.
+	// Age is the age of its last report.
 	Age string `json:"age"`
-	// Part is how many requests this entry VM sends it in any Window.
+	// Part is how many requests this entry VM may send it in any Window.
 	Part   int    `json:"part"`
 	Window string `json:"window"`
 }
 
-// limits returns the servers that name a limit in the order of their names.
-func (g *Gateway) limits(now time.Time) []limited {
-	list := []limited{}
+// limitedServers returns the servers that report a limit, sorted by name.
+func (g *Gateway) limitedServers(now time.Time) []limitedServer {
+	list := []limitedServer{}
 
 	for _, l := range g.servers.Limited(now) {
-		list = append(list, limited{
+		list = append(list, limitedServer{
 			Server: l.Server, Service: l.Service, Rate: l.Limit.Rate, Readable: l.Limit.Readable,
 			Age: now.Sub(l.At).Round(time.Millisecond).String(), Part: l.Part, Window: l.Window.Round(time.Millisecond).String(),
 		})
--- a/internal/cwgateway/limit_test.go
+++ b/internal/cwgateway/limit_test.go
@@ -14,28 +14,24 @@
 	"carobward.example/carobward/internal/cwtest"
 )
 
-// Servers in need named in their replies how many requests a second they take from all
-// entry VMs together, and got as many as before: 3.8 a second before one of them named 1.4,
-// 4.1 after it, by way of eight entry VMs, four of which sent it 14 requests within 4 s.
-//
-//	10.8879 front-ifrane-hall-7 front: msg=Sent. server=i-8ee57cbedf running=1 queued=0 slots=4 outcome=answered
-//	11.1702 front-ifrane-hall-8 front: msg=Sent. server=i-8ee57cbedf running=0 queued=0 slots=4 outcome=answered
-//	11.2173 front-ifrane-hall-2 front: msg=Sent. server=i-8ee57cbedf running=1 queued=0 slots=4 outcome=answered
-//
-// Nothing read what the servers said, so no entry VM sent less, whatever its looks showed.
-
-// The users' bound on a server that names a limit, from limitFirst after it named the first
-// one: in any limitWindow one and a half times what that allows, and limitSlack more.
+// These tests guard against limits that are ignored. Servers under load reported in their
+// replies how many requests a second they accept from all entry VMs together, and got as many
+// as before: 3.8 a second before one of them reported 1.4, and 4.1 after it, from eight entry
+// VMs, four of which sent it 14 requests within 4 s. No entry VM read the reports, so none sent
+// less, whatever its health checks showed.
+
+// The users' bound for a server that reports a limit, from limitDelay after its first report:
+// in any limitWindow limitFactor times what the limit allows, and limitSlack more.
 const (
-	limitFirst  = 3 * time.Second
+	limitDelay  = 3 * time.Second
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
 )
 
-// limited is a fleet of four entry VMs, two in each of two failure domains, with three
-// servers in the first one and two in the other, under a steady load.
-type limited struct {
+// limitedFleet is a fleet under a steady load: two entry VMs in each of two failure domains,
+// with three servers in the first one and two in the second.
+type limitedFleet struct {
 	*fleet
 
 	servers []*cwstand.Upstream
@@ -44,23 +40,23 @@
 	stop    chan struct{}
 }
 
-func newLimited(t *testing.T) *limited {
+func newLimitedFleet(t *testing.T) *limitedFleet {
 	t.Helper()
 
-	l := &limited{fleet: newFleet(t), stop: make(chan struct{})}
+	l := &limitedFleet{fleet: newFleet(t), stop: make(chan struct{})}
 
 	for i := range 5 {
 		instance := fmt.Sprint("i-", i)
 		u := l.upstream(t, "fees", instance)
 		u.SetMode(cwstand.UpstreamServes, 2*time.Millisecond)
-		l.store.Put("servers/"+instance, cwstand.ServerEntry("fees", u.Address(), limitedDomain(i/3), "ready"))
+		l.store.Put("servers/"+instance, cwstand.ServerEntry("fees", u.Address(), domainName(i/3), "ready"))
 		l.servers = append(l.servers, u)
 	}
 
-	l.configure(safe("fees"), unsafe())
+	l.configure(safeRoute("fees"), unsafeRoute())
 
 	for i := range 4 {
-		v := l.start(t, fmt.Sprint("vm-", i), func(o *cwgateway.Options) { o.Self.Domain = limitedDomain(i % 2) })
+		v := l.start(t, fmt.Sprint("vm-", i), func(o *cwgateway.Options) { o.Self.Domain = domainName(i % 2) })
 		v.waitReady(t)
 		l.vms = append(l.vms, v)
 	}
@@ -76,14 +72,14 @@
 	return l
 }
 
-func limitedDomain(i int) carobward.Domain { return carobward.Domain("ab"[i : i+1]) }
+func domainName(i int) carobward.Domain { return carobward.Domain("ab"[i : i+1]) }
 
-// call sends requests to an entry VM until the end.
-func (l *limited) call(v *vm, caller string) {
+// call sends requests to an entry VM until the load ends.
+func (l *limitedFleet) call(v *vm, caller string) {
 	const pause = 15 * time.Millisecond
 
 	for n := 0; ; n++ {
-		v.ask([]string{http.MethodGet, http.MethodPost}[n%2], []string{reading, charging}[n%2], fmt.Sprint(caller, "-", n), "")
+		v.send([]string{http.MethodGet, http.MethodPost}[n%2], []string{readPath, chargePath}[n%2], fmt.Sprint(caller, "-", n), "")
 
 		select {
 		case <-l.stop:
@@ -93,8 +89,8 @@
 	}
 }
 
-// end ends the load. It may be called again.
-func (l *limited) end() {
+// end ends the load. It may be called more than once.
+func (l *limitedFleet) end() {
 	select {
 	case <-l.stop:
 	default:
@@ -104,93 +100,92 @@
 	l.group.Wait()
 }
 
-// most returns the most requests that a server got in any limitWindow that began after a
-// moment.
-func most(u *cwstand.Upstream, after time.Time) int {
-	list := u.Arrivals()
-	worst := 0
+// maxInWindow returns the largest number of requests that a server got in any limitWindow
+// that began after a time.
+func maxInWindow(u *cwstand.Upstream, after time.Time) int {
+	arrivals := u.Arrivals()
+	highest := 0
 
-	for i := range list {
+	for i := range arrivals {
 		n := 0
-		for i+n < len(list) && list[i+n].Sub(list[i]) < limitWindow {
+		for i+n < len(arrivals) && arrivals[i+n].Sub(arrivals[i]) < limitWindow {
 			n++
 		}
 
-		if !list[i].Before(after) {
-			worst = max(worst, n)
+		if !arrivals[i].Before(after) {
+			highest = max(highest, n)
 		}
 	}
 
-	return worst
+	return highest
 }
 
 func allowed(limit float64) int { return int(limitFactor*limit*limitWindow.Seconds()) + limitSlack }
 
-// TestLimit wants a server that names a limit to get no more than the users allow, from all
-// entry VMs together, from the moment at which they have to know it, and some all the same.
+// TestLimit verifies that a server that reports a limit gets no more requests from all entry
+// VMs together than the bound allows once they have to know the limit, and gets some.
 func TestLimit(t *testing.T) {
-	// span is the time after limitFirst that is watched, and ever the pause between the
-	// steps of one case.
+	// observation is how long the server is observed after limitDelay, stepInterval the time
+	// between the steps of a test case.
 	const (
-		span = limitWindow + 2*time.Second
-		step = time.Second
+		observation  = limitWindow + 2*time.Second
+		stepInterval = time.Second
 	)
 
 	for name, c := range map[string]struct {
-		// says is what the server names, one step after the other, the last one to the end.
-		says [][]string
-		// limit is the highest of them that it names after limitFirst.
+		// reported has the limits that the server reports in each step; the last step stays.
+		reported [][]string
+		// limit is the highest limit that is reported after limitDelay.
 		limit float64
 	}{
-		"low":                            {[][]string{{"1"}}, 1},
-		"of several the lowest":          {[][]string{{"9", "2.5"}}, 2.5},
-		"lowered step by step":           {[][]string{{"20"}, {"8"}, {"2"}}, 2},
-		"up and down":                    {[][]string{{"1"}, {"6"}, {"1.5"}, {"6"}, {"2"}}, 6},
-		"what can't be read after 1.5":   {[][]string{{"1.5"}, {"few"}}, 1.5},
-		"taken back and named once more": {[][]string{{"2"}, nil, {"2"}}, 2},
-		"hardly any":                     {[][]string{{"0.2"}}, 0.2},
+		"low":                          {[][]string{{"1"}}, 1},
+		"the lowest of several":        {[][]string{{"9", "2.5"}}, 2.5},
+		"lowered step by step":         {[][]string{{"20"}, {"8"}, {"2"}}, 2},
+		"up and down":                  {[][]string{{"1"}, {"6"}, {"1.5"}, {"6"}, {"2"}}, 6},
+		"an invalid report after 1.5":  {[][]string{{"1.5"}, {"few"}}, 1.5},
+		"withdrawn and reported again": {[][]string{{"2"}, nil, {"2"}}, 2},
+		"below one":                    {[][]string{{"0.2"}}, 0.2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 
-			l := newLimited(t)
+			l := newLimitedFleet(t)
 			u := l.servers[0]
 			cwtest.Wait(t, "load", func() bool { return len(u.Runs()) > 20 })
 
-			for i, says := range c.says {
+			for i, limits := range c.reported {
 				if i > 0 {
-					<-time.After(step)
+					<-time.After(stepInterval)
 				}
 
-				u.SetLimit(says...)
+				u.SetLimit(limits...)
 			}
 
-			// With the last step there is a limit that holds.
+			// From the last step on, a limit is in force.
 			last := time.Now()
 
-			<-time.After(limitFirst + span)
+			<-time.After(limitDelay + observation)
 			l.end()
 
-			if got, want := most(u, last.Add(limitFirst)), allowed(c.limit); got > want {
+			if got, want := maxInWindow(u, last.Add(limitDelay)), allowed(c.limit); got > want {
 				t.Errorf("%d requests in %s, %d allowed", got, limitWindow, want)
 			}
 
-			if c.limit >= 1 && most(u, last) == 0 {
-				t.Error("it gets nothing at all")
+			if c.limit >= 1 && maxInWindow(u, last) == 0 {
+				t.Error("the server gets no requests")
 			}
 		})
 	}
 }
 
-// TestLimitLifted wants a server to get as much as others soon after it has stopped naming a
-// limit, from each entry VM of its failure domain. Operators see the limit as long as it
-// stands.
+// TestLimitLifted verifies that a server gets as many requests as others soon after it has
+// stopped to report a limit, and that operators see the limit while it is in force.
 func TestLimitLifted(t *testing.T) {
-	l := newLimited(t)
+	l := newLimitedFleet(t)
 	u := l.servers[0]
 	cwtest.Wait(t, "load", func() bool { return len(u.Runs()) > 20 })
 	u.SetLimit("2")
-	<-time.After(limitFirst)
+	<-time.After(limitDelay)
 
 	if got := get(l.vms[0].options.Metrics, "/status"); !strings.Contains(got.body, `"limited":[{"server":"i-0","service":"fees","rate":2,"readable":true`) {
 		t.Errorf("operators see %s", got.body)
@@ -205,25 +200,25 @@
 	})
 }
 
-// TestLimitAll wants requests to be refused at once where all servers name a limit that is
-// used up, with a time to come back, and truly not run.
+// TestLimitAll verifies that requests are refused at once, with a Retry-After, if the limits
+// of all servers are used up.
 func TestLimitAll(t *testing.T) {
-	l := newLimited(t)
+	l := newLimitedFleet(t)
 	for _, u := range l.servers {
 		u.SetLimit("0.1")
 	}
 
-	<-time.After(limitFirst)
+	<-time.After(limitDelay)
 	l.end()
 
 	for _, v := range l.vms {
-		for _, path := range []string{reading, charging} {
+		for _, path := range []string{readPath, chargePath} {
 			id := fmt.Sprint("refused", path, v.options.Self.ID)
 
 			var got answer
 
 			cwtest.Wait(t, "a refusal", func() bool {
-				got = v.ask(http.MethodPost, path, id, "")
+				got = v.send(http.MethodPost, path, id, "")
 
 				return got.status == http.StatusServiceUnavailable
 			})
--- a/internal/cwgateway/listen.go
+++ b/internal/cwgateway/listen.go
@@ -14,42 +14,42 @@
 	"carobward.example/carobward/internal/cwpeer"
 )
 
-// partMetrics names the listener without which an entry VM still serves.
-const partMetrics = "metrics"
+// listenerMetrics is the name of the only listener that an entry VM can do without.
+const listenerMetrics = "metrics"
 
-// part is one listener and what serves it.
-type part struct {
+// listenerSpec is a listener's name and address, and the function that serves it.
+type listenerSpec struct {
 	name    string
 	address carobward.Address
 	serve   func(net.Listener) error
 }
 
-// listen opens all listeners and serves them.
+// listen opens all listeners and starts to serve them.
 func (g *Gateway) listen(ctx context.Context, group *conc.WaitGroup) ([]net.Listener, error) {
 	peers := cwpeer.NewServer(g.Key, g.Log)
 	if err := peers.Register(cwmesh.Service, cwmesh.NewAnswers(g.mesh)); err != nil {
 		return nil, err
 	}
 
-	parts := []part{
+	specs := []listenerSpec{
 		{"callers", g.Self.Callers, g.front.Server().Serve},
-		{"ready", g.Ready, small(g.serveReady)},
-		{"lookup", g.Lookup, small(g.serveLookup)},
+		{"ready", g.Ready, auxiliaryServer(g.serveReady)},
+		{"lookup", g.Lookup, auxiliaryServer(g.serveLookup)},
 		{"peers", g.Self.Peers, peers.Serve},
-		{partMetrics, g.Metrics, small(g.serveOperators)},
+		{listenerMetrics, g.Metrics, auxiliaryServer(g.serveOperators)},
 	}
 
-	all, err := g.open(parts)
+	listeners, err := g.open(specs)
 	if err != nil {
 		return nil, err
 	}
 
-	for i, ln := range all {
-		p := parts[i]
+	for i, ln := range listeners {
+		s := specs[i]
 
 		group.Go(func() {
-			if err := p.serve(ln); err != nil && ctx.Err() == nil {
-				g.log.Info("A listener ended.", "listener", p.name, "cause", err.Error())
+			if err := s.serve(ln); err != nil && ctx.Err() == nil {
+				g.log.Info("A listener failed.", "listener", s.name, "cause", err.Error())
 			}
 		})
 	}
@@ -57,46 +57,46 @@
 	group.Go(func() {
 		<-ctx.Done()
 		peers.Close()
-		closeAll(all)
+		closeAll(listeners)
 	})
 
-	return all, nil
+	return listeners, nil
 }
 
-// open opens the listeners, in the order of the parts. None is left open if one
-// can't be: it would keep a process that serves nobody. Callers are served without
-// metrics, too, which come last.
-func (g *Gateway) open(parts []part) ([]net.Listener, error) {
-	var all []net.Listener
+// open opens the listeners in the order of specs. If one can't be opened, it closes the
+// others and returns the error: a process with only some of them would run on without serving
+// anybody. The metrics listener is the exception; it may be missing, and comes last.
+func (g *Gateway) open(specs []listenerSpec) ([]net.Listener, error) {
+	var listeners []net.Listener
 
-	for _, p := range parts {
-		ln, err := net.Listen("tcp", string(p.address))
+	for _, s := range specs {
+		ln, err := net.Listen("tcp", string(s.address))
 
 		switch {
 		case err == nil:
-			all = append(all, ln)
-		case p.name == partMetrics:
-			g.log.Error(err, "The metrics are not served.")
+			listeners = append(listeners, ln)
+		case s.name == listenerMetrics:
+			g.log.Error(err, "The metrics listener can't be opened; metrics are not served.")
 		default:
-			closeAll(all)
+			closeAll(listeners)
 
-			return nil, errors.Annotate(err, p.name)
+			return nil, errors.Annotate(err, s.name)
 		}
 	}
 
-	return all, nil
+	return listeners, nil
 }
 
-func closeAll(all []net.Listener) {
-	for _, ln := range all {
+func closeAll(listeners []net.Listener) {
+	for _, ln := range listeners {
 		_ = ln.Close()
 	}
 }
 
-// small returns what serves a listener for short questions.
-func small(h fasthttp.RequestHandler) func(net.Listener) error {
+// auxiliaryServer returns the serve function of a small HTTP server with short timeouts.
+func auxiliaryServer(h fasthttp.RequestHandler) func(net.Listener) error {
 	s := &fasthttp.Server{
-		Handler: h, ReadTimeout: listenTime, WriteTimeout: listenTime, ReduceMemoryUsage: true,
+		Handler: h, ReadTimeout: listenerTimeout, WriteTimeout: listenerTimeout, ReduceMemoryUsage: true,
 		NoDefaultServerHeader: true, NoDefaultDate: true,
 	}
 
@@ -112,15 +112,14 @@
 	}
 }
 
-// keep returns for how long callers may keep an answer which addresses to use.
-// Some keep it three times as long, and must be gone when a stopping entry VM
-// takes no more connections.
-func (g *Gateway) keep() time.Duration {
-	const longest = 3.2
+// lookupTTL returns how long callers may keep a lookup reply. Some keep it three times as
+// long, and must have stopped using it when a stopping entry VM accepts no more connections.
+func (g *Gateway) lookupTTL() time.Duration {
+	const holdFactor = 3.2
 
 	b := g.bounds.Load()
 
-	return min(answerTime, b.AnswerMost, time.Duration(serveShare*float64(b.Grace)/longest))
+	return min(defaultLookupTTL, b.AnswerMost, time.Duration(acceptShare*float64(b.Grace)/holdFactor))
 }
 
 func (g *Gateway) serveLookup(ctx *fasthttp.RequestCtx) {
@@ -132,7 +131,7 @@
 
 	arg := func(name string) string { return string(ctx.QueryArgs().Peek(name)) }
 	lookup := g.Adapter.Lookup
-	list := g.addresses(asker{lookup.Domain(arg), lookup.Region(arg), lookup.Host(arg)})
+	list := g.addresses(lookupQuery{lookup.Domain(arg), lookup.Region(arg), lookup.Host(arg)})
 
 	if len(list) == 0 {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
@@ -140,9 +139,9 @@
 		return
 	}
 
-	body, err := g.Adapter.Lookup.Answer(list, g.keep())
+	body, err := g.Adapter.Lookup.Answer(list, g.lookupTTL())
 	if err != nil {
-		g.log.Error(err, "The answer which addresses to use could not be encoded.")
+		g.log.Error(err, "The lookup reply could not be encoded.")
 		ctx.SetStatusCode(fasthttp.StatusInternalServerError)
 
 		return
--- a/internal/cwgateway/operators.go
+++ b/internal/cwgateway/operators.go
@@ -12,25 +12,25 @@
 	"carobward.example/carobward/internal/cwquarantine"
 )
 
-// pathQuarantine has the requests under which servers ended. DELETE of one of them by
-// its print ends its quarantine.
+// pathQuarantine lists the requests under which servers crashed. DELETE of one of them, by
+// its fingerprint, ends its quarantine.
 const pathQuarantine = "/quarantine"
 
-// pathStatus has what this entry VM believes now.
+// pathStatus shows the current state of this entry VM.
 const pathStatus = "/status"
 
-// serveOperators answers the operators: the metrics, by any path but these.
+// serveOperators answers operators: the metrics on any path but those above.
 func (g *Gateway) serveOperators(ctx *fasthttp.RequestCtx) {
-	text, isPrint := strings.CutPrefix(string(ctx.Path()), pathQuarantine+"/")
+	fingerprint, isFingerprint := strings.CutPrefix(string(ctx.Path()), pathQuarantine+"/")
 
 	switch {
-	case isPrint && ctx.IsDelete():
-		g.lift(ctx, text)
+	case isFingerprint && ctx.IsDelete():
+		g.lift(ctx, fingerprint)
 	case string(ctx.Path()) == pathQuarantine && ctx.IsGet():
 		g.listQuarantine(ctx)
 	case string(ctx.Path()) == pathStatus && ctx.IsGet():
 		g.writeStatus(ctx)
-	case isPrint, string(ctx.Path()) == pathQuarantine, string(ctx.Path()) == pathStatus:
+	case isFingerprint, string(ctx.Path()) == pathQuarantine, string(ctx.Path()) == pathStatus:
 		ctx.SetStatusCode(fasthttp.StatusMethodNotAllowed)
 	default:
 		ctx.SetContentType("application/json")
@@ -38,45 +38,45 @@
 	}
 }
 
-// suspect is one request under which servers ended, as operators see it.
-type suspect struct {
-	// Print names the request, and Request says what it is.
-	Print   string              `json:"print"`
-	Request string              `json:"request"`
-	Caller  string              `json:"caller"`
-	Route   carobward.RouteName `json:"route"`
-	Service carobward.Service   `json:"service"`
-	// Held tells that it is not sent, Wait for how long at least.
+// quarantineEntry is a request under which servers crashed, as shown to operators.
+type quarantineEntry struct {
+	// Fingerprint identifies the request, Request describes it.
+	Fingerprint string              `json:"print"`
+	Request     string              `json:"request"`
+	Caller      string              `json:"caller"`
+	Route       carobward.RouteName `json:"route"`
+	Service     carobward.Service   `json:"service"`
+	// Held reports that the request is quarantined, Wait for how long at least.
 	Held bool   `json:"held"`
 	Wait string `json:"wait,omitempty"`
-	// Trials is how often it was sent all the same to find out whether servers bear
-	// it now.
-	Trials  int     `json:"trials"`
-	Crashes []ended `json:"crashes"`
+	// Trials is how often the quarantined request was sent to check whether servers
+	// survive it now.
+	Trials  int           `json:"trials"`
+	Crashes []serverCrash `json:"crashes"`
 }
 
-// ended is the end of one server under a request.
-type ended struct {
+// serverCrash is the crash of one server while it ran a request.
+type serverCrash struct {
 	Server carobward.Instance `json:"server"`
 	At     time.Time          `json:"at"`
 	VM     carobward.VMID     `json:"vm"`
 }
 
 func (g *Gateway) listQuarantine(ctx *fasthttp.RequestCtx) {
-	list := []suspect{}
+	list := []quarantineEntry{}
 
-	for _, e := range g.suspects.List(g.Clock.Now()) {
-		list = append(list, suspectOf(&e))
+	for _, e := range g.quarantine.List(g.Clock.Now()) {
+		list = append(list, newQuarantineEntry(&e))
 	}
 
-	g.writeOperators(ctx, list)
+	g.writeJSON(ctx, list)
 }
 
-// writeOperators writes what operators asked for.
-func (g *Gateway) writeOperators(ctx *fasthttp.RequestCtx, what any) {
-	raw, err := json.Marshal(what)
+// writeJSON replies to an operator with a value as JSON.
+func (g *Gateway) writeJSON(ctx *fasthttp.RequestCtx, value any) {
+	raw, err := json.Marshal(value)
 	if err != nil {
-		g.log.Error(err, "An answer to the operators could not be encoded.", "path", string(ctx.Path()))
+		g.log.Error(err, "A reply to an operator could not be encoded.", "path", string(ctx.Path()))
 		ctx.SetStatusCode(fasthttp.StatusInternalServerError)
 
 		return
@@ -86,23 +86,23 @@
 	ctx.SetBody(raw)
 }
 
-// status is what one entry VM believes now.
+// status is the current state of one entry VM.
 type status struct {
 	VM     carobward.VMID   `json:"vm"`
 	Domain carobward.Domain `json:"domain"`
 	Ready  bool             `json:"ready"`
-	// Version is the configuration in force, 0 before there is one.
+	// Version is that of the configuration in force, 0 before the first one.
 	Version carobward.Version `json:"version"`
-	// Index is how far its copy of the store is, Age how old the store's last word is.
+	// Index is the store index of the replica, Age the time since it was known to be current.
 	Index carobward.StoreIndex `json:"index"`
 	Age   string               `json:"age"`
-	// Servers is the number of servers, Fleet that of the entry VMs that share bounds.
+	// Servers is the number of servers, Fleet the number of entry VMs that share limits.
 	Servers int `json:"servers"`
 	Fleet   int `json:"fleet"`
-	// Evacuated has the failure domains whose servers get nothing.
+	// Evacuated has the failure domains whose servers get no requests.
 	Evacuated []evacuation `json:"evacuated"`
-	// Limited has the servers that name how many requests a second they take.
-	Limited []limited `json:"limited"`
+	// Limited has the servers that report how many requests a second they accept.
+	Limited []limitedServer `json:"limited"`
 }
 
 func (g *Gateway) writeStatus(ctx *fasthttp.RequestCtx) {
@@ -110,20 +110,20 @@
 	s := status{
 		VM: g.Self.ID, Domain: g.Self.Domain, Ready: g.isReady(), Index: g.mirror.State().Index,
 		Age:     now.Sub(g.mesh.Fresh()).Round(time.Millisecond).String(),
-		Servers: g.servers.Count(), Fleet: g.table.Size(now), Evacuated: g.evacuations(), Limited: g.limits(now),
+		Servers: g.servers.Count(), Fleet: g.table.Size(now), Evacuated: g.evacuations(), Limited: g.limitedServers(now),
 	}
 
 	if t := g.front.Routes(); t != nil {
 		s.Version = t.Version
 	}
 
-	g.writeOperators(ctx, s)
+	g.writeJSON(ctx, s)
 }
 
-func suspectOf(e *cwquarantine.Entry) suspect {
+func newQuarantineEntry(e *cwquarantine.Entry) quarantineEntry {
 	last := &e.Crashes[len(e.Crashes)-1]
-	s := suspect{
-		Print: e.Fingerprint.String(), Request: last.Request, Caller: last.Caller, Route: last.Route, Service: last.Service,
+	s := quarantineEntry{
+		Fingerprint: e.Fingerprint.String(), Request: last.Request, Caller: last.Caller, Route: last.Route, Service: last.Service,
 		Held: e.Quarantined, Trials: e.Trials,
 	}
 
@@ -133,18 +133,18 @@
 
 	for i := range e.Crashes {
 		c := &e.Crashes[i]
-		s.Crashes = append(s.Crashes, ended{c.Server, c.At, c.VM})
+		s.Crashes = append(s.Crashes, serverCrash{c.Server, c.At, c.VM})
 	}
 
 	return s
 }
 
-// lift ends the quarantine of a request everywhere. It is answered once the store has
-// it.
-func (g *Gateway) lift(ctx *fasthttp.RequestCtx, text string) {
-	p, err := cwquarantine.ParseFingerprint(text)
+// lift ends the quarantine of a request on all entry VMs. It reports success only once the
+// store has the change.
+func (g *Gateway) lift(ctx *fasthttp.RequestCtx, fingerprint string) {
+	p, err := cwquarantine.ParseFingerprint(fingerprint)
 	if err == nil {
-		err = g.keeper.Lift(p)
+		err = g.quarantineKeeper.Lift(p)
 	} else {
 		ctx.Error(err.Error()+"\n", fasthttp.StatusBadRequest)
 
--- a/internal/cwgateway/poison_test.go
+++ b/internal/cwgateway/poison_test.go
@@ -15,64 +15,58 @@
 	"carobward.example/carobward/internal/cwtest"
 )
 
-// A request ended each server that began to run it. Its caller sent it again and again,
-// under a new id each time and to any entry VM, and each entry VM sent it to a second
-// server by itself once the first had broken off. Within 1.4 s 20 of 32 servers had
-// ended, while the load on them was as usual:
-//
-//	8.976 front: Sent. server=i-5b3c931f3c running=1 queued=0 slots=4 outcome=broken took=102
-//	8.994 front: A look at a server failed. server=i-5b3c931f3c cause="connect: connection refused"
-//	9.032 front: Sent. server=i-8ee57cbedf running=0 queued=0 slots=4 outcome=broken took=54
-//
-// Then no server had room, 62 of 130 requests a second were in time, and innocent
-// requests in flight at the servers were cut. Nothing that one entry VM saw of it was
-// known to another, or to itself at the next attempt.
-
-// place is an address at which one server after the other runs.
-type place struct {
+// These tests guard against a request that crashes each server that runs it. Its caller sent it
+// again and again, under a new ID each time and to any entry VM, and each entry VM retried it at
+// a second server after the first had crashed. Within 1.4 s, 20 of 32 servers had crashed under
+// an ordinary load. Then no server had capacity, 62 of 130 requests a second were in time, and
+// other requests in flight at those servers were cut off. What one entry VM saw of this was
+// known neither to the others, nor to itself at the next attempt.
+
+// serverSlot is an address at which one server process runs after another.
+type serverSlot struct {
 	address carobward.Address
 	starts  int
 	server  *cwstand.Upstream
 }
 
-// instance returns the name of the present run.
-func (p *place) instance() string {
+// instance returns the instance name of the current process.
+func (p *serverSlot) instance() string {
 	_, port, _ := net.SplitHostPort(string(p.address))
 
 	return fmt.Sprintf("i-%s-%d", port, p.starts)
 }
 
-// crashing is a group of servers that certain requests end. Each is back at once, as
-// another run.
-type crashing struct {
+// crashingServers is a group of servers that certain requests crash. Each restarts at once as
+// a new instance.
+type crashingServers struct {
 	fleet   *fleet
 	isFatal func(cwstand.Run) bool
 
-	mutex  sync.Mutex
-	places []*place
-	// crashes counts the servers that ended.
+	mutex sync.Mutex
+	slots []*serverSlot
+	// crashes counts the crashed servers.
 	crashes int
 	closed  bool
 }
 
-func newCrashing(t *testing.T, f *fleet, servers int, isFatal func(cwstand.Run) bool) *crashing {
+func newCrashingServers(t *testing.T, f *fleet, servers int, isFatal func(cwstand.Run) bool) *crashingServers {
 	t.Helper()
 
-	c := &crashing{fleet: f, isFatal: isFatal}
+	c := &crashingServers{fleet: f, isFatal: isFatal}
 	t.Cleanup(c.close)
 
 	for range servers {
 		ln := cwtest.Listen(t)
-		p := &place{address: carobward.Address(ln.Addr().String())}
-		c.places = append(c.places, p)
-		c.begin(p, ln)
+		p := &serverSlot{address: carobward.Address(ln.Addr().String())}
+		c.slots = append(c.slots, p)
+		c.start(p, ln)
 	}
 
 	return c
 }
 
-// begin starts the next run of a server.
-func (c *crashing) begin(p *place, ln net.Listener) {
+// start starts the next process of a slot.
+func (c *crashingServers) start(p *serverSlot, ln net.Listener) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 
@@ -84,14 +78,14 @@
 
 	p.starts++
 	u := cwstand.NewUpstream(ln, carobward.Instance(p.instance()))
-	u.SetCrash(c.isFatal, func() { c.ended(p) })
+	u.SetCrash(c.isFatal, func() { c.restart(p) })
 	p.server = u
 	c.fleet.register("fees", p.instance(), p.address, "ready")
 }
 
-// ended starts the next process at a place. One that crashes says nothing, so that its
-// entry stays for a while.
-func (c *crashing) ended(p *place) {
+// restart starts the next process of a slot after a crash. The entry of the crashed process
+// stays in the store until it expires.
+func (c *crashingServers) restart(p *serverSlot) {
 	const lapse = 300 * time.Millisecond
 
 	c.mutex.Lock()
@@ -104,46 +98,46 @@
 
 	for {
 		if ln, err := net.Listen("tcp", string(p.address)); err == nil {
-			c.begin(p, ln)
+			c.start(p, ln)
 
 			return
 		}
 	}
 }
 
-func (c *crashing) count() int {
+func (c *crashingServers) count() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 
 	return c.crashes
 }
 
-func (c *crashing) close() {
+func (c *crashingServers) close() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 
 	c.closed = true
-	for _, p := range c.places {
+	for _, p := range c.slots {
 		p.server.Close()
 	}
 }
 
 const poison = "poison"
 
-// isPoison tells whether a request ends the server that runs it.
+// isPoison reports whether a request crashes the server that runs it.
 func isPoison(r cwstand.Run) bool { return strings.HasSuffix(r.URI, poison) || r.Body == poison }
 
-// askAll sends a request to one entry VM after the other, each of which knows by then
-// what the others wrote, until all have refused it one after the other, or up to a number of
-// times. It tells whether all have.
-func (c *crashing) askAll(t *testing.T, all []*vm, method, path, body string, most int) bool {
+// sendUntilRefused sends a request to the entry VMs in turn, each of which has received by then
+// what the others wrote, until all of them have refused it in a row, or up to a number of times.
+// It reports whether all have refused it.
+func (c *crashingServers) sendUntilRefused(t *testing.T, all []*vm, method, path, body string, most int) bool {
 	t.Helper()
 
 	for i, refused := 0, 0; i < most; i++ {
 		v := all[i%len(all)]
-		c.fleet.waitCopy(t, v)
+		c.fleet.waitReplica(t, v)
 
-		got := v.ask(method, path, fmt.Sprint("first", i), body)
+		got := v.send(method, path, fmt.Sprint("first", i), body)
 		if !got.isQuarantined() {
 			refused = 0
 
@@ -151,7 +145,7 @@
 		}
 
 		if got.header.Get("Retry-After") == "" {
-			t.Errorf("a refusal does not say when to come back: %+v", got)
+			t.Errorf("a refusal has no Retry-After: %+v", got)
 		}
 
 		if refused++; refused == len(all) {
@@ -162,26 +156,26 @@
 	return false
 }
 
-// TestPoison wants a request that ends each server that runs it to be refused by all
-// entry VMs, and others beside it to be served.
+// TestPoison verifies that all entry VMs refuse a request that crashes each server that runs
+// it, and still serve other requests.
 func TestPoison(t *testing.T) {
 	const (
-		// rounds is how often the caller comes back at most until all refuse.
-		rounds = 60
-		// more is how often it comes back then, sendsMost how many of these
-		// attempts may reach servers in all.
-		more      = 40
-		sendsMost = 3
+		// maxRounds is how often the caller sends the request at most until all refuse it.
+		maxRounds = 60
+		// repeats is how often it sends the request after that, and maxCrashes how many servers
+		// that may crash in all.
+		repeats    = 40
+		maxCrashes = 3
 	)
 
 	for name, c := range map[string]struct{ method, path, body string }{
-		"a read":   {http.MethodGet, reading + poison, ""},
-		"a charge": {http.MethodPost, charging, poison},
+		"a read":   {http.MethodGet, readPath + poison, ""},
+		"a charge": {http.MethodPost, chargePath, poison},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t)
-			servers := newCrashing(t, f, 12, isPoison)
-			f.configure(safe("fees"), unsafe())
+			servers := newCrashingServers(t, f, 12, isPoison)
+			f.configure(safeRoute("fees"), unsafeRoute())
 
 			var all []*vm
 			for i := range 4 {
@@ -193,24 +187,24 @@
 				v.waitReady(t)
 			}
 
-			if !servers.askAll(t, all, c.method, c.path, c.body, rounds) {
+			if !servers.sendUntilRefused(t, all, c.method, c.path, c.body, maxRounds) {
 				t.Error("not all entry VMs refuse it")
 			}
 
 			before := servers.count()
 
-			for i := range more {
-				all[i%len(all)].ask(c.method, c.path, fmt.Sprint("more", i), c.body)
+			for i := range repeats {
+				all[i%len(all)].send(c.method, c.path, fmt.Sprint("more", i), c.body)
 			}
 
-			t.Logf("%d servers had ended before all refused, %d after", before, servers.count()-before)
+			t.Logf("%d servers crashed before all entry VMs refused, %d after", before, servers.count()-before)
 
-			if n := servers.count() - before; n > sendsMost {
-				t.Errorf("%d servers had ended, and the request ended %d more", before, n)
+			if n := servers.count() - before; n > maxCrashes {
+				t.Errorf("%d servers crashed before all entry VMs refused, and %d more after", before, n)
 			}
 
 			for i, v := range all {
-				if got := v.ask(c.method, c.path+"x", fmt.Sprint("other", i), c.body+"x"); got.status != http.StatusOK {
+				if got := v.send(c.method, c.path+"x", fmt.Sprint("other", i), c.body+"x"); got.status != http.StatusOK {
 					t.Errorf("another request: %+v", got)
 				}
 			}
--- a/internal/cwgateway/quarantine_test.go
+++ b/internal/cwgateway/quarantine_test.go
@@ -18,10 +18,10 @@
 	"carobward.example/carobward/internal/cwtest"
 )
 
-// shifted is a clock that can be put forward.
-type shifted struct{ by atomic.Int64 }
+// shiftedClock is a clock that can be put forward.
+type shiftedClock struct{ by atomic.Int64 }
 
-func (s *shifted) Now() time.Time { return time.Now().Add(time.Duration(s.by.Load())) }
+func (s *shiftedClock) Now() time.Time { return time.Now().Add(time.Duration(s.by.Load())) }
 
 // startAll starts entry VMs of two failure domains and waits until they are ready.
 func startAll(t *testing.T, f *fleet, name string, clock carobward.Clock) []*vm {
@@ -41,15 +41,15 @@
 	return all
 }
 
-// charge is a request that ends servers, refused once it is quarantined.
-func (v *vm) charge(id string) answer { return v.ask(http.MethodPost, charging, id, poison) }
+// sendPoison sends the request that crashes servers, which is refused once it is quarantined.
+func (v *vm) sendPoison(id string) answer { return v.send(http.MethodPost, chargePath, id, poison) }
 
 func (a *answer) isQuarantined() bool {
 	return a.status == http.StatusServiceUnavailable && strings.Contains(a.body, "servers ended under this request")
 }
 
-// waitQuarantined waits until an entry VM refuses the request that ends servers,
-// without sending it.
+// waitQuarantined waits until each entry VM has the request that crashes servers in
+// quarantine. It sends no requests.
 func waitQuarantined(t *testing.T, all []*vm) {
 	t.Helper()
 
@@ -58,18 +58,18 @@
 	}
 }
 
-// listed is one request as the operators' page has it.
-type listed struct {
-	Print   string `json:"print"`
-	Request string `json:"request"`
-	Held    bool   `json:"held"`
-	Trials  int    `json:"trials"`
-	Crashes []any  `json:"crashes"`
+// listedRequest is a request on the operators' page.
+type listedRequest struct {
+	Fingerprint string `json:"print"`
+	Request     string `json:"request"`
+	Held        bool   `json:"held"`
+	Trials      int    `json:"trials"`
+	Crashes     []any  `json:"crashes"`
 }
 
-// quarantined returns what the operators' page of an entry VM lists as quarantined.
-func (v *vm) quarantined() []listed {
-	var all, held []listed
+// quarantined returns the requests that the operators' page of an entry VM lists as quarantined.
+func (v *vm) quarantined() []listedRequest {
+	var all, held []listedRequest
 
 	if json.Unmarshal([]byte(get(v.options.Metrics, "/quarantine").body), &all) != nil {
 		return nil
@@ -84,30 +84,30 @@
 	return held
 }
 
-// TestBlame has the ways in which a request breaks off against whether it is blamed
-// for the end of its server.
+// TestBlame verifies for each way in which a request can break off whether it is blamed for a
+// crash of its server.
 func TestBlame(t *testing.T) {
-	const last = charging + "last"
+	const last = chargePath + "last"
 
 	for name, c := range map[string]struct {
 		way cwstand.UpstreamMode
-		// fatal tells that the server ends, leaves that the list said so before.
+		// fatal reports that the server crashes, leaves that its entry was removed before.
 		fatal, leaves bool
 		blamed        bool
 	}{
-		"the process ends":           {cwstand.UpstreamServes, true, false, true},
-		"a process that leaves ends": {cwstand.UpstreamServes, true, true, false},
-		"it resets the connection":   {cwstand.UpstreamResets, false, false, false},
-		"it is silent":               {cwstand.UpstreamSilent, false, false, false},
-		"it cuts its answer":         {cwstand.UpstreamTruncates, false, false, false},
-		"it fails":                   {cwstand.UpstreamFails, false, false, false},
-		"it refuses, having run":     {cwstand.UpstreamRefuses, false, false, false},
+		"the process crashes":       {cwstand.UpstreamServes, true, false, true},
+		"a leaving process crashes": {cwstand.UpstreamServes, true, true, false},
+		"it resets the connection":  {cwstand.UpstreamResets, false, false, false},
+		"it is silent":              {cwstand.UpstreamSilent, false, false, false},
+		"it cuts its answer":        {cwstand.UpstreamTruncates, false, false, false},
+		"it fails":                  {cwstand.UpstreamFails, false, false, false},
+		"it refuses, having run":    {cwstand.UpstreamRefuses, false, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t)
 			begun, goOn := make(chan struct{}, 1), make(chan struct{})
 
-			servers := newCrashing(t, f, 1, func(r cwstand.Run) bool {
+			servers := newCrashingServers(t, f, 1, func(r cwstand.Run) bool {
 				if r.URI == last {
 					return true
 				}
@@ -117,34 +117,34 @@
 
 				return c.fatal
 			})
-			servers.places[0].server.SetMode(c.way, 0)
-			f.configure(unsafe())
+			servers.slots[0].server.SetMode(c.way, 0)
+			f.configure(unsafeRoute())
 
 			v := f.start(t, "vm-1")
 			v.waitReady(t)
 
-			ends := make(chan answer, 1)
-			go func() { ends <- v.askWithin(http.MethodPost, charging, "one", "", 400) }()
+			answers := make(chan answer, 1)
+			go func() { answers <- v.sendWithin(http.MethodPost, chargePath, "one", "", 400) }()
 
 			<-begun
 
 			if c.leaves {
-				f.store.Delete("servers/" + servers.places[0].instance())
+				f.store.Delete("servers/" + servers.slots[0].instance())
 				cwtest.Wait(t, "the removal", func() bool { return v.gauge(t, "servers") == 0 })
 			}
 
 			close(goOn)
-			<-ends
+			<-answers
 
-			// One that is certain to be blamed, and shared after the first.
+			// This request is sure to be blamed, and its crash is shared after that of the first.
 			cwtest.Wait(t, "the last crash", func() bool {
-				v.ask(http.MethodPost, last, "last", "")
+				v.send(http.MethodPost, last, "last", "")
 
 				return strings.Contains(get(v.options.Metrics, "/quarantine").body, last)
 			})
 
-			if blamed := strings.Contains(get(v.options.Metrics, "/quarantine").body, charging+`"`); blamed != c.blamed {
-				t.Errorf("blamed: %v", blamed)
+			if blamed := strings.Contains(get(v.options.Metrics, "/quarantine").body, chargePath+`"`); blamed != c.blamed {
+				t.Errorf("blamed: got %v", blamed)
 			}
 		})
 	}
@@ -153,7 +153,7 @@
 // gauge returns a metric of the gateway.
 func (v *vm) gauge(t *testing.T, name string) int { return v.metric(t, "gateway", name) }
 
-// metric returns a metric of a part.
+// metric returns a metric of a group.
 func (v *vm) metric(t *testing.T, part, name string) int {
 	t.Helper()
 
@@ -162,36 +162,36 @@
 		t.Fatal(err)
 	}
 
-	var of map[string]int
-	if err := json.Unmarshal(all[part], &of); err != nil {
+	var metrics map[string]int
+	if err := json.Unmarshal(all[part], &metrics); err != nil {
 		t.Fatal(err)
 	}
 
-	return of[name]
+	return metrics[name]
 }
 
-// waitCopy waits until an entry VM has what the store has now.
-func (f *fleet) waitCopy(t *testing.T, v *vm) {
+// waitReplica waits until the replica of an entry VM has all changes of the store.
+func (f *fleet) waitReplica(t *testing.T, v *vm) {
 	t.Helper()
 
 	revision := f.store.Revision()
 	cwtest.Wait(t, "the store's changes", func() bool { return v.gauge(t, "index") >= int(revision) })
 }
 
-// TestQuarantineKnown wants the quarantine to be known to entry VMs that come later,
-// to a fleet that starts again, and after an outage of the store.
+// TestQuarantineKnown verifies that a quarantine is known to entry VMs that join later, to a
+// fleet that restarts, and after an outage of the store.
 func TestQuarantineKnown(t *testing.T) {
 	f := newFleet(t)
-	servers := newCrashing(t, f, 8, isPoison)
-	f.configure(unsafe())
+	servers := newCrashingServers(t, f, 8, isPoison)
+	f.configure(unsafeRoute())
 
 	all := startAll(t, f, "vm-", carobward.SystemClock{})
 
-	// The store is away while servers end: what was seen waits for it.
+	// During an outage of the store, records of crashes wait until it is back.
 	f.store.SetFaults(cwstand.MetadataFaults{Status: http.StatusServiceUnavailable})
 
 	for i := range 3 {
-		all[0].charge(fmt.Sprint("away", i))
+		all[0].sendPoison(fmt.Sprint("away", i))
 	}
 
 	f.store.SetFaults(cwstand.MetadataFaults{})
@@ -204,7 +204,7 @@
 	before := servers.count()
 
 	for i, v := range all {
-		if got := v.charge(fmt.Sprint("known", i)); !got.isQuarantined() || got.header.Get("Retry-After") == "" {
+		if got := v.sendPoison(fmt.Sprint("known", i)); !got.isQuarantined() || got.header.Get("Retry-After") == "" {
 			t.Errorf("entry VM %d: %+v", i, got)
 		}
 
@@ -216,47 +216,47 @@
 	f.mutex.Unlock()
 
 	for i, v := range startAll(t, f, "again-", carobward.SystemClock{}) {
-		if got := v.charge(fmt.Sprint("again", i)); !got.isQuarantined() {
-			t.Errorf("entry VM %d after all have started again: %+v", i, got)
+		if got := v.sendPoison(fmt.Sprint("again", i)); !got.isQuarantined() {
+			t.Errorf("entry VM %d after the restart of all: %+v", i, got)
 		}
 	}
 
 	if n := servers.count() - before; n > 0 {
-		t.Errorf("%d more servers ended", n)
+		t.Errorf("%d more servers crashed", n)
 	}
 }
 
-// TestTrial wants a quarantined request to be sent by one entry VM of all once in a
-// while, and to be served by all once that was answered.
+// TestTrial verifies that only one of all entry VMs sends a quarantined request as a trial, and
+// that all serve the request once a trial was answered.
 func TestTrial(t *testing.T) {
 	const trialAfter = 40 * time.Second
 
 	var (
 		healed atomic.Bool
-		clock  shifted
+		clock  shiftedClock
 	)
 
 	f := newFleet(t)
-	servers := newCrashing(t, f, 8, func(r cwstand.Run) bool { return !healed.Load() && isPoison(r) })
-	f.configure(unsafe())
+	servers := newCrashingServers(t, f, 8, func(r cwstand.Run) bool { return !healed.Load() && isPoison(r) })
+	f.configure(unsafeRoute())
 
 	all := startAll(t, f, "vm-", &clock)
 	for i := range 3 {
-		all[0].charge(fmt.Sprint("first", i))
+		all[0].sendPoison(fmt.Sprint("first", i))
 	}
 
 	waitQuarantined(t, all)
 
 	before := servers.count()
 
-	// askTogether has all entry VMs ask for the trial at the same moment.
-	askTogether := func(name string) {
+	// sendTogether sends the request to all entry VMs at once when a trial is due.
+	sendTogether := func(name string) {
 		clock.by.Add(int64(trialAfter))
 
-		// To each of them the store has been silent for that time.
+		// With their clock put forward, the store seems to have been silent for that time.
 		for _, v := range all {
 			v.waitReady(t)
-			cwtest.Wait(t, "a word of the store", func() bool { return v.gauge(t, "fresh") < 1500 })
+			cwtest.Wait(t, "a reply of the store", func() bool { return v.gauge(t, "fresh") < 1500 })
 		}
 
 		var group sync.WaitGroup
@@ -268,7 +268,7 @@
 				go func() {
 					defer group.Done()
 
-					v.charge(fmt.Sprint(name, i, "-", n))
+					v.sendPoison(fmt.Sprint(name, i, "-", n))
 				}()
 			}
 		}
@@ -276,78 +276,78 @@
 		group.Wait()
 	}
 
-	askTogether("trial")
+	sendTogether("trial")
 
 	if n := servers.count() - before; n != 1 {
-		t.Errorf("%d servers ended by one trial", n)
+		t.Errorf("%d servers crashed by one trial", n)
 	}
 
 	healed.Store(true)
-	askTogether("healed")
+	sendTogether("healed")
 
 	for i, v := range all {
-		cwtest.Wait(t, "an answer", func() bool { return v.charge(fmt.Sprint("served", i)).status == http.StatusOK })
+		cwtest.Wait(t, "an answer", func() bool { return v.sendPoison(fmt.Sprint("served", i)).status == http.StatusOK })
 	}
 
 	cwtest.Wait(t, "an empty store", func() bool { return len(f.store.Keys("carobward/crash/"))+len(f.store.Keys("carobward/trial/")) == 0 })
 }
 
-// TestTrialRefused has the server refuse that gets the send of a trial, and wants the trial to
-// go to another one: nothing has run, and the next trial is half a minute away.
+// TestTrialRefused has a server refuse the request of a trial. The trial must go on at another
+// server: nothing has run, and the next trial is half a minute away.
 func TestTrialRefused(t *testing.T) {
 	const trialAfter = 4 * time.Second
 
-	var clock shifted
+	var clock shiftedClock
 
 	f := newFleet(t)
-	servers := newCrashing(t, f, 2, isPoison)
-	f.configure(unsafe())
+	servers := newCrashingServers(t, f, 2, isPoison)
+	f.configure(unsafeRoute())
 
 	v := f.start(t, "vm-1", func(o *cwgateway.Options) { o.Clock = &clock })
 	v.waitReady(t)
 
 	for i := 0; len(v.quarantined()) == 0; i++ {
-		v.charge(fmt.Sprint("first", i))
+		v.sendPoison(fmt.Sprint("first", i))
 	}
 
 	cwtest.Wait(t, "both servers", func() bool { return v.gauge(t, "servers") == 2 })
 
 	before := servers.count()
-	servers.places[0].server.SetMode(cwstand.UpstreamSheds, 0)
-	servers.places[1].server.SetLoad("3,0,4,100") // The other one is the first choice.
+	servers.slots[0].server.SetMode(cwstand.UpstreamSheds, 0)
+	servers.slots[1].server.SetLoad("3,0,4,100") // Makes the other server the preferred one.
 
 	clock.by.Add(int64(trialAfter))
-	cwtest.Wait(t, "a word of the store", func() bool { return v.gauge(t, "fresh") < 1500 })
+	cwtest.Wait(t, "a reply of the store", func() bool { return v.gauge(t, "fresh") < 1500 })
 	cwtest.Wait(t, "the trial", func() bool {
-		v.charge(fmt.Sprint("trial", clock.Now().UnixNano()))
+		v.sendPoison(fmt.Sprint("trial", clock.Now().UnixNano()))
 
 		return v.quarantined()[0].Trials == 1
 	})
 
-	if n := servers.count() - before; n != 1 || len(servers.places[0].server.Refusals()) == 0 {
-		t.Errorf("%d servers ended by the trial, %d refused it", n, len(servers.places[0].server.Refusals()))
+	if n := servers.count() - before; n != 1 || len(servers.slots[0].server.Refusals()) == 0 {
+		t.Errorf("%d servers crashed by the trial, %d refusals", n, len(servers.slots[0].server.Refusals()))
 	}
 }
 
-// TestLift wants an operator to see a quarantined request on any entry VM, and to end
-// its quarantine on all by one call.
+// TestLift verifies that operators see a quarantined request on any entry VM, and end its
+// quarantine on all of them with one call.
 func TestLift(t *testing.T) {
 	var healed atomic.Bool
 
 	f := newFleet(t)
-	newCrashing(t, f, 8, func(r cwstand.Run) bool { return !healed.Load() && isPoison(r) })
-	f.configure(unsafe())
+	newCrashingServers(t, f, 8, func(r cwstand.Run) bool { return !healed.Load() && isPoison(r) })
+	f.configure(unsafeRoute())
 
 	all := startAll(t, f, "vm-", carobward.SystemClock{})
 	for i := range 3 {
-		all[0].charge(fmt.Sprint("first", i))
+		all[0].sendPoison(fmt.Sprint("first", i))
 	}
 
 	waitQuarantined(t, all)
 	healed.Store(true)
 
 	list := all[1].quarantined()
-	if len(list) != 1 || list[0].Request != "POST "+host+charging || len(list[0].Crashes) != 3 {
+	if len(list) != 1 || list[0].Request != "POST "+host+chargePath || len(list[0].Crashes) != 3 {
 		t.Errorf("%+v", list)
 	}
 
@@ -355,8 +355,8 @@
 		method, path string
 		want         int
 	}{
-		"no print":        {http.MethodDelete, "/quarantine/17", http.StatusBadRequest},
-		"another request": {http.MethodDelete, "/quarantine/" + strings.Repeat("0", 16) + list[0].Print[16:], http.StatusNotFound},
+		"no fingerprint":  {http.MethodDelete, "/quarantine/17", http.StatusBadRequest},
+		"another request": {http.MethodDelete, "/quarantine/" + strings.Repeat("0", 16) + list[0].Fingerprint[16:], http.StatusNotFound},
 		"another method":  {http.MethodPost, "/quarantine", http.StatusMethodNotAllowed},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -366,12 +366,12 @@
 		})
 	}
 
-	if got := call(http.MethodDelete, all[2].options.Metrics, "/quarantine/"+list[0].Print); got.status != http.StatusNoContent {
+	if got := call(http.MethodDelete, all[2].options.Metrics, "/quarantine/"+list[0].Fingerprint); got.status != http.StatusNoContent {
 		t.Errorf("%+v", got)
 	}
 
 	for i, v := range all {
-		cwtest.Wait(t, "an answer", func() bool { return v.charge(fmt.Sprint("served", i)).status == http.StatusOK })
+		cwtest.Wait(t, "an answer", func() bool { return v.sendPoison(fmt.Sprint("served", i)).status == http.StatusOK })
 	}
 
 	if diff := cmp.Diff([]string(nil), f.store.Keys("carobward/crash/")); diff != "" {
@@ -379,7 +379,7 @@
 	}
 }
 
-// call makes one call to an operators' listener.
+// call sends one request to an operators' listener.
 func call(method string, address carobward.Address, path string) answer {
 	req, err := http.NewRequest(method, "http://"+string(address)+path, nil)
 	if err != nil {
@@ -389,16 +389,16 @@
 	return do(req)
 }
 
-// TestInnocents sends innocent requests beside one that ends servers, some of them the
-// same again and again, and wants none of them to be refused for it.
+// TestInnocents sends other requests beside one that crashes servers, some of them the same
+// again and again. None of them may be quarantined.
 func TestInnocents(t *testing.T) {
 	f := newFleet(t)
-	servers := newCrashing(t, f, 16, isPoison)
-	f.configure(safe("fees"), unsafe())
+	servers := newCrashingServers(t, f, 16, isPoison)
+	f.configure(safeRoute("fees"), unsafeRoute())
 
 	all := startAll(t, f, "vm-", carobward.SystemClock{})
 
-	for _, p := range servers.places {
+	for _, p := range servers.slots {
 		p.server.SetMode(cwstand.UpstreamServes, 20*time.Millisecond)
 	}
 
@@ -423,7 +423,7 @@
 				default:
 				}
 
-				got := all[(i+n)%len(all)].ask(http.MethodGet, fmt.Sprint(reading, n%2*i), fmt.Sprint("innocent", n, "-", i), "")
+				got := all[(i+n)%len(all)].send(http.MethodGet, fmt.Sprint(readPath, n%2*i), fmt.Sprint("innocent", n, "-", i), "")
 				asked.Add(1)
 
 				if got.isQuarantined() {
@@ -433,13 +433,13 @@
 		}()
 	}
 
-	ok := servers.askAll(t, all, http.MethodPost, charging, poison, 60)
+	ok := servers.sendUntilRefused(t, all, http.MethodPost, chargePath, poison, 60)
 	close(stop)
 	group.Wait()
 
-	t.Logf("%d servers ended, %d innocent requests, %d refused", servers.count(), asked.Load(), refused.Load())
+	t.Logf("%d servers crashed, %d other requests, %d of them refused", servers.count(), asked.Load(), refused.Load())
 
 	if n := refused.Load(); n > 0 || !ok {
-		t.Errorf("%d of %d innocent requests were refused for those that end servers", n, asked.Load())
+		t.Errorf("%d of %d other requests were quarantined", n, asked.Load())
 	}
 }
--- a/internal/cwgateway/quota_test.go
+++ b/internal/cwgateway/quota_test.go
@@ -12,21 +12,20 @@
 	"carobward.example/carobward/internal/cwtest"
 )
 
-// TestQuota sends the requests of one team by way of several entry VMs. Together they let no
-// more through than its quota has; the others are refused with when to come back, and another
-// team's are served.
+// TestQuota sends requests of one team to several entry VMs. Together they let through no more
+// than its quota and refuse the others with a Retry-After. Requests of another team are served.
 func TestQuota(t *testing.T) {
 	const (
-		vms   = 3
-		burst = 12
-		asked = 60
+		vms      = 3
+		burst    = 12
+		requests = 60
 	)
 
 	f := newFleet(t)
 	u := f.upstream(t, "records", "i-1")
-	f.teams([]cwstand.MetadataTeam{
+	f.configureTeams([]cwstand.MetadataTeam{
 		{Name: "club", Keys: []string{clubKey}, Rate: 0.01, Burst: burst}, {Name: "pilots", Keys: []string{pilotKey}},
-	}, safe("records"))
+	}, safeRoute("records"))
 
 	var all []*vm
 
@@ -39,24 +38,24 @@
 		all = append(all, v)
 	}
 
-	cwtest.Wait(t, "a token", func() bool { return all[0].askAs(reading, "first", bearer(clubKey)).status == http.StatusOK })
+	cwtest.Wait(t, "a token", func() bool { return all[0].sendWithFields(readPath, "first", bearer(clubKey)).status == http.StatusOK })
 
-	ends := map[int]int{}
+	statuses := map[int]int{}
 
-	for i := range asked {
-		got := all[i%vms].askAs(reading, fmt.Sprint("one-", i), bearer(clubKey))
-		ends[got.status]++
+	for i := range requests {
+		got := all[i%vms].sendWithFields(readPath, fmt.Sprint("one-", i), bearer(clubKey))
+		statuses[got.status]++
 
 		if got.status == http.StatusTooManyRequests && got.header.Get("Retry-After") == "" {
 			t.Errorf("%v", got.header)
 		}
 	}
 
-	if n := len(u.Runs()); n > burst || ends[http.StatusTooManyRequests] < asked-burst {
-		t.Errorf("%d runs, ends %v", n, ends)
+	if n := len(u.Runs()); n > burst || statuses[http.StatusTooManyRequests] < requests-burst {
+		t.Errorf("%d runs, statuses %v", n, statuses)
 	}
 
-	if got := all[1].askAs(reading, "free", bearer(pilotKey)); got.status != http.StatusOK {
+	if got := all[1].sendWithFields(readPath, "free", bearer(pilotKey)); got.status != http.StatusOK {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/cwgateway/restore_test.go
+++ b/internal/cwgateway/restore_test.go
@@ -13,35 +13,35 @@
 	"carobward.example/carobward/internal/cwtest"
 )
 
-// runsAt wants an entry VM to have its lookups run by a server from now on.
-func runsAt(t *testing.T, v *vm, u *cwstand.Upstream) {
+// waitServedBy waits until a server answers the lookups that an entry VM forwards.
+func waitServedBy(t *testing.T, v *vm, u *cwstand.Upstream) {
 	t.Helper()
 
 	cwtest.Wait(t, "lookups of "+string(v.options.Self.ID), func() bool {
 		before := len(u.Runs())
-		got := v.ask(http.MethodGet, reading, fmt.Sprint("id-", before), "")
+		got := v.send(http.MethodGet, readPath, fmt.Sprint("id-", before), "")
 
 		return got.status == http.StatusOK && len(u.Runs()) > before
 	})
 }
 
-// TestIndexGivenOutTwice brings the store back from a copy and wants a change to be in
-// force that gets an index which another change had before.
+// TestIndexGivenOutTwice restores the store from a backup. A change whose index an earlier, lost
+// change had must come into force.
 func TestIndexGivenOutTwice(t *testing.T) {
 	for name, c := range map[string]struct {
-		// lost is how many changes the store loses, since how many it takes after the one
-		// that counts and before it serves entry VMs again.
-		lost, since int
+		// lost is how many changes the store loses, later how many it takes after the change that
+		// counts and before it serves entry VMs again.
+		lost, later int
 	}{
-		"below the copies":  {5, 0},
-		"at the copies":     {1, 0},
-		"beyond the copies": {2, 6},
+		"below the replicas' index":  {5, 0},
+		"at the replicas' index":     {1, 0},
+		"beyond the replicas' index": {2, 6},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t)
 			records := f.upstream(t, "records", "i-1")
 			fees := f.upstream(t, "fees", "i-2")
-			f.configure(safe("records"))
+			f.configure(safeRoute("records"))
 
 			var all []*vm
 			for i := range 3 {
@@ -52,57 +52,58 @@
 			f.store.Save()
 
 			for range c.lost {
-				f.configure(safe("records"))
+				f.configure(safeRoute("records"))
 			}
 
 			for _, v := range all {
-				cwtest.Wait(t, "the last change before", func() bool { return v.gauge(t, "version") == f.version })
-				runsAt(t, v, records)
+				cwtest.Wait(t, "the last change before the restore", func() bool { return v.gauge(t, "version") == f.version })
+				waitServedBy(t, v, records)
 			}
 
 			f.store.SetFaults(cwstand.MetadataFaults{Status: http.StatusServiceUnavailable})
 			f.store.Restore()
 
-			f.configure(safe("fees"))
+			f.configure(safeRoute("fees"))
 
-			for i := range c.since {
+			for i := range c.later {
 				f.store.Put(fmt.Sprint("other/", i), nil)
 			}
 
 			f.store.SetFaults(cwstand.MetadataFaults{})
 
 			for _, v := range all {
-				runsAt(t, v, fees)
+				waitServedBy(t, v, fees)
 			}
 		})
 	}
 }
 
-// restored is a fleet of two entry VMs, with a server in each of two failure domains, whose
-// store came back from a copy.
-type restored struct {
+// restoredFleet is a fleet of two entry VMs, with a server in each of two failure domains, whose
+// store was restored from a backup.
+type restoredFleet struct {
 	*evacuation
 
 	writes uint64
 }
 
-// newRestored has changes acknowledged, waits until they are in force on all, loses them and
-// waits until all know. Before is what the copy still has.
-func newRestored(t *testing.T, before, lost func(r *restored)) *restored {
+// newRestoredFleet restores the store from a backup that has the changes of before and lacks
+// those of lost. All of them were in force on all entry VMs. It waits until all entry VMs know
+// of the restore.
+func newRestoredFleet(t *testing.T, before, lost func(r *restoredFleet)) *restoredFleet {
 	t.Helper()
 
-	r := &restored{evacuation: newEvacuation(t)}
+	r := &restoredFleet{evacuation: newEvacuation(t)}
 	before(r)
 
 	for _, v := range r.vms {
-		r.waitCopy(t, v)
+		r.waitReplica(t, v)
 	}
 
 	r.store.Save()
 	lost(r)
 
 	for _, v := range r.vms {
-		r.waitCopy(t, v)
+		r.waitReplica(t, v)
 	}
 
 	r.store.Restore()
@@ -114,54 +115,54 @@
 	return r
 }
 
-// waitEra waits until an entry VM knows that the store came back from a copy.
-func (r *restored) waitEra(t *testing.T, v *vm) {
+// waitEra waits until an entry VM knows that the store was restored from a backup.
+func (r *restoredFleet) waitEra(t *testing.T, v *vm) {
 	t.Helper()
 	cwtest.Wait(t, "the era", func() bool { return v.gauge(t, "era") == 2 })
 }
 
-// write registers the near server in a state, with a higher count each time.
-func (r *restored) write(state string) {
+// write writes the near server's entry with a state, and a higher count each time.
+func (r *restoredFleet) write(state string) {
 	r.writes++
 	r.store.Put("servers/i-1", cwstand.ServerEntryWithSeq(cwstand.ServerEntry("fees", r.near.Address(), "a", state), r.writes))
 }
 
-// TestStays brings the store back without what keeps requests from a server, and wants it
-// to stay in force on all entry VMs beyond the time in which servers write their entries
-// again, and what is acknowledged after that to be in force.
+// TestStays restores a store that has lost what keeps requests from a server. All entry VMs must
+// keep it in force for longer than servers take to write their entries again, and must follow
+// what is acknowledged after that.
 func TestStays(t *testing.T) {
-	nothing := func(*restored) {}
+	nothing := func(*restoredFleet) {}
 
 	for name, c := range map[string]struct {
-		before, lost, after func(r *restored)
+		before, lost, after func(r *restoredFleet)
 	}{
-		"a server that leaves": {
-			func(r *restored) { r.write("ready") }, func(r *restored) { r.write("draining") }, func(r *restored) { r.write("ready") },
+		"a leaving server": {
+			func(r *restoredFleet) { r.write("ready") }, func(r *restoredFleet) { r.write("draining") }, func(r *restoredFleet) { r.write("ready") },
 		},
-		"a server that is gone": {
-			func(r *restored) { r.write("ready") }, func(r *restored) { r.store.Delete("servers/i-1") }, func(r *restored) { r.write("ready") },
+		"a removed server": {
+			func(r *restoredFleet) { r.write("ready") }, func(r *restoredFleet) { r.store.Delete("servers/i-1") }, func(r *restoredFleet) { r.write("ready") },
 		},
-		"an evacuation, taken back": {
-			nothing, func(r *restored) { r.store.Put(domainKey, nil) }, func(r *restored) { r.store.Delete(domainKey) },
+		"an evacuation that ends": {
+			nothing, func(r *restoredFleet) { r.store.Put(evacuationKey, nil) }, func(r *restoredFleet) { r.store.Delete(evacuationKey) },
 		},
-		"an evacuation": {
-			nothing, func(r *restored) { r.store.Put(domainKey, nil) },
-			func(r *restored) { r.store.Put(domainKey, nil); r.store.Delete(domainKey) },
+		"an evacuation, written again": {
+			nothing, func(r *restoredFleet) { r.store.Put(evacuationKey, nil) },
+			func(r *restoredFleet) { r.store.Put(evacuationKey, nil); r.store.Delete(evacuationKey) },
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRestored(t, c.before, c.lost)
+			r := newRestoredFleet(t, c.before, c.lost)
 
 			next := r.start(t, "vm-9")
 			next.waitReady(t)
 			r.waitEra(t, next)
-			cwtest.Wait(t, "what the store lost", func() bool { return next.gauge(t, "kept") == r.vms[0].gauge(t, "kept") })
+			cwtest.Wait(t, "the items that the store lost", func() bool { return next.gauge(t, "kept") == r.vms[0].gauge(t, "kept") })
 
 			all := slices.Concat(r.vms, []*vm{next})
 
 			for end := time.Now().Add(2 * cwmirror.ReregisterTime); time.Now().Before(end); {
 				for _, v := range all {
-					if near, answered := r.shares(v); near > 0 || answered == 0 {
+					if near, answered := r.sendEachKind(v); near > 0 || answered == 0 {
 						t.Fatalf("%d requests at the server, %d answered", near, answered)
 					}
 				}
@@ -170,55 +171,55 @@
 			c.after(r)
 
 			for _, v := range all {
-				r.used(t, v)
+				r.waitNearUsed(t, v)
 			}
 		})
 	}
 }
 
-// TestTakenBackStays brings the store back with an evacuation that was taken back, and wants
-// it to stay so until operators evacuate anew.
+// TestTakenBackStays restores a store with an evacuation that had ended. It must not come into
+// force again until operators evacuate anew.
 func TestTakenBackStays(t *testing.T) {
-	r := newRestored(t, func(r *restored) { r.store.Put(domainKey, nil) }, func(r *restored) { r.store.Delete(domainKey) })
+	r := newRestoredFleet(t, func(r *restoredFleet) { r.store.Put(evacuationKey, nil) }, func(r *restoredFleet) { r.store.Delete(evacuationKey) })
 
 	for _, v := range r.vms {
-		r.used(t, v)
+		r.waitNearUsed(t, v)
 	}
 
-	r.store.Put(domainKey, []byte("again"))
+	r.store.Put(evacuationKey, []byte("again"))
 
 	for _, v := range r.vms {
-		r.emptied(t, v)
+		r.waitEvacuated(t, v)
 	}
 }
 
-// TestOwnWrittenAgain brings the store back without what entry VMs wrote, and with what they
-// removed, and wants both to be mended.
+// TestOwnWrittenAgain restores a store that lacks keys written by entry VMs and has keys that
+// they had removed. They must write the former and remove the latter again.
 func TestOwnWrittenAgain(t *testing.T) {
 	f := newFleet(t)
-	servers := newCrashing(t, f, 8, isPoison)
-	f.configure(unsafe())
+	servers := newCrashingServers(t, f, 8, isPoison)
+	f.configure(unsafeRoute())
 	f.store.Put("carobward/crash/spoiled", nil)
 
 	all := startAll(t, f, "vm-", carobward.SystemClock{})
 	cwtest.Wait(t, "the list of entry VMs", func() bool { return f.store.Has(string(carobward.KeyFleet)) })
 
 	for _, v := range all {
-		f.waitCopy(t, v)
+		f.waitReplica(t, v)
 	}
 
 	f.store.Save()
 	f.store.Delete("carobward/crash/spoiled")
 
 	for i := range 3 {
-		all[0].charge(fmt.Sprint("id-", i))
+		all[0].sendPoison(fmt.Sprint("id-", i))
 	}
 
 	waitQuarantined(t, all)
 	cwtest.Wait(t, "records", func() bool { return len(f.store.Keys("carobward/crash/")) == 3 })
 
 	for _, v := range all {
-		f.waitCopy(t, v)
+		f.waitReplica(t, v)
 	}
 
 	f.store.Restore()
@@ -232,29 +233,29 @@
 		v.waitReady(t)
 		cwtest.Wait(t, "the quarantine", func() bool { return len(v.quarantined()) > 0 })
 
-		if got := v.charge(fmt.Sprint("known-", i)); !got.isQuarantined() {
+		if got := v.sendPoison(fmt.Sprint("known-", i)); !got.isQuarantined() {
 			t.Errorf("%+v", got)
 		}
 	}
 
 	if n := servers.count() - before; n > 0 {
-		t.Errorf("%d more servers ended", n)
+		t.Errorf("%d more servers crashed", n)
 	}
 }
 
-// TestLostChangeStays brings the store back without a change that is in force, and wants
-// it to stay in force, on an entry VM that starts later and asks such a store, too.
+// TestLostChangeStays restores a store without a configuration that is in force. It must stay in
+// force, also on an entry VM that starts later and asks the restored store.
 func TestLostChangeStays(t *testing.T) {
 	f := newFleet(t)
 	f.upstream(t, "records", "i-1")
 	fees := f.upstream(t, "fees", "i-2")
-	f.configure(safe("records"))
+	f.configure(safeRoute("records"))
 
 	first := f.start(t, "vm-1")
 	first.waitReady(t)
 	f.store.Save()
-	f.configure(safe("fees"))
-	runsAt(t, first, fees)
+	f.configure(safeRoute("fees"))
+	waitServedBy(t, first, fees)
 	f.store.Restore()
 
 	next := f.start(t, "vm-2")
@@ -262,6 +263,6 @@
 
 	for _, v := range []*vm{first, next} {
 		cwtest.Wait(t, "the change of "+string(v.options.Self.ID), func() bool { return v.gauge(t, "version") == f.version })
-		runsAt(t, v, fees)
+		waitServedBy(t, v, fees)
 	}
 }
--- a/internal/cwgateway/state.go
+++ b/internal/cwgateway/state.go
@@ -10,97 +10,98 @@
 	"carobward.example/carobward/internal/cwroutes"
 )
 
-// changed takes changes of the copy of the store: a configuration comes into
-// force, and the table of servers follows the list.
-func (g *Gateway) changed(items []carobward.Item) {
+// applyChanges handles changes of the replica of the store: it puts a new configuration in
+// force and updates the table of servers.
+func (g *Gateway) applyChanges(items []carobward.Item) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 
 	now := g.Clock.Now()
 	first := g.servers.Count() == 0
 
-	var change change
+	var change serverChanges
 
 	for i := range items {
 		it := &items[i]
 
 		switch {
 		case g.Adapter.IsRouting(it.Key):
-			g.configure(it)
+			g.applyConfig(it)
 		case it.Key == carobward.KeyFleet && !it.Gone:
-			g.told(it)
+			g.applyFleet(it)
 		case g.Adapter.IsBackend(it.Key):
-			g.read(it, first, &change)
+			g.applyServer(it, first, &change)
 		default:
-			// It counts before the servers of the same change get their first request.
-			g.evacuate(it, now)
+			// It takes effect before the servers of the same change get their first request.
+			g.applyEvacuation(it, now)
 		}
 	}
 
-	g.logUnusable(change.wrong)
-	g.keeper.HandleChanges(items)
+	g.logUnusable(change.errs)
+	g.quarantineKeeper.HandleChanges(items)
 
-	if first && len(change.list) > 0 {
-		g.log.Info("The first list of servers.", "servers", len(change.list))
+	if first && len(change.updated) > 0 {
+		g.log.Info("Received the first list of servers.", "servers", len(change.updated))
 	}
 
-	if len(change.list)+len(change.gone) > 0 {
-		g.putServers(&change, now)
+	if len(change.updated)+len(change.removed) > 0 {
+		g.updateServers(&change, now)
 	}
 
-	g.ready()
+	g.announceReady()
 }
 
-// change is what changed in the list of servers.
-type change struct {
-	list  []carobward.Backend
-	gone  []carobward.Instance
-	wrong []error
+// serverChanges are the changes of the list of servers.
+type serverChanges struct {
+	updated []carobward.Backend
+	removed []carobward.Instance
+	errs    []error
 }
 
-// read takes a changed entry of a server.
-func (g *Gateway) read(it *carobward.Item, first bool, c *change) {
+// applyServer adds the change of a server entry to c.
+func (g *Gateway) applyServer(it *carobward.Item, first bool, c *serverChanges) {
 	instance := g.Adapter.Instance(it.Key)
 
 	if it.Gone {
 		delete(g.unusable, instance)
-		c.gone = append(c.gone, instance)
-		g.log.Info("A server is gone.", "server", instance, "index", it.Index)
+		c.removed = append(c.removed, instance)
+		g.log.Info("A server entry was removed.", "server", instance, "index", it.Index)
 
 		return
 	}
 
-	b, err := g.entry(it, first)
+	b, err := g.parseServer(it, first)
 	if err != nil {
-		// It may be another writer's. Until its server writes again nobody knows
-		// where it is, or whether it takes work. What is in flight there goes on.
-		c.gone = append(c.gone, instance)
-		c.wrong = append(c.wrong, err)
+		// The value may come from another writer. Until the server writes its entry again,
+		// neither its address nor whether it takes requests is known. Requests in flight
+		// there go on.
+		c.removed = append(c.removed, instance)
+		c.errs = append(c.errs, err)
 
 		return
 	}
 
-	c.list = append(c.list, b)
+	c.updated = append(c.updated, b)
 }
 
-// putServers brings the table of servers up to date.
-func (g *Gateway) putServers(c *change, now time.Time) {
-	for _, b := range g.servers.Put(c.list, c.gone, now) {
-		g.log.Info("A server has started again.", "server", b.Instance, "address", b.Address, "before", b.Start)
+// updateServers updates the table of servers.
+func (g *Gateway) updateServers(c *serverChanges, now time.Time) {
+	for _, b := range g.servers.Put(c.updated, c.removed, now) {
+		g.log.Info("A server has restarted.", "server", b.Instance, "address", b.Address, "before", b.Start)
 		g.link.Drop(b.Address)
 	}
 
 	g.link.Retain(g.servers.HasAddress)
 }
 
-// entry reads a server's entry. Of the first list only servers that leave are logged: a
-// line for each would be a thousand at the start of each of hundreds of small entry
-// VMs.
-func (g *Gateway) entry(it *carobward.Item, first bool) (carobward.Backend, error) {
+// parseServer decodes a server entry and logs it. Of the first list it logs only servers that
+// are leaving or were unusable: one line for each server would be a thousand lines at the
+// start of each of hundreds of small entry VMs.
+func (g *Gateway) parseServer(it *carobward.Item, first bool) (carobward.Backend, error) {
 	b, err := g.Adapter.Backend(it.Key, it.Value)
 	if err == nil && b.Start == 0 && g.servers.Start(b.Instance) != 0 {
-		// Servers that say when they started always do.
-		err = errors.Annotatef(errNoStart, "%s", it.Key)
+		// A server that reports its start time does so in every entry.
+		err = errors.Annotatef(errMissingStart, "%s", it.Key)
 	}
 
 	if err != nil {
@@ -111,39 +112,39 @@
 
 	if back := g.unusable[b.Instance]; back || !first || b.Leaving {
 		delete(g.unusable, b.Instance)
-		g.log.Info("A server's entry.", "server", b.Instance, "address", b.Address, "service", b.Service,
+		g.log.Info("A server entry was read.", "server", b.Instance, "address", b.Address, "service", b.Service,
 			"leaving", b.Leaving, "warmup", b.Warmup.String(), "start", b.Start, "unusable", back, "index", it.Index)
 	}
 
 	return b, nil
 }
 
-// errNoStart is the error of an entry without the start of its server's process, which
-// the server had named before.
-const errNoStart = errors.ConstError("gateway: the entry lacks the start of the process")
+// errMissingStart is the error for an entry without the start time of the server process,
+// if the server's earlier entries had one.
+const errMissingStart = errors.ConstError("gateway: server entry lacks the start time of the process")
 
-// unusableLines is how many unusable entries of one change are logged each.
-const unusableLines = 5
+// maxUnusableLines is how many unusable entries of one change are logged one by one.
+const maxUnusableLines = 5
 
-// logUnusable logs entries that can't be used, a few of them each: another writer may
-// spoil hundreds at once.
+// logUnusable logs the first unusable entries of a change one by one and counts the rest:
+// another writer may corrupt hundreds at once.
 func (g *Gateway) logUnusable(wrong []error) {
 	for i, err := range wrong {
-		if i == unusableLines {
-			g.log.Info("Further entries of servers can't be used.", "entries", len(wrong)-i)
+		if i == maxUnusableLines {
+			g.log.Info("Further server entries are unusable.", "entries", len(wrong)-i)
 
 			return
 		}
 
-		g.log.Error(err, "An entry of a server can't be used, the server gets no requests.")
+		g.log.Error(err, "A server entry is unusable; the server gets no requests.")
 	}
 }
 
-// told takes the list of entry VMs that the store has.
-func (g *Gateway) told(it *carobward.Item) {
+// applyFleet takes over the list of entry VMs in the store.
+func (g *Gateway) applyFleet(it *carobward.Item) {
 	list, err := cwmesh.DecodeFleet(it.Value)
 	if err != nil {
-		g.log.Error(err, "The list of entry VMs can't be read.", "index", it.Index)
+		g.log.Error(err, "The list of entry VMs can't be decoded.", "index", it.Index)
 
 		return
 	}
@@ -152,10 +153,10 @@
 	g.mesh.HeartbeatDomain()
 }
 
-// configure puts a configuration in force if it is newer than the one there.
-func (g *Gateway) configure(it *carobward.Item) {
+// applyConfig puts a configuration in force if it is newer than the current one.
+func (g *Gateway) applyConfig(it *carobward.Item) {
 	if it.Gone {
-		g.log.Info("The store has no configuration, the last one stays in force.", "index", it.Index)
+		g.log.Info("The configuration was removed from the store; the last one stays in force.", "index", it.Index)
 
 		return
 	}
@@ -166,37 +167,37 @@
 	}
 
 	if err != nil {
-		g.log.Error(err, "A configuration can't be used, the last one stays in force.", "index", it.Index)
+		g.log.Error(err, "A configuration is invalid; the last one stays in force.", "index", it.Index)
 
 		return
 	}
 
 	if old := g.front.Routes(); old != nil && old.Version >= r.Version {
-		g.log.Info("A configuration is older than the one in force.", "version", r.Version, "force", old.Version)
+		g.log.Info("A configuration is ignored, since it is not newer than the one in force.", "version", r.Version, "force", old.Version)
 
 		return
 	}
 
 	g.quota.SetTeams(r.Teams)
 	g.front.SetRoutes(cwroutes.New(r))
-	g.link.SetConns(leastConns(r))
-	g.setColdBounds()
-	g.log.Info("A configuration is in force.", "version", r.Version, "index", it.Index)
+	g.link.SetConns(minConns(r))
+	g.setWarmupBounds()
+	g.log.Info("A new configuration is in force.", "version", r.Version, "index", it.Index)
 }
 
-// leastConns returns how many connections a server takes in any case.
-func leastConns(r *carobward.Routing) int {
-	least := 0
+// minConns returns the lowest connection limit of all services, which every server accepts.
+func minConns(r *carobward.Routing) int {
+	lowest := 0
 
 	for _, s := range r.Services {
-		if s.Conns > 0 && (least == 0 || s.Conns < least) {
-			least = s.Conns
+		if s.Conns > 0 && (lowest == 0 || s.Conns < lowest) {
+			lowest = s.Conns
 		}
 	}
 
-	if least == 0 {
-		return connsFirst
+	if lowest == 0 {
+		return defaultConns
 	}
 
-	return least
+	return lowest
 }
--- a/internal/cwgateway/stay.go
+++ b/internal/cwgateway/stay.go
@@ -7,33 +7,33 @@
 	"carobward.example/carobward/internal/cwmirror"
 )
 
-// goneTime is for how long a server's entry that was removed, and is there again as it was,
-// counts as removed: its process may go on for seconds after it left, and gets nothing. An
-// entry that had only lapsed is written again by its server.
-const goneTime = 10 * time.Second
+// removalRetention is how long a server entry counts as removed if a restored store has it
+// again, unchanged: the server's process may go on for seconds after it has left, and must get
+// no requests. A server whose entry had only expired writes it again.
+const removalRetention = 10 * time.Second
 
-// lostTime is for how long what a store lost stays in force while nobody has written it
-// again: the platform does so some seconds after the store came back, and an operator who
-// misses it has seen to it by then.
-const lostTime = time.Minute
+// lostItemRetention is how long other items that a restored store has lost stay in force if
+// nobody writes them again: the platform does so within seconds of the restore, and an
+// operator who misses one has acted by then.
+const lostItemRetention = time.Minute
 
-// newMirror returns an empty copy of the store.
+// newMirror returns an empty replica of the store.
 func newMirror(a *Adapter) *cwmirror.Mirror {
-	return cwmirror.New(cwmirror.Options{Rank: a.Rank, Retention: a.stay, IsRouting: a.IsRouting, IsBackend: a.IsBackend})
+	return cwmirror.New(cwmirror.Options{Rank: a.Rank, Retention: a.retention, IsRouting: a.IsRouting, IsBackend: a.IsBackend})
 }
 
-// stay returns for how long an item stays in force that a store came back without. A
-// configuration does until there is a newer one. Entries of servers that live are back
-// soon.
-func (a *Adapter) stay(it carobward.Item) time.Duration {
+// retention returns how long an item stays in force that a restored store has lost. A
+// configuration does until there is a newer one. Entries of live servers are soon written
+// again.
+func (a *Adapter) retention(it carobward.Item) time.Duration {
 	switch {
 	case a.IsRouting(it.Key):
 		return carobward.Always
 	case a.IsBackend(it.Key) && !it.Gone:
 		return cwmirror.ReregisterTime
 	case a.IsBackend(it.Key):
-		return goneTime
+		return removalRetention
 	default:
-		return lostTime
+		return lostItemRetention
 	}
 }
--- a/internal/cwgateway/team_test.go
+++ b/internal/cwgateway/team_test.go
@@ -16,26 +16,26 @@
 	"carobward.example/carobward/internal/cwtest"
 )
 
-// The keys of the tests.
+// Keys of the teams.
 const (
-	clubKey  = "hhkmgjqnirth5mgjy5rc"
-	pilotKey = "pihhacruddedev3nax7u"
-	openPath = "/open/"
+	clubKey       = "hhkmgjqnirth5mgjy5rc"
+	pilotKey      = "pihhacruddedev3nax7u"
+	anonymousPath = "/open/"
 )
 
-// open is a route that needs no key.
-func open(service string) cwstand.MetadataRoute {
-	return cwstand.MetadataRoute{"prefix": openPath, "kind": "safe", "service": service, "anonymous": true}
+// anonymousRoute returns a route that needs no key.
+func anonymousRoute(service string) cwstand.MetadataRoute {
+	return cwstand.MetadataRoute{"prefix": anonymousPath, "kind": "safe", "service": service, "anonymous": true}
 }
 
-// teams writes the next configuration with teams.
-func (f *fleet) teams(teams []cwstand.MetadataTeam, routes ...cwstand.MetadataRoute) {
+// configureTeams writes the next version of the configuration, with teams.
+func (f *fleet) configureTeams(teams []cwstand.MetadataTeam, routes ...cwstand.MetadataRoute) {
 	f.version += 3
 	f.store.Put("op/config", cwstand.MetadataConfigWithTeams(cwstand.MetadataConfig(f.version, host, routes...), teams...))
 }
 
-// askAs sends one request with header fields of the caller's, by name.
-func (v *vm) askAs(path, id string, fields map[string]string) answer {
+// sendWithFields sends one request with additional header fields.
+func (v *vm) sendWithFields(path, id string, fields map[string]string) answer {
 	req, err := http.NewRequest(http.MethodGet, "http://"+string(v.options.Self.Callers)+path, nil)
 	if err != nil {
 		return answer{err: err}
@@ -54,12 +54,12 @@
 
 func bearer(key string) map[string]string { return map[string]string{"Authorization": "Bearer " + key} }
 
-// TestKeys wants a request to run for the team that holds its key, without the key, and
-// none to run whose key no configuration has.
+// TestKeys verifies that a request runs for the team whose key it shows, that the key is not
+// passed on or logged, and that requests without a known key do not run.
 func TestKeys(t *testing.T) {
 	f := newFleet(t)
 	u := f.upstream(t, "records", "i-1")
-	f.teams([]cwstand.MetadataTeam{{Name: "club", Keys: []string{clubKey}}, {Name: "pilots", Keys: []string{pilotKey}}}, safe("records"), open("records"))
+	f.configureTeams([]cwstand.MetadataTeam{{Name: "club", Keys: []string{clubKey}}, {Name: "pilots", Keys: []string{pilotKey}}}, safeRoute("records"), anonymousRoute("records"))
 
 	var lines atomic.Int64
 
@@ -79,22 +79,22 @@
 		team   string
 		key    string
 	}{
-		"a key":               {reading, bearer(clubKey), http.StatusOK, "club", ""},
-		"another team's":      {reading, bearer(pilotKey), http.StatusOK, "pilots", ""},
-		"the scheme in small": {reading, map[string]string{"Authorization": "bearer " + clubKey}, http.StatusOK, "club", ""},
-		"a forged team":       {reading, map[string]string{"Authorization": "Bearer " + clubKey, "Tenant": "pilots"}, http.StatusOK, "club", ""},
-		"no key":              {reading, nil, http.StatusUnauthorized, "", ""},
-		"an unknown key":      {reading, bearer("nobody"), http.StatusUnauthorized, "", ""},
-		"an empty key":        {reading, bearer(""), http.StatusUnauthorized, "", ""},
-		"another scheme":      {reading, map[string]string{"Authorization": "Basic " + clubKey}, http.StatusUnauthorized, "", ""},
-		"open to all":         {openPath, nil, http.StatusOK, "", ""},
-		"open, with a key":    {openPath, bearer(clubKey), http.StatusOK, "", ""},
-		"open, forged":        {openPath, map[string]string{"Tenant": "club"}, http.StatusOK, "", ""},
+		"a key":                {readPath, bearer(clubKey), http.StatusOK, "club", ""},
+		"another team's key":   {readPath, bearer(pilotKey), http.StatusOK, "pilots", ""},
+		"lower-case scheme":    {readPath, map[string]string{"Authorization": "bearer " + clubKey}, http.StatusOK, "club", ""},
+		"a forged team":        {readPath, map[string]string{"Authorization": "Bearer " + clubKey, "Tenant": "pilots"}, http.StatusOK, "club", ""},
+		"no key":               {readPath, nil, http.StatusUnauthorized, "", ""},
+		"an unknown key":       {readPath, bearer("nobody"), http.StatusUnauthorized, "", ""},
+		"an empty key":         {readPath, bearer(""), http.StatusUnauthorized, "", ""},
+		"another scheme":       {readPath, map[string]string{"Authorization": "Basic " + clubKey}, http.StatusUnauthorized, "", ""},
+		"anonymous, no key":    {anonymousPath, nil, http.StatusOK, "", ""},
+		"anonymous with a key": {anonymousPath, bearer(clubKey), http.StatusOK, "", ""},
+		"anonymous, forged":    {anonymousPath, map[string]string{"Tenant": "club"}, http.StatusOK, "", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			before := len(u.Runs())
 
-			if got := v.askAs(c.path, "one", c.fields); got.err != nil || got.status != c.status {
+			if got := v.sendWithFields(c.path, "one", c.fields); got.err != nil || got.status != c.status {
 				t.Fatalf("%+v", got)
 			}
 
@@ -115,57 +115,57 @@
 	}
 
 	if n := lines.Load(); n > 0 {
-		t.Errorf("%d log lines have a key", n)
+		t.Errorf("%d log lines contain a key", n)
 	}
 }
 
-// TestKeyRotated replaces a team's key by way of a version that has both. Callers that
-// change over meanwhile are always served, and the old key is refused in the end.
+// TestKeyRotated replaces a team's key through a configuration with both keys. Callers that
+// switch meanwhile are always served, and the old key is refused in the end.
 func TestKeyRotated(t *testing.T) {
 	f := newFleet(t)
 	f.upstream(t, "records", "i-1")
-	f.teams([]cwstand.MetadataTeam{{Name: "club", Keys: []string{clubKey}}}, safe("records"))
+	f.configureTeams([]cwstand.MetadataTeam{{Name: "club", Keys: []string{clubKey}}}, safeRoute("records"))
 
 	v := f.start(t, "vm-1")
 	v.waitReady(t)
 
 	for i, keys := range [][]string{{clubKey, pilotKey}, {pilotKey}} {
 		used := keys[0]
-		f.teams([]cwstand.MetadataTeam{{Name: "club", Keys: keys}}, safe("records"))
+		f.configureTeams([]cwstand.MetadataTeam{{Name: "club", Keys: keys}}, safeRoute("records"))
 		cwtest.Wait(t, "the new keys", func() bool {
-			if got := v.askAs(reading, fmt.Sprint("old-", i), bearer(used)); got.status != http.StatusOK {
+			if got := v.sendWithFields(readPath, fmt.Sprint("old-", i), bearer(used)); got.status != http.StatusOK {
 				t.Errorf("%+v", got)
 			}
 
-			return v.askAs(reading, fmt.Sprint("new-", i), bearer(pilotKey)).status == http.StatusOK
+			return v.sendWithFields(readPath, fmt.Sprint("new-", i), bearer(pilotKey)).status == http.StatusOK
 		})
 	}
 
 	cwtest.Wait(t, "the end of the old key", func() bool {
-		return v.askAs(reading, "late", bearer(clubKey)).status == http.StatusUnauthorized
+		return v.sendWithFields(readPath, "late", bearer(clubKey)).status == http.StatusUnauthorized
 	})
 }
 
-// TestKeysOld cuts an entry VM off from the store. Once what it knows of keys is old it
-// must not serve by them, whatever they are; others are served.
+// TestKeysOld cuts an entry VM off from the store. Once its knowledge of keys is too old, it must
+// refuse all requests that need a key and still serve the others.
 func TestKeysOld(t *testing.T) {
-	const most = 1500 * time.Millisecond
+	const maxKeyAge = 1500 * time.Millisecond
 
 	f := newFleet(t)
 	u := f.upstream(t, "records", "i-1")
-	f.teams([]cwstand.MetadataTeam{{Name: "club", Keys: []string{clubKey}}}, safe("records"), open("records"))
+	f.configureTeams([]cwstand.MetadataTeam{{Name: "club", Keys: []string{clubKey}}}, safeRoute("records"), anonymousRoute("records"))
 
-	v := f.start(t, "vm-1", func(o *cwgateway.Options) { o.Limits.MaxKeyAge = most })
+	v := f.start(t, "vm-1", func(o *cwgateway.Options) { o.Limits.MaxKeyAge = maxKeyAge })
 	v.waitReady(t)
-	cwtest.Wait(t, "an answer", func() bool { return v.askAs(reading, "one", bearer(clubKey)).status == http.StatusOK })
+	cwtest.Wait(t, "an answer", func() bool { return v.sendWithFields(readPath, "one", bearer(clubKey)).status == http.StatusOK })
 
 	f.store.SetFaults(cwstand.MetadataFaults{Silent: true})
-	f.teams([]cwstand.MetadataTeam{{Name: "club", Keys: []string{pilotKey}}}, safe("records"), open("records"))
+	f.configureTeams([]cwstand.MetadataTeam{{Name: "club", Keys: []string{pilotKey}}}, safeRoute("records"), anonymousRoute("records"))
 
 	refused := answer{}
 
 	cwtest.Wait(t, "a refusal", func() bool {
-		refused = v.askAs(reading, "late", bearer(clubKey))
+		refused = v.sendWithFields(readPath, "late", bearer(clubKey))
 
 		return refused.status == http.StatusServiceUnavailable
 	})
@@ -175,31 +175,31 @@
 	}
 
 	ran := len(u.Runs())
-	if got := v.askAs(reading, "later", bearer(clubKey)); got.status != http.StatusServiceUnavailable || len(u.Runs()) != ran {
+	if got := v.sendWithFields(readPath, "later", bearer(clubKey)); got.status != http.StatusServiceUnavailable || len(u.Runs()) != ran {
 		t.Errorf("%+v, %d runs", got, len(u.Runs())-ran)
 	}
 
-	if got := v.askAs(openPath, "open", nil); got.status != http.StatusOK {
+	if got := v.sendWithFields(anonymousPath, "open", nil); got.status != http.StatusOK {
 		t.Errorf("%+v", got)
 	}
 
 	f.store.SetFaults(cwstand.MetadataFaults{})
-	cwtest.Wait(t, "the new key", func() bool { return v.askAs(reading, "new", bearer(pilotKey)).status == http.StatusOK })
+	cwtest.Wait(t, "the new key", func() bool { return v.sendWithFields(readPath, "new", bearer(pilotKey)).status == http.StatusOK })
 
-	if got := v.askAs(reading, "old", bearer(clubKey)); got.status != http.StatusUnauthorized {
+	if got := v.sendWithFields(readPath, "old", bearer(clubKey)); got.status != http.StatusUnauthorized {
 		t.Errorf("%+v", got)
 	}
 }
 
-// TestUpload wants the body of an upload to reach one server whole, once, and a refused one
-// to be sent to another.
+// TestUpload verifies that the body of an upload reaches one server, whole and once, and that a
+// refused upload is sent to another server.
 func TestUpload(t *testing.T) {
 	const size = 600_000
 
 	f := newFleet(t)
-	sheds, takes := f.upstream(t, "photos", "i-1"), f.upstream(t, "photos", "i-2")
-	sheds.SetMode(cwstand.UpstreamSheds, 0)
-	f.configure(cwstand.MetadataRoute{"prefix": charging, "kind": "upload", "service": "photos"})
+	refusing, accepting := f.upstream(t, "photos", "i-1"), f.upstream(t, "photos", "i-2")
+	refusing.SetMode(cwstand.UpstreamSheds, 0)
+	f.configure(cwstand.MetadataRoute{"prefix": chargePath, "kind": "upload", "service": "photos"})
 
 	v := f.start(t, "vm-1")
 	v.waitReady(t)
@@ -207,16 +207,16 @@
 	body := strings.Repeat("x", size)
 
 	for i := range 4 {
-		if got := v.ask(http.MethodPost, charging, fmt.Sprint("id-", i), body); got.status != http.StatusOK {
+		if got := v.send(http.MethodPost, chargePath, fmt.Sprint("id-", i), body); got.status != http.StatusOK {
 			t.Errorf("%+v", got)
 		}
 	}
 
-	if n := len(sheds.Runs()); n > 0 {
+	if n := len(refusing.Runs()); n > 0 {
 		t.Errorf("%d runs at a server that refuses", n)
 	}
 
-	for i, r := range takes.Runs() {
+	for i, r := range accepting.Runs() {
 		if r.ID != fmt.Sprint("id-", i) || r.Body != body {
 			t.Errorf("%s with %d bytes", r.ID, len(r.Body))
 		}
--- a/internal/cwgateway/tick.go
+++ b/internal/cwgateway/tick.go
@@ -9,9 +9,9 @@
 	"carobward.example/carobward/internal/cwmesh"
 )
 
-// tick runs the systems over the tables.
+// tick runs the periodic work on the tables until ctx ends.
 func (g *Gateway) tick(ctx context.Context) {
-	t := time.NewTicker(tickTime)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 
 	second := time.NewTicker(time.Second)
@@ -29,33 +29,33 @@
 		}
 
 		if by := g.Suspended(); by > 0 {
-			g.wake(by)
+			g.applySuspension(by)
 		}
 
 		now := g.Clock.Now()
 		g.mesh.MarkRunning(now)
-		g.mirror.Sweep(now, g.changed)
+		g.mirror.Sweep(now, g.applyChanges)
 		g.front.Tick(now)
 		g.link.Tick(now)
-		g.share(now)
-		g.ready()
-		g.measure()
+		g.updateSharers(now)
+		g.announceReady()
+		g.updateRate()
 	}
 }
 
-// wake has the ages that the VM's clock did not count while it was suspended counted: of
-// the copy of the store, so that it is asked at once, of idle connections, and of what
-// servers said of limits. Others are left: what is known of load is asked before each send,
-// blocks only last longer, and who sent the requests in flight has left or will.
-func (g *Gateway) wake(by time.Duration) {
+// applySuspension adds the time of a suspension, which the VM's clock does not count, to the
+// age of the replica of the store, so that the store is asked at once, of idle connections and
+// of the limits that servers reported. Other ages need no correction: load is checked before
+// each send, blocks only last longer, and the callers of requests in flight have left or will.
+func (g *Gateway) applySuspension(by time.Duration) {
 	g.log.Info("The VM was suspended.", "by", by.String(), "flight", g.front.InFlight())
 	g.mesh.Suspended(by)
 	g.link.Suspended(by)
 	g.servers.Suspended(by)
 }
 
-// share tells the tables which entry VMs share the servers.
-func (g *Gateway) share(now time.Time) {
+// updateSharers tells the tables which entry VMs send requests to the same servers.
+func (g *Gateway) updateSharers(now time.Time) {
 	var list []carobward.VMID
 
 	for _, p := range g.table.Live(now) {
@@ -71,42 +71,42 @@
 	g.link.SetFleet(g.table.Size(now), now)
 }
 
-// rateShare is the weight of one tick in the moving average of requests: the
-// average follows a change of load within two seconds.
-const rateShare = 0.1
+// rateWeight is the weight of one tick in the moving average of the request rate, which
+// follows a change of load within two seconds.
+const rateWeight = 0.1
 
-// measure follows this entry VM's requests a second.
-func (g *Gateway) measure() {
+// updateRate updates the moving average of this entry VM's requests a second.
+func (g *Gateway) updateRate() {
 	total := g.front.Total()
-	now := float64(total-g.counted) / tickTime.Seconds()
-	g.counted = total
+	now := float64(total-g.lastTotal) / tickInterval.Seconds()
+	g.lastTotal = total
 
 	old := math.Float64frombits(g.rate.Load())
-	rate := old + rateShare*(now-old)
+	rate := old + rateWeight*(now-old)
 
 	g.rate.Store(math.Float64bits(rate))
 	g.mesh.SetRate(int(math.Round(rate)))
 }
 
-// part returns this entry VM's part of all requests. Each entry VM counts for
-// one request a second at least, so that one without any can begin.
-func (g *Gateway) part(now time.Time) float64 {
+// trafficShare returns this entry VM's share of all requests. Each entry VM counts for one
+// request a second at least, so that one without requests has a share to start with.
+func (g *Gateway) trafficShare(now time.Time) float64 {
 	own := 1 + math.Float64frombits(g.rate.Load())
-	all := own
+	total := own
 
 	for _, p := range g.table.Live(now) {
-		all += 1 + float64(p.Rate)
+		total += 1 + float64(p.Rate)
 	}
 
 	for _, s := range g.table.Domains(now) {
-		all += float64(s.Alive + s.Rate)
+		total += float64(s.Alive + s.Rate)
 	}
 
-	return own / all
+	return own / total
 }
 
-// gauges shows what is counted elsewhere.
-func (g *Gateway) gauges() {
+// registerGauges registers the metrics whose values other parts keep.
+func (g *Gateway) registerGauges() {
 	g.metrics.Gauge("gateway", "flight", func() int64 { return int64(g.front.InFlight()) })
 	g.metrics.Gauge("gateway", "servers", func() int64 { return int64(g.servers.Count()) })
 	g.metrics.Gauge("gateway", "peers", func() int64 { return int64(len(g.table.Live(g.Clock.Now()))) })
@@ -137,17 +137,17 @@
 	g.metrics.Gauge("gateway", "dropped", g.Dropped)
 	g.metrics.Gauge("gateway", "calls", g.Calls)
 	g.metrics.Gauge("quarantine", "held", func() int64 {
-		held, _ := g.suspects.Counts(g.Clock.Now())
+		held, _ := g.quarantine.Counts(g.Clock.Now())
 
 		return int64(held)
 	})
 	g.metrics.Gauge("quarantine", "crashes", func() int64 {
-		_, crashes := g.suspects.Counts(g.Clock.Now())
+		_, crashes := g.quarantine.Counts(g.Clock.Now())
 
 		return int64(crashes)
 	})
-	g.metrics.Gauge("quarantine", "waiting", func() int64 { return int64(g.keeper.Pending()) })
-	g.metrics.Gauge("quarantine", "dropped", g.keeper.Dropped)
+	g.metrics.Gauge("quarantine", "waiting", func() int64 { return int64(g.quarantineKeeper.Pending()) })
+	g.metrics.Gauge("quarantine", "dropped", g.quarantineKeeper.Dropped)
 	g.metrics.Gauge("gateway", "version", func() int64 {
 		if t := g.front.Routes(); t != nil {
 			return int64(t.Version)
--- a/internal/cwgateway/words_test.go
+++ b/internal/cwgateway/words_test.go
@@ -10,176 +10,177 @@
 	"carobward.example/carobward/internal/cwtest"
 )
 
-// speaking is an entry VM with two servers of one service, of which the first says something
-// in its answers.
-type speaking struct {
+// reportingFleet is an entry VM with two servers of one service, the first of which reports its
+// state in the header of its replies.
+type reportingFleet struct {
 	*fleet
 
-	one, other *cwstand.Upstream
-	vm         *vm
-	asked      int
+	reporting, other *cwstand.Upstream
+	vm               *vm
+	sent             int
 }
 
-func newSpeaking(t *testing.T) *speaking {
+func newReportingFleet(t *testing.T) *reportingFleet {
 	t.Helper()
 
-	s := &speaking{fleet: newFleet(t)}
-	s.one, s.other = s.upstream(t, "fees", "i-1"), s.upstream(t, "fees", "i-2")
-	s.store.Put("servers/i-1", cwstand.ServerEntryWithStart(cwstand.ServerEntry("fees", s.one.Address(), "a", "ready"), 6))
-	s.configure(safe("fees"), unsafe())
+	s := &reportingFleet{fleet: newFleet(t)}
+	s.reporting, s.other = s.upstream(t, "fees", "i-1"), s.upstream(t, "fees", "i-2")
+	s.store.Put("servers/i-1", cwstand.ServerEntryWithStart(cwstand.ServerEntry("fees", s.reporting.Address(), "a", "ready"), 6))
+	s.configure(safeRoute("fees"), unsafeRoute())
 	s.vm = s.start(t, "vm-1")
 	s.vm.waitReady(t)
 
 	return s
 }
 
-// ask sends requests of each kind, and returns the answers.
-func (s *speaking) ask(requests int) []answer {
+// sendEachKind sends requests of each kind and returns the answers.
+func (s *reportingFleet) sendEachKind(requests int) []answer {
 	var all []answer
 
 	for range requests {
-		for method, path := range map[string]string{http.MethodGet: reading, http.MethodPost: charging} {
-			s.asked++
-			all = append(all, s.vm.ask(method, path, fmt.Sprint("id-", s.asked), ""))
+		for method, path := range map[string]string{http.MethodGet: readPath, http.MethodPost: chargePath} {
+			s.sent++
+			all = append(all, s.vm.send(method, path, fmt.Sprint("id-", s.sent), ""))
 		}
 	}
 
 	return all
 }
 
-// TestSaysLeaving has a server whose entry stays ready say that it leaves, in any answer, and
-// wants it to get nothing more, with the store away, too, until another process is there.
+// TestSaysLeaving has a server report in any kind of reply that it is leaving, while its entry
+// stays ready. It must get no further requests, also while the store is unavailable, until
+// another process runs there.
 func TestSaysLeaving(t *testing.T) {
 	for name, way := range map[string]cwstand.UpstreamMode{
-		"in answers":            cwstand.UpstreamServes,
-		"in refusals":           cwstand.UpstreamSheds,
-		"in failures":           cwstand.UpstreamFails,
-		"in answers of its own": cwstand.UpstreamRefuses,
+		"in answers":        cwstand.UpstreamServes,
+		"in refusals":       cwstand.UpstreamSheds,
+		"in failures":       cwstand.UpstreamFails,
+		"in other refusals": cwstand.UpstreamRefuses,
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSpeaking(t)
-			s.one.SetMode(way, 0)
-			s.one.SetHeaders("Server-Leaving: 1")
+			s := newReportingFleet(t)
+			s.reporting.SetMode(way, 0)
+			s.reporting.SetHeaders("Server-Leaving: 1")
 			s.store.SetFaults(cwstand.MetadataFaults{Status: http.StatusServiceUnavailable})
 
-			cwtest.Wait(t, "the word", func() bool {
-				s.ask(1)
+			cwtest.Wait(t, "the report", func() bool {
+				s.sendEachKind(1)
 
 				return s.vm.gauge(t, "leaving") == 1
 			})
 
-			before := len(s.one.Runs()) + len(s.one.Refusals())
+			before := len(s.reporting.Runs()) + len(s.reporting.Refusals())
 
-			for _, got := range s.ask(40) {
+			for _, got := range s.sendEachKind(40) {
 				if got.status != http.StatusOK {
 					t.Errorf("%+v", got)
 				}
 			}
 
-			if n := len(s.one.Runs()) + len(s.one.Refusals()) - before; n > 0 {
-				t.Errorf("%d requests at a server that leaves", n)
+			if n := len(s.reporting.Runs()) + len(s.reporting.Refusals()) - before; n > 0 {
+				t.Errorf("%d requests at a leaving server", n)
 			}
 
-			s.one.SetMode(cwstand.UpstreamServes, 0)
-			s.one.SetHeaders()
+			s.reporting.SetMode(cwstand.UpstreamServes, 0)
+			s.reporting.SetHeaders()
 			s.store.SetFaults(cwstand.MetadataFaults{})
-			s.store.Put("servers/i-1", cwstand.ServerEntryWithStart(cwstand.ServerEntry("fees", s.one.Address(), "a", "ready"), 7))
+			s.store.Put("servers/i-1", cwstand.ServerEntryWithStart(cwstand.ServerEntry("fees", s.reporting.Address(), "a", "ready"), 7))
 			cwtest.Wait(t, "use of the next process", func() bool {
-				before := len(s.one.Runs())
-				s.ask(1)
+				before := len(s.reporting.Runs())
+				s.sendEachKind(1)
 
-				return len(s.one.Runs()) > before
+				return len(s.reporting.Runs()) > before
 			})
 		})
 	}
 }
 
-// TestUnreadableWords wants words that can't be read to say nothing.
+// TestUnreadableWords verifies that header fields that can't be parsed have no effect.
 func TestUnreadableWords(t *testing.T) {
-	s := newSpeaking(t)
-	s.one.SetHeaders("Server-Leaving: maybe", "Retry-After: never")
+	s := newReportingFleet(t)
+	s.reporting.SetHeaders("Server-Leaving: maybe", "Retry-After: never")
 
 	cwtest.Wait(t, "use", func() bool {
-		before := len(s.one.Runs())
-		s.ask(4)
+		before := len(s.reporting.Runs())
+		s.sendEachKind(4)
 
-		return len(s.one.Runs()) > before && before > 0
+		return len(s.reporting.Runs()) > before && before > 0
 	})
 
 	if n := s.vm.gauge(t, "leaving") + s.vm.gauge(t, "paused"); n > 0 {
-		t.Errorf("%d words taken", n)
+		t.Errorf("%d reports with an effect", n)
 	}
 }
 
-// pauseLate is how long after a refusal requests that were on their way may still come.
-const pauseLate = 500 * time.Millisecond
+// inFlightGrace is how long after a refusal requests already in flight may still arrive.
+const inFlightGrace = 500 * time.Millisecond
 
-// TestRetryAfter has a server refuse requests and name a time, and wants two more at most to
-// reach it from half a second later on until that time is over, and use of it after that.
+// TestRetryAfter has a server refuse requests with a Retry-After. From inFlightGrace on, two
+// requests at most may reach it until that time is over, and then it must be used again.
 func TestRetryAfter(t *testing.T) {
 	for name, pause := range map[string]time.Duration{"seconds": 2 * time.Second, "a fraction": 1250 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
-			s := newSpeaking(t)
-			s.one.SetMode(cwstand.UpstreamSheds, 0)
-			s.one.SetHeaders(fmt.Sprintf("Retry-After: %g", pause.Seconds()))
+			s := newReportingFleet(t)
+			s.reporting.SetMode(cwstand.UpstreamSheds, 0)
+			s.reporting.SetHeaders(fmt.Sprintf("Retry-After: %g", pause.Seconds()))
 
 			cwtest.Wait(t, "a refusal", func() bool {
-				s.ask(1)
+				s.sendEachKind(1)
 
-				return len(s.one.Refusals()) > 0
+				return len(s.reporting.Refusals()) > 0
 			})
 
-			first := s.one.Refusals()[0]
+			first := s.reporting.Refusals()[0]
 			for time.Since(first) < 2*pause {
-				s.ask(1)
+				s.sendEachKind(1)
 			}
 
 			within := 0
-			for _, at := range s.one.Refusals() {
-				if late := at.Sub(first); late > pauseLate && late < pause {
+			for _, at := range s.reporting.Refusals() {
+				if late := at.Sub(first); late > inFlightGrace && late < pause {
 					within++
 				}
 			}
 
 			if within > 2 {
-				t.Errorf("%d requests reached a server that wants none", within)
+				t.Errorf("%d requests reached a server during its pause", within)
 			}
 
-			s.one.SetMode(cwstand.UpstreamServes, 0)
+			s.reporting.SetMode(cwstand.UpstreamServes, 0)
 			cwtest.Wait(t, "use of the server", func() bool {
-				s.ask(1)
+				s.sendEachKind(1)
 
-				return len(s.one.Runs()) > 0
+				return len(s.reporting.Runs()) > 0
 			})
 		})
 	}
 }
 
-// TestAllPause has all servers of a service want no requests for longer than callers wait,
-// and wants these to be refused at once, with when one of the servers is open again.
+// TestAllPause has all servers of a service refuse requests for longer than callers wait.
+// Callers must be refused at once, with the time until one of the servers accepts requests.
 func TestAllPause(t *testing.T) {
-	s := newSpeaking(t)
+	s := newReportingFleet(t)
 
-	for i, u := range []*cwstand.Upstream{s.one, s.other} {
+	for i, u := range []*cwstand.Upstream{s.reporting, s.other} {
 		u.SetMode(cwstand.UpstreamSheds, 0)
 		u.SetHeaders(fmt.Sprint("Retry-After: ", 20+20*i))
 	}
 
-	cwtest.Wait(t, "both words", func() bool {
-		s.ask(1)
+	cwtest.Wait(t, "both reports", func() bool {
+		s.sendEachKind(1)
 
 		return s.vm.gauge(t, "paused") == 2
 	})
 
-	before := len(s.one.Refusals()) + len(s.other.Refusals())
+	before := len(s.reporting.Refusals()) + len(s.other.Refusals())
 
-	for _, got := range s.ask(20) {
+	for _, got := range s.sendEachKind(20) {
 		if after := got.header.Get("Retry-After"); got.status != http.StatusServiceUnavailable || after == "" {
-			t.Errorf("status %d, to come back after %q", got.status, after)
+			t.Errorf("status %d, Retry-After %q", got.status, after)
 		}
 	}
 
-	if n := len(s.one.Refusals()) + len(s.other.Refusals()) - before; n > 0 {
-		t.Errorf("%d requests reached servers that want none", n)
+	if n := len(s.reporting.Refusals()) + len(s.other.Refusals()) - before; n > 0 {
+		t.Errorf("%d requests reached servers during their pause", n)
 	}
 }
