--- a/internal/cwgateway/bounds.go
+++ b/internal/cwgateway/bounds.go
@@ -15,8 +15,8 @@
 	// Grace is the time that an entry VM has to stop.
 	Grace time.Duration
 	// MaxLookupTTL is the longest time that callers keep a lookup reply.
-	AnswerMost time.Duration
-	Limits     cwfront.Limits
+	MaxLookupTTL time.Duration
+	Limits       cwfront.Limits
 	// A server that is warming up may get, in any second, WarmupOvershoot times the requests
 	// a second that it tolerates, and WarmupSlack more.
 	ColdOvershoot float64
@@ -44,7 +44,7 @@
 	g.setWarmupBounds()
 	g.quota.SetBounds(b.Quota)
 	g.mesh.AddSeeds(b.Seeds)
-	g.log.Info("New bounds are in force.", "grace", b.Grace.String(), "answer", b.AnswerMost.String(),
+	g.log.Info("New bounds are in force.", "grace", b.Grace.String(), "answer", b.MaxLookupTTL.String(),
 		"share", b.Limits.ExtraShare, "least", b.Limits.ExtraMin, "looks", b.Limits.ChecksPerSecond, "overshoot", b.ColdOvershoot, "slack", b.ColdSlack,
 		"keyage", b.Limits.MaxKeyAge.String(), "quota", b.Quota.Slack, "window", b.Quota.Window.String(), "seeds", b.Seeds)
 }
--- a/internal/cwgateway/listen.go
+++ b/internal/cwgateway/listen.go
@@ -119,7 +119,7 @@
 
 	b := g.bounds.Load()
 
-	return min(defaultLookupTTL, b.AnswerMost, time.Duration(acceptShare*float64(b.Grace)/holdFactor))
+	return min(defaultLookupTTL, b.MaxLookupTTL, time.Duration(acceptShare*float64(b.Grace)/holdFactor))
 }
 
 func (g *Gateway) serveLookup(ctx *fasthttp.RequestCtx) {
