--- a/internal/cwgateway/bounds.go
+++ b/internal/cwgateway/bounds.go
@@ -20,7 +20,7 @@
 	// A server that is warming up may get, in any second, WarmupOvershoot times the requests
 	// a second that it tolerates, and WarmupSlack more.
 	WarmupOvershoot float64
-	ColdSlack       float64
+	WarmupSlack     float64
 	// Quota limits what may be sent beyond teams' quotas.
 	Quota cwquota.Bounds
 	// Seeds are the addresses of the first peers to contact.
@@ -45,7 +45,7 @@
 	g.quota.SetBounds(b.Quota)
 	g.mesh.AddSeeds(b.Seeds)
 	g.log.Info("New bounds are in force.", "grace", b.Grace.String(), "answer", b.MaxLookupTTL.String(),
-		"share", b.Limits.ExtraShare, "least", b.Limits.ExtraMin, "looks", b.Limits.ChecksPerSecond, "overshoot", b.WarmupOvershoot, "slack", b.ColdSlack,
+		"share", b.Limits.ExtraShare, "least", b.Limits.ExtraMin, "looks", b.Limits.ChecksPerSecond, "overshoot", b.WarmupOvershoot, "slack", b.WarmupSlack,
 		"keyage", b.Limits.MaxKeyAge.String(), "quota", b.Quota.Slack, "window", b.Quota.Window.String(), "seeds", b.Seeds)
 }
 
@@ -61,7 +61,7 @@
 	byService := map[carobward.Service]cwbackend.WarmupBound{}
 
 	for name, s := range t.Services() {
-		byService[name] = cwbackend.WarmupBound{Rate: s.WarmupRate, Overshoot: b.WarmupOvershoot, Slack: b.ColdSlack}
+		byService[name] = cwbackend.WarmupBound{Rate: s.WarmupRate, Overshoot: b.WarmupOvershoot, Slack: b.WarmupSlack}
 	}
 
 	g.servers.SetWarmupBounds(byService)
--- a/internal/cwgateway/fleet_test.go
+++ b/internal/cwgateway/fleet_test.go
@@ -129,7 +129,7 @@
 		Self:  cwmesh.Node{ID: carobward.VMID(id), Domain: "a", Callers: freeAddress(t), Peers: freeAddress(t)},
 		Ready: freeAddress(t), Lookup: freeAddress(t), Metrics: freeAddress(t),
 		Bounds: cwgateway.Bounds{
-			Grace: 400 * time.Millisecond, MaxLookupTTL: 5 * time.Second, WarmupOvershoot: 1.5, ColdSlack: 8,
+			Grace: 400 * time.Millisecond, MaxLookupTTL: 5 * time.Second, WarmupOvershoot: 1.5, WarmupSlack: 8,
 			Limits: cwfront.Limits{ExtraShare: 0.2, ExtraWindow: 10 * time.Second, ExtraMin: 64, ChecksPerSecond: 60},
 		},
 		Adapter: platform.Adapter(f.address, func() {}), Dropped: func() int64 { return 0 }, Calls: func() int64 { return 0 }, Clock: carobward.SystemClock{},
