--- a/internal/cwgateway/gateway.go
+++ b/internal/cwgateway/gateway.go
@@ -95,8 +95,8 @@
 	// Regions maps each failure domain to its region.
 	Regions map[carobward.Domain]carobward.Region
 	// FirstStart reports that the whole fleet starts for the first time.
-	First bool
-	Key   cwpeer.Key
+	FirstStart bool
+	Key        cwpeer.Key
 	// LinkSpeed is the speed of the VM's network link in bytes a second, 0 if unknown.
 	Link    carobward.ByteCount
 	Adapter Adapter
@@ -198,7 +198,7 @@
 
 	g.follow = cwfollow.New(cwfollow.Options{
 		Feed: o.Adapter.Feed, Mirror: g.mirror, Mesh: g.mesh, Table: g.table, Clock: o.Clock, Log: o.Log, Changed: g.applyChanges,
-		First: o.First, Seed: slices.Contains(o.Seeds, o.Self.Peers),
+		First: o.FirstStart, Seed: slices.Contains(o.Seeds, o.Self.Peers),
 	})
 
 	g.registerGauges()
--- a/internal/cwgateway/know_test.go
+++ b/internal/cwgateway/know_test.go
@@ -244,12 +244,12 @@
 	var calls atomic.Int64
 
 	first := func(o *cwgateway.Options) {
-		o.First = true
+		o.FirstStart = true
 		o.Adapter = platform.Adapter(f.address, func() { calls.Add(1) })
 	}
 
 	seed := f.start(t, "vm-1", func(o *cwgateway.Options) {
-		o.First, o.Seeds = true, []carobward.Address{o.Self.Peers}
+		o.FirstStart, o.Seeds = true, []carobward.Address{o.Self.Peers}
 	})
 	next := f.start(t, "vm-2", first)
 
