--- a/cmd/cwgateway/main.go
+++ b/cmd/cwgateway/main.go
@@ -115,7 +115,7 @@
 		Bounds:     bounds(s),
 		Regions:    s.Regions,
 		Key:        key[:],
-		Link:       s.Link,
+		LinkSpeed:  s.Link,
 		FirstStart: s.First,
 		Adapter:    platform.Adapter(s.Store, func() { calls.Add(1) }),
 		Calls:      calls.Load,
--- a/internal/cwgateway/gateway.go
+++ b/internal/cwgateway/gateway.go
@@ -98,8 +98,8 @@
 	FirstStart bool
 	Key        cwpeer.Key
 	// LinkSpeed is the speed of the VM's network link in bytes a second, 0 if unknown.
-	Link    carobward.ByteCount
-	Adapter Adapter
+	LinkSpeed carobward.ByteCount
+	Adapter   Adapter
 	// DroppedLines returns the number of dropped log lines, StoreCalls the number of
 	// calls to the store.
 	Dropped func() int64
@@ -192,7 +192,7 @@
 	}
 
 	g.mesh = cwmesh.New(cwmesh.Options{
-		Table: g.table, Mirror: g.mirror, Seeds: o.Seeds, Key: o.Key, Link: o.Link, Clock: o.Clock, Log: o.Log, Changed: g.applyChanges,
+		Table: g.table, Mirror: g.mirror, Seeds: o.Seeds, Key: o.Key, Link: o.LinkSpeed, Clock: o.Clock, Log: o.Log, Changed: g.applyChanges,
 		Notices: g.servers.Announcements, TakeNotices: g.applyReports, Grant: g.quota.Grant, DomainGrant: g.quota.Near, Domains: slices.Collect(maps.Keys(o.Regions)),
 	}, conn)
 
--- a/internal/cwgateway/know_test.go
+++ b/internal/cwgateway/know_test.go
@@ -286,7 +286,7 @@
 
 	for i := range vms {
 		all = append(all, f.start(t, fmt.Sprint("vm-", i), func(o *cwgateway.Options) {
-			o.Link = 300_000
+			o.LinkSpeed = 300_000
 
 			if i > 0 {
 				o.Adapter = platform.Adapter(refused, func() {})
