--- a/cmd/cwgateway/main.go
+++ b/cmd/cwgateway/main.go
@@ -75,7 +75,7 @@
 	}
 
 	o := options(s, log)
-	o.Dropped = out.Dropped
+	o.DroppedLines = out.Dropped
 
 	g, err := cwgateway.New(o)
 	if err != nil {
--- a/internal/cwgateway/gateway.go
+++ b/internal/cwgateway/gateway.go
@@ -102,9 +102,9 @@
 	Adapter   Adapter
 	// DroppedLines returns the number of dropped log lines, StoreCalls the number of
 	// calls to the store.
-	Dropped func() int64
-	Calls   func() int64
-	Clock   carobward.Clock
+	DroppedLines func() int64
+	Calls        func() int64
+	Clock        carobward.Clock
 	// Suspended returns for how long the VM was suspended since the last call, a time
 	// that Clock does not count. PendingSuspension returns the same without resetting it.
 	Suspended func() time.Duration
