--- a/cmd/cwgateway/main.go
+++ b/cmd/cwgateway/main.go
@@ -118,7 +118,7 @@
 		LinkSpeed:  s.Link,
 		FirstStart: s.First,
 		Adapter:    platform.Adapter(s.Store, func() { calls.Add(1) }),
-		Calls:      calls.Load,
+		StoreCalls: calls.Load,
 		Clock:      carobward.SystemClock{},
 		Suspended:  suspended.Passed,
 		Pending:    suspended.Pending,
--- a/internal/cwgateway/fleet_test.go
+++ b/internal/cwgateway/fleet_test.go
@@ -132,7 +132,7 @@
 			Grace: 400 * time.Millisecond, MaxLookupTTL: 5 * time.Second, WarmupOvershoot: 1.5, WarmupSlack: 8,
 			Limits: cwfront.Limits{ExtraShare: 0.2, ExtraWindow: 10 * time.Second, ExtraMin: 64, ChecksPerSecond: 60},
 		},
-		Adapter: platform.Adapter(f.address, func() {}), DroppedLines: func() int64 { return 0 }, Calls: func() int64 { return 0 }, Clock: carobward.SystemClock{},
+		Adapter: platform.Adapter(f.address, func() {}), DroppedLines: func() int64 { return 0 }, StoreCalls: func() int64 { return 0 }, Clock: carobward.SystemClock{},
 		Suspended: func() time.Duration { return 0 }, Pending: func() time.Duration { return 0 }, Log: logr.Discard(),
 	}
 }
--- a/internal/cwgateway/gateway.go
+++ b/internal/cwgateway/gateway.go
@@ -103,7 +103,7 @@
 	// DroppedLines returns the number of dropped log lines, StoreCalls the number of
 	// calls to the store.
 	DroppedLines func() int64
-	Calls        func() int64
+	StoreCalls   func() int64
 	Clock        carobward.Clock
 	// Suspended returns for how long the VM was suspended since the last call, a time
 	// that Clock does not count. PendingSuspension returns the same without resetting it.
--- a/internal/cwgateway/tick.go
+++ b/internal/cwgateway/tick.go
@@ -135,7 +135,7 @@
 	g.metrics.Gauge("gateway", "era", func() int64 { return int64(g.mirror.State().Era) })
 	g.metrics.Gauge("gateway", "kept", func() int64 { return int64(len(g.mirror.Kept(g.Clock.Now()))) })
 	g.metrics.Gauge("gateway", "dropped", g.DroppedLines)
-	g.metrics.Gauge("gateway", "calls", g.Calls)
+	g.metrics.Gauge("gateway", "calls", g.StoreCalls)
 	g.metrics.Gauge("quarantine", "held", func() int64 {
 		held, _ := g.quarantine.Counts(g.Clock.Now())
 
