--- a/internal/cwgateway/fleet_test.go
+++ b/internal/cwgateway/fleet_test.go
@@ -133,7 +133,7 @@
 			Limits: cwfront.Limits{ExtraShare: 0.2, ExtraWindow: 10 * time.Second, ExtraMin: 64, ChecksPerSecond: 60},
 		},
 		Adapter: platform.Adapter(f.address, func() {}), DroppedLines: func() int64 { return 0 }, StoreCalls: func() int64 { return 0 }, Clock: carobward.SystemClock{},
-		Suspended: func() time.Duration { return 0 }, Pending: func() time.Duration { return 0 }, Log: logr.Discard(),
+		Suspended: func() time.Duration { return 0 }, PendingSuspension: func() time.Duration { return 0 }, Log: logr.Discard(),
 	}
 }
 
--- a/internal/cwgateway/gateway.go
+++ b/internal/cwgateway/gateway.go
@@ -107,9 +107,9 @@
 	Clock        carobward.Clock
 	// Suspended returns for how long the VM was suspended since the last call, a time
 	// that Clock does not count. PendingSuspension returns the same without resetting it.
-	Suspended func() time.Duration
-	Pending   func() time.Duration
-	Log       logr.Logger
+	Suspended         func() time.Duration
+	PendingSuspension func() time.Duration
+	Log               logr.Logger
 }
 
 // Gateway is one entry VM.
@@ -181,7 +181,7 @@
 		FleetSize:    func() int { return g.table.Size(o.Clock.Now()) },
 		TrafficShare: func() float64 { return g.trafficShare(o.Clock.Now()) },
 
-		KeyAge: func(now time.Time) time.Duration { return now.Sub(g.mesh.Checked()) + o.Pending() },
+		KeyAge: func(now time.Time) time.Duration { return now.Sub(g.mesh.Checked()) + o.PendingSuspension() },
 	})
 
 	g.bounds.Store(&o.Bounds)
