--- a/internal/cwgateway/addresses_test.go
+++ b/internal/cwgateway/addresses_test.go
@@ -7,9 +7,9 @@
 	"carobward.example/carobward"
 )
 
-// TestDrawn verifies that each entry VM of a large failure domain is given to about as many
+// TestSampleAddresses verifies that each entry VM of a large failure domain is given to about as many
 // callers as any other.
-func TestDrawn(t *testing.T) {
+func TestSampleAddresses(t *testing.T) {
 	const (
 		vms     = 106
 		callers = 2000
