--- a/internal/cwgateway/homes_test.go
+++ b/internal/cwgateway/homes_test.go
@@ -11,10 +11,10 @@
 	"carobward.example/carobward/internal/cwstand"
 )
 
-// TestHomesRequests has two regions with a server and an entry VM each. From either entry VM, a
+// TestAllowedRegions has two regions with a server and an entry VM each. From either entry VM, a
 // request must reach no server outside its route's allowed regions and is refused if these have
 // no servers. If all regions are allowed, it stays in the entry VM's region.
-func TestHomesRequests(t *testing.T) {
+func TestAllowedRegions(t *testing.T) {
 	regions := map[carobward.Domain]carobward.Region{"a": "north", "b": "south"}
 	withRegions := func(r cwstand.MetadataRoute, allowed ...string) cwstand.MetadataRoute {
 		r = maps.Clone(r)
