--- a/internal/cwgateway/bound_test.go
+++ b/internal/cwgateway/bound_test.go
@@ -27,9 +27,9 @@
 	}
 }
 
-// TestDeafCallers has callers that request large replies and never read them. The entry VM
+// TestUnreadReplies has callers that request large replies and never read them. The entry VM
 // serves other callers meanwhile, and still stops in time.
-func TestDeafCallers(t *testing.T) {
+func TestUnreadReplies(t *testing.T) {
 	const (
 		callers = 24
 		size    = 8 << 20 // More than the kernel buffers for a caller that does not read.
