--- a/internal/cwgateway/bound_test.go
+++ b/internal/cwgateway/bound_test.go
@@ -79,9 +79,9 @@
 	v.end()
 }
 
-// TestManyCallers has many connections on which no request arrives, or half of one. They
+// TestIdleConnections has many connections on which no request arrives, or half of one. They
 // occupy no server and do not count as requests in flight.
-func TestManyCallers(t *testing.T) {
+func TestIdleConnections(t *testing.T) {
 	const callers = 500
 
 	f := newFleet(t)
