--- a/internal/cwgateway/cold_test.go
+++ b/internal/cwgateway/cold_test.go
@@ -12,11 +12,11 @@
 	"carobward.example/carobward/internal/cwtest"
 )
 
-// TestCold has a server that starts to warm up without a restart, which only its health checks
+// TestWarmup has a server that starts to warm up without a restart, which only its health checks
 // report, while two entry VMs have many requests for it. Within a second it must get no more
 // requests than a server that is warming up tolerates, and a fair number of these. A request
 // refused as not run must not have run.
-func TestCold(t *testing.T) {
+func TestWarmup(t *testing.T) {
 	const (
 		requests = 60
 		// maxRuns follows from the stand-in's configuration and the bounds of the tests.
