--- a/internal/cwgateway/ends_test.go
+++ b/internal/cwgateway/ends_test.go
@@ -15,9 +15,9 @@
 	"carobward.example/carobward/internal/cwtest"
 )
 
-// TestEnds verifies, for each way in which servers treat requests, the status that callers get
+// TestOutcomes verifies, for each way in which servers treat requests, the status that callers get
 // and how often the request ran.
-func TestEnds(t *testing.T) {
+func TestOutcomes(t *testing.T) {
 	const two = 2
 
 	for name, c := range map[string]struct {
