--- a/internal/cwgateway/ends_test.go
+++ b/internal/cwgateway/ends_test.go
@@ -128,10 +128,10 @@
 	}
 }
 
-// TestNotRunIsTrue has one server that runs requests and resets the connection, and one that
+// TestNotRunNeverRan has one server that runs requests and resets the connection, and one that
 // refuses them. Whichever gets a request first, a caller that is told to come back because its
 // request did not run must not have had it run.
-func TestNotRunIsTrue(t *testing.T) {
+func TestNotRunNeverRan(t *testing.T) {
 	const requests = 24
 
 	f := newFleet(t)
