--- a/internal/cwgateway/entry_test.go
+++ b/internal/cwgateway/entry_test.go
@@ -70,11 +70,11 @@
 	cwtest.Wait(t, "no entry to be unusable", func() bool { return all[0].gauge(t, "unusable") == 0 })
 }
 
-// TestStartedAgain restarts a server under the same instance name behind a network partition:
+// TestServerRestart restarts a server under the same instance name behind a network partition:
 // requests sent to the earlier process get neither a reply nor a reset. As soon as the list of
 // servers shows the restart, the entry VM must send the pending lookup again, and end the
 // charge as one that may have run.
-func TestStartedAgain(t *testing.T) {
+func TestServerRestart(t *testing.T) {
 	f := newFleet(t)
 	server := f.upstream(t, "fees", "i-1")
 
