--- a/internal/cwgateway/fault_test.go
+++ b/internal/cwgateway/fault_test.go
@@ -19,9 +19,9 @@
 	return f.CallerDialect.Hides(name, keyed)
 }
 
-// TestFault verifies that a request that makes an entry VM panic affects only its own caller:
+// TestPanic verifies that a request that makes an entry VM panic affects only its own caller:
 // the process goes on, and the answer does not claim that the request did not run.
-func TestFault(t *testing.T) {
+func TestPanic(t *testing.T) {
 	f := newFleet(t)
 	f.upstream(t, "records", "i-1")
 	f.configure(safeRoute("records"))
