--- a/internal/cwgateway/gateway_test.go
+++ b/internal/cwgateway/gateway_test.go
@@ -18,8 +18,8 @@
 	"carobward.example/carobward/platform"
 )
 
-// TestServes verifies that a request of each kind reaches its server unchanged.
-func TestServes(t *testing.T) {
+// TestForward verifies that a request of each kind reaches its server unchanged.
+func TestForward(t *testing.T) {
 	f := newFleet(t)
 	records, fees := f.upstream(t, "records", "i-1"), f.upstream(t, "fees", "i-2")
 	f.configure(safeRoute("records"), unsafeRoute())
