--- a/internal/cwgateway/gateway_test.go
+++ b/internal/cwgateway/gateway_test.go
@@ -101,9 +101,9 @@
 	}
 }
 
-// TestClosing verifies that a server that closes the connection after a health check gets the
+// TestHealthCheckCloses verifies that a server that closes the connection after a health check gets the
 // request over another connection.
-func TestClosing(t *testing.T) {
+func TestHealthCheckCloses(t *testing.T) {
 	f := newFleet(t)
 	u := f.upstream(t, "fees", "i-1")
 	u.SetCloseOnHealth(true)
