--- a/internal/cwgateway/gateway_test.go
+++ b/internal/cwgateway/gateway_test.go
@@ -119,8 +119,8 @@
 	}
 }
 
-// TestSlowLooks verifies that healthy servers with slow health checks are used.
-func TestSlowLooks(t *testing.T) {
+// TestSlowHealthChecks verifies that healthy servers with slow health checks are used.
+func TestSlowHealthChecks(t *testing.T) {
 	const (
 		slow      = 80 * time.Millisecond
 		requests  = 20
