--- a/internal/cwgateway/know_test.go
+++ b/internal/cwgateway/know_test.go
@@ -17,9 +17,9 @@
 	"carobward.example/carobward/platform"
 )
 
-// TestChange verifies that a new configuration comes into force on all entry VMs, also if the
+// TestConfigChange verifies that a new configuration comes into force on all entry VMs, also if the
 // store has dropped its history or watches report nothing.
-func TestChange(t *testing.T) {
+func TestConfigChange(t *testing.T) {
 	for name, fault := range map[string]func(*cwstand.MetadataStore){
 		"no fault":        func(*cwstand.MetadataStore) {},
 		"history dropped": (*cwstand.MetadataStore).Compact,
