--- a/internal/cwgateway/know_test.go
+++ b/internal/cwgateway/know_test.go
@@ -149,11 +149,11 @@
 	}
 }
 
-// TestHoldCalls verifies that an entry VM makes few calls to the store while it holds back
+// TestHeldRemovals verifies that an entry VM makes few calls to the store while it holds back
 // removals after an outage: each call waits for changes. Otherwise it would call as fast as
 // the store answers, hundreds of times in two seconds. A server removed during the outage is
 // removed in the end.
-func TestHoldCalls(t *testing.T) {
+func TestHeldRemovals(t *testing.T) {
 	// enough is the largest number of calls while removals are held back.
 	const enough = 16
 
