--- a/internal/cwgateway/know_test.go
+++ b/internal/cwgateway/know_test.go
@@ -196,9 +196,9 @@
 	}
 }
 
-// TestStoreAway verifies that entry VMs go on while the store is unavailable, that one can
+// TestStoreUnavailable verifies that entry VMs go on while the store is unavailable, that one can
 // join and start from its peers, and that all learn of changes after the outage.
-func TestStoreAway(t *testing.T) {
+func TestStoreUnavailable(t *testing.T) {
 	f := newFleet(t)
 	records := f.upstream(t, "records", "i-1")
 	f.configure(safeRoute("records"))
