--- a/internal/cwgateway/know_test.go
+++ b/internal/cwgateway/know_test.go
@@ -234,9 +234,9 @@
 	}
 }
 
-// TestFirst starts a fleet for the first time, when only its seed asks the store, and verifies
+// TestFirstStart starts a fleet for the first time, when only its seed asks the store, and verifies
 // that all become ready. An entry VM that reaches no seed must ask the store itself.
-func TestFirst(t *testing.T) {
+func TestFirstStart(t *testing.T) {
 	f := newFleet(t)
 	f.upstream(t, "records", "i-1")
 	f.configure(safeRoute("records"))
