--- a/internal/cwgateway/know_test.go
+++ b/internal/cwgateway/know_test.go
@@ -334,9 +334,9 @@
 	}
 }
 
-// TestTurnedAway verifies that an entry VM that the store refuses to serve learns of changes
+// TestStoreRefuses verifies that an entry VM that the store refuses to serve learns of changes
 // from its peers.
-func TestTurnedAway(t *testing.T) {
+func TestStoreRefuses(t *testing.T) {
 	f := newFleet(t)
 	f.upstream(t, "records", "i-1")
 	fees := f.upstream(t, "fees", "i-2")
