--- a/internal/cwgateway/quarantine_test.go
+++ b/internal/cwgateway/quarantine_test.go
@@ -389,9 +389,9 @@
 	return do(req)
 }
 
-// TestInnocents sends other requests beside one that crashes servers, some of them the same
+// TestOtherRequests sends other requests beside one that crashes servers, some of them the same
 // again and again. None of them may be quarantined.
-func TestInnocents(t *testing.T) {
+func TestOtherRequests(t *testing.T) {
 	f := newFleet(t)
 	servers := newCrashingServers(t, f, 16, isPoison)
 	f.configure(safeRoute("fees"), unsafeRoute())
