--- a/internal/cwgateway/restore_test.go
+++ b/internal/cwgateway/restore_test.go
@@ -25,9 +25,9 @@
 	})
 }
 
-// TestIndexGivenOutTwice restores the store from a backup. A change whose index an earlier, lost
+// TestIndexReused restores the store from a backup. A change whose index an earlier, lost
 // change had must come into force.
-func TestIndexGivenOutTwice(t *testing.T) {
+func TestIndexReused(t *testing.T) {
 	for name, c := range map[string]struct {
 		// lost is how many changes the store loses, later how many it takes after the change that
 		// counts and before it serves entry VMs again.
