--- a/internal/cwgateway/restore_test.go
+++ b/internal/cwgateway/restore_test.go
@@ -127,10 +127,10 @@
 	r.store.Put("servers/i-1", cwstand.ServerEntryWithSeq(cwstand.ServerEntry("fees", r.near.Address(), "a", state), r.writes))
 }
 
-// TestStays restores a store that has lost what keeps requests from a server. All entry VMs must
+// TestLostItemsKept restores a store that has lost what keeps requests from a server. All entry VMs must
 // keep it in force for longer than servers take to write their entries again, and must follow
 // what is acknowledged after that.
-func TestStays(t *testing.T) {
+func TestLostItemsKept(t *testing.T) {
 	nothing := func(*restoredFleet) {}
 
 	for name, c := range map[string]struct {
