--- a/internal/cwgateway/restore_test.go
+++ b/internal/cwgateway/restore_test.go
@@ -177,9 +177,9 @@
 	}
 }
 
-// TestTakenBackStays restores a store with an evacuation that had ended. It must not come into
+// TestEndedEvacuationKept restores a store with an evacuation that had ended. It must not come into
 // force again until operators evacuate anew.
-func TestTakenBackStays(t *testing.T) {
+func TestEndedEvacuationKept(t *testing.T) {
 	r := newRestoredFleet(t, func(r *restoredFleet) { r.store.Put(evacuationKey, nil) }, func(r *restoredFleet) { r.store.Delete(evacuationKey) })
 
 	for _, v := range r.vms {
