--- a/internal/cwgateway/restore_test.go
+++ b/internal/cwgateway/restore_test.go
@@ -243,9 +243,9 @@
 	}
 }
 
-// TestLostChangeStays restores a store without a configuration that is in force. It must stay in
+// TestLostConfigKept restores a store without a configuration that is in force. It must stay in
 // force, also on an entry VM that starts later and asks the restored store.
-func TestLostChangeStays(t *testing.T) {
+func TestLostConfigKept(t *testing.T) {
 	f := newFleet(t)
 	f.upstream(t, "records", "i-1")
 	fees := f.upstream(t, "fees", "i-2")
