--- a/internal/cwgateway/restore_test.go
+++ b/internal/cwgateway/restore_test.go
@@ -193,9 +193,9 @@
 	}
 }
 
-// TestOwnWrittenAgain restores a store that lacks keys written by entry VMs and has keys that
+// TestOwnKeysRestored restores a store that lacks keys written by entry VMs and has keys that
 // they had removed. They must write the former and remove the latter again.
-func TestOwnWrittenAgain(t *testing.T) {
+func TestOwnKeysRestored(t *testing.T) {
 	f := newFleet(t)
 	servers := newCrashingServers(t, f, 8, isPoison)
 	f.configure(unsafeRoute())
