--- a/internal/cwgateway/team_test.go
+++ b/internal/cwgateway/team_test.go
@@ -146,9 +146,9 @@
 	})
 }
 
-// TestKeysOld cuts an entry VM off from the store. Once its knowledge of keys is too old, it must
+// TestStaleKeys cuts an entry VM off from the store. Once its knowledge of keys is too old, it must
 // refuse all requests that need a key and still serve the others.
-func TestKeysOld(t *testing.T) {
+func TestStaleKeys(t *testing.T) {
 	const maxKeyAge = 1500 * time.Millisecond
 
 	f := newFleet(t)
