--- a/internal/cwgateway/words_test.go
+++ b/internal/cwgateway/words_test.go
@@ -47,10 +47,10 @@
 	return all
 }
 
-// TestSaysLeaving has a server report in any kind of reply that it is leaving, while its entry
+// TestReportsLeaving has a server report in any kind of reply that it is leaving, while its entry
 // stays ready. It must get no further requests, also while the store is unavailable, until
 // another process runs there.
-func TestSaysLeaving(t *testing.T) {
+func TestReportsLeaving(t *testing.T) {
 	for name, way := range map[string]cwstand.UpstreamMode{
 		"in answers":        cwstand.UpstreamServes,
 		"in refusals":       cwstand.UpstreamSheds,
