--- a/internal/cwgateway/words_test.go
+++ b/internal/cwgateway/words_test.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// TestUnreadableWords verifies that header fields that can't be parsed have no effect.
-func TestUnreadableWords(t *testing.T) {
+// TestInvalidReports verifies that header fields that can't be parsed have no effect.
+func TestInvalidReports(t *testing.T) {
 	s := newReportingFleet(t)
 	s.reporting.SetHeaders("Server-Leaving: maybe", "Retry-After: never")
 
