--- a/internal/cwgateway/words_test.go
+++ b/internal/cwgateway/words_test.go
@@ -156,9 +156,9 @@
 	}
 }
 
-// TestAllPause has all servers of a service refuse requests for longer than callers wait.
+// TestAllServersPause has all servers of a service refuse requests for longer than callers wait.
 // Callers must be refused at once, with the time until one of the servers accepts requests.
-func TestAllPause(t *testing.T) {
+func TestAllServersPause(t *testing.T) {
 	s := newReportingFleet(t)
 
 	for i, u := range []*cwstand.Upstream{s.reporting, s.other} {
