--- a/internal/cwgateway/addresses_test.go
+++ b/internal/cwgateway/addresses_test.go
@@ -7,8 +7,8 @@
 	"carobward.example/carobward"
 )
 
-// TestSampleAddresses verifies that each entry VM of a large failure domain is given to about as many
-// callers as any other.
+// TestSampleAddresses verifies that each entry VM of a large failure domain is given to about
+// as many callers as any other.
 func TestSampleAddresses(t *testing.T) {
 	const (
 		vms     = 106
--- a/internal/cwgateway/gateway.go
+++ b/internal/cwgateway/gateway.go
@@ -125,8 +125,8 @@
 	front   *cwfront.Front
 	mesh    *cwmesh.Mesh
 	follow  *cwfollow.Follower
-	// quarantine has the requests under which servers crashed, quarantineKeeper shares
-	// them with the other entry VMs.
+	// quarantine has the requests that servers were running when they crashed,
+	// quarantineKeeper shares them with the other entry VMs.
 	quarantine       *cwquarantine.Table
 	quarantineKeeper *cwquarantine.Keeper
 	quota            *cwquota.Keeper
--- a/internal/cwgateway/gateway_test.go
+++ b/internal/cwgateway/gateway_test.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// TestHealthCheckCloses verifies that a server that closes the connection after a health check gets the
-// request over another connection.
+// TestHealthCheckCloses verifies that a server that closes the connection after a health check
+// gets the request over another connection.
 func TestHealthCheckCloses(t *testing.T) {
 	f := newFleet(t)
 	u := f.upstream(t, "fees", "i-1")
--- a/internal/cwgateway/nearest_addresses_test.go
+++ b/internal/cwgateway/nearest_addresses_test.go
@@ -10,8 +10,8 @@
 )
 
 // TestNearestAddresses verifies which failure domains' entry VMs a caller is given: those of its
-// own, of its region, of the host's allowed regions, and others as the last resort. Failure
-// domain n-1 belongs to region n.
+// own, of its region, of the host's allowed regions, and others as the last resort. Region n has
+// the failure domains n-1 and n-2.
 func TestNearestAddresses(t *testing.T) {
 	regions := map[carobward.Domain]carobward.Region{"n-1": "n", "n-2": "n", "s-1": "s", "s-2": "s", "e-1": "e"}
 	for name, c := range map[string]struct {
--- a/internal/cwgateway/operators.go
+++ b/internal/cwgateway/operators.go
@@ -12,8 +12,8 @@
 	"carobward.example/carobward/internal/cwquarantine"
 )
 
-// pathQuarantine lists the requests under which servers crashed. DELETE of one of them, by
-// its fingerprint, ends its quarantine.
+// pathQuarantine lists the requests that servers were running when they crashed. DELETE of
+// one of them, by its fingerprint, ends its quarantine.
 const pathQuarantine = "/quarantine"
 
 // pathStatus shows the current state of this entry VM.
@@ -38,7 +38,7 @@
 	}
 }
 
-// quarantineEntry is a request under which servers crashed, as shown to operators.
+// quarantineEntry is a request that servers were running when they crashed, as shown to operators.
 type quarantineEntry struct {
 	// Fingerprint identifies the request, Request describes it.
 	Fingerprint string              `json:"print"`
--- a/internal/cwgateway/outcomes_test.go
+++ b/internal/cwgateway/outcomes_test.go
@@ -15,8 +15,8 @@
 	"carobward.example/carobward/internal/cwtest"
 )
 
-// TestOutcomes verifies, for each way in which servers treat requests, the status that callers get
-// and how often the request ran.
+// TestOutcomes verifies, for each way in which servers treat requests, the status that callers
+// get and how often the request ran.
 func TestOutcomes(t *testing.T) {
 	const two = 2
 
--- a/internal/cwgateway/poison_test.go
+++ b/internal/cwgateway/poison_test.go
@@ -162,8 +162,8 @@
 	const (
 		// maxRounds is how often the caller sends the request at most until all refuse it.
 		maxRounds = 60
-		// repeats is how often it sends the request after that, and maxCrashes how many servers
-		// that may crash in all.
+		// repeats is how often it sends the request after that, maxCrashes how many servers may
+		// crash meanwhile.
 		repeats    = 40
 		maxCrashes = 3
 	)
--- a/internal/cwgateway/quarantine_test.go
+++ b/internal/cwgateway/quarantine_test.go
@@ -91,7 +91,7 @@
 
 	for name, c := range map[string]struct {
 		way cwstand.UpstreamMode
-		// fatal reports that the server crashes, leaves that its entry was removed before.
+		// fatal reports whether the server crashes, leaves whether its entry is removed before.
 		fatal, leaves bool
 		blamed        bool
 	}{
@@ -197,9 +197,9 @@
 	f.store.SetFaults(cwstand.MetadataFaults{})
 	waitQuarantined(t, all)
 
-	newcomer := f.start(t, "vm-9")
-	newcomer.waitReady(t)
-	all = append(all, newcomer)
+	joined := f.start(t, "vm-9")
+	joined.waitReady(t)
+	all = append(all, joined)
 
 	before := servers.count()
 
--- a/internal/cwgateway/restore_test.go
+++ b/internal/cwgateway/restore_test.go
@@ -127,9 +127,9 @@
 	r.store.Put("servers/i-1", cwstand.ServerEntryWithSeq(cwstand.ServerEntry("fees", r.near.Address(), "a", state), r.writes))
 }
 
-// TestLostItemsKept restores a store that has lost what keeps requests from a server. All entry VMs must
-// keep it in force for longer than servers take to write their entries again, and must follow
-// what is acknowledged after that.
+// TestLostItemsKept restores a store that has lost what keeps requests from a server. All entry
+// VMs must keep it in force for longer than servers take to write their entries again, and must
+// follow what is acknowledged after that.
 func TestLostItemsKept(t *testing.T) {
 	nothing := func(*restoredFleet) {}
 
@@ -177,8 +177,8 @@
 	}
 }
 
-// TestEndedEvacuationKept restores a store with an evacuation that had ended. It must not come into
-// force again until operators evacuate anew.
+// TestEndedEvacuationKept restores a store with an evacuation that had ended. It must not come
+// into force again until operators evacuate anew.
 func TestEndedEvacuationKept(t *testing.T) {
 	r := newRestoredFleet(t, func(r *restoredFleet) { r.store.Put(evacuationKey, nil) }, func(r *restoredFleet) { r.store.Delete(evacuationKey) })
 
--- a/internal/cwgateway/server_entry_test.go
+++ b/internal/cwgateway/server_entry_test.go
@@ -15,21 +15,21 @@
 // use that server until its next valid entry, and the other server serves meanwhile.
 func TestUnusableEntry(t *testing.T) {
 	f := newFleet(t)
-	spoiled, other := f.upstream(t, "fees", "i-1"), f.upstream(t, "fees", "i-2")
+	corrupted, other := f.upstream(t, "fees", "i-1"), f.upstream(t, "fees", "i-2")
 	f.configure(unsafeRoute())
 
 	all := startAll(t, f, "vm-", carobward.SystemClock{})
-	withoutStart := cwstand.ServerEntry("fees", spoiled.Address(), "a", "ready")
+	withoutStart := cwstand.ServerEntry("fees", corrupted.Address(), "a", "ready")
 	valid := cwstand.ServerEntryWithStart(withoutStart, 1_700_000_000_000)
 
 	for name, value := range map[string][]byte{
 		"empty":                  {},
 		"an empty table":         []byte("{}"),
-		"an unknown state":       cwstand.ServerEntry("fees", spoiled.Address(), "a", "starting"),
+		"an unknown state":       cwstand.ServerEntry("fees", corrupted.Address(), "a", "starting"),
 		"without the start":      withoutStart,
 		"no address":             cwstand.ServerEntry("fees", "", "a", "ready"),
 		"a host name as address": cwstand.ServerEntry("fees", "server.example:1", "a", "ready"),
-		"without failure domain": cwstand.ServerEntry("fees", spoiled.Address(), "", "ready"),
+		"without failure domain": cwstand.ServerEntry("fees", corrupted.Address(), "", "ready"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			f.store.Put("servers/i-1", valid)
@@ -51,7 +51,7 @@
 					t.Errorf("%d servers, %d unusable", servers, unusable)
 				}
 
-				before := len(spoiled.Runs())
+				before := len(corrupted.Runs())
 
 				for n := range 10 {
 					if got := v.send(http.MethodPost, chargePath, fmt.Sprint(name, i, n), ""); got.status != http.StatusOK {
@@ -59,7 +59,7 @@
 					}
 				}
 
-				if len(spoiled.Runs()) > before || len(other.Runs()) == 0 {
+				if len(corrupted.Runs()) > before || len(other.Runs()) == 0 {
 					t.Error("the server with an unusable entry got requests")
 				}
 			}
--- a/internal/cwgateway/server_reports.go
+++ b/internal/cwgateway/server_reports.go
@@ -7,14 +7,14 @@
 )
 
 // applyReports takes over what servers reported to another entry VM.
-func (g *Gateway) applyReports(words carobward.ServerWords, from carobward.VMID) {
+func (g *Gateway) applyReports(reports carobward.ServerWords, from carobward.VMID) {
 	now := g.Clock.Now()
 
-	for _, w := range g.servers.MergeLeaving(words.Leaving, now) {
+	for _, w := range g.servers.MergeLeaving(reports.Leaving, now) {
 		g.log.Info("A server reports that it is leaving; it gets no further requests.", "server", w.Server, "start", w.Start, "from", "peer", "vm", from)
 	}
 
-	for _, w := range g.servers.MergeLimits(words.Limits) {
+	for _, w := range g.servers.MergeLimits(reports.Limits) {
 		g.log.Info("A server's limit has changed.", "server", w.Server, "named", w.Limit.Named, "rate", w.Limit.Rate,
 			"from", "peer", "vm", from, "age", now.Sub(w.At).Milliseconds())
 	}
--- a/internal/cwgateway/store_test.go
+++ b/internal/cwgateway/store_test.go
@@ -17,8 +17,8 @@
 	"carobward.example/carobward/platform"
 )
 
-// TestConfigChange verifies that a new configuration comes into force on all entry VMs, also if the
-// store has dropped its history or watches report nothing.
+// TestConfigChange verifies that a new configuration comes into force on all entry VMs, also if
+// the store has dropped its history or watches report nothing.
 func TestConfigChange(t *testing.T) {
 	for name, fault := range map[string]func(*cwstand.MetadataStore){
 		"no fault":        func(*cwstand.MetadataStore) {},
@@ -234,8 +234,8 @@
 	}
 }
 
-// TestFirstStart starts a fleet for the first time, when only its seed asks the store, and verifies
-// that all become ready. An entry VM that reaches no seed must ask the store itself.
+// TestFirstStart starts a fleet for the first time, when only its seed asks the store, and
+// verifies that all become ready. An entry VM that reaches no seed must ask the store itself.
 func TestFirstStart(t *testing.T) {
 	f := newFleet(t)
 	f.upstream(t, "records", "i-1")
--- a/internal/cwgateway/tick.go
+++ b/internal/cwgateway/tick.go
@@ -43,10 +43,11 @@
 	}
 }
 
-// applySuspension adds the time of a suspension, which the VM's clock does not count, to the
-// age of the replica of the store, so that the store is asked at once, of idle connections and
-// of the limits that servers reported. Other ages need no correction: load is checked before
-// each send, blocks only last longer, and the callers of requests in flight have left or will.
+// applySuspension makes up for a suspension, which the VM's clock does not count. It adds its
+// length to the age of the replica, so that the store is asked at once, and to the ages of idle
+// connections and of limits that servers reported. Other ages need no correction: load is
+// checked before each send, blocks only last longer, and the callers of requests in flight have
+// left or will.
 func (g *Gateway) applySuspension(by time.Duration) {
 	g.log.Info("The VM was suspended.", "by", by.String(), "flight", g.front.InFlight())
 	g.mesh.Suspended(by)
