--- a/clock.go
+++ b/clock.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Clock tells the time. Decisions take the time as an argument; only the
-// edges hold a Clock.
+// Clock provides the current time. Functions that decide something take the time as an
+// argument; only the outermost code has a Clock.
 type Clock interface {
-	// Now returns the current time, with its monotonic reading.
+	// Now returns the current time, with its monotonic clock reading.
 	Now() time.Time
 }
 
-// SystemClock is the Clock of the machine.
+// SystemClock is the Clock of the operating system.
 type SystemClock struct{}
 
-// Now returns the machine's time.
+// Now returns the system time.
 func (SystemClock) Now() time.Time { return time.Now() }
 
-// Pause waits for a time or for the end of the context.
+// Pause waits for a duration or until the context ends.
 func Pause(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -29,8 +29,8 @@
 	}
 }
 
-// SetBack returns a time that a clock told before a while that the clock did not count. The
-// zero time, which is none, stays.
+// SetBack moves a time back by the duration of a suspension that the monotonic clock did
+// not count, so that the age of the time includes the suspension. The zero time stays zero.
 func SetBack(t time.Time, by time.Duration) time.Time {
 	if t.IsZero() {
 		return t
