--- a/dialect.go
+++ b/dialect.go
@@ -2,23 +2,22 @@
 
 import "time"
 
-// Dialect is the protocol between entry VMs and servers, as far as it differs
-// from one installation to the next: the header fields that name a call, bound
-// its time and speak of the server's load. Methods must be safe for use by
-// several goroutines.
+// Dialect is the part of the protocol between entry VMs and servers that differs between
+// platforms: the header fields that identify a call, limit its time and report the server's
+// load. Its methods must be safe for concurrent use.
 type Dialect interface {
-	// Fields calls add for each field that a call carries for the server. Left
-	// is the time until the call's deadline.
+	// Fields calls add for each field that a call carries to the server. Left is the time
+	// until the call's deadline.
 	Fields(c *Call, left time.Duration, add func(name, value string))
-	// Read takes what a reply's header says of the call and the server and
-	// sets the reply's Report, Shed, Instance, Warmup, Limit, Leaving, Pause and Keep. It returns ErrOther for
-	// a reply to another call, and another error for one that can't be
-	// attributed.
+	// Read parses the header fields of a reply and sets the reply's Report, Shed, Instance,
+	// Warmup, HasWarmup, Limit, Leaving, Pause and KeepAlive. It returns ErrOtherRequest
+	// for a reply to another call, and another error for a reply that can't be attributed
+	// to a call.
 	Read(c *Call, r *Reply, now time.Time) error
-	// Unframed tells that a reply may end with its connection. Where it may
-	// not, such a reply counts as cut off.
+	// Unframed reports whether the end of the connection may mark the end of a reply. If
+	// not, such a reply counts as truncated.
 	Unframed() bool
-	// Extra tells that a reply to another call may come before the reply to
-	// this one, which then still follows.
+	// Extra reports whether a reply to another call may arrive before the reply to this
+	// one, which still follows.
 	Extra() bool
 }
