--- a/feed.go
+++ b/feed.go
@@ -7,34 +7,37 @@
 	"github.com/juju/errors"
 )
 
-// Item is one value of a Feed with the store's index of its last change.
+// Item is one value of a Feed with the store index of its last change.
 type Item struct {
 	Key   Key
 	Value []byte
 	Index StoreIndex
-	// Gone tells that the key was removed at Index; there is no value.
+	// Gone is set if the key was deleted at Index; Value is empty then.
 	Gone bool
 }
 
-// Gap is a span of the store's history that is not known: from a copy at From a
-// list of all keys at To was taken, and keys may have come and gone between.
+// Gap is a span of the store's history whose changes are not known: a replica at index From
+// was replaced by a listing of all keys at index To, and keys may have been created and
+// deleted in between.
 type Gap struct{ From, To StoreIndex }
 
-// Has tells whether a copy at an index needs changes that are not known.
+// Has reports whether a replica at an index lacks changes that are not known.
 func (g Gap) Has(index StoreIndex) bool { return g.From < index && index < g.To }
 
-// IsEmpty tells whether no copy can be within the gap.
+// IsEmpty reports whether no replica can be at an index within the gap.
 func (g Gap) IsEmpty() bool { return g.To <= g.From+1 }
 
-// Rank orders what one writer wrote under a key, whatever the store's indexes say: a value
-// of a lower rank is an older one. A zero rank is not known and has no order.
+// Rank orders the values that one writer wrote under a key, independent of the store's
+// indexes, which repeat after the store is restored from a backup. A value of a lower rank
+// is older. The zero rank is unknown and has no order.
 type Rank struct {
-	// Start is that of the writing process, Write counts or names its writes.
+	// Start is the start time of the writing process. Write is a counter or version of its
+	// writes.
 	Start Start
 	Write uint64
 }
 
-// Before tells whether a value is known to be older than another one.
+// Before reports whether a value is known to be older than another one.
 func (r Rank) Before(other Rank) bool {
 	if r == (Rank{}) || other == (Rank{}) {
 		return false
@@ -47,46 +50,47 @@
 	return r.Write < other.Write
 }
 
-// Kept is an item that the store acknowledged and that stays in force though the store now
-// lacks it, has it again after its removal, or has an older value.
+// Kept is an item that the store acknowledged and that stays effective although the store
+// lacks it now, has it again after its deletion, or has an older value.
 type Kept struct {
 	Item
 
 	Rank Rank
-	// For is for how much longer it stays at least, unless the store has a newer value.
+	// For is how much longer the item stays effective at least, unless the store gets a
+	// newer value.
 	For time.Duration
 }
 
-// Always is for how long what has no end is kept: some lifetimes of a VM.
+// Always is how long items without an expiry are retained: longer than any VM lives.
 const Always = 10 * 365 * 24 * time.Hour
 
-// Changes are items that were written or removed.
+// Changes are items that were written or deleted.
 type Changes struct {
 	// Items holds the newest state of each changed key.
 	Items []Item
-	// After and Index are the store's indexes between which these changes are
-	// complete, unless Whole is set: all that changed after After, up to Index.
+	// After and Index delimit the changes: Items has all changes after After, up to Index.
+	// If Full is set, After does not apply.
 	After StoreIndex
 	Index StoreIndex
-	// Era is that of the store and of Index. AfterEra is that of After where it is an
-	// earlier one: the changes lead from one era into another, and change a copy at After
-	// alone.
+	// Era is the era of the store and of Index. AfterEra is the era of After if that is an
+	// earlier one: the changes then lead from one era to the next, and apply only to a
+	// replica that is exactly at After.
 	Era      StoreEra
 	AfterEra StoreEra
-	// Gap is a part of the history of which the sender itself knows no changes in
-	// between: who has these changes can't bring a copy up to date that is within
-	// it. It may go beyond Index where a list was taken in pages meanwhile.
+	// Gap is the part of the history of which the sender itself knows no changes: these
+	// changes can't bring a replica up to date whose index is within it. Gap may extend
+	// beyond Index if the store changed while its keys were listed page by page.
 	Gap Gap
-	// Whole tells that Items are all keys there are: what is not among them
-	// does not exist.
+	// Whole is set if Items has all keys that exist: a key that is not among them does not
+	// exist.
 	Whole bool
-	// Kept are items of the sender that stay in force beside Items.
+	// Kept are items of the sender that stay effective besides Items.
 	Kept []Kept
-	// Hold is for how much longer removals by the store prove nothing.
+	// Hold is how much longer deletions in the store are not trusted.
 	Hold time.Duration
 }
 
-// Size returns the bytes of all keys and values.
+// Size returns the total size of all keys and values.
 func (c *Changes) Size() ByteCount {
 	size := 0
 	for i := range c.Items {
@@ -96,43 +100,42 @@
 	return ByteCount(size)
 }
 
-// ErrHistory is the error of a Feed that no longer has the changes since an
-// index. All keys have to be listed again.
+// ErrHistory is returned by a Feed that no longer has the changes since an index. All keys
+// have to be listed again.
 const ErrHistory = errors.ConstError("store: the history since then is no longer kept")
 
-// Feed is the part of the platform's store that an entry VM follows: the
-// operators' configuration and the list of backend servers.
+// Feed is the part of the platform's store that an entry VM follows: the operators'
+// configuration and the list of backend servers.
 type Feed interface {
 	// List returns all keys.
 	List(ctx context.Context) (Changes, error)
-	// Read returns one key, which may be seconds old: such a read is nearly free.
-	// A key that does not exist is Gone.
+	// Read returns one key. The value may be seconds old; in return the read costs the
+	// store almost nothing. For a key that does not exist it returns an item with Deleted
+	// set.
 	Read(ctx context.Context, key Key) (Item, error)
-	// Watch returns the changes after an index as soon as there are any, or
-	// none after the wait. It returns ErrHistory, ErrStoreRefused or
-	// ErrStoreDown.
+	// Watch returns the changes after an index as soon as there are any, or none once the
+	// wait is over. It returns ErrHistoryGone, ErrStoreRefused or ErrStoreDown.
 	Watch(ctx context.Context, after StoreIndex, wait time.Duration) (Changes, error)
-	// Write changes keys of ours. It returns ErrConflict or ErrStoreRefused if
-	// nothing was written, and ErrStoreUnknown where that is not known.
+	// Write changes keys that entry VMs own. It returns ErrConflict or ErrStoreRefused if
+	// nothing was written, and ErrStoreUnknown if that is not known.
 	Write(ctx context.Context, b Batch) error
 }
 
-// Batch is a change of several keys that takes effect as a whole, or not at all.
+// Batch is a change of several keys that takes effect as a whole or not at all.
 type Batch struct {
-	// Absent are keys that must not exist, or else it is an ErrConflict.
+	// Absent are keys that must not exist; otherwise the write fails with ErrConflict.
 	Absent []Key
 	// Writes are keys with their new values.
 	Writes []Item
-	// Deletes are keys that are removed. They need not exist.
+	// Deletes are the keys to delete. They need not exist.
 	Deletes []Key
 }
 
-// PrefixOwn begins all keys that entry VMs write.
+// PrefixOwn is the prefix of all keys that entry VMs write.
 const PrefixOwn = "carobward/"
 
-// KeyFleet has the list of entry VMs. Its value is ours.
+// KeyFleet is the key of the list of entry VMs, which entry VMs write themselves.
 const KeyFleet Key = PrefixOwn + "fleet"
 
-// ErrStoreRefused is the error of a store that answers, but does not serve this
-// VM now.
+// ErrStoreRefused is returned if the store answers but does not serve this VM now.
 const ErrStoreRefused = errors.ConstError("store: refused")
