--- a/header.go
+++ b/header.go
@@ -2,17 +2,16 @@
 
 import "strings"
 
-// Field is one header field.
+// Field is a header field.
 type Field struct {
 	Name  string
 	Value string
 }
 
-// Header is a list of header fields in their order.
+// Header is a list of header fields in order.
 type Header []Field
 
-// Get returns the first value of a field, or "". Names are compared without
-// regard to case.
+// Get returns the first value of a field, or "". Names are compared case-insensitively.
 func (h Header) Get(name string) string {
 	for i := range h {
 		if strings.EqualFold(h[i].Name, name) {
@@ -23,18 +22,19 @@
 	return ""
 }
 
-// The header fields of the callers' and the servers' protocol.
+// The header fields between callers, entry VMs and servers.
 const (
-	// HeaderID carries the request's id. The reply carries the same.
+	// HeaderID carries the request's id. The reply repeats it.
 	HeaderID = "X-Request-Id"
-	// HeaderTimeout carries the time left, in milliseconds.
+	// HeaderTimeout carries the remaining time in milliseconds.
 	HeaderTimeout = "Carobward-Timeout"
 	// HeaderVerdict carries a Verdict.
 	HeaderVerdict = "Carobward-Verdict"
-	// HeaderAttempt is not-run on a reply whose verdict is unknown only for
-	// the sake of earlier requests with the same ticket.
+	// HeaderAttempt is not-run on a reply whose request did not run, if its verdict is
+	// unknown only because earlier requests with the same ticket may have run.
 	HeaderAttempt = "Carobward-Attempt"
-	// HeaderRetryMillis says in milliseconds what Retry-After rounds up.
+	// HeaderRetryMillis carries the delay of Retry-After in milliseconds; Retry-After
+	// rounds it up to seconds.
 	HeaderRetryMillis = "Carobward-Retry-Ms"
 	// HeaderVM names the entry VM that answered.
 	HeaderVM = "Carobward-Vm"
@@ -45,10 +45,9 @@
 	// HeaderReport carries a server's load in the ORCA text format, see
 	// https://github.com/cncf/xds/blob/main/xds/data/orca/v3/orca_load_report.proto
 	HeaderReport = "Endpoint-Load-Metrics"
-	// HeaderAsk asks a server for a report with its reply; its value is
-	// AskReport.
+	// HeaderAsk asks a server to send a load report with its reply. Its value is AskReport.
 	HeaderAsk = "Carobward-Report"
-	// HeaderRetryAfter carries seconds, RFC 9110, 10.2.3.
+	// HeaderRetryAfter carries a delay in seconds, RFC 9110, 10.2.3.
 	HeaderRetryAfter = "Retry-After"
 )
 
