--- a/ids.go
+++ b/ids.go
@@ -1,58 +1,58 @@
 package carobward
 
-// VMID names an entry VM. It comes from the VM's settings and survives a
-// replacement on the same address; the incarnation tells the two apart.
+// VMID identifies an entry VM. It comes from the VM's settings and stays the same if the VM
+// is replaced at the same address; the incarnation tells the two apart.
 type VMID string
 
-// Incarnation tells one run of an entry VM from the next. It is the start
-// time in nanoseconds since the Unix epoch, so that a later run is higher.
+// Incarnation identifies one run of an entry VM. It is the start time in nanoseconds since
+// the Unix epoch, so that a later run has a higher one.
 type Incarnation uint64
 
-// Service names a group of servers that do the same work.
+// Service is the name of a group of servers that do the same work.
 type Service string
 
-// Domain names a failure domain.
+// Domain is the name of a failure domain.
 type Domain string
 
-// Region names a region: failure domains that are near each other.
+// Region is the name of a region: a group of failure domains that are near each other.
 type Region string
 
-// Address is an IP number and a port, such as 127.0.0.1:8080.
+// Address is an IP address and a port, such as 127.0.0.1:8080.
 type Address string
 
-// TargetName names a target. Operators choose it.
+// TargetName is the name that operators gave a target.
 type TargetName string
 
-// ChangeID names one change of the configuration. The writer draws it at
-// random, so that it can find out later whether its change was accepted.
+// ChangeID identifies a change of the configuration. The writer draws it at random, so that
+// it can find out later whether its change was accepted.
 type ChangeID string
 
-// RequestID names one request of a caller.
+// RequestID identifies a caller's request.
 type RequestID string
 
-// Revision numbers the accepted configurations, from 1 upwards.
+// Revision is the number of an accepted configuration, from 1 upwards.
 type Revision uint64
 
-// StoreEra counts the states that the store came back with, from 1 on: where it was
-// brought back from a copy, indexes of the era before are given out again. Zero: the
-// store names none.
+// StoreEra counts how often the store was restored from a backup, starting at 1. A restored
+// store reuses the indexes that it assigned after the backup was made. Zero: the store
+// reports no era.
 type StoreEra uint64
 
-// StoreIndex is the store's own counter of one key. Zero means that the key
-// does not exist.
+// StoreIndex is the store's change counter of a key. Zero means that the key does not
+// exist.
 type StoreIndex uint64
 
-// Instance names one run of a server; a restart has another one.
+// Instance identifies one run of a server; a restarted server has another one.
 type Instance string
 
-// Start tells one process of a server from the next under the same Instance: the time
-// of its start in milliseconds since the Unix epoch, by its own clock. Zero: the list
-// does not say.
+// Start distinguishes processes of a server that have the same Instance: the start time in
+// milliseconds since the Unix epoch, by the server's clock. Zero: the server list has no
+// start time.
 type Start int64
 
-// Version numbers the operators' configurations on the platform. It rises, in
-// uneven steps.
+// Version is the number of an operators' configuration on the platform. Numbers rise but
+// are not consecutive.
 type Version uint64
 
-// RouteName names a route of the operators' configuration.
+// RouteName is the name of a route in the operators' configuration.
 type RouteName string
