--- a/leaving.go
+++ b/leaving.go
@@ -2,36 +2,37 @@
 
 import "time"
 
-// LeaveNotice is whether a reply says that its server leaves. A value that can't be read says
-// nothing of the server.
+// LeaveNotice is what a reply's header says about whether its server is leaving. A value
+// that can't be parsed says nothing about the server.
 type LeaveNotice struct {
-	// Named tells that there is such a field, Readable that it could be read.
+	// Named is set if the reply has the header field, Readable if its value could be parsed.
 	Named    bool
 	Readable bool
 }
 
-// Says tells whether the server leaves.
+// Says reports whether the server is leaving.
 func (l LeaveNotice) Says() bool { return l.Named && l.Readable }
 
-// LeavingWord says that a process of a server leaves.
+// LeavingWord announces that a process of a server is leaving.
 type LeavingWord struct {
 	Server Instance
-	// Start is that of the process, zero on platforms whose servers get a new instance
-	// with each start.
+	// Start is the start time of the process; zero on platforms whose servers get a new
+	// instance with each start.
 	Start Start
 }
 
-// RetryNotice is what a server that refuses a request says of when the entry VM may come back.
-// A value that can't be read says nothing.
+// RetryNotice is what a server that refuses a request says about when the entry VM may
+// retry. A value that can't be parsed says nothing.
 type RetryNotice struct {
-	// Named tells that there is such a field, Readable that it could be read.
+	// Named is set if the reply has the header field, Readable if its value could be parsed.
 	Named    bool
 	Readable bool
-	// For is for how long from the reply on it wants no requests.
+	// For is how long, counted from the reply, the server wants no requests.
 	For time.Duration
 }
 
-// ServerWords are what servers said, as entry VMs tell each other.
+// ServerWords are what servers announced in their replies, as entry VMs relay it to each
+// other.
 type ServerWords struct {
 	Limits  []LimitWord
 	Leaving []LeavingWord
