--- a/limit.go
+++ b/limit.go
@@ -5,22 +5,22 @@
 // Rate is a number of requests a second.
 type Rate float64
 
-// Limit is what a reply says of the requests that its server takes.
+// Limit is the request rate limit that a reply states for its server.
 type Limit struct {
-	// Named tells that the server names a limit, Readable that it could be read.
+	// Named is set if the reply has a limit field, Readable if its value could be parsed.
 	Named    bool
 	Readable bool
-	// Rate is the most requests that it takes from all entry VMs together, for as long
-	// as its replies say so.
+	// Rate is the maximum rate that the server accepts from all entry VMs together, for as
+	// long as its replies state it.
 	Rate Rate
 }
 
-// LimitWord is what a server said of its limit at a moment.
+// LimitWord is the limit that a server stated at some time.
 type LimitWord struct {
 	Server Instance
 	Limit  Limit
-	// At is when its reply came. Passed tells that it came to a third entry VM, so that the
-	// time is later by each way that the word took.
+	// At is when the server's reply arrived. Relayed is set if the limit came through a
+	// third entry VM: At is then later than the reply by the delay of each hop.
 	At     time.Time
 	Passed bool
 }
