--- a/peer.go
+++ b/peer.go
@@ -2,41 +2,39 @@
 
 import "time"
 
-// Peer is what an entry VM knows of another one, or of itself.
+// Peer is the state of an entry VM, this one or another, as far as it is known here.
 type Peer struct {
-	// ID and Incarnation name one run of the entry VM.
+	// ID and Incarnation identify one run of the entry VM.
 	ID          VMID
 	Incarnation Incarnation
 	// Domain is its failure domain.
 	Domain Domain
-	// Callers, Lookup, Peers and Operators are its four listeners: the
-	// callers' requests, the callers' question for addresses, net/rpc of
-	// the peers, and the operators.
+	// Callers, Lookup, Peers and Operators are the addresses of its four listeners: for the
+	// callers' requests, the callers' lookups, net/rpc between peers, and the operators.
 	Callers   Address
 	Lookup    Address
 	Peers     Address
 	Operators Address
-	// State tells whether it leaves.
+	// State is its state, as far as known here.
 	State PeerState
-	// Revision is the configuration in force there, when last heard.
+	// Revision is the configuration that was in force there when it was last seen.
 	Revision Revision
-	// Heard is when it was last heard, by our own clock.
+	// Heard is when it was last seen, by the local clock.
 	Heard time.Time
 }
 
 // PeerState is the state of an entry VM as its peers see it.
 type PeerState uint8
 
-// The states of a peer, each overriding the one before it within the same
-// incarnation.
+// The states of a peer. Within the same incarnation a later one overrides an earlier one.
 const (
 	// PeerLive: it answers heartbeats.
 	PeerLive PeerState = iota
 	// PeerSuspect: it has missed heartbeats.
 	PeerSuspect
-	// PeerLeaving: it said itself that it stops.
+	// PeerLeaving: it announced that it is stopping.
 	PeerLeaving
-	// PeerDead: it has been silent for longer than the suspicion lasts.
+	// PeerDead: it has been silent for longer than the suspicion timeout.
 	PeerDead
 )
 
@@ -53,10 +51,10 @@
 	return "unknown"
 }
 
-// Peers is the table of entry VMs as this one knows them.
+// Peers is the table of the entry VMs that this one knows.
 type Peers interface {
 	// Self returns this entry VM.
 	Self() Peer
-	// All returns all entry VMs, this one among them.
+	// All returns all entry VMs, including this one.
 	All() []Peer
 }
