--- a/routing.go
+++ b/routing.go
@@ -7,39 +7,40 @@
 	"github.com/juju/errors"
 )
 
-// Routing is one version of the operators' configuration as an entry VM uses
-// it. It is not changed once it is in force.
+// Routing is one version of the operators' configuration in the form that an entry VM uses.
+// It is immutable once it is in force.
 type Routing struct {
 	// Version rises from one configuration to the next.
 	Version Version
-	// Services has the groups of servers by name.
+	// Services are the groups of servers by name.
 	Services map[Service]ServiceSpec
-	// Limits bound what callers may send.
+	// Limits restrict what callers may send.
 	Limits Limits
-	// Hosts has the routes by the Host that they serve.
+	// Hosts are the routes by the Host header that they serve.
 	Hosts map[string][]Route
-	// Teams are those whose callers show a key. Where there are none nobody needs one.
+	// Teams are the teams whose callers authenticate by API key. If there are none, no
+	// request needs a key.
 	Teams []Team
 }
 
-// ServiceSpec is what the operator says of a group of servers.
+// ServiceSpec is the operators' configuration of a group of servers.
 type ServiceSpec struct {
 	// HealthPath is the path of the servers' health check.
 	HealthPath string
-	// Conns is how many connections one server takes from all entry VMs.
+	// Conns is how many connections one server accepts from all entry VMs together.
 	Conns int
-	// Warmup is how long a server is cold after its start, WarmupRate how many requests
-	// a second it tolerates while it is; 0 where there is no bound.
+	// Warmup is how long a server warms up after its start. WarmupRate is how many requests
+	// a second it tolerates meanwhile; 0 means no limit.
 	Warmup     time.Duration
 	WarmupRate float64
 }
 
-// Limits bound what a caller may send, and how long it may take.
+// Limits restrict what a caller may send, and how long it may take.
 type Limits struct {
-	// Header and Body are the largest request header and body in bytes.
+	// Header and Body are the maximum sizes of a request's header and body.
 	Header ByteCount
 	Body   ByteCount
-	// HeaderTime bounds the time to send a header, Idle the time that a
+	// HeaderTime is the maximum time to receive a header, Idle the maximum time that a
 	// connection waits for its next request.
 	HeaderTime time.Duration
 	Idle       time.Duration
@@ -49,21 +50,21 @@
 type Route struct {
 	Name   RouteName
 	Prefix string
-	// Idempotent tells that a request may run more than once.
+	// Idempotent is set if a request may run more than once.
 	Idempotent bool
-	// Timeout bounds the time until a request's final answer.
+	// Timeout is the maximum time until a request's final reply.
 	Timeout time.Duration
-	// Objective is the latency within which an answer is worth the most.
+	// Objective is the latency objective: replies within it are worth the most.
 	Objective time.Duration
-	// Priority is the rank under overload; 0 is served first.
+	// Priority is the priority under overload; 0 is served first.
 	Priority int
-	// Shares has the services with their shares of the requests.
+	// Shares are the services and their shares of the requests.
 	Shares []Share
-	// Attempts is the most servers that one request is sent to.
+	// Attempts is the maximum number of servers that one request is sent to.
 	Attempts int
-	// Homes are the regions that its requests may be sent to; none: any.
+	// Homes are the regions that its requests may be sent to; none means any.
 	Homes []Region
-	// Anonymous tells that its requests need no key.
+	// Anonymous is set if its requests need no API key.
 	Anonymous bool
 }
 
@@ -74,58 +75,58 @@
 	Weight int
 }
 
-// Backend is a backend server as the platform's list shows it.
+// Backend is a backend server as it appears in the platform's server list.
 type Backend struct {
 	Instance Instance
 	Start    Start
 	Address  Address
 	Service  Service
 	Domain   Domain
-	// Slots is how many requests it runs at once.
+	// Slots is how many requests it runs concurrently.
 	Slots int
-	// Leaving tells that it takes no new work and will end.
+	// Leaving is set if it takes no new work and will stop.
 	Leaving bool
-	// Warmup is how much longer it is slow after its start, from the time at
-	// which the entry was written.
+	// Warmup is how much longer it warms up after its start, counted from the time when the
+	// entry was written.
 	Warmup time.Duration
 }
 
-// Validate returns all that is wrong with a configuration, or nil.
+// Validate returns an error that lists all that is wrong with a configuration, or nil.
 func (r *Routing) Validate() error {
-	wrong := checkTeams(r.Teams)
+	problems := checkTeams(r.Teams)
 
 	for _, list := range r.Hosts {
 		for i := range list {
-			for _, one := range r.check(&list[i]) {
-				wrong = append(wrong, "route "+string(list[i].Name)+": "+one)
+			for _, problem := range r.check(&list[i]) {
+				problems = append(problems, "route "+string(list[i].Name)+": "+problem)
 			}
 		}
 	}
 
-	if len(wrong) > 0 {
-		return errors.New("configuration: " + strings.Join(wrong, "; "))
+	if len(problems) > 0 {
+		return errors.New("configuration: " + strings.Join(problems, "; "))
 	}
 
 	return nil
 }
 
 // check returns what is wrong with one route.
-func (r *Routing) check(o *Route) []string {
-	var wrong []string
+func (r *Routing) check(route *Route) []string {
+	var problems []string
 
 	need := func(ok bool, text string) {
 		if !ok {
-			wrong = append(wrong, text)
+			problems = append(problems, text)
 		}
 	}
 
-	need(strings.HasPrefix(o.Prefix, "/") && strings.HasSuffix(o.Prefix, "/"), "the prefix must begin and end with a slash")
-	need(o.Timeout > 0, "the timeout must be above zero")
-	need(o.Attempts > 0, "the number of attempts must be above zero")
+	need(strings.HasPrefix(route.Prefix, "/") && strings.HasSuffix(route.Prefix, "/"), "the prefix must begin and end with a slash")
+	need(route.Timeout > 0, "the timeout must be above zero")
+	need(route.Attempts > 0, "the number of attempts must be above zero")
 
 	total := 0
 
-	for _, s := range o.Shares {
+	for _, s := range route.Shares {
 		_, known := r.Services[s.Service]
 		need(known, "there is no service "+string(s.Service))
 		need(s.Weight >= 0, "the weight of "+string(s.Service)+" must not be below zero")
@@ -134,5 +135,5 @@
 
 	need(total > 0, "it has no service with a weight above zero")
 
-	return wrong
+	return problems
 }
