--- a/server.go
+++ b/server.go
@@ -8,92 +8,92 @@
 	"github.com/juju/errors"
 )
 
-// Report is the load that a server reported of itself.
+// Report is a load report of a server.
 type Report struct {
-	// At is when the report reached us.
+	// At is when the report arrived.
 	At time.Time
-	// Slots is how many requests the server runs at once.
+	// Slots is how many requests the server runs concurrently.
 	Slots int
-	// Running is how many it ran when it made the report.
+	// Running is how many requests ran when the report was made.
 	Running int
-	// Queued is how many waited for a slot.
+	// Queued is how many requests waited for a slot.
 	Queued int
-	// Draining tells that the server takes no new work.
+	// Draining is set if the server takes no new work.
 	Draining bool
-	// Run numbers the server's runs, rising with each start; 0 where it gives
-	// no number.
+	// Run identifies the server's run and rises with each start; 0 if the server reports
+	// none.
 	Run uint64
-	// Slowness is how many times longer than usual work takes on the server's
-	// machine now; 0 where the server does not say.
+	// Slowness is how many times longer than usual work takes on the server's machine now;
+	// 0 if the server does not report it.
 	Slowness float64
 }
 
-// Call is one request as it goes to a server.
+// Call is a request in the form in which it is sent to a server.
 type Call struct {
-	// ID names this attempt. The server must echo it.
+	// ID identifies this attempt. The server must repeat it in the reply.
 	ID RequestID
-	// Method, URI and Host are the request line and its Host header.
+	// Method, URI and Host are the request line and the Host header.
 	Method string
 	URI    string
 	Host   string
-	// Header holds the caller's end-to-end headers.
+	// Header has the caller's end-to-end headers.
 	Header Header
-	// Body holds the whole body.
+	// Body is the complete body.
 	Body []byte
-	// Deadline is when the call is given up.
+	// Deadline is when the call is abandoned.
 	Deadline time.Time
-	// MaxReply is the largest reply body in bytes.
+	// MaxReply is the maximum size of the reply body.
 	MaxReply ByteCount
-	// Stream is the length of a reply's body in bytes from which on it is passed on
-	// as it comes; 0: never. A body without a length is always read whole.
+	// Stream is the minimum length in bytes of a reply body that is streamed to the caller
+	// instead of being buffered; 0 means that none is. A body of unknown length is always
+	// buffered.
 	Stream ByteCount
-	// Fresh asks for a connection that no reply has been read from, where a
-	// failed write on a reused one would make the verdict Unknown.
+	// Fresh asks for a connection from which no reply has been read yet, if a failed write
+	// on a reused one would make the verdict Unknown.
 	Fresh bool
 	// Ask asks the server for a load report with the reply.
 	Ask bool
-	// Instance is the run of a server that alone may do the work; another one
-	// at the same address refuses. Empty: any.
+	// Instance is the only run of the server that may do the work; another one at the same
+	// address refuses. Empty means any.
 	Instance Instance
-	// Team is that of the caller; empty: none is known.
+	// Team is the caller's team; empty if unknown.
 	Team TeamName
 	// Look marks a health check, which is no caller's request and has no id.
 	Look bool
 }
 
-// Reply is a server's whole reply.
+// Reply is a complete reply of a server.
 type Reply struct {
 	// Status is the HTTP status.
 	Status int
-	// Header holds the end-to-end headers.
+	// Header has the end-to-end headers.
 	Header Header
-	// Body holds the whole body, unless it is passed on as it comes.
+	// Body is the complete body, unless the body is streamed.
 	Body []byte
-	// Stream is a body that is passed on as it comes; nil where Body holds it.
+	// Stream is a body that is streamed to the caller; nil if Body has it.
 	Stream *Stream
-	// Report is the load report that came along; At is zero if none did.
+	// Report is the load report of the reply; its At is zero if there is none.
 	Report Report
-	// Shed tells that the server refused the call before it began.
+	// Shed is set if the server refused the call before running it.
 	Shed bool
-	// Instance is the run of the server that replied, where it says so.
+	// Instance is the run of the server that replied, if it is reported.
 	Instance Instance
-	// Warmup is how much longer the server is cold, where SaysWarmup tells that it
-	// said so.
+	// Warmup is how much longer the server warms up. HasWarmup is set if the reply reports
+	// it.
 	Warmup     time.Duration
 	SaysWarmup bool
-	// Limit is what the server says of the requests that it takes.
+	// Limit is the request rate limit that the server states.
 	Limit Limit
-	// Leaving is whether it says that it leaves, Pause for how long it wants no requests
-	// of this entry VM.
+	// Leaving is whether the server announces that it is leaving. Pause is for how long it
+	// wants no requests of this entry VM.
 	Leaving LeaveNotice
 	Pause   RetryNotice
-	// Keep is how long the server keeps an idle connection open; 0 where it
-	// does not say.
+	// Keep is how long the server keeps an idle connection open; 0 if it does not say.
 	Keep time.Duration
 }
 
-// Stream is a reply's body that is passed on as it comes. It must be closed. An end
-// before its length is an error.
+// Stream is a reply body that is streamed to the caller. It must be closed. A stream that
+// ends before its length returns an error.
 type Stream struct {
 	io.ReadCloser
 
@@ -101,14 +101,14 @@
 	Length int
 }
 
-// ErrOther is the error of a Dialect for a reply that belongs to another call.
-// The reply to this call may still follow it.
+// ErrOther is returned by a Dialect for a reply to another call. The reply to this call may
+// still follow.
 const ErrOther = errors.ConstError("the reply is to another request")
 
-// Servers carries calls to servers.
+// Servers sends calls to servers.
 type Servers interface {
-	// Exchange sends a call to a server and returns its whole reply, or a
-	// Failure. It never sends a call twice. When ctx ends the call is
-	// cancelled by closing its connection.
+	// Exchange sends a call to a server and returns its complete reply, or a Failure. It
+	// never sends a call twice. When ctx ends, the call is cancelled by closing its
+	// connection.
 	Exchange(ctx context.Context, to Address, c *Call) (*Reply, error)
 }
