--- a/target.go
+++ b/target.go
@@ -2,47 +2,47 @@
 
 import "time"
 
-// Promise is what a target holds its class of work to.
+// Promise is the execution guarantee of a target's class of work.
 type Promise string
 
-// The promises.
+// The execution guarantees.
 const (
-	// Quick is for idempotent work that should be answered fast. It may be
-	// retried and hedged.
+	// Quick is for idempotent work that should be answered fast. Requests may be retried
+	// and hedged.
 	Quick Promise = "quick"
-	// Once is for work that must not repeat. It runs at most once.
+	// Once is for work that must not be repeated. Requests run at most once.
 	Once Promise = "once"
 )
 
-// Match tells which requests belong to a target.
+// Match selects requests of a target.
 type Match struct {
-	// Method is an HTTP method in capitals; empty matches each.
+	// Method is an HTTP method in upper case; empty matches any.
 	Method string `json:"method,omitempty"`
 	// Path is a prefix of the request's path.
 	Path string `json:"path"`
 }
 
-// Target is the operator's declaration for one class of work.
+// Target is the operators' declaration of a class of work.
 type Target struct {
 	// Name is unique among all targets.
 	Name TargetName `json:"name"`
 	// Service is the group of servers that does the work.
 	Service Service `json:"service"`
-	// Promise is what the work is held to.
+	// Promise is the execution guarantee of the work.
 	Promise Promise `json:"promise"`
 	// Host limits the target to requests with this Host header.
 	Host string `json:"host,omitempty"`
-	// Match lists the requests that belong to the target.
+	// Match selects the requests that belong to the target.
 	Match []Match `json:"match"`
-	// Within is the time in which a request is answered or given up.
+	// Within is the time in which a request is answered or abandoned.
 	Within Duration `json:"within"`
-	// Body is the largest request or reply body in bytes.
+	// Body is the maximum size of a request or reply body.
 	Body ByteCount `json:"body"`
 }
 
-// Duration is a time.Duration written as text, such as "250ms".
+// Duration is a time.Duration that is encoded as text, such as "250ms".
 type Duration time.Duration
 
-// ByteCount is a number of bytes, written as a number or as text such as
-// "64KB" or "1MB".
+// ByteCount is a number of bytes that is encoded as a number or as text such as "64KB" or
+// "1MB".
 type ByteCount int64
