--- a/units.go
+++ b/units.go
@@ -9,12 +9,12 @@
 	"github.com/juju/errors"
 )
 
-// MarshalJSON writes the duration as text.
+// MarshalJSON encodes the duration as text.
 func (d Duration) MarshalJSON() ([]byte, error) {
 	return json.Marshal(time.Duration(d).String())
 }
 
-// UnmarshalJSON reads text such as "250ms".
+// UnmarshalJSON parses text such as "250ms".
 func (d *Duration) UnmarshalJSON(raw []byte) error {
 	var text string
 	if err := json.Unmarshal(raw, &text); err != nil {
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// Std returns the duration in the standard library's type.
+// Std returns the duration as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
 // The units of a ByteCount.
@@ -40,7 +40,7 @@
 	Megabyte ByteCount = 1 << 20
 )
 
-// UnmarshalJSON reads a number of bytes or text such as "64KB".
+// UnmarshalJSON parses a number of bytes or text such as "64KB".
 func (b *ByteCount) UnmarshalJSON(raw []byte) error {
 	text := strings.Trim(string(raw), `"`)
 	unit := ByteCount(1)
