--- a/verdict.go
+++ b/verdict.go
@@ -6,23 +6,23 @@
 	"github.com/juju/errors"
 )
 
-// Verdict says whether a request may have run on a server.
+// Verdict is what is known about whether a request ran on a server.
 type Verdict uint8
 
-// The verdicts. Unknown is the zero value, so that a forgotten verdict never
-// claims more than is known.
+// The verdicts. Unknown is the zero value, so that a verdict that was never set claims
+// nothing.
 const (
 	// Unknown means that the request may or may not have run.
 	Unknown Verdict = iota
 	// NotRun means that the request did not run and never will.
 	NotRun
-	// Ran means that the request ran once, to its end.
+	// Ran means that the request ran once, to completion.
 	Ran
 )
 
 var verdictNames = [...]string{Unknown: "unknown", NotRun: "not-run", Ran: "ran"}
 
-// String returns the name that the verdict has in headers and logs.
+// String returns the verdict's name in headers and logs.
 func (v Verdict) String() string {
 	if int(v) < len(verdictNames) {
 		return verdictNames[v]
@@ -31,8 +31,8 @@
 	return verdictNames[Unknown]
 }
 
-// ParseVerdict reads a verdict by its name. Any other text is Unknown, which
-// is always safe.
+// ParseVerdict returns the verdict of a name. Any other text is Unknown, which is always
+// safe.
 func ParseVerdict(name string) Verdict {
 	for v, n := range verdictNames {
 		if n == name {
@@ -43,18 +43,18 @@
 	return Unknown
 }
 
-// Failure is the error of a request that got no whole reply.
+// Failure is the error of a request without a complete reply.
 type Failure struct {
-	// Verdict says whether the request may have run.
+	// Verdict is what is known about whether the request ran.
 	Verdict Verdict
 	// Status is the HTTP status for the caller.
 	Status int
-	// RetryAfter is the time after which the caller should come back.
+	// RetryAfter is the delay after which the caller should retry.
 	RetryAfter time.Duration
-	// Cause says what happened.
+	// Cause is the underlying error.
 	Cause error
-	// Attempt is NotRun where this one request did not run and never will,
-	// though Verdict is Unknown since earlier ones with its ticket may have.
+	// Attempt is NotRun if this request did not run and never will, although Verdict is
+	// Unknown because earlier requests with its ticket may have run.
 	Attempt Verdict
 }
 
@@ -69,8 +69,7 @@
 // Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.Cause }
 
-// VerdictOf returns the verdict that an error carries. An error without one
-// is Unknown.
+// VerdictOf returns the verdict that an error carries, or Unknown if it carries none.
 func VerdictOf(err error) Verdict {
 	var f *Failure
 	if errors.As(err, &f) {
