--- a/vm.go
+++ b/vm.go
@@ -2,12 +2,12 @@
 
 import "context"
 
-// VMState is what the platform's VM list says of a VM.
+// VMState is the state of a VM in the platform's VM list.
 type VMState uint8
 
 // The states of a VM.
 const (
-	// Live means that the VM runs and stays.
+	// Live means that the VM runs and is not scheduled to stop.
 	Live VMState = iota
 	// Leaving means that the VM will be stopped.
 	Leaving
@@ -24,27 +24,26 @@
 	return "unknown"
 }
 
-// EntryService is the service name under which the VM list has entry VMs.
+// EntryService is the service name of entry VMs in the VM list.
 const EntryService Service = "carobward"
 
-// VM is one line of the platform's VM list: an entry VM or a server.
+// VM is an entry of the platform's VM list: an entry VM or a server.
 type VM struct {
-	// Address is where the VM serves: for a server its port, for an
-	// entry VM its peer listener.
+	// Address is the address that the VM serves: the port of a server, the peer listener of
+	// an entry VM.
 	Address Address
-	// ID names an entry VM; it is empty for a server.
+	// ID identifies an entry VM; it is empty for a server.
 	ID VMID
-	// Service is what runs there.
+	// Service is the service that the VM runs.
 	Service Service
 	// Domain is the VM's failure domain.
 	Domain Domain
-	// State tells whether the VM leaves.
+	// State is whether the VM is leaving.
 	State VMState
 }
 
-// VMList is the platform's list of VMs. It lags behind the truth.
+// VMList is the platform's list of VMs. It may lag behind the actual state.
 type VMList interface {
-	// List returns all VMs. Beside an error it returns those that could be
-	// read all the same, if any.
+	// List returns all VMs. With an error it returns those that could be read, if any.
 	List(ctx context.Context) ([]VM, error)
 }
