--- a/internal/cwquota/quota.go
+++ b/internal/cwquota/quota.go
@@ -1,9 +1,9 @@
-// Package cwquota holds teams to their quotas over all entry VMs. Nobody counts the requests
-// of all: a quota is divided among the failure domains by their entry VMs, and in each a few
-// entry VMs, the first by rendezvous hash for the team, own token buckets. The others ask an
-// owner for tokens before they send, and where those have none those of other failure domains.
-// So whoever sends more, whatever is cut off and whoever starts anew, the sum of the buckets is
-// the bound.
+// Package cwquota enforces the quotas of teams over all entry VMs without a central
+// counter. A quota is divided among the failure domains in proportion to their entry VMs.
+// In each failure domain a few entry VMs, the first ones by rendezvous hashing of the team,
+// own token buckets. The other entry VMs request tokens from an owner before they send, and
+// if those have none, from other failure domains. So the sum of the buckets is the limit,
+// wherever requests arrive, whichever entry VMs are cut off, and whichever restart.
 package cwquota
 
 import (
@@ -22,97 +22,103 @@
 	"carobward.example/carobward/internal/cwrank"
 )
 
-// The figures of dividing a quota.
+// Parameters of the division of a quota.
 const (
-	// ownersMost is how many entry VMs of a failure domain own a team's buckets, so that a
-	// good part is there when one of them is lost and nobody has noticed yet.
-	ownersMost = 2
-	// burstLeast is the least that a bucket holds where a team has several: requests come by
-	// chance, and two at once are nothing unusual.
-	burstLeast = 2
-	// burstPart is the part of a team's burst that is divided. The rest is for tokens that
-	// are held by who asked, and for a bucket whose owner changes.
-	burstPart = 0.9
-	// slackRate and slackBurst are the parts of what may be sent beyond a quota by which
-	// buckets fill and hold more: those of small teams would hold less than one token.
-	slackRate  = 0.3
-	slackBurst = 0.6
-	// overPart is the part of the overshoot by which buckets hold more. The rest is for the
-	// tokens that are held by who asked.
-	overPart = 0.5
-	// knownLeast is the part of the entry VMs of a failure domain that an owner must hear.
-	// One that is cut off would take itself for an owner of all.
-	knownLeast = 0.75
-	// stockTime is for how long tokens that were asked for ahead may be used, and the time
-	// for which they are.
-	stockTime = 200 * time.Millisecond
-	// askTime bounds one ask for tokens.
-	askTime = 100 * time.Millisecond
-	// farTime bounds one ask in another failure domain, silentTime is for how long one is not
-	// asked again that did not answer.
-	farTime    = 50 * time.Millisecond
-	silentTime = time.Second
-	// dryMost is for how long at most a failure domain is not asked again that had no token:
-	// tokens come one by one, and other entry VMs have heard nothing of that.
-	dryMost = 200 * time.Millisecond
-	// againTime is when a caller may come back that is refused since no owner answered.
-	againTime = 300 * time.Millisecond
-	// waitLeast bounds from below when one may come back that is beyond the quota.
-	waitLeast = 100 * time.Millisecond
+	// maxOwners is how many entry VMs of a failure domain own buckets of a team. With two,
+	// a good part of the quota stays available while the loss of one of them has not been
+	// detected yet.
+	maxOwners = 2
+	// minBurst is the minimum capacity of a bucket if a team has several in a failure
+	// domain: requests arrive at random, and two at the same time are not unusual.
+	minBurst = 2
+	// burstFraction is the fraction of a team's burst that is divided among the buckets. The
+	// rest covers tokens that were handed out but not used yet, and buckets that move to
+	// another owner.
+	burstFraction = 0.9
+	// slackRateFraction and slackBurstFraction are the fractions of the allowed slack that
+	// are added to the fill rates and the capacities of the buckets: those of small teams
+	// would hold less than one token otherwise.
+	slackRateFraction  = 0.3
+	slackBurstFraction = 0.6
+	// overshootFraction is the fraction of the allowed overshoot that is added to the
+	// capacities of the buckets. The rest covers tokens that were handed out but not used
+	// yet.
+	overshootFraction = 0.5
+	// minKnownFraction is the fraction of the entry VMs of its failure domain that an owner
+	// must know to be alive. An entry VM that is cut off would consider itself the owner of
+	// all buckets.
+	minKnownFraction = 0.75
+	// prefetchTime is how long tokens that were requested in advance may be used, and the
+	// period for which they are requested.
+	prefetchTime = 200 * time.Millisecond
+	// askTimeout is the timeout of a token request.
+	askTimeout = 100 * time.Millisecond
+	// domainTimeout is the timeout of a token request to another failure domain.
+	// silentBackoff is how long a failure domain that did not answer is skipped.
+	domainTimeout = 50 * time.Millisecond
+	silentBackoff = time.Second
+	// maxEmptyBackoff is the maximum time for which a failure domain that had no token is
+	// skipped: tokens arrive one by one, and other entry VMs do not know that it had none.
+	maxEmptyBackoff = 200 * time.Millisecond
+	// unknownRetryDelay is the retry delay for a caller that is refused because no owner
+	// answered.
+	unknownRetryDelay = 300 * time.Millisecond
+	// minRetryDelay is the minimum retry delay for a request beyond the quota.
+	minRetryDelay = 100 * time.Millisecond
 )
 
-// The errors of a request without a token.
+// The errors of a request that got no token.
 const (
-	// ErrOver: the team is beyond its quota.
+	// ErrOver: the team has exceeded its quota.
 	ErrOver = errors.ConstError("the team is beyond its quota")
 	// ErrUnknown: no owner of the team's tokens answered.
 	ErrUnknown = errors.ConstError("it can't be told whether the team is within its quota")
 )
 
-// Bounds say what may be sent beyond quotas: in each Window Overshoot of what a quota allows
-// in it, and Slack requests.
+// Bounds limit by how much quotas may be exceeded: in each Window by the fraction Overshoot
+// of what a quota allows in it, plus Slack requests.
 type Bounds struct {
 	Window    time.Duration
 	Overshoot float64
 	Slack     float64
 }
 
-// Fleet is what is known of the entry VMs that divide quotas.
+// Fleet describes the entry VMs among which quotas are divided, as far as this one knows.
 type Fleet struct {
-	// Peers are the other ones of the failure domain that live and do not stop.
+	// Peers are the other live entry VMs of the failure domain that are not stopping.
 	Peers []carobward.VMID
-	// Near is how many there were lately in the failure domain, with this one.
+	// Near is how many entry VMs the failure domain had lately, including this one.
 	Near int
-	// Part is the part of all entry VMs that they are.
+	// Part is the fraction of all entry VMs that are in the failure domain.
 	Part float64
 	// Domains are the other failure domains.
 	Domains []carobward.Domain
-	// Settled tells that this entry VM has had the time to hear of the others.
+	// Settled is set if this entry VM has run long enough to know the others.
 	Settled bool
 }
 
-// Grant is the answer of an entry VM that is asked for tokens.
+// Grant is the reply to a token request.
 type Grant struct {
-	// Owner tells that it owns a bucket of the team.
+	// Owner is set if the sender owns a bucket of the team.
 	Owner bool
-	// Tokens is how many it gives, Wait is when to ask again where that is none.
+	// Tokens is how many tokens it grants; Wait is when to ask again if that is none.
 	Tokens int
 	Wait   time.Duration
 }
 
-// Options are the parts that a Keeper needs.
+// Options are the dependencies of a Limiter.
 type Options struct {
 	Self  carobward.VMID
 	Clock carobward.Clock
 	Log   logr.Logger
 	Fleet func(now time.Time) Fleet
-	// Ask asks another entry VM for some tokens of a team.
+	// Ask requests tokens of a team from another entry VM.
 	Ask func(ctx context.Context, to carobward.VMID, team carobward.TeamName, want int) (Grant, error)
-	// AskFar has an entry VM of another failure domain call Near.
+	// AskFar has an entry VM of another failure domain call GrantInDomain.
 	AskFar func(ctx context.Context, in carobward.Domain, team carobward.TeamName, want int) (Grant, error)
 }
 
-// Keeper has the quotas of all teams. It is safe for use by several goroutines.
+// Keeper enforces the quotas of all teams. It is safe for concurrent use.
 type Keeper struct {
 	Options
 
@@ -121,44 +127,45 @@
 	teams  map[carobward.TeamName]*team
 }
 
-// team is what is kept of a team. It is guarded by the mutex of its Keeper.
+// team is the state of a team. It is guarded by the Limiter's mutex.
 type team struct {
 	hash  uint64
 	quota carobward.Quota
-	// bucket is this entry VM's where it is an owner.
+	// bucket is this entry VM's bucket if it is an owner.
 	bucket *rate.Limiter
-	// refused counts what was refused since counted.
-	refused int
-	counted time.Time
-	// stock are tokens that were asked for ahead and may be used until a time.
-	stock int
-	until time.Time
-	// asked counts the requests of the team in the span that began at since, lately is
-	// their number in the one before.
-	asked, lately int
-	since         time.Time
-	// dry has until when failure domains are not asked.
-	dry map[carobward.Domain]time.Time
+	// refused counts the refusals since refusedSince.
+	refused      int
+	refusedSince time.Time
+	// prefetched is the number of tokens that were requested in advance. They may be used
+	// until prefetchedUntil.
+	prefetched      int
+	prefetchedUntil time.Time
+	// requests counts the team's requests in the period that began at periodStart,
+	// lastRequests those in the period before.
+	requests, lastRequests int
+	periodStart            time.Time
+	// backoff has the failure domains that are skipped, and until when.
+	backoff map[carobward.Domain]time.Time
 }
 
-// New returns a Keeper without teams.
+// New returns a Limiter without teams.
 func New(o Options) *Keeper {
 	o.Log = o.Log.WithName("quota")
 
 	return &Keeper{Options: o, teams: map[carobward.TeamName]*team{}}
 }
 
-// SetTeams puts the teams of a configuration in force. Buckets stay as full as they are.
-func (k *Keeper) SetTeams(list []carobward.Team) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
+// SetTeams applies the teams of a configuration. Buckets keep their tokens.
+func (l *Keeper) SetTeams(list []carobward.Team) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
 
 	all := make(map[carobward.TeamName]*team, len(list))
 
 	for i := range list {
 		name := list[i].Name
 
-		t := k.teams[name]
+		t := l.teams[name]
 		if t == nil {
 			t = &team{hash: cwrank.Hash(string(name))}
 		}
@@ -167,50 +174,50 @@
 		all[name] = t
 	}
 
-	k.teams = all
+	l.teams = all
 }
 
-// SetBounds puts new bounds in force.
-func (k *Keeper) SetBounds(b Bounds) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
+// SetBounds applies new bounds.
+func (l *Keeper) SetBounds(b Bounds) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
 
-	k.bounds = b
+	l.bounds = b
 }
 
-// Take takes a token for a request of a team. It returns ErrOver or ErrUnknown, with when
-// the caller may come back, where there is none.
-func (k *Keeper) Take(ctx context.Context, name carobward.TeamName) (time.Duration, error) {
-	now := k.Clock.Now()
+// Take takes a token for a request of a team. If there is none it returns ErrOverQuota or
+// ErrUnknown, with the delay after which the caller may retry.
+func (l *Keeper) Take(ctx context.Context, name carobward.TeamName) (time.Duration, error) {
+	now := l.Clock.Now()
 
-	want, f := k.begin(name, now)
+	want, f := l.usePrefetched(name, now)
 	if want == 0 {
 		return 0, nil
 	}
 
-	g, err := k.near(ctx, name, want, &f)
+	g, err := l.askOwners(ctx, name, want, &f)
 	if g.Tokens > 0 {
-		k.store(name, g.Tokens-1, now)
+		l.prefetch(name, g.Tokens-1, now)
 
 		return 0, nil
 	}
 
-	if k.takeFar(ctx, name, &f, now) {
+	if l.takeFromOtherDomain(ctx, name, &f, now) {
 		return 0, nil
 	}
 
 	if err != nil {
-		return againTime, ErrUnknown
+		return unknownRetryDelay, ErrUnknown
 	}
 
 	return g.Wait, ErrOver
 }
 
-// Near gives tokens of a team that owners of this failure domain have.
-func (k *Keeper) Near(ctx context.Context, name carobward.TeamName, want int) Grant {
-	f := k.Fleet(k.Clock.Now())
+// Near grants tokens of a team from the owners in this failure domain.
+func (l *Keeper) Near(ctx context.Context, name carobward.TeamName, want int) Grant {
+	f := l.Fleet(l.Clock.Now())
 
-	g, err := k.near(ctx, name, want, &f)
+	g, err := l.askOwners(ctx, name, want, &f)
 	if err != nil {
 		return Grant{}
 	}
@@ -218,17 +225,17 @@
 	return g
 }
 
-// near asks the owners of this failure domain, one after the other. The error is that none of
-// them answered.
-func (k *Keeper) near(ctx context.Context, name carobward.TeamName, want int, f *Fleet) (Grant, error) {
+// askOwners requests tokens from the owners in this failure domain, one after the other. It
+// returns an error if none of them answered.
+func (l *Keeper) askOwners(ctx context.Context, name carobward.TeamName, want int, f *Fleet) (Grant, error) {
 	none := Grant{Wait: math.MaxInt64}
 
-	for _, o := range k.ownersOf(name, f) {
-		g, err := k.ask(ctx, o, name, want)
+	for _, o := range l.shuffledOwners(name, f) {
+		g, err := l.ask(ctx, o, name, want)
 
 		switch {
 		case err != nil:
-			k.Log.V(1).Info("An owner of tokens did not answer.", "vm", o, "team", name, "cause", err.Error())
+			l.Log.V(1).Info("A bucket owner did not answer a token request.", "vm", o, "team", name, "cause", err.Error())
 		case g.Tokens > 0:
 			return g, nil
 		case g.Owner:
@@ -243,21 +250,21 @@
 	return none, nil
 }
 
-// takeFar takes a token in another failure domain.
-func (k *Keeper) takeFar(ctx context.Context, name carobward.TeamName, f *Fleet, now time.Time) bool {
+// takeFromOtherDomain takes a token from another failure domain.
+func (l *Keeper) takeFromOtherDomain(ctx context.Context, name carobward.TeamName, f *Fleet, now time.Time) bool {
 	for _, i := range rand.Perm(len(f.Domains)) {
 		d := f.Domains[i]
-		if k.isDry(name, d, now) {
+		if l.inBackoff(name, d, now) {
 			continue
 		}
 
-		ctx, cancel := context.WithTimeout(ctx, farTime)
-		g, err := k.AskFar(ctx, d, name, 1)
+		ctx, cancel := context.WithTimeout(ctx, domainTimeout)
+		g, err := l.AskFar(ctx, d, name, 1)
 		cancel()
 
 		if err != nil {
-			k.Log.V(1).Info("A failure domain did not answer for tokens.", "domain", d, "team", name, "cause", err.Error())
-			k.setDry(name, d, now.Add(silentTime))
+			l.Log.V(1).Info("A failure domain did not answer a token request.", "domain", d, "team", name, "cause", err.Error())
+			l.setBackoff(name, d, now.Add(silentBackoff))
 
 			continue
 		}
@@ -266,117 +273,120 @@
 			return true
 		}
 
-		k.setDry(name, d, now.Add(min(dryMost, max(waitLeast, g.Wait))))
+		l.setBackoff(name, d, now.Add(min(maxEmptyBackoff, max(minRetryDelay, g.Wait))))
 	}
 
 	return false
 }
 
-func (k *Keeper) isDry(name carobward.TeamName, d carobward.Domain, now time.Time) bool {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
+func (l *Keeper) inBackoff(name carobward.TeamName, d carobward.Domain, now time.Time) bool {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
 
-	t := k.teams[name]
+	t := l.teams[name]
 
-	return t == nil || now.Before(t.dry[d])
+	return t == nil || now.Before(t.backoff[d])
 }
 
-func (k *Keeper) setDry(name carobward.TeamName, d carobward.Domain, until time.Time) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
+func (l *Keeper) setBackoff(name carobward.TeamName, d carobward.Domain, until time.Time) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
 
-	t := k.teams[name]
+	t := l.teams[name]
 	if t == nil {
 		return
 	}
 
-	if t.dry == nil {
-		t.dry = map[carobward.Domain]time.Time{}
+	if t.backoff == nil {
+		t.backoff = map[carobward.Domain]time.Time{}
 	}
 
-	t.dry[d] = until
+	t.backoff[d] = until
 }
 
-// begin uses a token of the stock, or returns how many to ask for among whom.
-func (k *Keeper) begin(name carobward.TeamName, now time.Time) (int, Fleet) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
+// usePrefetched uses a token that was requested in advance, or returns how many to request
+// and the entry VMs to request them from. It returns 0 if no token has to be requested.
+func (l *Keeper) usePrefetched(name carobward.TeamName, now time.Time) (int, Fleet) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
 
-	t := k.teams[name]
+	t := l.teams[name]
 	if t == nil || t.quota.Rate <= 0 {
 		return 0, Fleet{}
 	}
 
-	t.count(now)
+	t.countRequest(now)
 
-	if t.stock > 0 && now.Before(t.until) {
-		t.stock--
+	if t.prefetched > 0 && now.Before(t.prefetchedUntil) {
+		t.prefetched--
 
 		return 0, Fleet{}
 	}
 
-	return 1 + t.lately, k.Fleet(now)
+	return 1 + t.lastRequests, l.Fleet(now)
 }
 
-// ownersOf returns the owners of a team's buckets in any order, so that they empty alike.
-func (k *Keeper) ownersOf(name carobward.TeamName, f *Fleet) []carobward.VMID {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
+// shuffledOwners returns the owners of a team's buckets in random order, so that the buckets
+// empty evenly.
+func (l *Keeper) shuffledOwners(name carobward.TeamName, f *Fleet) []carobward.VMID {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
 
-	t := k.teams[name]
+	t := l.teams[name]
 	if t == nil {
 		return nil
 	}
 
-	owners := k.owners(t, f)
+	owners := l.owners(t, f)
 	rand.Shuffle(len(owners), func(i, j int) { owners[i], owners[j] = owners[j], owners[i] })
 
 	return owners
 }
 
-// count counts a request. The number of the last span is what a stock for the next one is.
-func (t *team) count(now time.Time) {
-	if past := now.Sub(t.since); past >= stockTime {
-		t.lately = 0
-		if past < 2*stockTime {
-			t.lately = t.asked
+// countRequest counts a request. The number of tokens to request in advance for a period is
+// the number of requests in the period before.
+func (t *team) countRequest(now time.Time) {
+	if past := now.Sub(t.periodStart); past >= prefetchTime {
+		t.lastRequests = 0
+		if past < 2*prefetchTime {
+			t.lastRequests = t.requests
 		}
 
-		t.asked, t.since = 0, now
+		t.requests, t.periodStart = 0, now
 	}
 
-	t.asked++
+	t.requests++
 }
 
-// store keeps tokens that are left of those that were given.
-func (k *Keeper) store(name carobward.TeamName, tokens int, now time.Time) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
+// prefetch keeps the tokens that were granted beyond the one needed.
+func (l *Keeper) prefetch(name carobward.TeamName, tokens int, now time.Time) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
 
-	if t := k.teams[name]; t != nil && tokens > 0 {
-		t.stock, t.until = tokens, now.Add(stockTime)
+	if t := l.teams[name]; t != nil && tokens > 0 {
+		t.prefetched, t.prefetchedUntil = tokens, now.Add(prefetchTime)
 	}
 }
 
-func (k *Keeper) ask(ctx context.Context, to carobward.VMID, name carobward.TeamName, want int) (Grant, error) {
-	if to == k.Self {
-		return k.Grant(name, want), nil
+func (l *Keeper) ask(ctx context.Context, to carobward.VMID, name carobward.TeamName, want int) (Grant, error) {
+	if to == l.Self {
+		return l.Grant(name, want), nil
 	}
 
-	ctx, cancel := context.WithTimeout(ctx, askTime)
+	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 
-	return k.Ask(ctx, to, name, want)
+	return l.Ask(ctx, to, name, want)
 }
 
 // owners returns the entry VMs of the failure domain that own buckets of a team, as far as
-// this one knows; the mutex is held.
-func (k *Keeper) owners(t *team, f *Fleet) []carobward.VMID {
-	own := weighed{k.Self, cwrank.Mix(cwrank.Hash(string(k.Self)), t.hash)}
-	first, second := own, weighed{}
+// this one knows. The mutex must be held.
+func (l *Keeper) owners(t *team, f *Fleet) []carobward.VMID {
+	own := candidate{l.Self, cwrank.Mix(cwrank.Hash(string(l.Self)), t.hash)}
+	first, second := own, candidate{}
 
 	for _, id := range f.Peers {
-		switch w := (weighed{id, cwrank.Mix(cwrank.Hash(string(id)), t.hash)}); {
+		switch w := (candidate{id, cwrank.Mix(cwrank.Hash(string(id)), t.hash)}); {
 		case w.weight > first.weight:
 			first, second = w, first
 		case w.weight > second.weight:
@@ -384,40 +394,40 @@
 		}
 	}
 
-	if k.shareOf(t, f).owners < ownersMost || second.id == "" {
+	if l.shareOf(t, f).owners < maxOwners || second.id == "" {
 		return []carobward.VMID{first.id}
 	}
 
 	return []carobward.VMID{first.id, second.id}
 }
 
-// weighed is an entry VM with its weight for a team.
-type weighed struct {
+// candidate is an entry VM with its rendezvous weight for a team.
+type candidate struct {
 	id     carobward.VMID
 	weight uint64
 }
 
-// share is what each of some owners of a failure domain has of a quota.
+// share is the part of a quota that each owner in a failure domain has.
 type share struct {
 	owners int
 	rate   float64
 	burst  float64
 }
 
-// shareOf returns how a quota is divided in this failure domain. Where a bucket of several
-// would hold less than burstLeast there is one; the mutex is held.
-func (k *Keeper) shareOf(t *team, f *Fleet) share {
+// shareOf returns how a quota is divided in this failure domain. There is a single owner if
+// each of several buckets would hold less than minBurst. The mutex must be held.
+func (l *Keeper) shareOf(t *team, f *Fleet) share {
 	s := share{owners: 1}
 	s.rate = f.Part * float64(t.quota.Rate)
-	s.burst = f.Part * (burstPart*t.quota.Burst + slackBurst*k.bounds.Slack)
+	s.burst = f.Part * (burstFraction*t.quota.Burst + slackBurstFraction*l.bounds.Slack)
 
-	if window := k.bounds.Window.Seconds(); window > 0 {
-		s.rate += f.Part * slackRate * k.bounds.Slack / window
-		s.burst += f.Part * overPart * k.bounds.Overshoot * (window*float64(t.quota.Rate) + t.quota.Burst)
+	if window := l.bounds.Window.Seconds(); window > 0 {
+		s.rate += f.Part * slackRateFraction * l.bounds.Slack / window
+		s.burst += f.Part * overshootFraction * l.bounds.Overshoot * (window*float64(t.quota.Rate) + t.quota.Burst)
 	}
 
-	if s.burst >= ownersMost*burstLeast && len(f.Peers) > 0 {
-		s.owners, s.rate, s.burst = ownersMost, s.rate/ownersMost, s.burst/ownersMost
+	if s.burst >= maxOwners*minBurst && len(f.Peers) > 0 {
+		s.owners, s.rate, s.burst = maxOwners, s.rate/maxOwners, s.burst/maxOwners
 	}
 
 	s.burst = max(1, s.burst)
@@ -425,67 +435,67 @@
 	return s
 }
 
-// Tick begins to fill the buckets that this entry VM has come to own, and drops the others. It
-// should be called each second.
-func (k *Keeper) Tick(now time.Time) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
+// Tick creates the buckets that this entry VM has come to own and drops those that it no
+// longer owns. It should be called each second.
+func (l *Keeper) Tick(now time.Time) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
 
-	if len(k.teams) == 0 {
+	if len(l.teams) == 0 {
 		return
 	}
 
-	f := k.Fleet(now)
-	for _, t := range k.teams {
-		k.own(t, &f, now)
+	f := l.Fleet(now)
+	for _, t := range l.teams {
+		l.updateBucket(t, &f, now)
 	}
 }
 
-// own fills the bucket of a team where this entry VM owns one, and tells whether it does; the
-// mutex is held.
-func (k *Keeper) own(t *team, f *Fleet, now time.Time) (share, bool) {
-	if t.quota.Rate <= 0 || !f.Settled || float64(1+len(f.Peers)) < knownLeast*float64(f.Near) || !slices.Contains(k.owners(t, f), k.Self) {
+// updateBucket updates the bucket of a team if this entry VM owns one, or drops it. It
+// reports whether this entry VM owns one. The mutex must be held.
+func (l *Keeper) updateBucket(t *team, f *Fleet, now time.Time) (share, bool) {
+	if t.quota.Rate <= 0 || !f.Settled || float64(1+len(f.Peers)) < minKnownFraction*float64(f.Near) || !slices.Contains(l.owners(t, f), l.Self) {
 		t.bucket = nil
 
 		return share{}, false
 	}
 
-	s := k.shareOf(t, f)
-	t.fill(&s, now)
+	s := l.shareOf(t, f)
+	t.adjustBucket(&s, now)
 
 	return s, true
 }
 
-// Grant gives tokens of a team where this entry VM owns a bucket of it.
-func (k *Keeper) Grant(name carobward.TeamName, want int) Grant {
-	now := k.Clock.Now()
+// Grant grants tokens of a team if this entry VM owns a bucket of it.
+func (l *Keeper) Grant(name carobward.TeamName, want int) Grant {
+	now := l.Clock.Now()
 
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
 
-	t := k.teams[name]
+	t := l.teams[name]
 	if t == nil {
 		return Grant{}
 	}
 
-	f := k.Fleet(now)
+	f := l.Fleet(now)
 
-	s, owner := k.own(t, &f, now)
+	s, owner := l.updateBucket(t, &f, now)
 	if !owner {
 		return Grant{}
 	}
 
 	n := min(want, int(t.bucket.TokensAt(now)))
 	if n <= 0 || !t.bucket.AllowN(now, n) {
-		return Grant{Owner: true, Wait: t.refuse(&s, now)}
+		return Grant{Owner: true, Wait: t.countRefusal(&s, now)}
 	}
 
 	return Grant{Owner: true, Tokens: n}
 }
 
-// fill brings the bucket to its share. A new one holds a single token: another entry VM may
-// have given what the team may have now.
-func (t *team) fill(s *share, now time.Time) {
+// adjustBucket adjusts the bucket to its share of the quota. A new bucket holds a single
+// token: its previous owner may have granted what the team is entitled to.
+func (t *team) adjustBucket(s *share, now time.Time) {
 	limit, burst := rate.Limit(s.rate), int(s.burst)
 
 	if t.bucket == nil {
@@ -502,14 +512,14 @@
 	}
 }
 
-// refuse notes a refusal and returns when its caller may come back: after the others that
-// were refused in the last second have had their turn.
-func (t *team) refuse(s *share, now time.Time) time.Duration {
-	if now.Sub(t.counted) >= time.Second {
-		t.refused, t.counted = 0, now
+// countRefusal counts a refusal and returns the retry delay of its caller, which allows for
+// the tokens of all others that were refused within the last second.
+func (t *team) countRefusal(s *share, now time.Time) time.Duration {
+	if now.Sub(t.refusedSince) >= time.Second {
+		t.refused, t.refusedSince = 0, now
 	}
 
 	t.refused++
 
-	return max(waitLeast, time.Duration(float64(t.refused)/s.rate*float64(time.Second)))
+	return max(minRetryDelay, time.Duration(float64(t.refused)/s.rate*float64(time.Second)))
 }
--- a/internal/cwquota/quota_test.go
+++ b/internal/cwquota/quota_test.go
@@ -15,52 +15,53 @@
 	"carobward.example/carobward"
 )
 
-// The figures of the simulated fleet.
+// Parameters of the simulated fleet.
 const (
-	simDomains = 4
-	simStep    = 10 * time.Millisecond
-	simWindow  = 5 * time.Second
-	simSlack   = 20
-	simOver    = 0.1
-	// simNotice is how long entry VMs take to notice that another one is lost.
-	simNotice = 2500 * time.Millisecond
+	simDomains   = 4
+	simStep      = 10 * time.Millisecond
+	simWindow    = 5 * time.Second
+	simSlack     = 20
+	simOvershoot = 0.1
+	// simDetection is how long entry VMs take to detect the loss of another one.
+	simDetection = 2500 * time.Millisecond
 )
 
-// sim is a fleet whose entry VMs ask each other for tokens.
+// sim is a simulated fleet whose entry VMs request tokens from each other.
 type sim struct {
-	t     *testing.T
-	now   time.Time
-	rnd   *rand.Rand
-	vms   []*simVM
-	teams []carobward.Team
-	// sent has when requests of each team were let through.
+	t      *testing.T
+	now    time.Time
+	random *rand.Rand
+	vms    []*simVM
+	teams  []carobward.Team
+	// sent has the times at which requests of each team were admitted.
 	sent map[carobward.TeamName][]time.Time
-	// asked and taken count those that came and those that were let through.
-	asked, taken int
+	// requests counts all requests, admitted those that were admitted.
+	requests, admitted int
 }
 
-// simVM is one entry VM.
+// simVM is an entry VM.
 type simVM struct {
-	id     carobward.VMID
-	domain int
-	keeper *Keeper
-	began  time.Time
-	alive  bool
-	// cut lets nobody in its failure domain reach it; since when it is cut off or dead.
-	cut   bool
-	since time.Time
-	// ticks is when its next tick is due.
-	ticks time.Time
+	id      carobward.VMID
+	domain  int
+	keeper  *Keeper
+	started time.Time
+	alive   bool
+	// isolated is set if no other entry VM can reach it. since is when it was isolated, died
+	// or started.
+	isolated bool
+	since    time.Time
+	// nextTick is when its next Tick is due.
+	nextTick time.Time
 }
 
-// Now is the clock of all.
+// Now is the clock of all entry VMs.
 func (s *sim) Now() time.Time { return s.now }
 
 func newSim(t *testing.T, seed uint64, vms int, teams []carobward.Team) *sim {
 	t.Helper()
 
 	s := &sim{
-		t: t, now: time.Date(2100, time.January, 1, 0, 0, 0, 0, time.UTC), rnd: rand.New(rand.NewPCG(seed, 1)),
+		t: t, now: time.Date(2100, time.January, 1, 0, 0, 0, 0, time.UTC), random: rand.New(rand.NewPCG(seed, 1)),
 		teams: teams, sent: map[carobward.TeamName][]time.Time{},
 	}
 
@@ -73,10 +74,10 @@
 	return s
 }
 
-// start starts an entry VM, which knows nothing of before.
+// start starts an entry VM without any earlier state.
 func (s *sim) start(v *simVM) {
-	v.alive, v.cut, v.began, v.since = true, false, s.now, s.now
-	v.ticks = s.now.Add(time.Duration(s.rnd.Int64N(int64(time.Second))))
+	v.alive, v.isolated, v.started, v.since = true, false, s.now, s.now
+	v.nextTick = s.now.Add(time.Duration(s.random.Int64N(int64(time.Second))))
 	v.keeper = New(Options{
 		Self: v.id, Clock: s, Log: logr.Discard(),
 		Fleet: func(now time.Time) Fleet { return s.fleet(v, now) },
@@ -85,22 +86,23 @@
 		},
 		AskFar: func(ctx context.Context, in carobward.Domain, team carobward.TeamName, want int) (Grant, error) {
 			o := s.inDomain(in)
-			if o == nil || !s.hears(v, o) {
+			if o == nil || !s.reachable(v, o) {
 				return Grant{}, errors.New("no answer")
 			}
 
 			return o.keeper.Near(ctx, team, want), nil
 		},
 	})
-	v.keeper.SetBounds(Bounds{Window: simWindow, Overshoot: simOver, Slack: simSlack})
+	v.keeper.SetBounds(Bounds{Window: simWindow, Overshoot: simOvershoot, Slack: simSlack})
 	v.keeper.SetTeams(s.teams)
 }
 
-// fleet returns what an entry VM knows: who is lost counts as there for simNotice.
+// fleet returns the fleet as an entry VM knows it: one that is lost counts as alive for
+// simDetection.
 func (s *sim) fleet(v *simVM, now time.Time) Fleet {
 	const settle = 500 * time.Millisecond
 
-	f := Fleet{Near: 1, Settled: now.Sub(v.began) >= settle}
+	f := Fleet{Near: 1, Settled: now.Sub(v.started) >= settle}
 
 	for _, o := range s.vms {
 		if o == v || o.domain != v.domain {
@@ -109,7 +111,7 @@
 
 		f.Near++
 
-		if s.hears(v, o) || now.Sub(o.since) < simNotice && now.Sub(v.since) < simNotice {
+		if s.reachable(v, o) || now.Sub(o.since) < simDetection && now.Sub(v.since) < simDetection {
 			f.Peers = append(f.Peers, o.id)
 		}
 	}
@@ -125,11 +127,11 @@
 	return f
 }
 
-func (s *sim) hears(a, b *simVM) bool { return a.alive && b.alive && !a.cut && !b.cut }
+func (s *sim) reachable(a, b *simVM) bool { return a.alive && b.alive && !a.isolated && !b.isolated }
 
 func (s *sim) ask(from *simVM, to carobward.VMID, team carobward.TeamName, want int) (Grant, error) {
 	for _, o := range s.vms {
-		if o.id == to && s.hears(from, o) {
+		if o.id == to && s.reachable(from, o) {
 			return o.keeper.Grant(team, want), nil
 		}
 	}
@@ -137,7 +139,7 @@
 	return Grant{}, errors.New("no answer")
 }
 
-// inDomain returns any entry VM of a failure domain, nil where there is none.
+// inDomain returns a random entry VM of a failure domain, or nil if it has none.
 func (s *sim) inDomain(d carobward.Domain) *simVM {
 	var all []*simVM
 
@@ -151,71 +153,72 @@
 		return nil
 	}
 
-	return all[s.rnd.IntN(len(all))]
+	return all[s.random.IntN(len(all))]
 }
 
-// request is one request of a team at an entry VM.
+// request sends a request of a team to an entry VM and reports whether it was admitted.
 func (s *sim) request(v *simVM, team *carobward.Team) bool {
 	if !v.alive {
 		return false
 	}
 
-	s.asked++
+	s.requests++
 
 	if _, err := v.keeper.Take(context.Background(), team.Name); err != nil {
 		return false
 	}
 
-	s.taken++
+	s.admitted++
 	s.sent[team.Name] = append(s.sent[team.Name], s.now)
 
 	return true
 }
 
-// play lets requests of each team come for a time, some times its quota each second.
-func (s *sim) play(d time.Duration, times float64, where func(*carobward.Team) *simVM) {
-	for end := s.now.Add(d); s.now.Before(end); s.pass() {
+// simulate simulates requests of each team for a duration, at some multiple of the team's
+// quota.
+func (s *sim) simulate(d time.Duration, times float64, where func(*carobward.Team) *simVM) {
+	for end := s.now.Add(d); s.now.Before(end); s.step() {
 		for i := range s.teams {
 			t := &s.teams[i]
 
 			mean := times * float64(t.Quota.Rate) * simStep.Seconds()
-			for range s.draw(mean) {
+			for range s.poisson(mean) {
 				s.request(where(t), t)
 			}
 		}
 	}
 }
 
-// pass lets one step of time pass.
-func (s *sim) pass() {
+// step advances the time by one step.
+func (s *sim) step() {
 	s.now = s.now.Add(simStep)
 
 	for _, v := range s.vms {
-		if v.alive && !s.now.Before(v.ticks) {
-			v.ticks = s.now.Add(time.Second)
+		if v.alive && !s.now.Before(v.nextTick) {
+			v.nextTick = s.now.Add(time.Second)
 			v.keeper.Tick(s.now)
 		}
 	}
 }
 
-// draw returns a number that is Poisson distributed.
-func (s *sim) draw(mean float64) int {
-	n, p := 0, s.rnd.Float64()
+// poisson returns a Poisson distributed number.
+func (s *sim) poisson(mean float64) int {
+	n, p := 0, s.random.Float64()
 	for bound := math.Exp(-mean); p > bound; n++ {
-		p *= s.rnd.Float64()
+		p *= s.random.Float64()
 	}
 
 	return n
 }
 
-// anywhere returns any entry VM.
-func (s *sim) anywhere(*carobward.Team) *simVM { return s.vms[s.rnd.IntN(len(s.vms))] }
+// randomVM returns a random entry VM.
+func (s *sim) randomVM(*carobward.Team) *simVM { return s.vms[s.random.IntN(len(s.vms))] }
 
-// check wants no team to be beyond its bound in any window.
-func (s *sim) check() {
+// checkLimits verifies that no team exceeded its limit in any window.
+func (s *sim) checkLimits() {
 	for i := range s.teams {
 		t := &s.teams[i]
-		most := (float64(t.Quota.Rate)*simWindow.Seconds()+t.Quota.Burst)*(1+simOver) + simSlack
+		most := (float64(t.Quota.Rate)*simWindow.Seconds()+t.Quota.Burst)*(1+simOvershoot) + simSlack
 
 		worst, from := 0, 0
 
@@ -228,25 +231,26 @@
 		}
 
 		if float64(worst) > most {
-			s.t.Errorf("%s: %d requests in %s, %.0f allowed", t.Name, worst, simWindow, most)
+			s.t.Errorf("team %s: %d requests in %s, %.0f allowed", t.Name, worst, simWindow, most)
 		}
 	}
 }
 
-// disturb does one thing at random to some entry VMs.
+// disturb kills, restarts or isolates a random entry VM, or restarts all that are dead or
+// isolated.
 func (s *sim) disturb() {
-	v := s.vms[s.rnd.IntN(len(s.vms))]
+	v := s.vms[s.random.IntN(len(s.vms))]
 
-	switch s.rnd.IntN(4) {
+	switch s.random.IntN(4) {
 	case 0:
 		v.alive, v.since = false, s.now
 	case 1:
 		s.start(v)
 	case 2:
-		v.cut, v.since = true, s.now
+		v.isolated, v.since = true, s.now
 	case 3:
 		for _, o := range s.vms {
-			if !o.alive || o.cut {
+			if !o.alive || o.isolated {
 				s.start(o)
 			}
 		}
@@ -257,9 +261,9 @@
 	return carobward.Quota{Rate: carobward.Rate(perSecond), Burst: perSecond}
 }
 
-// TestQuotaHistory lets teams of all sizes ask for many times their quotas, at entry VMs that
-// die, start anew and are cut off, all at once among them. None may get beyond its bound in
-// any window.
+// TestQuotaHistory lets teams of all sizes send many times their quotas to entry VMs that
+// die, restart and are cut off, and in the end all restart at once. No team may exceed its
+// limit in any window.
 func TestQuotaHistory(t *testing.T) {
 	teams := []carobward.Team{
 		{Name: "tiny", Quota: quota(0.5)}, {Name: "small", Quota: quota(3)}, {Name: "middle", Quota: quota(30)}, {Name: "large", Quota: quota(300)},
@@ -281,30 +285,31 @@
 
 			for range c.steps {
 				s.disturb()
-				s.play(time.Duration(s.rnd.Int64N(int64(3*time.Second))), 1+6*s.rnd.Float64(), s.anywhere)
+				s.simulate(time.Duration(s.random.Int64N(int64(3*time.Second))), 1+6*s.random.Float64(), s.randomVM)
 			}
 
 			for _, v := range s.vms {
 				s.start(v)
 			}
 
-			s.play(simWindow, 7, s.anywhere)
-			s.check()
+			s.simulate(simWindow, 7, s.randomVM)
+			s.checkLimits()
 		})
 	}
 }
 
-// TestQuotaUsed wants teams that ask for less than their quota to get nearly all of it, and
-// those that ask for more nine tenths of it, at any size of the fleet.
+// TestQuotaUsed verifies that teams within their quotas get nearly all of their requests
+// through, and teams beyond them nine tenths of the quota, at any size of the fleet.
 func TestQuotaUsed(t *testing.T) {
 	for name, c := range map[string]struct {
 		vms   int
 		rate  float64
 		times float64
-		// least is the part of what is asked for, or of the quota where that is less.
-		least float64
-		// one has all requests come in one failure domain.
-		one bool
+		// minFraction is the minimum fraction that is admitted, of the requests or of the
+		// quota, whichever is less.
+		minFraction float64
+		// oneDomain sends all requests to one failure domain.
+		oneDomain bool
 	}{
 		"usual, small":       {139, 3, 0.62, 0.99, false},
 		"usual, large":       {139, 300, 0.62, 0.99, false},
@@ -314,38 +319,38 @@
 		"more, whole fleet":  {984, 300, 4, 0.9, false},
 		"usual, one domain":  {139, 30, 0.62, 0.99, true},
 		"more, one domain":   {139, 300, 4, 0.9, true},
-		"one entry VM":       {1, 30, 4, 0.2, false}, // A part of four failure domains.
+		"one entry VM":       {1, 30, 4, 0.2, false}, // Three of the four failure domains have no entry VM.
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 
-			// Enough requests for the part to mean something.
+			// Long enough for a meaningful fraction.
 			span := 60 * time.Second
 			if c.rate > 100 {
 				span = 5 * time.Second
 			}
 
 			s := newSim(t, 5, c.vms, []carobward.Team{{Name: "club", Quota: quota(c.rate)}})
-			s.play(2*time.Second, 0, s.anywhere)
+			s.simulate(2*time.Second, 0, s.randomVM)
 
-			where := s.anywhere
-			if c.one {
+			where := s.randomVM
+			if c.oneDomain {
 				where = func(*carobward.Team) *simVM { return s.inDomain("0") }
 			}
 
-			s.play(span, c.times, where)
-			s.check()
+			s.simulate(span, c.times, where)
+			s.checkLimits()
 
-			want := min(float64(s.asked), c.rate*span.Seconds())
-			if got := float64(s.taken) / want; got < c.least {
-				t.Errorf("%.3f of %.0f", got, want)
+			want := min(float64(s.requests), c.rate*span.Seconds())
+			if got := float64(s.admitted) / want; got < c.minFraction {
+				t.Errorf("%.3f of %.0f requests admitted", got, want)
 			}
 		})
 	}
 }
 
-// TestQuotaHot lets one team ask for many times its quota beside others that ask for their
-// usual: those get theirs.
+// TestQuotaHot verifies that a team that sends many times its quota does not affect another
+// team within its quota.
 func TestQuotaHot(t *testing.T) {
 	hot := carobward.Team{Name: "hot", Quota: quota(30)}
 	s := newSim(t, 6, 139, []carobward.Team{{Name: "calm", Quota: quota(30)}})
@@ -355,34 +360,34 @@
 		v.keeper.SetTeams(s.teams)
 	}
 
-	s.play(2*time.Second, 0, s.anywhere)
+	s.simulate(2*time.Second, 0, s.randomVM)
 
 	refused := 0
 
 	for range 500 {
-		s.pass()
+		s.step()
 
 		for range 2 {
-			s.request(s.anywhere(nil), &hot)
+			s.request(s.randomVM(nil), &hot)
 		}
 
-		if s.rnd.Float64() < 0.2 && !s.request(s.anywhere(nil), &s.teams[0]) {
+		if s.random.Float64() < 0.2 && !s.request(s.randomVM(nil), &s.teams[0]) {
 			refused++
 		}
 	}
 
-	s.check()
+	s.checkLimits()
 
 	if refused > 3 {
-		t.Errorf("%d requests of the other team refused", refused)
+		t.Errorf("%d requests of the team within its quota refused", refused)
 	}
 }
 
-// TestQuotaLost ends an owner: until that is noticed the team still gets most of what it asks
-// for.
+// TestQuotaLost kills the owner of a bucket. Until its loss is detected most of the team's
+// requests must still be admitted.
 func TestQuotaLost(t *testing.T) {
 	s := newSim(t, 7, 139, []carobward.Team{{Name: "club", Quota: quota(100)}})
-	s.play(2*time.Second, 0.5, s.anywhere)
+	s.simulate(2*time.Second, 0.5, s.randomVM)
 
 	owner := s.vms[0]
 	f := s.fleet(owner, s.now)
@@ -394,15 +399,15 @@
 		}
 	}
 
-	s.asked, s.taken = 0, 0
-	s.play(simNotice, 0.5, s.anywhere)
+	s.requests, s.admitted = 0, 0
+	s.simulate(simDetection, 0.5, s.randomVM)
 
-	if part := float64(s.taken) / float64(s.asked); part < 0.85 {
-		t.Errorf("%.2f served while an owner is lost", part)
+	if part := float64(s.admitted) / float64(s.requests); part < 0.85 {
+		t.Errorf("%.2f of the requests admitted while an owner is lost", part)
 	}
 }
 
-// TestNoQuota wants teams without a quota, and unknown ones, to be left alone.
+// TestNoQuota verifies that teams without a quota and unknown teams are not limited.
 func TestNoQuota(t *testing.T) {
 	s := newSim(t, 8, 3, []carobward.Team{{Name: "free"}})
 
@@ -417,18 +422,18 @@
 	}
 }
 
-// BenchmarkTake has the cost of a request whose token is in stock.
+// BenchmarkTake is the cost of a request whose token was requested in advance.
 func BenchmarkTake(b *testing.B) {
-	k := New(Options{
+	l := New(Options{
 		Self: "vm-1", Clock: carobward.SystemClock{}, Log: logr.Discard(),
 		Fleet: func(time.Time) Fleet { return Fleet{Near: 1, Part: 1, Settled: true} },
 	})
-	k.SetTeams([]carobward.Team{{Name: "club", Quota: quota(1e9)}})
+	l.SetTeams([]carobward.Team{{Name: "club", Quota: quota(1e9)}})
 
 	b.ReportAllocs()
 
 	for b.Loop() {
-		if _, err := k.Take(context.Background(), "club"); err != nil {
+		if _, err := l.Take(context.Background(), "club"); err != nil {
 			b.Fatal(err)
 		}
 	}
