--- a/internal/cwroutes/table.go
+++ b/internal/cwroutes/table.go
@@ -1,5 +1,5 @@
-// Package cwroutes finds the route of a request in the configuration in force
-// and spreads a route's requests over its services.
+// Package cwroutes looks up the route of a request in the current configuration and
+// distributes a route's requests over its services by weight.
 package cwroutes
 
 import (
@@ -12,40 +12,41 @@
 	"carobward.example/carobward"
 )
 
-// Table is one version of the configuration, made ready for look-ups. It is
-// swapped as a whole and safe for use by several goroutines.
+// Table is one version of the configuration, indexed for lookups. A new version replaces
+// the whole table. It is safe for concurrent use.
 type Table struct {
 	// Version is the version of the configuration.
 	Version carobward.Version
-	// Limits bound what callers may send.
+	// Limits restrict what callers may send.
 	Limits carobward.Limits
 
-	services map[carobward.Service]carobward.ServiceSpec
-	hosts    map[string]map[string]*Route
-	ranks    map[carobward.Service][]int
-	// teams has the team that holds each key, teamed tells that there are teams.
-	teams  map[carobward.KeyHash]*carobward.Team
-	teamed bool
+	services   map[carobward.Service]carobward.ServiceSpec
+	hosts      map[string]map[string]*Route
+	priorities map[carobward.Service][]int
+	// teamsByKey maps the hash of each API key to its team. hasTeams is set if there
+	// are any teams.
+	teamsByKey map[carobward.KeyHash]*carobward.Team
+	hasTeams   bool
 }
 
-// Route is a route with the state that spreads its requests.
+// Route is a route with the counter that distributes its requests.
 type Route struct {
 	carobward.Route
 
-	total int
-	turn  atomic.Uint64
+	totalWeight int
+	sequence    atomic.Uint64
 }
 
 // New returns the table of a configuration.
 func New(r *carobward.Routing) *Table {
 	t := &Table{
-		Version:  r.Version,
-		Limits:   r.Limits,
-		services: r.Services,
-		hosts:    make(map[string]map[string]*Route, len(r.Hosts)),
-		ranks:    map[carobward.Service][]int{},
-		teams:    holders(r.Teams),
-		teamed:   len(r.Teams) > 0,
+		Version:    r.Version,
+		Limits:     r.Limits,
+		services:   r.Services,
+		hosts:      make(map[string]map[string]*Route, len(r.Hosts)),
+		priorities: map[carobward.Service][]int{},
+		teamsByKey: indexTeams(r.Teams),
+		hasTeams:   len(r.Teams) > 0,
 	}
 
 	for host, list := range r.Hosts {
@@ -61,8 +62,8 @@
 	return t
 }
 
-// holders returns the team that holds each key.
-func holders(teams []carobward.Team) map[carobward.KeyHash]*carobward.Team {
+// indexTeams maps the hash of each API key to its team.
+func indexTeams(teams []carobward.Team) map[carobward.KeyHash]*carobward.Team {
 	all := make(map[carobward.KeyHash]*carobward.Team, len(teams))
 
 	for i := range teams {
@@ -74,45 +75,45 @@
 	return all
 }
 
-// Keyed tells whether a request of a route needs a key.
+// Keyed reports whether a request of a route needs an API key.
 func (t *Table) Keyed(r *Route) bool { return t.HasTeams() && !r.Anonymous }
 
-// HasTeams tells whether callers show keys.
-func (t *Table) HasTeams() bool { return t.teamed }
+// HasTeams reports whether callers authenticate by API key.
+func (t *Table) HasTeams() bool { return t.hasTeams }
 
-// Team returns the team that holds a key, or nil. The key is looked up by its hash, of
-// which a caller can't choose the bytes: how long it takes tells nothing of other keys.
+// Team returns the team of an API key, or nil. The lookup is by the key's hash, whose bytes
+// a caller can't choose, so its duration reveals nothing about other keys.
 func (t *Table) Team(key []byte) *carobward.Team {
 	if key == nil {
 		return nil
 	}
 
-	return t.teams[carobward.HashKey(key)]
+	return t.teamsByKey[carobward.HashKey(key)]
 }
 
 func (t *Table) newRoute(r carobward.Route, teams []carobward.Team) *Route {
 	out := &Route{Route: r}
 	if out.Objective <= 0 {
-		// Without an objective an answer in time is as good as any; a zero would
-		// take each one for overdue at once.
+		// Without an objective any reply in time is equally good; an objective of zero
+		// would make each request overdue at once.
 		out.Objective = r.Timeout
 	}
 
-	// Entry VMs start at different places of the sequence, so that their
-	// requests do not go to the same part at the same time.
-	out.turn.Store(rand.Uint64())
+	// Entry VMs start at random points of the sequence, so that they do not all send to the
+	// same service at the same time.
+	out.sequence.Store(rand.Uint64())
 
 	for _, s := range r.Shares {
-		out.total += s.Weight
+		out.totalWeight += s.Weight
 
 		if r.Anonymous || len(teams) == 0 {
-			t.addRank(s.Service, r.Priority)
+			t.addPriority(s.Service, r.Priority)
 
 			continue
 		}
 
 		for i := range teams {
-			t.addRank(s.Service, Priority(&r, &teams[i]))
+			t.addPriority(s.Service, Priority(&r, &teams[i]))
 		}
 	}
 
@@ -128,9 +129,9 @@
 	return r.Priority
 }
 
-// addRank keeps the priorities of a service in their order.
-func (t *Table) addRank(s carobward.Service, priority int) {
-	list := t.ranks[s]
+// addPriority adds a priority to the sorted list of a service's priorities.
+func (t *Table) addPriority(s carobward.Service, priority int) {
+	list := t.priorities[s]
 
 	at := 0
 	for at < len(list) && list[at] < priority {
@@ -144,13 +145,13 @@
 	list = append(list, 0)
 	copy(list[at+1:], list[at:])
 	list[at] = priority
-	t.ranks[s] = list
+	t.priorities[s] = list
 }
 
-// Rank returns how many more urgent priorities a service has, and how many
-// priorities in all.
+// Rank returns how many more urgent priorities a service has, and how many priorities in
+// total.
 func (t *Table) Rank(s carobward.Service, priority int) (int, int) {
-	list := t.ranks[s]
+	list := t.priorities[s]
 
 	for i, p := range list {
 		if p == priority {
@@ -161,10 +162,10 @@
 	return 0, len(list)
 }
 
-// Homes returns the regions that are homes of each route of a host. Routes without homes
-// bind nothing.
+// Homes returns the regions that all routes of a host allow. Routes without allowed regions
+// are ignored.
 func (t *Table) Homes(host string) []carobward.Region {
-	var homes []carobward.Region
+	var regions []carobward.Region
 
 	first := true
 
@@ -174,25 +175,26 @@
 		}
 
 		if first {
-			homes, first = slices.Clone(r.Homes), false
+			regions, first = slices.Clone(r.Homes), false
 
 			continue
 		}
 
-		homes = slices.DeleteFunc(homes, func(h carobward.Region) bool { return !slices.Contains(r.Homes, h) })
+		regions = slices.DeleteFunc(regions, func(h carobward.Region) bool { return !slices.Contains(r.Homes, h) })
 	}
 
-	return homes
+	return regions
 }
 
-// Service returns what the operator says of a service.
+// Service returns the operators' configuration of a service.
 func (t *Table) Service(s carobward.Service) carobward.ServiceSpec { return t.services[s] }
 
-// Services returns what the operator says of each service. It must not be changed.
+// Services returns the operators' configuration of each service. The map must not be
+// modified.
 func (t *Table) Services() map[carobward.Service]carobward.ServiceSpec { return t.services }
 
-// Find returns the route with the longest prefix of a path, or nil. The path
-// may be followed by a query.
+// Find returns the route with the longest prefix of a path, or nil. The path may include a
+// query.
 func (t *Table) Find(host, path string) *Route {
 	byPrefix := t.hosts[hostName(host)]
 	if byPrefix == nil {
@@ -201,7 +203,7 @@
 
 	path, _, _ = strings.Cut(path, "?")
 
-	// Each prefix ends in a slash, so only these places can end one.
+	// Each prefix ends in a slash, so prefixes can end only here.
 	for end := strings.LastIndexByte(path, '/'); end >= 0; end = strings.LastIndexByte(path[:end], '/') {
 		if r := byPrefix[path[:end+1]]; r != nil {
 			return r
@@ -211,7 +213,7 @@
 	return nil
 }
 
-// hostName returns a Host without its port, in lower case.
+// hostName returns a Host header without its port, in lower case.
 func hostName(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
@@ -220,18 +222,18 @@
 	return strings.ToLower(host)
 }
 
-// golden is the step of the sequence that spreads requests: its multiples cut
-// a whole evenly however many there are.
-const golden = 0x9E3779B97F4A7C15
+// goldenStep is 2^64 divided by the golden ratio: the step of the sequence that distributes
+// requests. Its multiples modulo 2^64 divide the range evenly, whatever their number.
+const goldenStep = 0x9E3779B97F4A7C15
 
-// Pick returns the service of the next request. Any run of requests is split
-// close to the weights, which random picks would be only in the long run.
+// Pick returns the service of the next request. Any sequence of consecutive requests is
+// split close to the weights; random picks would be only in the long run.
 func (r *Route) Pick() carobward.Service {
 	if len(r.Shares) == 1 {
 		return r.Shares[0].Service
 	}
 
-	place := float64(r.turn.Add(golden)) / math.MaxUint64 * float64(r.total)
+	place := float64(r.sequence.Add(goldenStep)) / math.MaxUint64 * float64(r.totalWeight)
 
 	for _, s := range r.Shares {
 		if place < float64(s.Weight) {
--- a/internal/cwroutes/table_test.go
+++ b/internal/cwroutes/table_test.go
@@ -12,33 +12,33 @@
 )
 
 func newTable() *Table {
-	one := func(name, prefix string, priority int, shares ...carobward.Share) carobward.Route {
+	route := func(name, prefix string, priority int, shares ...carobward.Share) carobward.Route {
 		return carobward.Route{Name: carobward.RouteName(name), Prefix: prefix, Priority: priority, Shares: shares}
 	}
 
 	return New(&carobward.Routing{Version: 7, Hosts: map[string][]carobward.Route{
 		"a.example": {
-			one("all", "/", 5, carobward.Share{Service: "records", Weight: 1}),
-			one("sheets", "/sheets/", 2, carobward.Share{Service: "records", Weight: 90}, carobward.Share{Service: "fees", Weight: 10}),
-			one("old", "/sheets/old/", 0, carobward.Share{Service: "fees", Weight: 1}),
+			route("all", "/", 5, carobward.Share{Service: "records", Weight: 1}),
+			route("sheets", "/sheets/", 2, carobward.Share{Service: "records", Weight: 90}, carobward.Share{Service: "fees", Weight: 10}),
+			route("old", "/sheets/old/", 0, carobward.Share{Service: "fees", Weight: 1}),
 		},
-		"b.example": {one("only", "/b/", 0, carobward.Share{Service: "fees", Weight: 1})},
+		"b.example": {route("only", "/b/", 0, carobward.Share{Service: "fees", Weight: 1})},
 	}})
 }
 
 func TestFind(t *testing.T) {
 	for name, c := range map[string]struct{ host, path, want string }{
-		"the longest":          {"a.example", "/sheets/old/1", "old"},
-		"a shorter one":        {"a.example", "/sheets/new/1", "sheets"},
-		"the prefix itself":    {"a.example", "/sheets/", "sheets"},
-		"not a whole segment":  {"a.example", "/sheetsold", "all"},
-		"without the slash":    {"a.example", "/sheets", "all"},
-		"a slash in the query": {"a.example", "/x?/sheets/old/", "all"},
-		"with a query":         {"a.example", "/sheets/old/?a=/b/", "old"},
-		"a port":               {"A.example:80", "/sheets/", "sheets"},
-		"another host":         {"b.example", "/sheets/", ""},
-		"an unknown host":      {"c.example", "/", ""},
-		"no path":              {"b.example", "", ""},
+		"longest prefix":     {"a.example", "/sheets/old/1", "old"},
+		"shorter prefix":     {"a.example", "/sheets/new/1", "sheets"},
+		"prefix itself":      {"a.example", "/sheets/", "sheets"},
+		"partial segment":    {"a.example", "/sheetsold", "all"},
+		"no trailing slash":  {"a.example", "/sheets", "all"},
+		"slash in the query": {"a.example", "/x?/sheets/old/", "all"},
+		"with a query":       {"a.example", "/sheets/old/?a=/b/", "old"},
+		"port":               {"A.example:80", "/sheets/", "sheets"},
+		"other host":         {"b.example", "/sheets/", ""},
+		"unknown host":       {"c.example", "/", ""},
+		"no path":            {"b.example", "", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := ""
@@ -53,8 +53,8 @@
 	}
 }
 
-// TestPick wants each run of requests to be split close to the weights, also
-// a short one.
+// TestPick verifies that any sequence of requests is split close to the weights, even a
+// short one.
 func TestPick(t *testing.T) {
 	for n, within := range map[int]float64{10: 0.11, 100: 0.02, 5000: 0.002} {
 		r := newTable().Find("a.example", "/sheets/")
@@ -66,9 +66,9 @@
 			}
 		}
 
-		// Counted in requests: as a share 0.1 - 0.08 is above 0.02 by rounding.
+		// Compares numbers of requests: as fractions, 0.1 - 0.08 exceeds 0.02 by rounding.
 		if off := math.Abs(float64(fees) - 0.1*float64(n)); off > within*float64(n) {
-			t.Errorf("%d of %d requests, want a tenth", fees, n)
+			t.Errorf("%d of %d requests go to fees, want a tenth", fees, n)
 		}
 	}
 }
@@ -81,25 +81,25 @@
 		priority    int
 		rank, ranks int
 	}{
-		"the least urgent":   {"records", 5, 1, 2},
-		"the most urgent":    {"records", 2, 0, 2},
-		"one of two":         {"fees", 2, 1, 2},
-		"an unknown service": {"x", 0, 0, 0},
+		"least urgent":    {"records", 5, 1, 2},
+		"most urgent":     {"records", 2, 0, 2},
+		"other service":   {"fees", 2, 1, 2},
+		"unknown service": {"x", 0, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			rank, ranks := table.Rank(c.service, c.priority)
 			if rank != c.rank || ranks != c.ranks {
-				t.Errorf("%d of %d", rank, ranks)
+				t.Errorf("got rank %d of %d", rank, ranks)
 			}
 		})
 	}
 }
 
-// TestObjective wants a route without an objective to have its timeout as one.
+// TestObjective verifies that the objective of a route defaults to its timeout.
 func TestObjective(t *testing.T) {
 	for name, c := range map[string]struct{ objective, want time.Duration }{
-		"none": {0, 2 * time.Second},
-		"one":  {time.Second, time.Second},
+		"not set": {0, 2 * time.Second},
+		"set":     {time.Second, time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := New(&carobward.Routing{Hosts: map[string][]carobward.Route{"h": {{
@@ -113,20 +113,20 @@
 	}
 }
 
-// TestHomes has the homes of the routes of a host against those that all have.
+// TestHomes checks the regions that all routes of a host allow.
 func TestHomes(t *testing.T) {
-	type homes = []carobward.Region
+	type regions = []carobward.Region
 
 	for name, c := range map[string]struct {
-		routes []homes
-		want   homes
+		routes []regions
+		want   regions
 	}{
-		"no routes":             {nil, nil},
-		"no homes":              {[]homes{nil, nil}, nil},
-		"one route":             {[]homes{{"n", "s"}}, homes{"n", "s"}},
-		"what both have":        {[]homes{{"n", "s"}, {"s", "e"}}, homes{"s"}},
-		"one that binds none":   {[]homes{{"n"}, nil}, homes{"n"}},
-		"nothing that all have": {[]homes{{"n"}, {"s"}}, homes{}},
+		"no routes":              {nil, nil},
+		"no regions":             {[]regions{nil, nil}, nil},
+		"one route":              {[]regions{{"n", "s"}}, regions{"n", "s"}},
+		"intersection":           {[]regions{{"n", "s"}, {"s", "e"}}, regions{"s"}},
+		"one unrestricted route": {[]regions{{"n"}, nil}, regions{"n"}},
+		"empty intersection":     {[]regions{{"n"}, {"s"}}, regions{}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var routes []carobward.Route
