--- a/internal/cwlog/async.go
+++ b/internal/cwlog/async.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 )
 
-// Async is a writer that never blocks its callers: lines wait in a bounded
-// buffer, and those that find it full are dropped and counted.
+// Async is a writer that never blocks its callers: lines are queued in a bounded buffer,
+// and are dropped and counted if it is full.
 type Async struct {
 	to      io.Writer
 	lines   chan []byte
@@ -15,7 +15,7 @@
 	done    chan struct{}
 }
 
-// NewAsync returns a writer with a buffer of so many lines. Close ends it.
+// NewAsync returns a writer with a buffer for the given number of lines. Close stops it.
 func NewAsync(to io.Writer, lines int) *Async {
 	a := &Async{to: to, lines: make(chan []byte, lines), done: make(chan struct{})}
 
@@ -24,7 +24,7 @@
 	return a
 }
 
-// Write takes one line. It always succeeds.
+// Write queues one line. It always succeeds.
 func (a *Async) Write(line []byte) (int, error) {
 	select {
 	case a.lines <- append([]byte(nil), line...):
@@ -38,7 +38,7 @@
 // Dropped returns the number of lines that were dropped.
 func (a *Async) Dropped() int64 { return a.dropped.Load() }
 
-// Close writes the lines that wait. No line may be written afterwards.
+// Close writes the queued lines. Write must not be called afterwards.
 func (a *Async) Close() {
 	close(a.lines)
 	<-a.done
@@ -47,14 +47,14 @@
 func (a *Async) run() {
 	defer close(a.done)
 
-	told := int64(0)
+	reported := int64(0)
 
 	for line := range a.lines {
 		_, _ = a.to.Write(line)
 
-		if n := a.Dropped(); n > told {
-			_, _ = fmt.Fprintf(a.to, "log: msg=\"Lines were dropped since the buffer was full.\" dropped=%d\n", n-told)
-			told = n
+		if n := a.Dropped(); n > reported {
+			_, _ = fmt.Fprintf(a.to, "log: msg=\"Log lines were dropped because the buffer was full.\" dropped=%d\n", n-reported)
+			reported = n
 		}
 	}
 }
--- a/internal/cwlog/log.go
+++ b/internal/cwlog/log.go
@@ -1,6 +1,6 @@
-// Package cwlog makes the logger that all parts share. A line starts with
-// the part's name, and goes on with the time, the level, a short sentence
-// and its values, as log/slog's text handler writes them:
+// Package cwlog creates the logger that all parts of the process share. A line starts with
+// the name of the part, followed by the time, the level, a short sentence and its values in
+// the format of log/slog's text handler:
 //
 //	config: time=... level=INFO msg="New configuration in force." revision=7
 package cwlog
@@ -15,14 +15,13 @@
 	"github.com/go-logr/logr"
 )
 
-// nobody is the prefix of a line that no part has put its name to.
-const nobody = "carobward"
+// defaultName is the prefix of lines of a logger without a name.
+const defaultName = "carobward"
 
-// nameKey is the key under which logr hands on the name of a logger.
+// nameKey is the key under which logr passes the name of a logger.
 const nameKey = "logger"
 
-// New returns a logger that writes to w from the given level up: debug, info
-// or error.
+// New returns a logger that writes to w. The minimum level is debug, info or error.
 func New(w io.Writer, level string) logr.Logger {
 	levels := map[string]slog.Level{"debug": slog.LevelDebug, "info": slog.LevelInfo, "error": slog.LevelError}
 	line := &line{to: w}
@@ -33,7 +32,7 @@
 	})
 }
 
-// plainLevel writes the finer levels that logr has as DEBUG.
+// plainLevel shows logr's verbosity levels as DEBUG.
 func plainLevel(groups []string, a slog.Attr) slog.Attr {
 	if level, ok := a.Value.Any().(slog.Level); ok && len(groups) == 0 && a.Key == slog.LevelKey && level < slog.LevelInfo {
 		a.Value = slog.StringValue(slog.LevelDebug.String())
@@ -42,23 +41,23 @@
 	return a
 }
 
-// line is the line being written.
+// line is the line that is being written.
 type line struct {
 	mutex  sync.Mutex
 	buffer bytes.Buffer
 	to     io.Writer
 }
 
-// handler moves the name of the logger to the start of the line.
+// handler writes the logger's name at the start of the line.
 type handler struct {
 	slog.Handler
 
 	line *line
 }
 
-// Handle writes one line with one call of the writer.
+// Handle writes one line with a single call of the writer.
 func (h *handler) Handle(ctx context.Context, r slog.Record) error {
-	prefix := nobody
+	prefix := defaultName
 	rest := slog.NewRecord(r.Time, r.Level, r.Message, r.PC)
 
 	r.Attrs(func(a slog.Attr) bool {
@@ -91,7 +90,7 @@
 	return &handler{Handler: h.Handler.WithAttrs(values), line: h.line}
 }
 
-// WithGroup returns a handler that puts the values in a group.
+// WithGroup returns a handler that adds the values to a group.
 func (h *handler) WithGroup(name string) slog.Handler {
 	return &handler{Handler: h.Handler.WithGroup(name), line: h.line}
 }
--- a/internal/cwlog/log_test.go
+++ b/internal/cwlog/log_test.go
@@ -21,14 +21,14 @@
 		log   func(logr.Logger)
 		want  string
 	}{
-		"a part":   {"info", func(l logr.Logger) { l.WithName("entry").Info("Serving.", "vm", "a b") }, "entry: level=INFO msg=Serving. vm=\"a b\"\n"},
-		"no part":  {"info", func(l logr.Logger) { l.Info("Serving.") }, "carobward: level=INFO msg=Serving.\n"},
-		"values":   {"info", func(l logr.Logger) { l.WithValues("vm", 1).WithName("node").Info("Up.") }, "node: level=INFO msg=Up. vm=1\n"},
-		"an error": {"error", func(l logr.Logger) { l.WithName("node").Error(errors.New("no"), "Down.") }, "node: level=ERROR msg=Down. err=no\n"},
-		"quiet":    {"error", func(l logr.Logger) { l.Info("Serving.") }, ""},
-		"detail":   {"debug", func(l logr.Logger) { l.WithName("node").V(1).Info("Look.") }, "node: level=DEBUG msg=Look.\n"},
-		"no V":     {"info", func(l logr.Logger) { l.V(1).Info("Look.") }, ""},
-		"newline":  {"info", func(l logr.Logger) { l.Info("Up.", "who", "a\nnode: b") }, "carobward: level=INFO msg=Up. who=\"a\\nnode: b\"\n"},
+		"named":       {"info", func(l logr.Logger) { l.WithName("entry").Info("Serving.", "vm", "a b") }, "entry: level=INFO msg=Serving. vm=\"a b\"\n"},
+		"unnamed":     {"info", func(l logr.Logger) { l.Info("Serving.") }, "carobward: level=INFO msg=Serving.\n"},
+		"values":      {"info", func(l logr.Logger) { l.WithValues("vm", 1).WithName("node").Info("Up.") }, "node: level=INFO msg=Up. vm=1\n"},
+		"error":       {"error", func(l logr.Logger) { l.WithName("node").Error(errors.New("no"), "Down.") }, "node: level=ERROR msg=Down. err=no\n"},
+		"below level": {"error", func(l logr.Logger) { l.Info("Serving.") }, ""},
+		"verbose":     {"debug", func(l logr.Logger) { l.WithName("node").V(1).Info("Look.") }, "node: level=DEBUG msg=Look.\n"},
+		"not verbose": {"info", func(l logr.Logger) { l.V(1).Info("Look.") }, ""},
+		"newline":     {"info", func(l logr.Logger) { l.Info("Up.", "who", "a\nnode: b") }, "carobward: level=INFO msg=Up. who=\"a\\nnode: b\"\n"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -43,7 +43,7 @@
 	}
 }
 
-// TestLogWholeLines checks that parts which log at once don't mix.
+// TestLogWholeLines verifies that lines that are logged concurrently are not interleaved.
 func TestLogWholeLines(t *testing.T) {
 	const lines = 200
 
@@ -72,7 +72,7 @@
 		count++
 
 		if !whole.MatchString(l) {
-			t.Fatalf("mixed line %q", l)
+			t.Fatalf("interleaved line %q", l)
 		}
 	}
 
