--- a/internal/cwmetric/histogram.go
+++ b/internal/cwmetric/histogram.go
@@ -6,34 +6,33 @@
 	"time"
 )
 
-// buckets is the number of buckets of a histogram. The first ends at one
-// unit, each next one at twice as much; the last takes the rest.
+// buckets is the number of buckets of a histogram. The first one ends at unit, and each
+// next one at twice the end of the one before; the last one has no end.
 const buckets = 20
 
 // unit is the upper end of the first bucket.
 const unit = 250 * time.Microsecond
 
-// Histogram counts times in buckets that double. It may be used by many
-// goroutines.
+// Histogram counts durations in buckets of doubling width. It is safe for concurrent use.
 type Histogram struct {
 	counts [buckets]atomic.Int64
 	sum    atomic.Int64
 }
 
-// Add counts one time.
+// Add counts a duration.
 func (h *Histogram) Add(d time.Duration) {
 	d = max(d, 0)
 	h.counts[min(bits.Len64(uint64((d-1)/unit)), buckets-1)].Add(1)
 	h.sum.Add(int64(d))
 }
 
-// histogram is a Histogram as it is shown.
+// histogram is the JSON form of a Histogram.
 type histogram struct {
-	// Count is the number of times, Sum their sum in milliseconds.
+	// Count is the number of durations, Sum their sum in milliseconds.
 	Count int64   `json:"count"`
 	Sum   float64 `json:"sum"`
-	// Below has the count of each bucket that is not empty, by its upper
-	// end; "more" is the last one.
+	// Below has the count of each non-empty bucket by its upper end; the last bucket is
+	// "more".
 	Below map[string]int64 `json:"below"`
 }
 
--- a/internal/cwmetric/metric_test.go
+++ b/internal/cwmetric/metric_test.go
@@ -13,8 +13,8 @@
 	"carobward.example/carobward/internal/cwtest"
 )
 
-// read returns the set as the operators' listener shows it, without the
-// process's own variables.
+// read returns the set as the operators' listener serves it, without the variables of the
+// process.
 func read(t *testing.T, s *cwmetric.Set) map[string]any {
 	t.Helper()
 
@@ -27,7 +27,7 @@
 	}
 
 	if out["memstats"] == nil || out["cmdline"] == nil {
-		t.Error("the process's own variables are missing")
+		t.Error("the variables of the process are missing")
 	}
 
 	delete(out, "memstats")
@@ -68,7 +68,7 @@
 	}
 }
 
-// TestTwoSets checks that two entry VMs in one process count apart.
+// TestTwoSets verifies that two entry VMs in one process count separately.
 func TestTwoSets(t *testing.T) {
 	a, b := cwmetric.New(), cwmetric.New()
 	a.Part("entry").Add("sheds", 1)
@@ -80,8 +80,8 @@
 	}
 }
 
-// TestHistogram checks where each time falls against the plain definition:
-// the first bucket whose upper end is not below it.
+// TestHistogram verifies that each duration is counted in the first bucket whose upper end
+// is not below it.
 func TestHistogram(t *testing.T) {
 	for d := time.Duration(1); d < 200*time.Second; d = d*5/4 + 1 {
 		var h cwmetric.Histogram
@@ -109,7 +109,7 @@
 	}
 }
 
-// BenchmarkDone measures the counting of one request, by target name.
+// BenchmarkDone is the cost of counting a request, including the lookup by target name.
 func BenchmarkDone(b *testing.B) {
 	s := cwmetric.New()
 
@@ -121,7 +121,7 @@
 	})
 }
 
-// TestPageHasEachMetric wants the table on the operators' page.
+// TestPageHasEachMetric verifies that docs/operators.md lists each metric.
 func TestPageHasEachMetric(t *testing.T) {
 	var paths []string
 	for _, m := range cwmetric.Table {
--- a/internal/cwmetric/request.go
+++ b/internal/cwmetric/request.go
@@ -10,18 +10,18 @@
 	"carobward.example/carobward"
 )
 
-// NoTarget is the name under which requests are counted that belong to no
-// target. No target can have it.
+// NoTarget is the name under which requests without a target are counted. No target can
+// have it.
 const NoTarget carobward.TargetName = "-"
 
-// The classes of an HTTP status, by its first digit.
+// HTTP status classes, by the first digit of the status.
 const (
 	classes      = 6
 	classStep    = 100
 	verdictCount = int(carobward.Ran) + 1
 )
 
-// Requests counts the callers' requests by target. A nil one counts nothing.
+// Requests counts the callers' requests by target. A nil Requests counts nothing.
 type Requests struct {
 	mutex    sync.RWMutex
 	byTarget map[carobward.TargetName]*Target
@@ -37,8 +37,8 @@
 	latency Histogram
 }
 
-// Target returns the counts of a target; it makes them if need be. The name
-// must be one of the configuration or NoTarget.
+// Target returns the counts of a target and creates them if necessary. The name must be one
+// of the configuration or NoTarget.
 func (r *Requests) Target(name carobward.TargetName) *Target {
 	if r == nil {
 		return nil
@@ -63,8 +63,8 @@
 	return t
 }
 
-// Keep forgets the targets that known does not know, so that the memory
-// follows the configuration and not its history.
+// Keep drops the targets that known does not know, so that memory use depends on the
+// current configuration only.
 func (r *Requests) Keep(known func(carobward.TargetName) bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -76,8 +76,8 @@
 	}
 }
 
-// Done counts one request that was answered with a verdict and an HTTP
-// status after some time.
+// Done counts a request that was answered with a verdict and an HTTP status after some
+// time.
 func (t *Target) Done(v carobward.Verdict, status int, took time.Duration) {
 	if t == nil {
 		return
@@ -92,8 +92,7 @@
 	t.latency.Add(took)
 }
 
-// String returns the counts as JSON: by verdict, by class of the status, and
-// the latencies.
+// String returns the counts as JSON: by verdict and status class, and the latencies.
 func (t *Target) String() string {
 	out := map[string]any{"latency": json.RawMessage(t.latency.String())}
 
--- a/internal/cwmetric/set.go
+++ b/internal/cwmetric/set.go
@@ -1,7 +1,6 @@
-// Package cwmetric holds the metrics of one entry VM, and says what each one
-// means. They are expvar variables, kept out of expvar's own registry, which
-// is one a process and lets no name come twice: the demo and the tests run
-// several entry VMs in one process.
+// Package cwmetric has the metrics of an entry VM and their documentation. They are expvar
+// variables, but not in expvar's global registry, which allows each name only once in a
+// process: the demo and the tests run several entry VMs in one process.
 package cwmetric
 
 import (
@@ -10,20 +9,20 @@
 	"sync"
 )
 
-// Set has all metrics of one entry VM, in one map a part. expvar's own, which
-// are of the process, are shown beside them.
+// Set has all metrics of an entry VM, in one map for each part. It also shows expvar's own
+// variables, which belong to the process.
 type Set struct {
 	mutex    sync.Mutex
 	root     expvar.Map
 	requests *Requests
 }
 
-// The names of the parts.
+// The names of parts.
 const (
 	PartRequests = "requests"
 )
 
-// New returns a set with the metrics of the requests.
+// New returns a set that has the metrics of requests.
 func New() *Set {
 	s := &Set{requests: newRequests()}
 	s.root.Set(PartRequests, s.requests)
@@ -31,10 +30,10 @@
 	return s
 }
 
-// Requests counts the callers' requests.
+// Requests returns the counts of the callers' requests.
 func (s *Set) Requests() *Requests { return s.requests }
 
-// Part returns the map of a part by its name; it makes one if need be.
+// Part returns the map of a part and creates it if necessary.
 func (s *Set) Part(name string) *expvar.Map {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -49,8 +48,8 @@
 	return m
 }
 
-// Gauge shows what read returns each time that the metrics are asked for.
-// Read must be safe to call from any goroutine.
+// Gauge adds a metric whose value is the result of read each time the metrics are
+// requested. Read must be safe for concurrent use.
 func (s *Set) Gauge(part, name string, read func() int64) {
 	s.Part(part).Set(name, expvar.Func(func() any { return read() }))
 }
@@ -59,9 +58,9 @@
 func (s *Set) String() string {
 	var all expvar.Map
 
-	take := func(v expvar.KeyValue) { all.Set(v.Key, v.Value) }
-	expvar.Do(take)
-	s.root.Do(take)
+	add := func(v expvar.KeyValue) { all.Set(v.Key, v.Value) }
+	expvar.Do(add)
+	s.root.Do(add)
 
 	return all.String()
 }
--- a/internal/cwmetric/table.go
+++ b/internal/cwmetric/table.go
@@ -2,16 +2,15 @@
 
 import "strings"
 
-// Metric says what one metric means. In its path a word in capitals stands
-// for any name.
+// Metric documents a metric. A word in capitals in its path stands for any name.
 type Metric struct {
 	Path string
-	// Unit is what it counts or measures; a gauge may also fall.
+	// Unit is the unit of its value. A gauge may also fall.
 	Unit string
 	Doc  string
 }
 
-// The units that come often.
+// Units of several metrics.
 const (
 	unitRequests = "requests"
 	unitVMs      = "entry VMs"
@@ -19,79 +18,78 @@
 	unitCalls    = "calls"
 )
 
-// Table has every metric of an entry VM. docs/operators.md has the same.
+// Table has all metrics of an entry VM. docs/operators.md lists them, too.
 var Table = []Metric{
 	{"requests/TARGET/VERDICT/CLASS", unitRequests, "Answers to callers by target (- where none matched), by verdict and by class of the HTTP status."},
-	{"requests/TARGET/latency/count", unitRequests, "Answers whose time was taken, from the whole request to the whole answer."},
-	{"requests/TARGET/latency/sum", "milliseconds", "The sum of those times."},
-	{"requests/TARGET/latency/below/END", unitRequests, "Those that took at most END and more than half of it."},
+	{"requests/TARGET/latency/count", unitRequests, "Answers with a recorded latency, from the complete request to the complete answer."},
+	{"requests/TARGET/latency/sum", "milliseconds", "The sum of those latencies."},
+	{"requests/TARGET/latency/below/END", unitRequests, "Those with a latency of at most END and more than half of it."},
 	{"node/flight", unitRequests, "Callers' requests in flight now."},
-	{"node/revision", "", "The revision in force here now."},
-	{"node/live", unitVMs, "Those that answer, this one among them, now."},
-	{"node/suspect", unitVMs, "Those that have missed heartbeats, now."},
-	{"node/leaving", unitVMs, "Those that said that they stop, now."},
-	{"node/dead", unitVMs, "Those taken for dead, now."},
+	{"node/revision", "", "The revision in force on this entry VM."},
+	{"node/live", unitVMs, "Entry VMs that answer heartbeats now, including this one."},
+	{"node/suspect", unitVMs, "Entry VMs that have missed heartbeats and are suspected now."},
+	{"node/leaving", unitVMs, "Entry VMs that have announced that they are stopping."},
+	{"node/dead", unitVMs, "Entry VMs that are considered dead now."},
 	{"entry/hedges", "attempts", "Second attempts at a slow request, within the target's budget."},
-	{"entry/retries", "attempts", "Attempts after a failed one, within the target's budget."},
-	{"entry/shed", unitRequests, "Requests refused since no server had room in time."},
-	{"config/adopted", "revisions", "Revisions that came into force here."},
-	{"config/full_copies", "copies", "Whole configurations taken, in place of changes."},
-	{"config/alarms", "alarms", "Times that the store or a peer offered a configuration that was refused: an older one, or another history. Look at once."},
-	{"config/alarm", "", "A gauge: 1 while an alarm stands, 0 else; status says which."},
-	{"config/ready", "", "A gauge: 1 once the configuration is in force, 0 for a newcomer that refuses requests."},
-	{"config/age", "milliseconds", "A gauge: for how long it has not been known whether the revision in force is the newest; negative for never."},
-	{"config/exchanges_failed", "exchanges", "Questions to peers about the newest revision that got no answer."},
-	{"config/exchange_bytes_sent", unitBytes, "Bytes of those questions."},
-	{"config/exchange_bytes_received", unitBytes, "Bytes of the answers."},
+	{"entry/retries", "attempts", "Attempts after a failed attempt, within the target's budget."},
+	{"entry/shed", unitRequests, "Requests refused because no server had a free slot in time."},
+	{"config/adopted", "revisions", "Revisions that took effect on this entry VM."},
+	{"config/full_copies", "copies", "Complete configurations received instead of changes."},
+	{"config/alarms", "alarms", "Configurations of the store or a peer that were rejected: an older one, or one with another history. Investigate immediately."},
+	{"config/alarm", "", "A gauge: 1 while an alarm is active, else 0; the status shows which."},
+	{"config/ready", "", "A gauge: 1 once a configuration is in force, 0 on a new entry VM that still refuses requests."},
+	{"config/age", "milliseconds", "A gauge: the time since the revision in force was last known to be the newest; negative if it never was."},
+	{"config/exchanges_failed", "exchanges", "Requests to peers for the newest revision that got no answer."},
+	{"config/exchange_bytes_sent", unitBytes, "Bytes of the requests to peers for the newest revision."},
+	{"config/exchange_bytes_received", unitBytes, "Bytes of the answers to them."},
 	{"store/reads", unitCalls, "Reads of the store."},
 	{"store/watches", unitCalls, "Watches of the store; a waiting one counts as one call."},
 	{"store/writes", unitCalls, "Writes to the store."},
-	{"store/failed", unitCalls, "Calls of the store that failed."},
-	{"member/pulls", "exchanges", "Whole lists of members taken from a peer."},
-	{"member/bytes_in", unitBytes, "Bytes of heartbeats that came."},
-	{"member/bytes_out", unitBytes, "Bytes of heartbeats that were sent."},
-	{"member/refused", "datagrams", "Heartbeats without the right key, or malformed. More than a few: somebody has another key."},
+	{"store/failed", unitCalls, "Calls to the store that failed."},
+	{"member/pulls", "exchanges", "Complete member lists fetched from a peer."},
+	{"member/bytes_in", unitBytes, "Bytes of heartbeats received."},
+	{"member/bytes_out", unitBytes, "Bytes of heartbeats sent."},
+	{"member/refused", "datagrams", "Heartbeats with a wrong key or malformed. More than a few mean that a sender has another key."},
 	{"member/suspicions", unitVMs, "Times that an entry VM became suspect."},
-	{"member/deaths", unitVMs, "Times that an entry VM was taken for dead."},
-	{"member/refutations", "times", "Times that this VM had to say that it lives."},
-	{"member/pauses", "times", "Times that this VM found that it had stood still."},
-	{"measuring/calls", "operations", "Measuring operations that this entry VM made since its start; the budget is for the sum of all."},
+	{"member/deaths", unitVMs, "Times that an entry VM was declared dead."},
+	{"member/refutations", "times", "Times that this entry VM had to refute that it is suspect or dead."},
+	{"member/pauses", "times", "Times that this entry VM detected that it had been paused."},
+	{"measuring/calls", "operations", "Measuring operations of this entry VM since its start; the budget applies to the sum over all entry VMs."},
 	{"measuring/bytes", unitBytes, "Bytes of them."},
-	{"measuring/unasked", unitBytes, "Bytes of load reports that servers sent without being asked, which no budget can hold back."},
+	{"measuring/unasked", unitBytes, "Bytes of load reports that servers sent without a request, which no budget can limit."},
 	{"measuring/newscalls", "exchanges", "Exchanges with peers about leaving servers."},
 	{"measuring/newsbytes", unitBytes, "Bytes of them."},
-	{"tickets/records", "outcomes", "Outcomes of run-once work that are kept now; the bound is once.records."},
-	{"tickets/closed", "tickets", "Tickets closed without having run that are kept now."},
-	{"tickets/bytes", unitBytes, "Memory of the outcomes now; the bound is once.bytes."},
-	{"measuring/calls", unitCalls, "Measuring operations of this VM so far; they count against the operators' budget."},
+	{"tickets/records", "outcomes", "Outcomes of run-once work that are stored now; the limit is once.records."},
+	{"tickets/closed", "tickets", "Tickets that were closed before their work ran and are stored now."},
+	{"tickets/bytes", unitBytes, "Memory used by the outcomes now; the limit is once.bytes."},
+	{"measuring/calls", unitCalls, "Measuring operations of this entry VM so far; they count against the operators' budget."},
 	{"measuring/bytes", unitBytes, "Bytes of them."},
-	{"measuring/unasked", unitBytes, "Bytes of reports that servers sent unasked."},
-	{"measuring/newscalls", unitCalls, "Exchanges of news of leaving servers."},
+	{"measuring/unasked", unitBytes, "Bytes of load reports that servers sent without a request."},
+	{"measuring/newscalls", unitCalls, "Exchanges with peers about leaving servers."},
 	{"measuring/newsbytes", unitBytes, "Bytes of them."},
-	{"memstats", "", "Go's own figures of memory, runtime.MemStats."},
+	{"memstats", "", "Memory statistics of the Go runtime, runtime.MemStats."},
 	{"cmdline", "", "The command line of the process."},
-	{"front/looks", "health checks", "Looks at servers, made right before a request is sent."},
+	{"front/looks", "health checks", "Health checks of servers, made right before a request is sent."},
 	{"front/sends", "sends", "Requests handed to a server."},
-	{"front/again", "sends", "Those of them that were not the first of their request."},
-	{"front/denied", "sends", "Further sends that the bound on them did not allow."},
-	{"front/quarantined", unitRequests, "Refused since servers ended under such a request before."},
-	{"front/faults", unitRequests, "That met a fault of the entry VM; the log has each with its stack. Report it."},
-	{"quarantine/held", unitRequests, "Requests that are not sent now, each counted once however often it comes. Above zero: see below."},
-	{"quarantine/crashes", "crashes", "Ends of servers with a request in flight that are remembered, one a request."},
-	{"quarantine/waiting", "records", "Records that wait for the store."},
-	{"quarantine/dropped", "records", "Records dropped since too many waited."},
-	{"gateway/flight", unitRequests, "On the users' platform: callers' requests in flight now."},
+	{"front/again", "sends", "Sends after the first one of a request."},
+	{"front/denied", "sends", "Further sends that were denied because their limit was reached."},
+	{"front/quarantined", unitRequests, "Requests refused because servers crashed while they ran such a request before."},
+	{"front/faults", unitRequests, "Requests that hit a bug of the entry VM; the log has each one with its stack. Report it."},
+	{"quarantine/held", unitRequests, "Quarantined requests, each counted once however often it is received. If above zero, see docs/operators.md."},
+	{"quarantine/crashes", "crashes", "Recorded crashes of servers with a request in flight, one for each request."},
+	{"quarantine/waiting", "records", "Records that wait to be written to the store."},
+	{"quarantine/dropped", "records", "Records dropped because too many waited."},
+	{"gateway/flight", unitRequests, "Callers' requests in flight now, on the users' platform."},
 	{"gateway/servers", "servers", "Backend servers known now."},
 	{"gateway/peers", unitVMs, "Other entry VMs that answer now."},
-	{"gateway/fresh", "milliseconds", "For how long it has not been known whether the copy of the store is the newest: below a second as a rule."},
-	{"gateway/unusable", "servers", "Entries in the list of servers that can't be used now; the log has each with its field. Above zero: somebody else writes there."},
-	{"gateway/index", "", "The index of the store up to which the copy is complete; the same on all entry VMs within a second."},
+	{"gateway/fresh", "milliseconds", "The time since the replica of the store was last known to be up to date: usually below a second."},
+	{"gateway/unusable", "servers", "Invalid entries in the server list; the log has each one with its field. If above zero, another program writes there."},
+	{"gateway/index", "", "The index of the store up to which the replica is complete; all entry VMs have the same within a second."},
 	{"gateway/version", "", "The version of the configuration in force."},
-	{"gateway/dropped", "lines", "Log lines dropped since the buffer was full."},
+	{"gateway/dropped", "lines", "Log lines dropped because the buffer was full."},
 }
 
-// Find returns the metric that a path, its names joined by slashes, belongs
-// to.
+// Find returns the metric of a path, which is its names joined by slashes.
 func Find(path string) (Metric, bool) {
 	for _, m := range Table {
 		if matches(m.Path, path) {
