--- a/clock.go
+++ b/clock.go
@@ -18,8 +18,8 @@
 // Now returns the system time.
 func (SystemClock) Now() time.Time { return time.Now() }
 
-// Pause waits for a duration or until the context ends.
-func Pause(ctx context.Context, d time.Duration) {
+// Sleep waits for a duration or until the context ends.
+func Sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 
--- a/internal/cwfollow/follower.go
+++ b/internal/cwfollow/follower.go
@@ -107,7 +107,7 @@
 
 	for ctx.Err() == nil {
 		if !f.isDue() {
-			carobward.Pause(ctx, pollInterval)
+			carobward.Sleep(ctx, pollInterval)
 
 			continue
 		}
@@ -213,5 +213,5 @@
 
 	f.Log.Info("Received changes from the store.", "era", c.Era, "index", c.Index, "copy", before.Index, "whole", c.Whole,
 		"keys", len(c.Items), "changed", changed, "kept", f.Mirror.State().Kept, "held", f.Mirror.HoldRemaining(now).String())
-	carobward.Pause(ctx, batchDelay)
+	carobward.Sleep(ctx, batchDelay)
 }
--- a/internal/cwnode/stop.go
+++ b/internal/cwnode/stop.go
@@ -58,7 +58,7 @@
 
 	n.announce(serve)
 	n.data.Part()
-	carobward.Pause(serve, cwlookup.Kept(n.settings.Keep.Std())+keepMargin)
+	carobward.Sleep(serve, cwlookup.Kept(n.settings.Keep.Std())+keepMargin)
 	n.await(serve, partMost, func() bool { return n.data.GetOpenConnectionsCount() == 0 })
 	n.log.Info("No new connections are taken.", "running", n.carrier.Running())
 
@@ -103,6 +103,6 @@
 	defer cancel()
 
 	for ctx.Err() == nil && !ok() {
-		carobward.Pause(ctx, stopPoll)
+		carobward.Sleep(ctx, stopPoll)
 	}
 }
--- a/internal/cwquarantine/writer.go
+++ b/internal/cwquarantine/writer.go
@@ -49,7 +49,7 @@
 func (k *Keeper) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if k.canWrite() {
-			carobward.Pause(ctx, batchDelay)
+			carobward.Sleep(ctx, batchDelay)
 			k.write(ctx)
 
 			continue
@@ -88,7 +88,7 @@
 
 	k.backoff = min(maxBackoff, max(minBackoff, 2*k.backoff))
 	k.Log.Info("Records could not be written to the store.", "keys", len(batch.Writes)+len(batch.Deletes), "again", k.backoff.String(), "cause", err.Error())
-	carobward.Pause(ctx, k.backoff)
+	carobward.Sleep(ctx, k.backoff)
 }
 
 // batch returns the changes of one call.
