--- a/server.go
+++ b/server.go
@@ -101,9 +101,9 @@
 	Length int
 }
 
-// ErrOther is returned by a Dialect for a reply to another call. The reply to this call may
+// ErrOtherRequest is returned by a Dialect for a reply to another call. The reply to this call may
 // still follow.
-const ErrOther = errors.ConstError("the reply is to another request")
+const ErrOtherRequest = errors.ConstError("the reply is to another request")
 
 // Servers sends calls to servers.
 type Servers interface {
