--- a/feed.go
+++ b/feed.go
@@ -100,9 +100,9 @@
 	return ByteCount(size)
 }
 
-// ErrHistory is returned by a Feed that no longer has the changes since an index. All keys
+// ErrHistoryGone is returned by a Feed that no longer has the changes since an index. All keys
 // have to be listed again.
-const ErrHistory = errors.ConstError("store: the history since then is no longer kept")
+const ErrHistoryGone = errors.ConstError("store: the history since then is no longer kept")
 
 // Feed is the part of the platform's store that an entry VM follows: the operators'
 // configuration and the list of backend servers.
--- a/internal/cwfollow/outage.go
+++ b/internal/cwfollow/outage.go
@@ -39,7 +39,7 @@
 
 // handleFailure records a failed call.
 func (f *Follower) handleFailure(err error) {
-	if errors.Is(err, carobward.ErrHistory) {
+	if errors.Is(err, carobward.ErrHistoryGone) {
 		f.Log.Info("The store doesn't have the changes, listing all keys.", "after", f.Mirror.State().Index, "cause", err.Error())
 		f.needsList = true
 
--- a/internal/cwmesh/answer.go
+++ b/internal/cwmesh/answer.go
@@ -28,7 +28,7 @@
 	case c.Era < before.Era:
 		return 0, errors.Annotatef(ErrEra, "era %d, the copy has %d", c.Era, before.Era)
 	case enters && !c.Whole:
-		return 0, errors.Annotatef(carobward.ErrHistory, "era %d, the copy has %d", c.Era, before.Era)
+		return 0, errors.Annotatef(carobward.ErrHistoryGone, "era %d, the copy has %d", c.Era, before.Era)
 	}
 
 	changed := m.Mirror.ApplyAndNotify(c, now, m.Changed)
--- a/internal/cwmesh/era_test.go
+++ b/internal/cwmesh/era_test.go
@@ -54,7 +54,7 @@
 		"changes":                    {carobward.Changes{Era: 2, AfterEra: 2, After: 5, Index: 7}, cwmirror.State{Era: 2, Index: 7, Top: 7}, nil},
 		"without an era":             {carobward.Changes{After: 5, Index: 7}, cwmirror.State{Era: 2, Index: 7, Top: 7}, nil},
 		"of an earlier era":          {carobward.Changes{Era: 1, AfterEra: 1, After: 5, Index: 7}, cwmirror.State{Era: 2, Index: 5, Top: 5}, ErrEra},
-		"changes of a later era":     {carobward.Changes{Era: 3, AfterEra: 3, After: 5, Index: 7}, cwmirror.State{Era: 2, Index: 5, Top: 5}, carobward.ErrHistory},
+		"changes of a later era":     {carobward.Changes{Era: 3, AfterEra: 3, After: 5, Index: 7}, cwmirror.State{Era: 2, Index: 5, Top: 5}, carobward.ErrHistoryGone},
 		"all keys of a later era":    {carobward.Changes{Era: 3, Index: 4, Whole: true}, cwmirror.State{Era: 3, Index: 4, Top: 4}, nil},
 		"all keys of an earlier era": {carobward.Changes{Era: 1, Index: 9, Whole: true}, cwmirror.State{Era: 2, Index: 5, Top: 5}, ErrEra},
 	} {
--- a/internal/cwmesh/restore_test.go
+++ b/internal/cwmesh/restore_test.go
@@ -214,7 +214,7 @@
 		_, err = h.mesh.TakeAnswer(c, h.mesh.Clock.Now())
 	}
 
-	h.listNext = errors.Is(err, carobward.ErrHistory)
+	h.listNext = errors.Is(err, carobward.ErrHistoryGone)
 	if h.listNext {
 		h.nextAsk = f.now
 	}
--- a/internal/cwmesh/store_test.go
+++ b/internal/cwmesh/store_test.go
@@ -106,7 +106,7 @@
 	st.calls++
 
 	if !list && (after < st.floor || after > st.index) {
-		return carobward.Changes{}, carobward.ErrHistory
+		return carobward.Changes{}, carobward.ErrHistoryGone
 	}
 
 	c := carobward.Changes{Era: st.era, AfterEra: st.era, After: after, Index: st.index, Whole: list}
