--- a/feed.go
+++ b/feed.go
@@ -61,8 +61,8 @@
 	For time.Duration
 }
 
-// Always is how long items without an expiry are retained: longer than any VM lives.
-const Always = 10 * 365 * 24 * time.Hour
+// Forever is how long items without an expiry are retained: longer than any VM lives.
+const Forever = 10 * 365 * 24 * time.Hour
 
 // Changes are items that were written or deleted.
 type Changes struct {
--- a/internal/cwgateway/retention.go
+++ b/internal/cwgateway/retention.go
@@ -28,7 +28,7 @@
 func (a *Adapter) retention(it carobward.Item) time.Duration {
 	switch {
 	case a.IsRouting(it.Key):
-		return carobward.Always
+		return carobward.Forever
 	case a.IsBackend(it.Key) && !it.Gone:
 		return cwmirror.ReregisterTime
 	case a.IsBackend(it.Key):
--- a/internal/cwmesh/restore_test.go
+++ b/internal/cwmesh/restore_test.go
@@ -102,7 +102,7 @@
 		Retention: func(it carobward.Item) time.Duration {
 			switch {
 			case isRouting(it.Key):
-				return carobward.Always
+				return carobward.Forever
 			case it.Gone:
 				return goneAge
 			default:
--- a/internal/cwmesh/wire.go
+++ b/internal/cwmesh/wire.go
@@ -53,7 +53,7 @@
 }
 
 // maxKeptMillis limits, in milliseconds, for how long a peer may say that an item is kept.
-const maxKeptMillis = uint64(carobward.Always / time.Millisecond)
+const maxKeptMillis = uint64(carobward.Forever / time.Millisecond)
 
 func encodeKept(list []carobward.Kept) []*cwwire.Kept {
 	var out []*cwwire.Kept
--- a/internal/cwmirror/mirror_test.go
+++ b/internal/cwmirror/mirror_test.go
@@ -52,7 +52,7 @@
 		Rank: rankOf, IsRouting: isRouting, IsBackend: func(k carobward.Key) bool { return !isRouting(k) },
 		Retention: func(it carobward.Item) time.Duration {
 			if isRouting(it.Key) {
-				return carobward.Always
+				return carobward.Forever
 			}
 
 			return retention
