--- a/feed.go
+++ b/feed.go
@@ -21,8 +21,8 @@
 // deleted in between.
 type Gap struct{ From, To StoreIndex }
 
-// Has reports whether a replica at an index lacks changes that are not known.
-func (g Gap) Has(index StoreIndex) bool { return g.From < index && index < g.To }
+// Contains reports whether a replica at an index lacks changes that are not known.
+func (g Gap) Contains(index StoreIndex) bool { return g.From < index && index < g.To }
 
 // IsEmpty reports whether no replica can be at an index within the gap.
 func (g Gap) IsEmpty() bool { return g.To <= g.From+1 }
--- a/internal/cwmirror/changes.go
+++ b/internal/cwmirror/changes.go
@@ -75,7 +75,7 @@
 
 // mayLackRemovals reports whether removals after an index may be unknown.
 func (m *Mirror) mayLackRemovals(after carobward.StoreIndex) bool {
-	inGap := func(g carobward.Gap) bool { return g.Has(after) }
+	inGap := func(g carobward.Gap) bool { return g.Contains(after) }
 
 	return after == 0 || after < m.floor || slices.ContainsFunc(m.gaps, inGap)
 }
