--- a/feed.go
+++ b/feed.go
@@ -12,8 +12,8 @@
 	Key   Key
 	Value []byte
 	Index StoreIndex
-	// Gone is set if the key was deleted at Index; Value is empty then.
-	Gone bool
+	// Deleted is set if the key was deleted at Index; Value is empty then.
+	Deleted bool
 }
 
 // Gap is a span of the store's history whose changes are not known: a replica at index From
--- a/internal/cwfollow/restore.go
+++ b/internal/cwfollow/restore.go
@@ -48,7 +48,7 @@
 
 		switch {
 		case !strings.HasPrefix(string(it.Key), carobward.PrefixOwn) || len(b.Writes)+len(b.Deletes) == maxRestoreBatch:
-		case it.Gone:
+		case it.Deleted:
 			b.Deletes = append(b.Deletes, it.Key)
 		default:
 			b.Writes = append(b.Writes, it)
--- a/internal/cwgateway/changes.go
+++ b/internal/cwgateway/changes.go
@@ -27,7 +27,7 @@
 		switch {
 		case g.Adapter.IsRouting(it.Key):
 			g.applyConfig(it)
-		case it.Key == carobward.KeyFleet && !it.Gone:
+		case it.Key == carobward.KeyFleet && !it.Deleted:
 			g.applyFleet(it)
 		case g.Adapter.IsBackend(it.Key):
 			g.applyServer(it, first, &change)
@@ -62,7 +62,7 @@
 func (g *Gateway) applyServer(it *carobward.Item, first bool, c *serverChanges) {
 	instance := g.Adapter.Instance(it.Key)
 
-	if it.Gone {
+	if it.Deleted {
 		delete(g.unusable, instance)
 		c.removed = append(c.removed, instance)
 		g.log.Info("A server entry was removed.", "server", instance, "index", it.Index)
@@ -155,7 +155,7 @@
 
 // applyConfig puts a configuration in force if it is newer than the current one.
 func (g *Gateway) applyConfig(it *carobward.Item) {
-	if it.Gone {
+	if it.Deleted {
 		g.log.Info("The configuration was removed from the store; the last one stays in force.", "index", it.Index)
 
 		return
--- a/internal/cwgateway/evacuation.go
+++ b/internal/cwgateway/evacuation.go
@@ -26,13 +26,13 @@
 		return
 	}
 
-	if _, was := g.evacuated[d]; was == !it.Gone {
+	if _, was := g.evacuated[d]; was == !it.Deleted {
 		return
 	}
 
-	servers := g.servers.SetEvacuated(d, !it.Gone)
+	servers := g.servers.SetEvacuated(d, !it.Deleted)
 
-	if it.Gone {
+	if it.Deleted {
 		delete(g.evacuated, d)
 		g.log.Info("The evacuation of a failure domain has ended.", "domain", d, "servers", servers, "index", it.Index)
 
--- a/internal/cwgateway/retention.go
+++ b/internal/cwgateway/retention.go
@@ -29,7 +29,7 @@
 	switch {
 	case a.IsRouting(it.Key):
 		return carobward.Forever
-	case a.IsBackend(it.Key) && !it.Gone:
+	case a.IsBackend(it.Key) && !it.Deleted:
 		return cwmirror.ReregisterTime
 	case a.IsBackend(it.Key):
 		return removalRetention
--- a/internal/cwmesh/restore_test.go
+++ b/internal/cwmesh/restore_test.go
@@ -103,7 +103,7 @@
 			switch {
 			case isRouting(it.Key):
 				return carobward.Forever
-			case it.Gone:
+			case it.Deleted:
 				return goneAge
 			default:
 				return cwmirror.ReregisterTime
@@ -121,7 +121,7 @@
 func (f *fleetHistory) changed(h *historyVM, items []carobward.Item) {
 	for _, it := range items {
 		state, _, _ := strings.Cut(string(it.Value), " ")
-		if it.Gone {
+		if it.Deleted {
 			state = "gone"
 		}
 
--- a/internal/cwmesh/store_test.go
+++ b/internal/cwmesh/store_test.go
@@ -76,7 +76,7 @@
 	key := carobward.Key(fmt.Sprint("servers/", i))
 	st.states[key] = state
 	st.writes[key]++
-	st.put(carobward.Item{Key: key, Value: fmt.Append(nil, state, " ", st.writes[key]), Gone: state == "gone"})
+	st.put(carobward.Item{Key: key, Value: fmt.Append(nil, state, " ", st.writes[key]), Deleted: state == "gone"})
 }
 
 func (st *simStore) save() {
@@ -96,7 +96,7 @@
 func (st *simStore) rewriteLost() {
 	for key, state := range st.states {
 		if it := st.items[key]; string(it.Value) != fmt.Sprint(state, " ", st.writes[key]) {
-			st.put(carobward.Item{Key: key, Value: fmt.Append(nil, state, " ", st.writes[key]), Gone: state == "gone"})
+			st.put(carobward.Item{Key: key, Value: fmt.Append(nil, state, " ", st.writes[key]), Deleted: state == "gone"})
 		}
 	}
 }
@@ -116,7 +116,7 @@
 	}
 
 	for _, it := range st.items {
-		if list && !it.Gone || !list && it.Index > after {
+		if list && !it.Deleted || !list && it.Index > after {
 			c.Items = append(c.Items, it)
 		}
 	}
--- a/internal/cwmesh/wire.go
+++ b/internal/cwmesh/wire.go
@@ -30,12 +30,12 @@
 
 func decodeEntry(e *cwwire.Entry) carobward.Item {
 	return carobward.Item{
-		Key: carobward.Key(e.GetKey()), Value: e.GetValue(), Index: carobward.StoreIndex(e.GetIndex()), Gone: e.GetGone(),
+		Key: carobward.Key(e.GetKey()), Value: e.GetValue(), Index: carobward.StoreIndex(e.GetIndex()), Deleted: e.GetGone(),
 	}
 }
 
 func encodeEntry(it *carobward.Item) *cwwire.Entry {
-	return &cwwire.Entry{Key: string(it.Key), Value: it.Value, Index: uint64(it.Index), Gone: it.Gone}
+	return &cwwire.Entry{Key: string(it.Key), Value: it.Value, Index: uint64(it.Index), Gone: it.Deleted}
 }
 
 // decodeKept decodes items that a peer keeps in force.
--- a/internal/cwmirror/changes.go
+++ b/internal/cwmirror/changes.go
@@ -48,7 +48,7 @@
 	var list []carobward.Item
 
 	for _, it := range m.items {
-		if !it.Gone {
+		if !it.Deleted {
 			list = append(list, it.Item)
 		}
 	}
@@ -64,7 +64,7 @@
 	for key := range m.origin.keys {
 		switch it, ok := m.items[key]; {
 		case !ok:
-			list = append(list, carobward.Item{Key: key, Index: m.origin.index, Gone: true})
+			list = append(list, carobward.Item{Key: key, Index: m.origin.index, Deleted: true})
 		case it.Index <= m.origin.index:
 			list = append(list, it.Item)
 		}
--- a/internal/cwmirror/era.go
+++ b/internal/cwmirror/era.go
@@ -45,14 +45,14 @@
 
 	if !c.Whole {
 		for key, it := range old {
-			if !it.Gone {
+			if !it.Deleted {
 				m.items[key] = it
 			}
 		}
 	}
 
 	for _, it := range c.Items {
-		if it.Gone {
+		if it.Deleted {
 			delete(m.items, it.Key)
 
 			continue
@@ -81,13 +81,13 @@
 	m.origin = origin{from: before, index: m.state.Index, keys: map[carobward.Key]struct{}{}}
 
 	for key, it := range old {
-		if !it.Gone && !m.hasItem(it.Item) {
+		if !it.Deleted && !m.hasItem(it.Item) {
 			m.origin.keys[key] = struct{}{}
 		}
 	}
 
 	for key, it := range m.items {
-		if was, ok := old[key]; !ok || was.Gone || was.Index != it.Index {
+		if was, ok := old[key]; !ok || was.Deleted || was.Index != it.Index {
 			m.origin.keys[key] = struct{}{}
 		}
 	}
@@ -131,13 +131,13 @@
 	rank := m.rankOf(was)
 
 	switch {
-	case was.Gone && !exists:
+	case was.Deleted && !exists:
 		// The key may exist again in the next era.
 		delete(m.kept, was.Key)
 		m.addTombstone(was.Key, rank)
-	case was.Gone && !rank.Before(m.rankOf(current)), !was.Gone && !exists, !was.Gone && m.rankOf(current).Before(rank):
+	case was.Deleted && !rank.Before(m.rankOf(current)), !was.Deleted && !exists, !was.Deleted && m.rankOf(current).Before(rank):
 		m.keep(was.Item, rank, now.Add(m.Retention(was.Item)))
-	case was.Gone || !bytes.Equal(was.Value, current.Value):
+	case was.Deleted || !bytes.Equal(was.Value, current.Value):
 		delete(m.kept, was.Key)
 
 		return current.Item, true
--- a/internal/cwmirror/era_test.go
+++ b/internal/cwmirror/era_test.go
@@ -122,7 +122,7 @@
 				for _, it := range items {
 					delivered[it.Key] = string(it.Value)
 
-					if it.Gone {
+					if it.Deleted {
 						delete(delivered, it.Key)
 					}
 				}
@@ -281,7 +281,7 @@
 
 	for _, c := range []carobward.Changes{keeps, inEra(3, whole(6, ranked("a", 1, 1), ranked("b", 2, 5)))} {
 		for _, it := range m.Apply(c, now) {
-			if it.Key == "b" && !it.Gone {
+			if it.Key == "b" && !it.Deleted {
 				t.Errorf("the entry is back in era %d", c.Era)
 			}
 		}
--- a/internal/cwmirror/kept.go
+++ b/internal/cwmirror/kept.go
@@ -76,7 +76,7 @@
 
 	for key, k := range m.kept {
 		current := m.items[key]
-		exists := current.Index > 0 && !current.Gone
+		exists := current.Index > 0 && !current.Deleted
 
 		if now.Before(k.until) || exists && m.rankOf(current).Before(k.rank) {
 			continue
@@ -84,7 +84,7 @@
 
 		m.dropKept(k)
 
-		if it := m.effective(key); it.Gone != k.Gone || exists {
+		if it := m.effective(key); it.Deleted != k.Deleted || exists {
 			fresh = append(fresh, it)
 		}
 	}
@@ -98,14 +98,14 @@
 func (m *Mirror) dropKept(k *kept) {
 	delete(m.kept, k.Key)
 
-	if current := m.items[k.Key]; current.Index == 0 && !k.Gone {
+	if current := m.items[k.Key]; current.Index == 0 && !k.Deleted {
 		m.addTombstone(k.Key, k.rank)
 	}
 }
 
 // addTombstone records a key that the store lacks as removed.
 func (m *Mirror) addTombstone(key carobward.Key, rank carobward.Rank) {
-	m.items[key] = record{Item: carobward.Item{Key: key, Index: m.state.Index, Gone: true}, rank: rank}
+	m.items[key] = record{Item: carobward.Item{Key: key, Index: m.state.Index, Deleted: true}, rank: rank}
 	m.tombstones++
 }
 
@@ -119,7 +119,7 @@
 		return it.Item
 	}
 
-	return carobward.Item{Key: key, Index: m.state.Index, Gone: true}
+	return carobward.Item{Key: key, Index: m.state.Index, Deleted: true}
 }
 
 // keepRemoved keeps a server's entry that the store removed while removals are held back.
@@ -152,7 +152,7 @@
 		k := m.kept[it.Key]
 
 		if k != nil {
-			if it.Gone && !k.Gone && m.mayLapse(it.Key, now) || !it.Gone && m.Rank(it.Key, it.Value).Before(k.rank) {
+			if it.Deleted && !k.Deleted && m.mayLapse(it.Key, now) || !it.Deleted && m.Rank(it.Key, it.Value).Before(k.rank) {
 				continue
 			}
 
@@ -192,9 +192,9 @@
 	switch {
 	case theirs.For == 0 && !rank.Before(theirs.Rank):
 		return false // Its time is over: the next Sweep releases it.
-	case theirs.Gone:
-		return !ours.Gone && !theirs.Rank.Before(rank)
-	case ours.Gone:
+	case theirs.Deleted:
+		return !ours.Deleted && !theirs.Rank.Before(rank)
+	case ours.Deleted:
 		// An item that was removed here as well, or whose removal is not held back, must not come
 		// back.
 		_, known := m.items[theirs.Key]
--- a/internal/cwmirror/mirror.go
+++ b/internal/cwmirror/mirror.go
@@ -166,7 +166,7 @@
 // updateVersion records the version of a configuration that took effect.
 func (m *Mirror) updateVersion(fresh []carobward.Item) {
 	for i := range fresh {
-		if it := &fresh[i]; m.IsRouting(it.Key) && !it.Gone {
+		if it := &fresh[i]; m.IsRouting(it.Key) && !it.Deleted {
 			m.state.Version = max(m.state.Version, carobward.Version(m.Rank(it.Key, it.Value).Write))
 		}
 	}
@@ -221,17 +221,17 @@
 // set replaces one item of the replica.
 func (m *Mirror) set(it carobward.Item, now time.Time) {
 	old, ok := m.items[it.Key]
-	if ok && old.Gone {
+	if ok && old.Deleted {
 		m.tombstones--
 	}
 
 	next := record{Item: it}
 
-	if it.Gone {
+	if it.Deleted {
 		m.tombstones++
 		next.rank = m.effectiveRank(it)
 
-		if ok && !old.Gone {
+		if ok && !old.Deleted {
 			m.keepRemoved(old.Item, now)
 		}
 	}
@@ -242,7 +242,7 @@
 
 // rankOf returns the rank of a value, or of the last value of a removed key.
 func (m *Mirror) rankOf(r record) carobward.Rank {
-	if r.Gone || r.Index == 0 {
+	if r.Deleted || r.Index == 0 {
 		return r.rank
 	}
 
@@ -265,17 +265,17 @@
 	for i := range c.Items {
 		// A removal that is older than the replica's item stands for a later one unknown to the
 		// sender: at the sender's index the key doesn't exist.
-		has[c.Items[i].Key] = !c.Items[i].Gone
+		has[c.Items[i].Key] = !c.Items[i].Deleted
 	}
 
 	var gone []carobward.Item
 
 	for key, it := range m.items {
-		if it.Gone || has[key] || it.Index <= after || it.Index > c.Index {
+		if it.Deleted || has[key] || it.Index <= after || it.Index > c.Index {
 			continue
 		}
 
-		one := carobward.Item{Key: key, Index: c.Index, Gone: true}
+		one := carobward.Item{Key: key, Index: c.Index, Deleted: true}
 		m.set(one, now)
 		gone = append(gone, one)
 	}
@@ -303,7 +303,7 @@
 	}
 
 	for key, it := range m.items {
-		if it.Gone {
+		if it.Deleted {
 			m.floor = max(m.floor, it.Index)
 			delete(m.items, key)
 		}
--- a/internal/cwmirror/mirror_test.go
+++ b/internal/cwmirror/mirror_test.go
@@ -18,7 +18,7 @@
 }
 
 func gone(key string, index int) carobward.Item {
-	return carobward.Item{Key: carobward.Key(key), Index: carobward.StoreIndex(index), Gone: true}
+	return carobward.Item{Key: carobward.Key(key), Index: carobward.StoreIndex(index), Deleted: true}
 }
 
 func changes(index int, items ...carobward.Item) carobward.Changes {
@@ -72,7 +72,7 @@
 
 	for _, k := range m.Kept(start) {
 		all[k.Key] = k.Item
-		if k.Gone {
+		if k.Deleted {
 			delete(all, k.Key)
 		}
 	}
--- a/internal/cwmirror/model_test.go
+++ b/internal/cwmirror/model_test.go
@@ -37,7 +37,7 @@
 	c.Gap.To = carobward.StoreIndex(s.index)
 
 	for _, it := range s.items {
-		if !it.Gone {
+		if !it.Deleted {
 			c.Items = append(c.Items, it)
 		}
 	}
@@ -63,7 +63,7 @@
 	var keys []string
 
 	for _, key := range slices.Sorted(maps.Keys(s.items)) {
-		if !s.items[key].Gone {
+		if !s.items[key].Deleted {
 			keys = append(keys, key)
 		}
 	}
--- a/internal/cwquarantine/table.go
+++ b/internal/cwquarantine/table.go
@@ -166,7 +166,7 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
-	if it.Gone {
+	if it.Deleted {
 		t.removeCrashKey(it.Key, now, change)
 
 		return
@@ -246,7 +246,7 @@
 }
 
 func (t *Table) applyTrial(it *carobward.Item, change *Change) {
-	if it.Gone {
+	if it.Deleted {
 		return // The crashes are removed as well, and the trials with them.
 	}
 
--- a/internal/cwquarantine/table_test.go
+++ b/internal/cwquarantine/table_test.go
@@ -163,7 +163,7 @@
 	}
 
 	for i := range items {
-		items[i].Value, items[i].Gone = nil, true
+		items[i].Value, items[i].Deleted = nil, true
 	}
 
 	if change := table.Put(items, start); len(change.Released) != 1 || table.MayContain(&call) {
@@ -208,7 +208,7 @@
 	}
 
 	for _, key := range gone {
-		table.Put([]carobward.Item{{Key: key, Gone: true}}, start)
+		table.Put([]carobward.Item{{Key: key, Deleted: true}}, start)
 	}
 
 	if !table.Decide(fingerprintOf("a"), start).Quarantined {
@@ -242,7 +242,7 @@
 			t.Errorf("one record quarantines a request: %+v", change)
 		}
 
-		items[0].Gone = true
+		items[0].Deleted = true
 		table.Put(items, start)
 
 		if held, crashes := table.Counts(start); held+crashes > 0 {
