--- a/feed.go
+++ b/feed.go
@@ -81,9 +81,9 @@
 	// changes can't bring a replica up to date whose index is within it. Gap may extend
 	// beyond Index if the store changed while its keys were listed page by page.
 	Gap Gap
-	// Whole is set if Items has all keys that exist: a key that is not among them does not
+	// Full is set if Items has all keys that exist: a key that is not among them does not
 	// exist.
-	Whole bool
+	Full bool
 	// Kept are items of the sender that stay effective besides Items.
 	Kept []Kept
 	// Hold is how much longer deletions in the store are not trusted.
--- a/internal/cwfollow/follower.go
+++ b/internal/cwfollow/follower.go
@@ -211,7 +211,7 @@
 		return
 	}
 
-	f.Log.Info("Received changes from the store.", "era", c.Era, "index", c.Index, "copy", before.Index, "whole", c.Whole,
+	f.Log.Info("Received changes from the store.", "era", c.Era, "index", c.Index, "copy", before.Index, "whole", c.Full,
 		"keys", len(c.Items), "changed", changed, "kept", f.Mirror.State().Kept, "held", f.Mirror.HoldRemaining(now).String())
 	carobward.Sleep(ctx, batchDelay)
 }
--- a/internal/cwmesh/answer.go
+++ b/internal/cwmesh/answer.go
@@ -27,7 +27,7 @@
 	switch {
 	case c.Era < before.Era:
 		return 0, errors.Annotatef(ErrEra, "era %d, the copy has %d", c.Era, before.Era)
-	case enters && !c.Whole:
+	case enters && !c.Full:
 		return 0, errors.Annotatef(carobward.ErrHistoryGone, "era %d, the copy has %d", c.Era, before.Era)
 	}
 
--- a/internal/cwmesh/era_test.go
+++ b/internal/cwmesh/era_test.go
@@ -32,7 +32,7 @@
 			s.run(simFormTime, nil)
 
 			v, peer := s.vms[0], s.vms[simDomains]
-			v.mesh.Mirror.Apply(carobward.Changes{Era: 2, Index: 5, Whole: true}, s.now)
+			v.mesh.Mirror.Apply(carobward.Changes{Era: 2, Index: 5, Full: true}, s.now)
 
 			from := net.UDPAddrFromAddrPort(netip.MustParseAddrPort(string(peer.node.Peers)))
 			v.mesh.handleHeartbeat(&cwwire.Beat{Id: string(peer.node.ID), Era: c.era, Index: c.index, Top: c.index, Fresh: 1}, from)
@@ -55,15 +55,15 @@
 		"without an era":             {carobward.Changes{After: 5, Index: 7}, cwmirror.State{Era: 2, Index: 7, Top: 7}, nil},
 		"of an earlier era":          {carobward.Changes{Era: 1, AfterEra: 1, After: 5, Index: 7}, cwmirror.State{Era: 2, Index: 5, Top: 5}, ErrEra},
 		"changes of a later era":     {carobward.Changes{Era: 3, AfterEra: 3, After: 5, Index: 7}, cwmirror.State{Era: 2, Index: 5, Top: 5}, carobward.ErrHistoryGone},
-		"all keys of a later era":    {carobward.Changes{Era: 3, Index: 4, Whole: true}, cwmirror.State{Era: 3, Index: 4, Top: 4}, nil},
-		"all keys of an earlier era": {carobward.Changes{Era: 1, Index: 9, Whole: true}, cwmirror.State{Era: 2, Index: 5, Top: 5}, ErrEra},
+		"all keys of a later era":    {carobward.Changes{Era: 3, Index: 4, Full: true}, cwmirror.State{Era: 3, Index: 4, Top: 4}, nil},
+		"all keys of an earlier era": {carobward.Changes{Era: 1, Index: 9, Full: true}, cwmirror.State{Era: 2, Index: 5, Top: 5}, ErrEra},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSim(1, simDomains)
 			s.run(simFormTime, nil)
 
 			m := s.vms[0].mesh
-			m.Mirror.Apply(carobward.Changes{Era: 2, Index: 5, Whole: true}, s.now)
+			m.Mirror.Apply(carobward.Changes{Era: 2, Index: 5, Full: true}, s.now)
 
 			_, err := m.TakeAnswer(c.answer, m.Clock.Now())
 			if !errors.Is(err, c.err) || c.err == nil && err != nil {
--- a/internal/cwmesh/fetch.go
+++ b/internal/cwmesh/fetch.go
@@ -235,7 +235,7 @@
 
 	changed := m.Mirror.ApplyAndNotify(c, m.Clock.Now(), m.Changed)
 	m.Log.Info("Applied changes from a peer.", "from", string(from), "after", own.Index, "era", c.Era, "index", c.Index,
-		"whole", c.Whole, "kept", len(c.Kept), "changed", changed)
+		"whole", c.Full, "kept", len(c.Kept), "changed", changed)
 
 	if c.Era == m.Mirror.State().Era {
 		m.applyFetchedClaim(reply, sent, c.Era)
@@ -332,7 +332,7 @@
 	}
 
 	c := a.mesh.Mirror.Since(after)
-	if c.Whole && after.Index > 0 && c.Size() > maxWholeSize {
+	if c.Full && after.Index > 0 && c.Size() > maxWholeSize {
 		return nil, errGap
 	}
 
--- a/internal/cwmesh/fetch_test.go
+++ b/internal/cwmesh/fetch_test.go
@@ -104,7 +104,7 @@
 		t.Run(name, func(t *testing.T) {
 			mirror := newMirror()
 			mirror.Apply(carobward.Changes{
-				Index: listed, Whole: true, Items: []carobward.Item{{Key: "a", Value: make([]byte, c.size), Index: listed}},
+				Index: listed, Full: true, Items: []carobward.Item{{Key: "a", Value: make([]byte, c.size), Index: listed}},
 			}, time.Now())
 			mirror.Apply(carobward.Changes{After: listed, Index: listed + 2, Items: []carobward.Item{{Key: "b", Index: listed + 2}}}, time.Now())
 
--- a/internal/cwmesh/push.go
+++ b/internal/cwmesh/push.go
@@ -35,7 +35,7 @@
 
 // setPush makes heartbeats carry changes if they are small.
 func (m *Mesh) setPush(c *carobward.Changes) {
-	if c == nil || c.Whole || len(c.Items) == 0 && c.AfterEra == c.Era || !c.Gap.IsEmpty() {
+	if c == nil || c.Full || len(c.Items) == 0 && c.AfterEra == c.Era || !c.Gap.IsEmpty() {
 		return
 	}
 
@@ -97,7 +97,7 @@
 // encodeChanges encodes changes for peers.
 func encodeChanges(c *carobward.Changes) (*cwwire.ChangesReply, error) {
 	out := &cwwire.ChangesReply{
-		Index: uint64(c.Index), Whole: c.Whole, GapFrom: uint64(c.Gap.From), GapTo: uint64(c.Gap.To),
+		Index: uint64(c.Index), Whole: c.Full, GapFrom: uint64(c.Gap.From), GapTo: uint64(c.Gap.To),
 		Era: uint64(c.Era), AfterEra: uint64(c.AfterEra), Hold: uint32(c.Hold.Milliseconds()),
 	}
 
@@ -122,7 +122,7 @@
 // decodeChanges decodes the changes after an index.
 func decodeChanges(in *cwwire.ChangesReply, after carobward.StoreIndex) (carobward.Changes, error) {
 	c := carobward.Changes{
-		After: after, Index: carobward.StoreIndex(in.GetIndex()), Whole: in.GetWhole(),
+		After: after, Index: carobward.StoreIndex(in.GetIndex()), Full: in.GetWhole(),
 		Gap: carobward.Gap{From: carobward.StoreIndex(in.GetGapFrom()), To: carobward.StoreIndex(in.GetGapTo())},
 		Era: carobward.StoreEra(in.GetEra()), AfterEra: carobward.StoreEra(in.GetAfterEra()),
 		Hold: time.Duration(in.GetHold()) * time.Millisecond, Kept: decodeKept(in.GetKept()),
--- a/internal/cwmesh/store_test.go
+++ b/internal/cwmesh/store_test.go
@@ -109,7 +109,7 @@
 		return carobward.Changes{}, carobward.ErrHistoryGone
 	}
 
-	c := carobward.Changes{Era: st.era, AfterEra: st.era, After: after, Index: st.index, Whole: list}
+	c := carobward.Changes{Era: st.era, AfterEra: st.era, After: after, Index: st.index, Full: list}
 	if list {
 		st.lists++
 		c.After, c.Gap.To = 0, st.index
--- a/internal/cwmirror/changes.go
+++ b/internal/cwmirror/changes.go
@@ -22,7 +22,7 @@
 	case m.origin.matches(from) && !m.mayLackRemovals(m.origin.index):
 		out.Items = append(m.itemsAfter(m.origin.index), m.originItems()...)
 	default:
-		out.After, out.AfterEra, out.Whole = 0, m.state.Era, true
+		out.After, out.AfterEra, out.Full = 0, m.state.Era, true
 		out.Gap = m.gapAfter(0)
 		out.Items = m.liveItems()
 	}
--- a/internal/cwmirror/era.go
+++ b/internal/cwmirror/era.go
@@ -26,11 +26,11 @@
 }
 
 // crosses reports whether changes lead from one era into another.
-func crosses(c *carobward.Changes) bool { return !c.Whole && c.AfterEra != 0 && c.AfterEra != c.Era }
+func crosses(c *carobward.Changes) bool { return !c.Full && c.AfterEra != 0 && c.AfterEra != c.Era }
 
 // canEnter reports whether changes bring this replica into their era.
 func (m *Mirror) canEnter(c *carobward.Changes) bool {
-	return c.Whole || c.AfterEra == m.state.Era && c.After == m.state.Index && m.state.Top == m.state.Index
+	return c.Full || c.AfterEra == m.state.Era && c.After == m.state.Index && m.state.Top == m.state.Index
 }
 
 // enterEra moves the replica into another era after the store was restored from a backup. Indexes
@@ -43,7 +43,7 @@
 	m.state = State{Era: c.Era, Index: c.Index, Top: c.Index, Version: before.Version}
 	m.holdUntil(now.Add(ReregisterTime))
 
-	if !c.Whole {
+	if !c.Full {
 		for key, it := range old {
 			if !it.Deleted {
 				m.items[key] = it
--- a/internal/cwmirror/era_test.go
+++ b/internal/cwmirror/era_test.go
@@ -182,8 +182,8 @@
 			from.Apply(more, start)
 
 			got := answerTo(to.State(), from)
-			if got.Whole != c.whole {
-				t.Errorf("all keys sent: %v", got.Whole)
+			if got.Full != c.whole {
+				t.Errorf("all keys sent: %v", got.Full)
 			}
 
 			to.Apply(got, start)
@@ -254,7 +254,7 @@
 	from.Apply(beyond, start)
 	from.Apply(inEra(2, whole(5, ranked("a", 1, 1), ranked("d", 1, 5))), start)
 
-	if !from.Since(at).Whole {
+	if !from.Since(at).Full {
 		t.Error("not all keys are sent")
 	}
 }
--- a/internal/cwmirror/mirror.go
+++ b/internal/cwmirror/mirror.go
@@ -185,13 +185,13 @@
 
 	// A list that is complete up to an older index doesn't show that the keys it lacks were
 	// removed, and changes that begin after this replica's index are incomplete for it.
-	if c.Index < m.state.Index || !c.Whole && c.After > m.state.Index {
+	if c.Index < m.state.Index || !c.Full && c.After > m.state.Index {
 		return m.filterOverridden(fresh, now)
 	}
 
 	fresh = append(fresh, m.removeUnlisted(c, now)...)
 
-	if c.Whole {
+	if c.Full {
 		// Keys that were removed while the list was read page by page count as removed at its
 		// index, and replicas at that index don't learn of it.
 		m.addGap(carobward.Gap{From: min(m.state.Index, max(c.Index, 1)-1), To: max(c.Index, c.Gap.To)})
@@ -255,7 +255,7 @@
 func (m *Mirror) removeUnlisted(c *carobward.Changes, now time.Time) []carobward.Item {
 	after := carobward.StoreIndex(0)
 
-	if !c.Whole {
+	if !c.Full {
 		if after = m.state.Index; m.state.Top <= after {
 			return nil
 		}
--- a/internal/cwmirror/mirror_test.go
+++ b/internal/cwmirror/mirror_test.go
@@ -27,7 +27,7 @@
 
 func whole(index int, items ...carobward.Item) carobward.Changes {
 	c := changes(index, items...)
-	c.Whole = true
+	c.Full = true
 
 	return c
 }
