--- a/feed.go
+++ b/feed.go
@@ -86,8 +86,8 @@
 	Full bool
 	// Kept are items of the sender that stay effective besides Items.
 	Kept []Kept
-	// Hold is how much longer deletions in the store are not trusted.
-	Hold time.Duration
+	// HoldDeletes is how much longer deletions in the store are not trusted.
+	HoldDeletes time.Duration
 }
 
 // Size returns the total size of all keys and values.
--- a/internal/cwmesh/answer.go
+++ b/internal/cwmesh/answer.go
@@ -41,7 +41,7 @@
 
 	m.answered(asked, now)
 
-	c.Hold = m.Mirror.HoldRemaining(now)
+	c.HoldDeletes = m.Mirror.HoldRemaining(now)
 	m.HeartbeatFleet(&c)
 
 	return changed, nil
--- a/internal/cwmesh/push.go
+++ b/internal/cwmesh/push.go
@@ -98,7 +98,7 @@
 func encodeChanges(c *carobward.Changes) (*cwwire.ChangesReply, error) {
 	out := &cwwire.ChangesReply{
 		Index: uint64(c.Index), Whole: c.Full, GapFrom: uint64(c.Gap.From), GapTo: uint64(c.Gap.To),
-		Era: uint64(c.Era), AfterEra: uint64(c.AfterEra), Hold: uint32(c.Hold.Milliseconds()),
+		Era: uint64(c.Era), AfterEra: uint64(c.AfterEra), Hold: uint32(c.HoldDeletes.Milliseconds()),
 	}
 
 	for i := range c.Items {
@@ -125,7 +125,7 @@
 		After: after, Index: carobward.StoreIndex(in.GetIndex()), Full: in.GetWhole(),
 		Gap: carobward.Gap{From: carobward.StoreIndex(in.GetGapFrom()), To: carobward.StoreIndex(in.GetGapTo())},
 		Era: carobward.StoreEra(in.GetEra()), AfterEra: carobward.StoreEra(in.GetAfterEra()),
-		Hold: time.Duration(in.GetHold()) * time.Millisecond, Kept: decodeKept(in.GetKept()),
+		HoldDeletes: time.Duration(in.GetHold()) * time.Millisecond, Kept: decodeKept(in.GetKept()),
 	}
 	entries := in.GetEntries()
 
--- a/internal/cwmirror/mirror.go
+++ b/internal/cwmirror/mirror.go
@@ -135,8 +135,8 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
-	if c.Hold > 0 {
-		m.holdUntil(now.Add(c.Hold))
+	if c.HoldDeletes > 0 {
+		m.holdUntil(now.Add(c.HoldDeletes))
 	}
 
 	var fresh []carobward.Item
