--- a/feed.go
+++ b/feed.go
@@ -84,8 +84,8 @@
 	// Full is set if Items has all keys that exist: a key that is not among them does not
 	// exist.
 	Full bool
-	// Kept are items of the sender that stay effective besides Items.
-	Kept []Kept
+	// Retained are items of the sender that stay effective besides Items.
+	Retained []Kept
 	// HoldDeletes is how much longer deletions in the store are not trusted.
 	HoldDeletes time.Duration
 }
--- a/internal/cwmesh/fetch.go
+++ b/internal/cwmesh/fetch.go
@@ -235,7 +235,7 @@
 
 	changed := m.Mirror.ApplyAndNotify(c, m.Clock.Now(), m.Changed)
 	m.Log.Info("Applied changes from a peer.", "from", string(from), "after", own.Index, "era", c.Era, "index", c.Index,
-		"whole", c.Full, "kept", len(c.Kept), "changed", changed)
+		"whole", c.Full, "kept", len(c.Retained), "changed", changed)
 
 	if c.Era == m.Mirror.State().Era {
 		m.applyFetchedClaim(reply, sent, c.Era)
--- a/internal/cwmesh/push.go
+++ b/internal/cwmesh/push.go
@@ -125,7 +125,7 @@
 		After: after, Index: carobward.StoreIndex(in.GetIndex()), Full: in.GetWhole(),
 		Gap: carobward.Gap{From: carobward.StoreIndex(in.GetGapFrom()), To: carobward.StoreIndex(in.GetGapTo())},
 		Era: carobward.StoreEra(in.GetEra()), AfterEra: carobward.StoreEra(in.GetAfterEra()),
-		HoldDeletes: time.Duration(in.GetHold()) * time.Millisecond, Kept: decodeKept(in.GetKept()),
+		HoldDeletes: time.Duration(in.GetHold()) * time.Millisecond, Retained: decodeKept(in.GetKept()),
 	}
 	entries := in.GetEntries()
 
--- a/internal/cwmirror/mirror.go
+++ b/internal/cwmirror/mirror.go
@@ -157,7 +157,7 @@
 		fresh = m.advance(&c, now)
 	}
 
-	fresh = append(fresh, m.mergeKept(c.Kept, now)...)
+	fresh = append(fresh, m.mergeKept(c.Retained, now)...)
 	m.updateVersion(fresh)
 
 	return fresh
--- a/internal/cwmirror/model_test.go
+++ b/internal/cwmirror/model_test.go
@@ -142,7 +142,7 @@
 // answerTo returns the reply of a replica to one at a state.
 func answerTo(own State, from *Mirror) carobward.Changes {
 	c := from.Since(own)
-	c.Kept, c.HoldDeletes = from.Kept(start), from.HoldRemaining(start)
+	c.Retained, c.HoldDeletes = from.Kept(start), from.HoldRemaining(start)
 
 	return c
 }
