--- a/feed.go
+++ b/feed.go
@@ -50,9 +50,9 @@
 	return r.Write < other.Write
 }
 
-// Kept is an item that the store acknowledged and that stays effective although the store
+// RetainedItem is an item that the store acknowledged and that stays effective although the store
 // lacks it now, has it again after its deletion, or has an older value.
-type Kept struct {
+type RetainedItem struct {
 	Item
 
 	Rank Rank
@@ -85,7 +85,7 @@
 	// exist.
 	Full bool
 	// Retained are items of the sender that stay effective besides Items.
-	Retained []Kept
+	Retained []RetainedItem
 	// HoldDeletes is how much longer deletions in the store are not trusted.
 	HoldDeletes time.Duration
 }
--- a/internal/cwfollow/restore.go
+++ b/internal/cwfollow/restore.go
@@ -40,7 +40,7 @@
 }
 
 // lostBatch returns the writes and deletes that restore kept items of entry VMs in the store.
-func lostBatch(list []carobward.Kept) carobward.Batch {
+func lostBatch(list []carobward.RetainedItem) carobward.Batch {
 	var b carobward.Batch
 
 	for i := range list {
--- a/internal/cwmesh/wire.go
+++ b/internal/cwmesh/wire.go
@@ -39,11 +39,11 @@
 }
 
 // decodeKept decodes items that a peer keeps in force.
-func decodeKept(list []*cwwire.Kept) []carobward.Kept {
-	var out []carobward.Kept
+func decodeKept(list []*cwwire.Kept) []carobward.RetainedItem {
+	var out []carobward.RetainedItem
 
 	for _, k := range list {
-		out = append(out, carobward.Kept{
+		out = append(out, carobward.RetainedItem{
 			Item: decodeEntry(k.GetEntry()), Rank: carobward.Rank{Start: carobward.Start(k.GetStart()), Write: k.GetWrite()},
 			For: time.Duration(min(k.GetLeft(), maxKeptMillis)) * time.Millisecond,
 		})
@@ -55,7 +55,7 @@
 // maxKeptMillis limits, in milliseconds, for how long a peer may say that an item is kept.
 const maxKeptMillis = uint64(carobward.Forever / time.Millisecond)
 
-func encodeKept(list []carobward.Kept) []*cwwire.Kept {
+func encodeKept(list []carobward.RetainedItem) []*cwwire.Kept {
 	var out []*cwwire.Kept
 
 	for i := range list {
--- a/internal/cwmirror/kept.go
+++ b/internal/cwmirror/kept.go
@@ -39,14 +39,14 @@
 }
 
 // Kept returns the items that are effective in place of the store's.
-func (m *Mirror) Kept(now time.Time) []carobward.Kept {
+func (m *Mirror) Kept(now time.Time) []carobward.RetainedItem {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 
-	var list []carobward.Kept
+	var list []carobward.RetainedItem
 
 	for _, k := range m.kept {
-		list = append(list, carobward.Kept{Item: k.Item, Rank: k.rank, For: max(0, k.until.Sub(now))})
+		list = append(list, carobward.RetainedItem{Item: k.Item, Rank: k.rank, For: max(0, k.until.Sub(now))})
 	}
 
 	return list
@@ -167,7 +167,7 @@
 
 // mergeKept takes over the kept items of a peer where this replica has nothing newer, and returns
 // them.
-func (m *Mirror) mergeKept(list []carobward.Kept, now time.Time) []carobward.Item {
+func (m *Mirror) mergeKept(list []carobward.RetainedItem, now time.Time) []carobward.Item {
 	var fresh []carobward.Item
 
 	for i := range list {
@@ -186,7 +186,7 @@
 }
 
 // isNewer reports whether an item that a peer keeps is newer than the effective item here.
-func (m *Mirror) isNewer(theirs *carobward.Kept, ours carobward.Item) bool {
+func (m *Mirror) isNewer(theirs *carobward.RetainedItem, ours carobward.Item) bool {
 	rank := m.effectiveRank(ours)
 
 	switch {
