--- a/feed.go
+++ b/feed.go
@@ -56,9 +56,9 @@
 	Item
 
 	Rank Rank
-	// For is how much longer the item stays effective at least, unless the store gets a
+	// Remaining is how much longer the item stays effective at least, unless the store gets a
 	// newer value.
-	For time.Duration
+	Remaining time.Duration
 }
 
 // Forever is how long items without an expiry are retained: longer than any VM lives.
--- a/internal/cwmesh/wire.go
+++ b/internal/cwmesh/wire.go
@@ -45,7 +45,7 @@
 	for _, k := range list {
 		out = append(out, carobward.RetainedItem{
 			Item: decodeEntry(k.GetEntry()), Rank: carobward.Rank{Start: carobward.Start(k.GetStart()), Write: k.GetWrite()},
-			For: time.Duration(min(k.GetLeft(), maxKeptMillis)) * time.Millisecond,
+			Remaining: time.Duration(min(k.GetLeft(), maxKeptMillis)) * time.Millisecond,
 		})
 	}
 
@@ -61,7 +61,7 @@
 	for i := range list {
 		k := &list[i]
 		out = append(out, &cwwire.Kept{
-			Entry: encodeEntry(&k.Item), Start: int64(k.Rank.Start), Write: k.Rank.Write, Left: uint64(k.For.Milliseconds()),
+			Entry: encodeEntry(&k.Item), Start: int64(k.Rank.Start), Write: k.Rank.Write, Left: uint64(k.Remaining.Milliseconds()),
 		})
 	}
 
--- a/internal/cwmirror/era_test.go
+++ b/internal/cwmirror/era_test.go
@@ -268,7 +268,7 @@
 
 	keeps := inEra(2, changes(7))
 	keeps.After = 7
-	keeps.Retained = []carobward.RetainedItem{{Item: ranked("b", 2, 5), Rank: carobward.Rank{Write: 2}, For: time.Second}}
+	keeps.Retained = []carobward.RetainedItem{{Item: ranked("b", 2, 5), Rank: carobward.Rank{Write: 2}, Remaining: time.Second}}
 
 	m.Apply(keeps, start)
 
--- a/internal/cwmirror/kept.go
+++ b/internal/cwmirror/kept.go
@@ -46,7 +46,7 @@
 	var list []carobward.RetainedItem
 
 	for _, k := range m.kept {
-		list = append(list, carobward.RetainedItem{Item: k.Item, Rank: k.rank, For: max(0, k.until.Sub(now))})
+		list = append(list, carobward.RetainedItem{Item: k.Item, Rank: k.rank, Remaining: max(0, k.until.Sub(now))})
 	}
 
 	return list
@@ -178,7 +178,7 @@
 			continue
 		}
 
-		m.keep(theirs.Item, theirs.Rank, now.Add(theirs.For))
+		m.keep(theirs.Item, theirs.Rank, now.Add(theirs.Remaining))
 		fresh = append(fresh, theirs.Item)
 	}
 
@@ -190,7 +190,7 @@
 	rank := m.effectiveRank(ours)
 
 	switch {
-	case theirs.For == 0 && !rank.Before(theirs.Rank):
+	case theirs.Remaining == 0 && !rank.Before(theirs.Rank):
 		return false // Its time is over: the next Sweep releases it.
 	case theirs.Deleted:
 		return !ours.Deleted && !theirs.Rank.Before(rank)
