--- a/internal/cwbackend/announcement.go
+++ b/internal/cwbackend/announcement.go
@@ -135,11 +135,11 @@
 
 // MergeLeaving merges the leaving notices that other entry VMs received from servers. It
 // returns those that were new.
-func (t *Table) MergeLeaving(list []carobward.LeavingWord, now time.Time) []carobward.LeavingWord {
+func (t *Table) MergeLeaving(list []carobward.LeavingAnnouncement, now time.Time) []carobward.LeavingAnnouncement {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
 
-	var added []carobward.LeavingWord
+	var added []carobward.LeavingAnnouncement
 
 	for _, w := range list {
 		if s := t.byInstance[w.Server]; s != nil && s.mergeLeaving(w, now) {
@@ -150,7 +150,7 @@
 	return added
 }
 
-func (s *Server) mergeLeaving(w carobward.LeavingWord, now time.Time) bool {
+func (s *Server) mergeLeaving(w carobward.LeavingAnnouncement, now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
@@ -180,7 +180,7 @@
 		s.mutex.Unlock()
 
 		if !leaving.IsZero() && (newcomer || now.Sub(leaving) < announceTime) {
-			announcements.Leaving = append(announcements.Leaving, carobward.LeavingWord{Server: i, Start: start})
+			announcements.Leaving = append(announcements.Leaving, carobward.LeavingAnnouncement{Server: i, Start: start})
 		}
 	}
 
--- a/internal/cwbackend/announcement_fleet_test.go
+++ b/internal/cwbackend/announcement_fleet_test.go
@@ -28,13 +28,13 @@
 	slept  time.Duration
 	// left has the processes that announced to it that they are leaving, pauses the ends of
 	// the pauses that servers asked it for.
-	left   map[carobward.LeavingWord]bool
-	pauses map[carobward.LeavingWord]time.Time
+	left   map[carobward.LeavingAnnouncement]bool
+	pauses map[carobward.LeavingAnnouncement]time.Time
 }
 
 // announceServer is a simulated server.
 type announceServer struct {
-	notice  carobward.LeavingWord
+	notice  carobward.LeavingAnnouncement
 	leaving bool
 	pause   time.Duration
 }
@@ -55,7 +55,7 @@
 
 	f := &announceFleet{t: t, rnd: rand.New(rand.NewPCG(seed, 1)), now: start}
 	for i := range announceServers {
-		f.servers = append(f.servers, &announceServer{notice: carobward.LeavingWord{Server: carobward.Instance(fmt.Sprint("i-", i)), Start: 1}})
+		f.servers = append(f.servers, &announceServer{notice: carobward.LeavingAnnouncement{Server: carobward.Instance(fmt.Sprint("i-", i)), Start: 1}})
 	}
 
 	for range vms {
@@ -68,7 +68,7 @@
 func (f *announceFleet) newVM() *announceVM {
 	v := &announceVM{
 		table: New(VM{ID: carobward.VMID(fmt.Sprint("vm-", f.rnd.Uint64())), Domain: "a"}),
-		left:  map[carobward.LeavingWord]bool{}, pauses: map[carobward.LeavingWord]time.Time{},
+		left:  map[carobward.LeavingAnnouncement]bool{}, pauses: map[carobward.LeavingAnnouncement]time.Time{},
 	}
 	f.putList(v)
 
--- a/internal/cwbackend/announcement_test.go
+++ b/internal/cwbackend/announcement_test.go
@@ -155,7 +155,7 @@
 	next.Put([]carobward.Backend{b}, nil, start)
 	from.byInstance["i-1"].ApplyReply(&carobward.Reply{Status: fasthttp.StatusOK, Leaving: carobward.LeaveNotice{Named: true, Readable: true}}, ByReply, start)
 
-	want := []carobward.LeavingWord{{Server: "i-1", Start: 1}}
+	want := []carobward.LeavingAnnouncement{{Server: "i-1", Start: 1}}
 	if diff := cmp.Diff(want, from.Announcements(start.Add(time.Second), false).Leaving); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/cwmesh/limit_test.go
+++ b/internal/cwmesh/limit_test.go
@@ -95,9 +95,9 @@
 	s.run(2*simFormTime, nil)
 
 	s.loss = loss
-	want := carobward.LeavingWord{Server: "i-1", Start: 7}
+	want := carobward.LeavingAnnouncement{Server: "i-1", Start: 7}
 	sender := s.vms[0]
-	sender.ownLeaving = []carobward.LeavingWord{want}
+	sender.ownLeaving = []carobward.LeavingAnnouncement{want}
 	s.run(2*heartbeatInterval+2*simDelay, nil)
 
 	for _, v := range s.vms {
--- a/internal/cwmesh/sim_test.go
+++ b/internal/cwmesh/sim_test.go
@@ -59,9 +59,9 @@
 	round     int
 	// ownLimits and ownLeaving have what servers announced to it, learnedLimits what others passed on.
 	ownLimits  []carobward.LimitWord
-	ownLeaving []carobward.LeavingWord
+	ownLeaving []carobward.LeavingAnnouncement
 	// learnedLeaving has the notices of leaving servers that others passed on.
-	learnedLeaving map[carobward.LeavingWord]bool
+	learnedLeaving map[carobward.LeavingAnnouncement]bool
 	learnedLimits  map[carobward.Instance]carobward.LimitWord
 }
 
@@ -133,7 +133,7 @@
 func (v *simVM) start() {
 	s := v.sim
 	v.ownLimits, v.learnedLimits = nil, map[carobward.Instance]carobward.LimitWord{}
-	v.ownLeaving, v.learnedLeaving = nil, map[carobward.LeavingWord]bool{}
+	v.ownLeaving, v.learnedLeaving = nil, map[carobward.LeavingAnnouncement]bool{}
 
 	var seeds []carobward.Address
 	for _, other := range s.vms[:simSeeds] {
--- a/internal/cwmesh/wire.go
+++ b/internal/cwmesh/wire.go
@@ -120,13 +120,13 @@
 	w := carobward.ServerWords{Limits: decodeLimits(b.GetLimits(), now)}
 
 	for _, l := range b.GetLeaving() {
-		w.Leaving = append(w.Leaving, carobward.LeavingWord{Server: carobward.Instance(l.GetServer()), Start: carobward.Start(l.GetStart())})
+		w.Leaving = append(w.Leaving, carobward.LeavingAnnouncement{Server: carobward.Instance(l.GetServer()), Start: carobward.Start(l.GetStart())})
 	}
 
 	return w
 }
 
-func encodeLeaving(list []carobward.LeavingWord) []*cwwire.LeavingServer {
+func encodeLeaving(list []carobward.LeavingAnnouncement) []*cwwire.LeavingServer {
 	var out []*cwwire.LeavingServer
 	for _, l := range list {
 		out = append(out, &cwwire.LeavingServer{Server: string(l.Server), Start: int64(l.Start)})
--- a/leaving.go
+++ b/leaving.go
@@ -13,8 +13,8 @@
 // Says reports whether the server is leaving.
 func (l LeaveNotice) Says() bool { return l.Named && l.Readable }
 
-// LeavingWord announces that a process of a server is leaving.
-type LeavingWord struct {
+// LeavingAnnouncement announces that a process of a server is leaving.
+type LeavingAnnouncement struct {
 	Server Instance
 	// Start is the start time of the process; zero on platforms whose servers get a new
 	// instance with each start.
@@ -35,5 +35,5 @@
 // other.
 type ServerWords struct {
 	Limits  []LimitWord
-	Leaving []LeavingWord
+	Leaving []LeavingAnnouncement
 }
