--- a/internal/cwbackend/announcement.go
+++ b/internal/cwbackend/announcement.go
@@ -107,7 +107,7 @@
 	}
 
 	if statesLimit(r, from) {
-		changes.Limit = s.mergeLimit(carobward.LimitWord{Limit: r.Limit, At: now}, from)
+		changes.Limit = s.mergeLimit(carobward.LimitAnnouncement{Limit: r.Limit, At: now}, from)
 	}
 
 	return changes
--- a/internal/cwbackend/announcement_test.go
+++ b/internal/cwbackend/announcement_test.go
@@ -34,7 +34,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newServer(carobward.Backend{Instance: "i-1"}, newAnnouncers(), start)
-			s.MergeLimit(carobward.LimitWord{Limit: carobward.Limit{Named: true, Readable: true, Rate: 9}, At: start}, ByReply)
+			s.MergeLimit(carobward.LimitAnnouncement{Limit: carobward.Limit{Named: true, Readable: true, Rate: 9}, At: start}, ByReply)
 
 			// A reply that states the limit changes or lifts it.
 			if got := s.ApplyReply(&c.reply, ByReply, start.Add(time.Second)).Limit; got != c.want || (s.limit.Rate != 9) != c.want {
--- a/internal/cwbackend/limit.go
+++ b/internal/cwbackend/limit.go
@@ -53,7 +53,7 @@
 // MergeLimit merges an announcement of the server's limit and reports whether it changed the
 // known limit. An unreadable value does not replace a known limit: the server still needs one,
 // but how high it is cannot be derived.
-func (s *Server) MergeLimit(w carobward.LimitWord, from Source) bool {
+func (s *Server) MergeLimit(w carobward.LimitAnnouncement, from Source) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
@@ -66,7 +66,7 @@
 }
 
 // mergeLimit merges an announcement of the limit. The mutex must be held.
-func (s *Server) mergeLimit(w carobward.LimitWord, from Source) bool {
+func (s *Server) mergeLimit(w carobward.LimitAnnouncement, from Source) bool {
 	changed := s.limit.merge(w, from)
 	if changed || s.limit.Named {
 		s.announcers.add(s)
@@ -75,7 +75,7 @@
 	return changed
 }
 
-func (l *limit) merge(w carobward.LimitWord, from Source) bool {
+func (l *limit) merge(w carobward.LimitAnnouncement, from Source) bool {
 	if w.At.Before(l.at) || !l.isRelevant(w, from) {
 		return false
 	}
@@ -105,7 +105,7 @@
 }
 
 // isRelevant reports whether an announcement says anything about the limit.
-func (l *limit) isRelevant(w carobward.LimitWord, from Source) bool {
+func (l *limit) isRelevant(w carobward.LimitAnnouncement, from Source) bool {
 	switch {
 	case w.Passed && !l.at.IsZero():
 		// Announcements relayed by third entry VMs would circulate without ever expiring. They
@@ -154,11 +154,11 @@
 
 // MergeLimits merges the limits that other entry VMs received from servers. It returns those
 // that were new.
-func (t *Table) MergeLimits(list []carobward.LimitWord) []carobward.LimitWord {
+func (t *Table) MergeLimits(list []carobward.LimitAnnouncement) []carobward.LimitAnnouncement {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
 
-	var added []carobward.LimitWord
+	var added []carobward.LimitAnnouncement
 
 	for _, w := range list {
 		if s := t.byInstance[w.Server]; s != nil && s.MergeLimit(w, ByPeer) {
@@ -171,8 +171,8 @@
 
 // limits returns the limits that other entry VMs may lack: those that servers announced to
 // this entry VM recently, or for a newcomer all that hold.
-func limits(announcing map[carobward.Instance]*Server, now time.Time, newcomer bool) []carobward.LimitWord {
-	var list []carobward.LimitWord
+func limits(announcing map[carobward.Instance]*Server, now time.Time, newcomer bool) []carobward.LimitAnnouncement {
+	var list []carobward.LimitAnnouncement
 
 	for i, s := range announcing {
 		s.mutex.Lock()
@@ -180,7 +180,7 @@
 		s.mutex.Unlock()
 
 		if recent := l.isRecent(now); recent || newcomer && l.Readable {
-			list = append(list, carobward.LimitWord{Server: i, Limit: l.Limit, At: l.at, Passed: !recent})
+			list = append(list, carobward.LimitAnnouncement{Server: i, Limit: l.Limit, At: l.at, Passed: !recent})
 		}
 	}
 
@@ -198,7 +198,7 @@
 
 // Limited is a server that has announced a limit, as this entry VM knows it.
 type Limited struct {
-	carobward.LimitWord
+	carobward.LimitAnnouncement
 
 	Service carobward.Service
 	// Part is the number of requests that this entry VM may send it in any Window.
@@ -220,7 +220,7 @@
 
 		if l.Named {
 			a := t.limitAllowance(&b, &l, now)
-			list = append(list, Limited{carobward.LimitWord{Server: i, Limit: l.Limit, At: l.at}, b.Service, a.maxRequests, a.window})
+			list = append(list, Limited{carobward.LimitAnnouncement{Server: i, Limit: l.Limit, At: l.at}, b.Service, a.maxRequests, a.window})
 		}
 	}
 
--- a/internal/cwbackend/limit_fleet_test.go
+++ b/internal/cwbackend/limit_fleet_test.go
@@ -199,7 +199,7 @@
 		since[instance] = f.now
 	}
 
-	r.server.MergeLimit(carobward.LimitWord{Server: instance, Limit: l, At: f.clock(r.vm)}, ByReply)
+	r.server.MergeLimit(carobward.LimitAnnouncement{Server: instance, Limit: l, At: f.clock(r.vm)}, ByReply)
 }
 
 // sendHeartbeat sends a heartbeat with announced limits if one is due. 3 % are lost.
@@ -237,7 +237,7 @@
 }
 
 // passLimits passes limits from one entry VM to another, with their ages.
-func (f *limitFleet) passLimits(from, to *simVM, list []carobward.LimitWord) {
+func (f *limitFleet) passLimits(from, to *simVM, list []carobward.LimitAnnouncement) {
 	limits := slices.Clone(list)
 	for i := range limits {
 		limits[i].At = f.clock(to).Add(limits[i].At.Sub(f.clock(from)))
--- a/internal/cwbackend/limit_test.go
+++ b/internal/cwbackend/limit_test.go
@@ -149,8 +149,8 @@
 	table.Put([]carobward.Backend{backend(1, "d0")}, nil, start)
 
 	server := table.byInstance[backend(1, "d0").Instance]
-	word := func(l carobward.Limit, at time.Time) carobward.LimitWord {
-		return carobward.LimitWord{Server: server.Backend().Instance, Limit: l, At: at}
+	word := func(l carobward.Limit, at time.Time) carobward.LimitAnnouncement {
+		return carobward.LimitAnnouncement{Server: server.Backend().Instance, Limit: l, At: at}
 	}
 
 	server.MergeLimit(word(rate(2), start), ByReply)
@@ -218,7 +218,7 @@
 
 			for i, w := range c.announcements {
 				at := start.Add(time.Duration(w.at) * time.Second)
-				if changed := s.MergeLimit(carobward.LimitWord{Limit: w.value, At: at, Passed: w.passed}, w.from); changed != w.changed {
+				if changed := s.MergeLimit(carobward.LimitAnnouncement{Limit: w.value, At: at, Passed: w.passed}, w.from); changed != w.changed {
 					t.Errorf("announcement %d: new %v", i, changed)
 				}
 			}
@@ -245,7 +245,7 @@
 
 	announce := func(i int, l carobward.Limit, from Source, after time.Duration) {
 		instance := list[i].Instance
-		table.byInstance[instance].MergeLimit(carobward.LimitWord{Server: instance, Limit: l, At: start.Add(after)}, from)
+		table.byInstance[instance].MergeLimit(carobward.LimitAnnouncement{Server: instance, Limit: l, At: start.Add(after)}, from)
 	}
 
 	announce(0, rate(1), ByReply, 0)
@@ -275,13 +275,13 @@
 	// After a suspension, during which the clock did not advance, they are old.
 	table.Suspended(10 * time.Second)
 
-	if diff := cmp.Diff([]carobward.LimitWord(nil), table.Announcements(start.Add(10*time.Second), false).Limits, cmpopts.EquateEmpty()); diff != "" {
+	if diff := cmp.Diff([]carobward.LimitAnnouncement(nil), table.Announcements(start.Add(10*time.Second), false).Limits, cmpopts.EquateEmpty()); diff != "" {
 		t.Error(diff)
 	}
 
 	// It knows nothing yet about a server that has never announced anything.
-	last := carobward.LimitWord{Server: list[6].Instance, Limit: rate(1), At: start, Passed: true}
-	if changed := table.MergeLimits([]carobward.LimitWord{last}); len(changed) != 1 {
+	last := carobward.LimitAnnouncement{Server: list[6].Instance, Limit: rate(1), At: start, Passed: true}
+	if changed := table.MergeLimits([]carobward.LimitAnnouncement{last}); len(changed) != 1 {
 		t.Error("the first announcement of a server was ignored")
 	}
 }
@@ -295,8 +295,8 @@
 	b.Start = 1
 	table.Put([]carobward.Backend{b}, nil, start)
 
-	word := func(r carobward.Rate, after time.Duration) []carobward.LimitWord {
-		return []carobward.LimitWord{{Server: b.Instance, Limit: rate(r), At: start.Add(after)}}
+	word := func(r carobward.Rate, after time.Duration) []carobward.LimitAnnouncement {
+		return []carobward.LimitAnnouncement{{Server: b.Instance, Limit: rate(r), At: start.Add(after)}}
 	}
 
 	table.MergeLimits(word(1, time.Second))
--- a/internal/cwmesh/limit_test.go
+++ b/internal/cwmesh/limit_test.go
@@ -10,7 +10,7 @@
 
 // limitNotices returns the limits that servers announced to this entry VM, for a newcomer also
 // those that others passed on.
-func (v *simVM) limitNotices(newcomer bool) []carobward.LimitWord {
+func (v *simVM) limitNotices(newcomer bool) []carobward.LimitAnnouncement {
 	list := slices.Clone(v.ownLimits)
 	if newcomer {
 		for _, w := range v.learnedLimits {
@@ -60,7 +60,7 @@
 			s.loss = c.loss
 			sender := s.vms[0]
 			announcedAt := s.now
-			sender.ownLimits = []carobward.LimitWord{{Server: server, Limit: c.says, At: announcedAt}}
+			sender.ownLimits = []carobward.LimitAnnouncement{{Server: server, Limit: c.says, At: announcedAt}}
 			s.run(2*heartbeatInterval+2*simDelay, nil)
 
 			late.startAt = s.now
--- a/internal/cwmesh/sim_test.go
+++ b/internal/cwmesh/sim_test.go
@@ -58,11 +58,11 @@
 	greets    int
 	round     int
 	// ownLimits and ownLeaving have what servers announced to it, learnedLimits what others passed on.
-	ownLimits  []carobward.LimitWord
+	ownLimits  []carobward.LimitAnnouncement
 	ownLeaving []carobward.LeavingAnnouncement
 	// learnedLeaving has the notices of leaving servers that others passed on.
 	learnedLeaving map[carobward.LeavingAnnouncement]bool
-	learnedLimits  map[carobward.Instance]carobward.LimitWord
+	learnedLimits  map[carobward.Instance]carobward.LimitAnnouncement
 }
 
 type simPacket struct {
@@ -132,7 +132,7 @@
 
 func (v *simVM) start() {
 	s := v.sim
-	v.ownLimits, v.learnedLimits = nil, map[carobward.Instance]carobward.LimitWord{}
+	v.ownLimits, v.learnedLimits = nil, map[carobward.Instance]carobward.LimitAnnouncement{}
 	v.ownLeaving, v.learnedLeaving = nil, map[carobward.LeavingAnnouncement]bool{}
 
 	var seeds []carobward.Address
--- a/internal/cwmesh/wire.go
+++ b/internal/cwmesh/wire.go
@@ -137,12 +137,12 @@
 
 // decodeLimits decodes the limits that servers announced. A rate that is negative, infinite
 // or not a number becomes a limit that can't be read.
-func decodeLimits(list []*cwwire.ServerLimit, now time.Time) []carobward.LimitWord {
-	out := make([]carobward.LimitWord, 0, len(list))
+func decodeLimits(list []*cwwire.ServerLimit, now time.Time) []carobward.LimitAnnouncement {
+	out := make([]carobward.LimitAnnouncement, 0, len(list))
 
 	for _, l := range list {
 		rate := l.GetRate()
-		w := carobward.LimitWord{Server: carobward.Instance(l.GetServer()), Passed: l.GetPassed(), At: now.Add(-time.Duration(l.GetAge()) * time.Millisecond)}
+		w := carobward.LimitAnnouncement{Server: carobward.Instance(l.GetServer()), Passed: l.GetPassed(), At: now.Add(-time.Duration(l.GetAge()) * time.Millisecond)}
 
 		if !l.GetLifted() {
 			w.Limit = carobward.Limit{Named: true}
@@ -158,7 +158,7 @@
 	return out
 }
 
-func encodeLimits(list []carobward.LimitWord, now time.Time) []*cwwire.ServerLimit {
+func encodeLimits(list []carobward.LimitAnnouncement, now time.Time) []*cwwire.ServerLimit {
 	var out []*cwwire.ServerLimit
 
 	for i := range list {
--- a/leaving.go
+++ b/leaving.go
@@ -34,6 +34,6 @@
 // ServerWords are what servers announced in their replies, as entry VMs relay it to each
 // other.
 type ServerWords struct {
-	Limits  []LimitWord
+	Limits  []LimitAnnouncement
 	Leaving []LeavingAnnouncement
 }
--- a/limit.go
+++ b/limit.go
@@ -15,8 +15,8 @@
 	Rate Rate
 }
 
-// LimitWord is the limit that a server stated at some time.
-type LimitWord struct {
+// LimitAnnouncement is the limit that a server stated at some time.
+type LimitAnnouncement struct {
 	Server Instance
 	Limit  Limit
 	// At is when the server's reply arrived. Relayed is set if the limit came through a
