--- a/internal/cwbackend/announcement.go
+++ b/internal/cwbackend/announcement.go
@@ -167,12 +167,12 @@
 
 // Announcements returns what servers announced that other entry VMs may lack: what they
 // announced to this entry VM recently, or for a newcomer everything that holds.
-func (t *Table) Announcements(now time.Time, newcomer bool) carobward.ServerWords {
+func (t *Table) Announcements(now time.Time, newcomer bool) carobward.Announcements {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
 
 	announcing := t.announcing(now)
-	announcements := carobward.ServerWords{Limits: limits(announcing, now, newcomer)}
+	announcements := carobward.Announcements{Limits: limits(announcing, now, newcomer)}
 
 	for i, s := range announcing {
 		s.mutex.Lock()
--- a/internal/cwgateway/server_reports.go
+++ b/internal/cwgateway/server_reports.go
@@ -7,7 +7,7 @@
 )
 
 // applyReports takes over what servers reported to another entry VM.
-func (g *Gateway) applyReports(reports carobward.ServerWords, from carobward.VMID) {
+func (g *Gateway) applyReports(reports carobward.Announcements, from carobward.VMID) {
 	now := g.Clock.Now()
 
 	for _, w := range g.servers.MergeLeaving(reports.Leaving, now) {
--- a/internal/cwmesh/fetch_test.go
+++ b/internal/cwmesh/fetch_test.go
@@ -208,4 +208,4 @@
 	}
 }
 
-func noNotices(time.Time, bool) carobward.ServerWords { return carobward.ServerWords{} }
+func noNotices(time.Time, bool) carobward.Announcements { return carobward.Announcements{} }
--- a/internal/cwmesh/limit_test.go
+++ b/internal/cwmesh/limit_test.go
@@ -22,7 +22,7 @@
 	return list
 }
 
-func (v *simVM) receiveNotices(notices carobward.ServerWords, _ carobward.VMID) {
+func (v *simVM) receiveNotices(notices carobward.Announcements, _ carobward.VMID) {
 	for _, l := range notices.Leaving {
 		v.learnedLeaving[l] = true
 	}
--- a/internal/cwmesh/mesh.go
+++ b/internal/cwmesh/mesh.go
@@ -65,8 +65,8 @@
 	Changed func([]carobward.Item)
 	// Notices returns the servers' recent notices, or for a newcomer all that are known.
 	// TakeNotices is called with those that a peer passed on.
-	Notices     func(now time.Time, newcomer bool) carobward.ServerWords
-	TakeNotices func(notices carobward.ServerWords, from carobward.VMID)
+	Notices     func(now time.Time, newcomer bool) carobward.Announcements
+	TakeNotices func(notices carobward.Announcements, from carobward.VMID)
 	// Grant grants tokens of a team's quota.
 	Grant func(team carobward.TeamName, want int) cwquota.Grant
 	// DomainGrant asks the owners in this failure domain for tokens of a team's quota.
--- a/internal/cwmesh/sim_test.go
+++ b/internal/cwmesh/sim_test.go
@@ -143,8 +143,8 @@
 	v.mesh = New(Options{
 		Table: NewTable(v.node), Mirror: newMirror(), Seeds: seeds, Key: cwpeer.Key("a key of the simulated fleet"), Clock: s, Log: logr.Discard(),
 		Changed: func([]carobward.Item) {},
-		Notices: func(_ time.Time, newcomer bool) carobward.ServerWords {
-			return carobward.ServerWords{Limits: v.limitNotices(newcomer), Leaving: v.ownLeaving}
+		Notices: func(_ time.Time, newcomer bool) carobward.Announcements {
+			return carobward.Announcements{Limits: v.limitNotices(newcomer), Leaving: v.ownLeaving}
 		},
 		TakeNotices: v.receiveNotices,
 	}, simConn{vm: v})
--- a/internal/cwmesh/wire.go
+++ b/internal/cwmesh/wire.go
@@ -116,8 +116,8 @@
 }
 
 // decodeNotices decodes the servers' notices that a peer passed on.
-func decodeNotices(b *cwwire.Beat, now time.Time) carobward.ServerWords {
-	w := carobward.ServerWords{Limits: decodeLimits(b.GetLimits(), now)}
+func decodeNotices(b *cwwire.Beat, now time.Time) carobward.Announcements {
+	w := carobward.Announcements{Limits: decodeLimits(b.GetLimits(), now)}
 
 	for _, l := range b.GetLeaving() {
 		w.Leaving = append(w.Leaving, carobward.LeavingAnnouncement{Server: carobward.Instance(l.GetServer()), Start: carobward.Start(l.GetStart())})
--- a/leaving.go
+++ b/leaving.go
@@ -31,9 +31,9 @@
 	For time.Duration
 }
 
-// ServerWords are what servers announced in their replies, as entry VMs relay it to each
+// Announcements are what servers announced in their replies, as entry VMs relay it to each
 // other.
-type ServerWords struct {
+type Announcements struct {
 	Limits  []LimitAnnouncement
 	Leaving []LeavingAnnouncement
 }
