--- a/internal/cwbackend/limit.go
+++ b/internal/cwbackend/limit.go
@@ -107,7 +107,7 @@
 // isRelevant reports whether an announcement says anything about the limit.
 func (l *limit) isRelevant(w carobward.LimitAnnouncement, from Source) bool {
 	switch {
-	case w.Passed && !l.at.IsZero():
+	case w.Relayed && !l.at.IsZero():
 		// Announcements relayed by third entry VMs would circulate without ever expiring. They
 		// only count where no limit is known yet.
 		return false
@@ -180,7 +180,7 @@
 		s.mutex.Unlock()
 
 		if recent := l.isRecent(now); recent || newcomer && l.Readable {
-			list = append(list, carobward.LimitAnnouncement{Server: i, Limit: l.Limit, At: l.at, Passed: !recent})
+			list = append(list, carobward.LimitAnnouncement{Server: i, Limit: l.Limit, At: l.at, Relayed: !recent})
 		}
 	}
 
--- a/internal/cwbackend/limit_test.go
+++ b/internal/cwbackend/limit_test.go
@@ -218,7 +218,7 @@
 
 			for i, w := range c.announcements {
 				at := start.Add(time.Duration(w.at) * time.Second)
-				if changed := s.MergeLimit(carobward.LimitAnnouncement{Limit: w.value, At: at, Passed: w.passed}, w.from); changed != w.changed {
+				if changed := s.MergeLimit(carobward.LimitAnnouncement{Limit: w.value, At: at, Relayed: w.passed}, w.from); changed != w.changed {
 					t.Errorf("announcement %d: new %v", i, changed)
 				}
 			}
@@ -280,7 +280,7 @@
 	}
 
 	// It knows nothing yet about a server that has never announced anything.
-	last := carobward.LimitAnnouncement{Server: list[6].Instance, Limit: rate(1), At: start, Passed: true}
+	last := carobward.LimitAnnouncement{Server: list[6].Instance, Limit: rate(1), At: start, Relayed: true}
 	if changed := table.MergeLimits([]carobward.LimitAnnouncement{last}); len(changed) != 1 {
 		t.Error("the first announcement of a server was ignored")
 	}
--- a/internal/cwmesh/limit_test.go
+++ b/internal/cwmesh/limit_test.go
@@ -14,7 +14,7 @@
 	list := slices.Clone(v.ownLimits)
 	if newcomer {
 		for _, w := range v.learnedLimits {
-			w.Passed = true
+			w.Relayed = true
 			list = append(list, w)
 		}
 	}
@@ -28,7 +28,7 @@
 	}
 
 	for _, w := range notices.Limits {
-		if old, ok := v.learnedLimits[w.Server]; !ok || !w.Passed && w.At.After(old.At) {
+		if old, ok := v.learnedLimits[w.Server]; !ok || !w.Relayed && w.At.After(old.At) {
 			v.learnedLimits[w.Server] = w
 		}
 	}
@@ -74,7 +74,7 @@
 
 				// A notice that was passed on may have gone several hops.
 				most := 2 * simStep
-				if w.Passed {
+				if w.Relayed {
 					most = simCheckInterval
 				}
 
--- a/internal/cwmesh/wire.go
+++ b/internal/cwmesh/wire.go
@@ -142,7 +142,7 @@
 
 	for _, l := range list {
 		rate := l.GetRate()
-		w := carobward.LimitAnnouncement{Server: carobward.Instance(l.GetServer()), Passed: l.GetPassed(), At: now.Add(-time.Duration(l.GetAge()) * time.Millisecond)}
+		w := carobward.LimitAnnouncement{Server: carobward.Instance(l.GetServer()), Relayed: l.GetPassed(), At: now.Add(-time.Duration(l.GetAge()) * time.Millisecond)}
 
 		if !l.GetLifted() {
 			w.Limit = carobward.Limit{Named: true}
@@ -171,7 +171,7 @@
 
 		out = append(out, &cwwire.ServerLimit{
 			Server: string(w.Server), Rate: rate, Lifted: !w.Limit.Named, Age: uint32(max(0, now.Sub(w.At).Milliseconds())),
-			Passed: w.Passed,
+			Passed: w.Relayed,
 		})
 	}
 
--- a/limit.go
+++ b/limit.go
@@ -21,6 +21,6 @@
 	Limit  Limit
 	// At is when the server's reply arrived. Relayed is set if the limit came through a
 	// third entry VM: At is then later than the reply by the delay of each hop.
-	At     time.Time
-	Passed bool
+	At      time.Time
+	Relayed bool
 }
