--- a/internal/cwbackend/announcement.go
+++ b/internal/cwbackend/announcement.go
@@ -99,7 +99,7 @@
 		s.warmupEnd = now.Add(r.Warmup) // Newer than any entry in the list of servers.
 	}
 
-	changes := Changes{Leaving: r.Leaving.Says() && s.leavingSince.IsZero(), Pause: s.extendPause(r, from, now)}
+	changes := Changes{Leaving: r.Leaving.IsLeaving() && s.leavingSince.IsZero(), Pause: s.extendPause(r, from, now)}
 
 	if changes.Leaving {
 		s.leavingSince = now
--- a/internal/cwfront/health_check.go
+++ b/internal/cwfront/health_check.go
@@ -39,7 +39,7 @@
 	r.state.recordCheckTime(r.front.Clock.Now().Sub(began))
 	r.recordNotices(v.Server, reply, cwbackend.ByHealthCheck)
 
-	if reply.Leaving.Says() {
+	if reply.Leaving.IsLeaving() {
 		return c
 	}
 
--- a/leaving.go
+++ b/leaving.go
@@ -10,8 +10,8 @@
 	Readable bool
 }
 
-// Says reports whether the server is leaving.
-func (l LeaveNotice) Says() bool { return l.Named && l.Readable }
+// IsLeaving reports whether the server is leaving.
+func (l LeaveNotice) IsLeaving() bool { return l.Named && l.Readable }
 
 // LeavingAnnouncement announces that a process of a server is leaving.
 type LeavingAnnouncement struct {
