--- a/internal/cwbackend/announcement_fleet_test.go
+++ b/internal/cwbackend/announcement_fleet_test.go
@@ -125,7 +125,7 @@
 		f.t.Errorf("a request at %v, %s before the end of its pause", s.notice, until.Sub(f.now))
 	}
 
-	reply := &carobward.Reply{Status: fasthttp.StatusOK, Leaving: carobward.LeaveNotice{Named: s.leaving, Readable: s.leaving}}
+	reply := &carobward.Reply{Status: fasthttp.StatusOK, Leaving: carobward.LeaveNotice{Present: s.leaving, Readable: s.leaving}}
 
 	if s.pause > 0 {
 		reply.Status, reply.Shed = fasthttp.StatusServiceUnavailable, true
--- a/internal/cwbackend/announcement_test.go
+++ b/internal/cwbackend/announcement_test.go
@@ -47,7 +47,7 @@
 // TestReplyLeaving checks whether a server may get a request after a reply: none once it has
 // announced that it is leaving, until another process has its instance.
 func TestReplyLeaving(t *testing.T) {
-	leaves := carobward.LeaveNotice{Named: true, Readable: true}
+	leaves := carobward.LeaveNotice{Present: true, Readable: true}
 
 	for name, c := range map[string]struct {
 		reply carobward.Reply
@@ -61,7 +61,7 @@
 		"in a refusal":                  {carobward.Reply{Status: fasthttp.StatusServiceUnavailable, Shed: true, Leaving: leaves}, ByReply, 1, false},
 		"in a failure":                  {carobward.Reply{Status: fasthttp.StatusInternalServerError, Leaving: leaves}, ByReply, 1, false},
 		"in a health check":             {carobward.Reply{Status: fasthttp.StatusOK, Leaving: leaves}, ByHealthCheck, 1, false},
-		"an unreadable value":           {carobward.Reply{Status: fasthttp.StatusOK, Leaving: carobward.LeaveNotice{Named: true}}, ByReply, 1, true},
+		"an unreadable value":           {carobward.Reply{Status: fasthttp.StatusOK, Leaving: carobward.LeaveNotice{Present: true}}, ByReply, 1, true},
 		"another server at the address": {carobward.Reply{Status: fasthttp.StatusMisdirectedRequest, Shed: true, Leaving: leaves}, ByReply, 1, true},
 		"another instance":              {carobward.Reply{Status: fasthttp.StatusOK, Instance: "i-2", Leaving: leaves}, ByHealthCheck, 1, true},
 		"before the next process":       {carobward.Reply{Status: fasthttp.StatusOK, Leaving: leaves}, ByReply, 2, true},
@@ -153,7 +153,7 @@
 
 	b.Start = 2
 	next.Put([]carobward.Backend{b}, nil, start)
-	from.byInstance["i-1"].ApplyReply(&carobward.Reply{Status: fasthttp.StatusOK, Leaving: carobward.LeaveNotice{Named: true, Readable: true}}, ByReply, start)
+	from.byInstance["i-1"].ApplyReply(&carobward.Reply{Status: fasthttp.StatusOK, Leaving: carobward.LeaveNotice{Present: true, Readable: true}}, ByReply, start)
 
 	want := []carobward.LeavingAnnouncement{{Server: "i-1", Start: 1}}
 	if diff := cmp.Diff(want, from.Announcements(start.Add(time.Second), false).Leaving); diff != "" {
--- a/internal/cwfront/notice.go
+++ b/internal/cwfront/notice.go
@@ -26,8 +26,8 @@
 		f.Log.Info("A server asked for a pause; it gets no requests meanwhile.", "server", b.Instance, "pause", reply.Pause.For.String(), "id", r.id)
 	}
 
-	if l, p := reply.Leaving, reply.Pause; l.Named && !l.Readable || p.Named && !p.Readable {
-		f.Log.Info("Ignored a malformed notice from a server.", "server", b.Instance, "leaving", l.Named && !l.Readable,
+	if l, p := reply.Leaving, reply.Pause; l.Present && !l.Readable || p.Named && !p.Readable {
+		f.Log.Info("Ignored a malformed notice from a server.", "server", b.Instance, "leaving", l.Present && !l.Readable,
 			"pause", p.Named && !p.Readable, "id", r.id)
 	}
 }
--- a/leaving.go
+++ b/leaving.go
@@ -5,13 +5,13 @@
 // LeaveNotice is what a reply's header says about whether its server is leaving. A value
 // that can't be parsed says nothing about the server.
 type LeaveNotice struct {
-	// Named is set if the reply has the header field, Readable if its value could be parsed.
-	Named    bool
+	// Present is set if the reply has the header field, Readable if its value could be parsed.
+	Present  bool
 	Readable bool
 }
 
 // IsLeaving reports whether the server is leaving.
-func (l LeaveNotice) IsLeaving() bool { return l.Named && l.Readable }
+func (l LeaveNotice) IsLeaving() bool { return l.Present && l.Readable }
 
 // LeavingAnnouncement announces that a process of a server is leaving.
 type LeavingAnnouncement struct {
