--- a/internal/cwfront/notice.go
+++ b/internal/cwfront/notice.go
@@ -26,8 +26,8 @@
 		f.Log.Info("A server asked for a pause; it gets no requests meanwhile.", "server", b.Instance, "pause", reply.Pause.For.String(), "id", r.id)
 	}
 
-	if l, p := reply.Leaving, reply.Pause; l.Present && !l.Readable || p.Named && !p.Readable {
+	if l, p := reply.Leaving, reply.Pause; l.Present && !l.Readable || p.Present && !p.Readable {
 		f.Log.Info("Ignored a malformed notice from a server.", "server", b.Instance, "leaving", l.Present && !l.Readable,
-			"pause", p.Named && !p.Readable, "id", r.id)
+			"pause", p.Present && !p.Readable, "id", r.id)
 	}
 }
--- a/leaving.go
+++ b/leaving.go
@@ -24,8 +24,8 @@
 // RetryNotice is what a server that refuses a request says about when the entry VM may
 // retry. A value that can't be parsed says nothing.
 type RetryNotice struct {
-	// Named is set if the reply has the header field, Readable if its value could be parsed.
-	Named    bool
+	// Present is set if the reply has the header field, Readable if its value could be parsed.
+	Present  bool
 	Readable bool
 	// For is how long, counted from the reply, the server wants no requests.
 	For time.Duration
