--- a/internal/cwbackend/announcement.go
+++ b/internal/cwbackend/announcement.go
@@ -70,7 +70,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
-	return !s.leavingSince.IsZero() || s.limit.Named || now.Sub(s.limit.changedAt) < announceTime
+	return !s.leavingSince.IsZero() || s.limit.Present || now.Sub(s.limit.changedAt) < announceTime
 }
 
 // Changes is what a reply changed in the state that is kept of its server.
@@ -117,7 +117,7 @@
 // without a limit does not: such replies may lack the header, and if each failure of an
 // overloaded server lifted its limit, all entry VMs would send to it at full rate.
 func statesLimit(r *carobward.Reply, from Source) bool {
-	return from == ByHealthCheck || r.Limit.Named || !r.Shed && r.Status < fasthttp.StatusInternalServerError
+	return from == ByHealthCheck || r.Limit.Present || !r.Shed && r.Status < fasthttp.StatusInternalServerError
 }
 
 // extendPause applies the pause that a reply asks for. The latest end counts. Replies to
--- a/internal/cwbackend/announcement_test.go
+++ b/internal/cwbackend/announcement_test.go
@@ -14,7 +14,7 @@
 // a limit, and of the others only successful ones from the server itself. If failures lifted a
 // limit, all entry VMs would send to an overloaded server at full rate after each of them.
 func TestStatesLimit(t *testing.T) {
-	named := carobward.Limit{Named: true, Readable: true, Rate: 1.4}
+	named := carobward.Limit{Present: true, Readable: true, Rate: 1.4}
 
 	for name, c := range map[string]struct {
 		reply carobward.Reply
@@ -34,7 +34,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newServer(carobward.Backend{Instance: "i-1"}, newAnnouncers(), start)
-			s.MergeLimit(carobward.LimitAnnouncement{Limit: carobward.Limit{Named: true, Readable: true, Rate: 9}, At: start}, ByReply)
+			s.MergeLimit(carobward.LimitAnnouncement{Limit: carobward.Limit{Present: true, Readable: true, Rate: 9}, At: start}, ByReply)
 
 			// A reply that states the limit changes or lifts it.
 			if got := s.ApplyReply(&c.reply, ByReply, start.Add(time.Second)).Limit; got != c.want || (s.limit.Rate != 9) != c.want {
--- a/internal/cwbackend/limit.go
+++ b/internal/cwbackend/limit.go
@@ -68,7 +68,7 @@
 // mergeLimit merges an announcement of the limit. The mutex must be held.
 func (s *Server) mergeLimit(w carobward.LimitAnnouncement, from Source) bool {
 	changed := s.limit.merge(w, from)
-	if changed || s.limit.Named {
+	if changed || s.limit.Present {
 		s.announcers.add(s)
 	}
 
@@ -83,7 +83,7 @@
 	l.at = w.At
 
 	if from == ByHealthCheck {
-		l.inHealth = w.Limit.Named
+		l.inHealth = w.Limit.Present
 	}
 
 	if from != ByPeer {
@@ -91,7 +91,7 @@
 	}
 
 	next := w.Limit
-	if next.Named && !next.Readable && l.Readable {
+	if next.Present && !next.Readable && l.Readable {
 		next = l.Limit
 	}
 
@@ -111,7 +111,7 @@
 		// Announcements relayed by third entry VMs would circulate without ever expiring. They
 		// only count where no limit is known yet.
 		return false
-	case from == ByHealthCheck && !w.Limit.Named:
+	case from == ByHealthCheck && !w.Limit.Present:
 		// If its answers to health checks have not stated the limit, their silence does not
 		// lift it.
 		return l.inHealth
@@ -133,7 +133,7 @@
 
 // limitAllowance returns this entry VM's share of a server's limit. The mutex must be held.
 func (t *Table) limitAllowance(b *carobward.Backend, l *limit, now time.Time) allowance {
-	if !l.Named || !l.Readable || l.Rate > maxLimitRate {
+	if !l.Present || !l.Readable || l.Rate > maxLimitRate {
 		return allowance{}
 	}
 
@@ -191,7 +191,7 @@
 // itself.
 func (l *limit) isRecent(now time.Time) bool {
 	recent := l.at.Equal(l.ownAt) && now.Sub(l.ownAt) < announceTime
-	lifted := !l.Named && now.Sub(l.changedAt) < announceTime
+	lifted := !l.Present && now.Sub(l.changedAt) < announceTime
 
 	return recent && (l.Readable || lifted)
 }
@@ -218,7 +218,7 @@
 		l, b := s.limit, s.backend
 		s.mutex.Unlock()
 
-		if l.Named {
+		if l.Present {
 			a := t.limitAllowance(&b, &l, now)
 			list = append(list, Limited{carobward.LimitAnnouncement{Server: i, Limit: l.Limit, At: l.at}, b.Service, a.maxRequests, a.window})
 		}
--- a/internal/cwbackend/limit_fleet_test.go
+++ b/internal/cwbackend/limit_fleet_test.go
@@ -254,7 +254,7 @@
 	now := f.clock(v)
 
 	for _, view := range v.table.Views("records", now, usual) {
-		if !view.Limit.Named && f.rnd.Float64() >= share || !f.admits(v, view, now) {
+		if !view.Limit.Present && f.rnd.Float64() >= share || !f.admits(v, view, now) {
 			continue
 		}
 
@@ -270,7 +270,7 @@
 // admits reports whether an entry VM may send to a server, by the method in use or by
 // admitOther.
 func (f *limitFleet) admits(v *simVM, view View, now time.Time) bool {
-	if f.admitOther != nil && view.Limit.Named {
+	if f.admitOther != nil && view.Limit.Present {
 		return f.admitOther(f, view, now)
 	}
 
@@ -353,14 +353,14 @@
 		f.announce(named, l)
 
 		// While the limit is unreadable, the last readable one applies.
-		if l.Readable || !l.Named {
+		if l.Readable || !l.Present {
 			readable = l
 		}
 
 		for f.now.Sub(begin) < time.Duration(n+1)*turn {
 			f.step(faults)
 
-			if !l.Named {
+			if !l.Present {
 				f.highest[len(f.highest)-1] = maxLimitRate
 			} else {
 				f.highest[len(f.highest)-1] = readable.Rate
--- a/internal/cwbackend/limit_test.go
+++ b/internal/cwbackend/limit_test.go
@@ -12,7 +12,7 @@
 )
 
 func rate(r carobward.Rate) carobward.Limit {
-	return carobward.Limit{Named: true, Readable: true, Rate: r}
+	return carobward.Limit{Present: true, Readable: true, Rate: r}
 }
 
 // TestLimitHistory simulates fleets of 17 to 472 entry VMs that send as much as they may.
@@ -22,7 +22,7 @@
 func TestLimitHistory(t *testing.T) {
 	const span = 12 * time.Second
 
-	unreadable := carobward.Limit{Named: true}
+	unreadable := carobward.Limit{Present: true}
 
 	for name, c := range map[string]struct {
 		near, far, servers int
@@ -189,7 +189,7 @@
 		changed bool
 	}
 
-	unreadable := carobward.Limit{Named: true}
+	unreadable := carobward.Limit{Present: true}
 
 	for name, c := range map[string]struct {
 		announcements []announcement
@@ -254,7 +254,7 @@
 	announce(2, carobward.Limit{}, ByReply, 9*time.Second)
 	announce(3, rate(1), ByPeer, 9*time.Second)
 	announce(4, carobward.Limit{}, ByReply, 9*time.Second)
-	announce(5, carobward.Limit{Named: true}, ByReply, 9*time.Second)
+	announce(5, carobward.Limit{Present: true}, ByReply, 9*time.Second)
 
 	want := map[carobward.Instance]carobward.Limit{list[1].Instance: rate(1), list[2].Instance: {}}
 	got := map[carobward.Instance]carobward.Limit{}
--- a/internal/cwbackend/view.go
+++ b/internal/cwbackend/view.go
@@ -133,7 +133,7 @@
 // view is View with the mutex held.
 func (t *Table) view(s *Server, now time.Time, usual time.Duration) View {
 	v := s.View(now, usual)
-	if !v.Warming && !v.Limit.Named {
+	if !v.Warming && !v.Limit.Present {
 		return v
 	}
 
--- a/internal/cwfront/notice.go
+++ b/internal/cwfront/notice.go
@@ -14,7 +14,7 @@
 
 	if news.Limit {
 		l := reply.Limit
-		f.Log.Info("A server announced a new rate limit.", "server", b.Instance, "named", l.Named, "readable", l.Readable, "rate", l.Rate,
+		f.Log.Info("A server announced a new rate limit.", "server", b.Instance, "named", l.Present, "readable", l.Readable, "rate", l.Rate,
 			"from", from.String(), "id", r.id)
 	}
 
--- a/internal/cwgateway/server_reports.go
+++ b/internal/cwgateway/server_reports.go
@@ -15,7 +15,7 @@
 	}
 
 	for _, w := range g.servers.MergeLimits(reports.Limits) {
-		g.log.Info("A server's limit has changed.", "server", w.Server, "named", w.Limit.Named, "rate", w.Limit.Rate,
+		g.log.Info("A server's limit has changed.", "server", w.Server, "named", w.Limit.Present, "rate", w.Limit.Rate,
 			"from", "peer", "vm", from, "age", now.Sub(w.At).Milliseconds())
 	}
 }
--- a/internal/cwmesh/limit_test.go
+++ b/internal/cwmesh/limit_test.go
@@ -42,12 +42,12 @@
 		says, want carobward.Limit
 		loss       float64
 	}{
-		"a limit":      {carobward.Limit{Named: true, Readable: true, Rate: 1.4}, carobward.Limit{Named: true, Readable: true, Rate: 1.4}, 0},
-		"packet loss":  {carobward.Limit{Named: true, Readable: true, Rate: 1.4}, carobward.Limit{Named: true, Readable: true, Rate: 1.4}, 0.03},
+		"a limit":      {carobward.Limit{Present: true, Readable: true, Rate: 1.4}, carobward.Limit{Present: true, Readable: true, Rate: 1.4}, 0},
+		"packet loss":  {carobward.Limit{Present: true, Readable: true, Rate: 1.4}, carobward.Limit{Present: true, Readable: true, Rate: 1.4}, 0.03},
 		"limit lifted": {carobward.Limit{}, carobward.Limit{}, 0},
-		"rate of zero": {carobward.Limit{Named: true, Readable: true}, carobward.Limit{Named: true, Readable: true}, 0},
-		"not a number": {carobward.Limit{Named: true, Readable: true, Rate: carobward.Rate(math.NaN())}, carobward.Limit{Named: true}, 0},
-		"infinite":     {carobward.Limit{Named: true, Readable: true, Rate: carobward.Rate(math.Inf(1))}, carobward.Limit{Named: true}, 0},
+		"rate of zero": {carobward.Limit{Present: true, Readable: true}, carobward.Limit{Present: true, Readable: true}, 0},
+		"not a number": {carobward.Limit{Present: true, Readable: true, Rate: carobward.Rate(math.NaN())}, carobward.Limit{Present: true}, 0},
+		"infinite":     {carobward.Limit{Present: true, Readable: true, Rate: carobward.Rate(math.Inf(1))}, carobward.Limit{Present: true}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			const server = "i-1"
--- a/internal/cwmesh/wire.go
+++ b/internal/cwmesh/wire.go
@@ -145,7 +145,7 @@
 		w := carobward.LimitAnnouncement{Server: carobward.Instance(l.GetServer()), Relayed: l.GetPassed(), At: now.Add(-time.Duration(l.GetAge()) * time.Millisecond)}
 
 		if !l.GetLifted() {
-			w.Limit = carobward.Limit{Named: true}
+			w.Limit = carobward.Limit{Present: true}
 		}
 
 		if !l.GetLifted() && rate >= 0 && !math.IsInf(rate, 1) {
@@ -170,7 +170,7 @@
 		}
 
 		out = append(out, &cwwire.ServerLimit{
-			Server: string(w.Server), Rate: rate, Lifted: !w.Limit.Named, Age: uint32(max(0, now.Sub(w.At).Milliseconds())),
+			Server: string(w.Server), Rate: rate, Lifted: !w.Limit.Present, Age: uint32(max(0, now.Sub(w.At).Milliseconds())),
 			Passed: w.Relayed,
 		})
 	}
--- a/limit.go
+++ b/limit.go
@@ -7,8 +7,8 @@
 
 // Limit is the request rate limit that a reply states for its server.
 type Limit struct {
-	// Named is set if the reply has a limit field, Readable if its value could be parsed.
-	Named    bool
+	// Present is set if the reply has a limit field, Readable if its value could be parsed.
+	Present  bool
 	Readable bool
 	// Rate is the maximum rate that the server accepts from all entry VMs together, for as
 	// long as its replies state it.
