--- a/internal/cwbackend/announcement.go
+++ b/internal/cwbackend/announcement.go
@@ -123,7 +123,7 @@
 // extendPause applies the pause that a reply asks for. The latest end counts. Replies to
 // health checks cannot pause a server. The mutex must be held.
 func (s *Server) extendPause(r *carobward.Reply, from Source, now time.Time) bool {
-	until := now.Add(r.Pause.For)
+	until := now.Add(r.Pause.Delay)
 	if from != ByReply || !r.Pause.Readable || !until.After(s.pausedUntil) || !until.After(now) {
 		return false
 	}
--- a/internal/cwbackend/announcement_fleet_test.go
+++ b/internal/cwbackend/announcement_fleet_test.go
@@ -129,7 +129,7 @@
 
 	if s.pause > 0 {
 		reply.Status, reply.Shed = fasthttp.StatusServiceUnavailable, true
-		reply.Pause = carobward.RetryNotice{Present: true, Readable: true, For: s.pause}
+		reply.Pause = carobward.RetryNotice{Present: true, Readable: true, Delay: s.pause}
 		v.pauses[s.notice] = f.now.Add(s.pause)
 	}
 
--- a/internal/cwbackend/announcement_test.go
+++ b/internal/cwbackend/announcement_test.go
@@ -116,7 +116,7 @@
 			s := table.byInstance["i-1"]
 
 			for _, w := range c.pauses {
-				reply := &carobward.Reply{Status: fasthttp.StatusServiceUnavailable, Shed: true, Pause: carobward.RetryNotice{Present: true, Readable: w.readable, For: w.length}}
+				reply := &carobward.Reply{Status: fasthttp.StatusServiceUnavailable, Shed: true, Pause: carobward.RetryNotice{Present: true, Readable: w.readable, Delay: w.length}}
 				s.ApplyReply(reply, w.from, start.Add(w.after))
 			}
 
--- a/internal/cwfront/notice.go
+++ b/internal/cwfront/notice.go
@@ -23,7 +23,7 @@
 	}
 
 	if news.Pause {
-		f.Log.Info("A server asked for a pause; it gets no requests meanwhile.", "server", b.Instance, "pause", reply.Pause.For.String(), "id", r.id)
+		f.Log.Info("A server asked for a pause; it gets no requests meanwhile.", "server", b.Instance, "pause", reply.Pause.Delay.String(), "id", r.id)
 	}
 
 	if l, p := reply.Leaving, reply.Pause; l.Present && !l.Readable || p.Present && !p.Readable {
--- a/leaving.go
+++ b/leaving.go
@@ -27,8 +27,8 @@
 	// Present is set if the reply has the header field, Readable if its value could be parsed.
 	Present  bool
 	Readable bool
-	// For is how long, counted from the reply, the server wants no requests.
-	For time.Duration
+	// Delay is how long, counted from the reply, the server wants no requests.
+	Delay time.Duration
 }
 
 // Announcements are what servers announced in their replies, as entry VMs relay it to each
