--- a/internal/cwbackend/announcement.go
+++ b/internal/cwbackend/announcement.go
@@ -95,7 +95,7 @@
 		s.report = r.Report
 	}
 
-	if r.SaysWarmup {
+	if r.HasWarmup {
 		s.warmupEnd = now.Add(r.Warmup) // Newer than any entry in the list of servers.
 	}
 
--- a/internal/cwbackend/warmup_test.go
+++ b/internal/cwbackend/warmup_test.go
@@ -313,7 +313,7 @@
 				}
 
 				if c.answers[i] != none {
-					reply := &carobward.Reply{Warmup: time.Duration(c.answers[i]) * time.Second, SaysWarmup: true}
+					reply := &carobward.Reply{Warmup: time.Duration(c.answers[i]) * time.Second, HasWarmup: true}
 					table.byInstance[b.Instance].ApplyReply(reply, ByHealthCheck, now)
 				}
 			}
--- a/internal/cwfront/health_check.go
+++ b/internal/cwfront/health_check.go
@@ -43,7 +43,7 @@
 		return c
 	}
 
-	if reply.SaysWarmup { // A server can need another warm-up without a restart; its list entry shows that later.
+	if reply.HasWarmup { // A server can need another warm-up without a restart; its list entry shows that later.
 		fresh := r.front.Servers.View(v.Server, r.front.Clock.Now(), r.usualTime())
 		c.view.Warming, c.view.Throttled = fresh.Warming, fresh.Throttled
 	}
--- a/server.go
+++ b/server.go
@@ -80,8 +80,8 @@
 	Instance Instance
 	// Warmup is how much longer the server warms up. HasWarmup is set if the reply reports
 	// it.
-	Warmup     time.Duration
-	SaysWarmup bool
+	Warmup    time.Duration
+	HasWarmup bool
 	// Limit is the request rate limit that the server states.
 	Limit Limit
 	// Leaving is whether the server announces that it is leaving. Pause is for how long it
