--- a/internal/cwlink/held_conn.go
+++ b/internal/cwlink/held_conn.go
@@ -87,8 +87,8 @@
 		return nil, carobward.NewFailure(carobward.Unknown, failureStatus(err), 0, err)
 	}
 
-	if reply.Keep > 0 {
-		h.conn.keepAlive = reply.Keep
+	if reply.KeepAlive > 0 {
+		h.conn.keepAlive = reply.KeepAlive
 	}
 
 	return reply, nil
@@ -121,8 +121,8 @@
 		return nil, carobward.NewFailure(carobward.Unknown, fasthttp.StatusBadGateway, 0, context.Canceled)
 	}
 
-	if r.Keep > 0 {
-		h.conn.keepAlive = r.Keep
+	if r.KeepAlive > 0 {
+		h.conn.keepAlive = r.KeepAlive
 	}
 
 	return r, nil
--- a/server.go
+++ b/server.go
@@ -88,8 +88,8 @@
 	// wants no requests of this entry VM.
 	Leaving LeaveNotice
 	Pause   RetryNotice
-	// Keep is how long the server keeps an idle connection open; 0 if it does not say.
-	Keep time.Duration
+	// KeepAlive is how long the server keeps an idle connection open; 0 if it does not say.
+	KeepAlive time.Duration
 }
 
 // Stream is a reply body that is streamed to the caller. It must be closed. A stream that
