--- a/internal/cwfront/health_check.go
+++ b/internal/cwfront/health_check.go
@@ -74,7 +74,7 @@
 	}
 
 	return held.Exchange(ctx, &carobward.Call{
-		Method: fasthttp.MethodGet, URI: r.routes.Service(r.service).HealthPath, Host: string(b.Address), Look: true,
+		Method: fasthttp.MethodGet, URI: r.routes.Service(r.service).HealthPath, Host: string(b.Address), HealthCheck: true,
 		Deadline: until, MaxReply: carobward.Megabyte,
 	})
 }
--- a/internal/cwlink/held_conn.go
+++ b/internal/cwlink/held_conn.go
@@ -134,7 +134,7 @@
 // example because a device on the path has lost its connection state. A request
 // that times out says nothing about other connections: the server may be slow.
 func (h *HeldConn) closeSuspects(call *carobward.Call, began time.Time, late bool) {
-	if late && call.Look && h.reused {
+	if late && call.HealthCheck && h.reused {
 		h.pool.closeIdleSince(began)
 	}
 }
--- a/internal/cwlink/silent_conn_test.go
+++ b/internal/cwlink/silent_conn_test.go
@@ -70,7 +70,7 @@
 			}
 
 			one := newCall("one")
-			one.Look = c.check
+			one.HealthCheck = c.check
 
 			if c.silent {
 				one.Deadline = time.Now().Add(100 * time.Millisecond)
--- a/server.go
+++ b/server.go
@@ -58,8 +58,8 @@
 	Instance Instance
 	// Team is the caller's team; empty if unknown.
 	Team TeamName
-	// Look marks a health check, which is no caller's request and has no id.
-	Look bool
+	// HealthCheck marks a health check, which is no caller's request and has no id.
+	HealthCheck bool
 }
 
 // Reply is a complete reply of a server.
