--- a/internal/cwentry/carry.go
+++ b/internal/cwentry/carry.go
@@ -257,11 +257,11 @@
 	var reply *carobward.Reply
 
 	o := cwserver.Failed
-	one.Ask = c.options.Reports.Ask(s)
+	one.WantReport = c.options.Reports.Ask(s)
 
 	defer func() {
 		noted.End(c.clock.Now(), o)
-		c.options.Reports.Took(one.Ask, reply)
+		c.options.Reports.Took(one.WantReport, reply)
 	}()
 
 	traced, span := c.options.Tracer.Attempt(ctx, s.Address)
--- a/internal/cwlink/native_dialect.go
+++ b/internal/cwlink/native_dialect.go
@@ -20,7 +20,7 @@
 	add(carobward.HeaderID, string(c.ID))
 	add(carobward.HeaderTimeout, strconv.FormatInt(max(left.Milliseconds(), 1), 10))
 
-	if c.Ask {
+	if c.WantReport {
 		add(carobward.HeaderAsk, carobward.AskReport)
 	}
 }
--- a/server.go
+++ b/server.go
@@ -51,8 +51,8 @@
 	// Fresh asks for a connection from which no reply has been read yet, if a failed write
 	// on a reused one would make the verdict Unknown.
 	Fresh bool
-	// Ask asks the server for a load report with the reply.
-	Ask bool
+	// WantReport asks the server for a load report with the reply.
+	WantReport bool
 	// Instance is the only run of the server that may do the work; another one at the same
 	// address refuses. Empty means any.
 	Instance Instance
