--- a/internal/cwroutes/table.go
+++ b/internal/cwroutes/table.go
@@ -122,7 +122,7 @@
 
 // Priority returns the priority of a team's requests on a route. Team may be nil.
 func Priority(r *carobward.Route, team *carobward.Team) int {
-	if team != nil && team.Ranked {
+	if team != nil && team.HasPriority {
 		return team.Priority
 	}
 
--- a/team.go
+++ b/team.go
@@ -22,8 +22,8 @@
 	// Keys are the hashes of the API keys that identify its callers.
 	Keys []KeyHash
 	// Priority overrides the priority of a request's route if HasPriority is set.
-	Priority int
-	Ranked   bool
+	Priority    int
+	HasPriority bool
 	// Quota limits its requests over all entry VMs together.
 	Quota Quota
 }
