--- a/internal/cwfront/queue.go
+++ b/internal/cwfront/queue.go
@@ -198,7 +198,7 @@
 	switch {
 	case r.front.Servers.AllEvacuated(r.service):
 		return ErrEvacuated
-	case len(r.route.Homes) > 0 && r.front.Servers.CountOf(r.service) > 0:
+	case len(r.route.AllowedRegions) > 0 && r.front.Servers.CountOf(r.service) > 0:
 		return ErrRegions
 	default:
 		return ErrNoServer
--- a/internal/cwfront/region.go
+++ b/internal/cwfront/region.go
@@ -11,7 +11,7 @@
 // failure domain. If a route restricts its regions, a domain of unknown region is not
 // allowed.
 func (r *request) regionAllowed(d carobward.Domain) bool {
-	allowed := r.route.Homes
+	allowed := r.route.AllowedRegions
 
 	return len(allowed) == 0 || slices.Contains(allowed, r.front.Regions[d])
 }
@@ -22,7 +22,7 @@
 func (r *request) allowedServers(views []cwbackend.View) []cwbackend.View {
 	own := r.front.Regions[r.front.Domain]
 
-	if len(r.route.Homes) > 0 {
+	if len(r.route.AllowedRegions) > 0 {
 		return slices.DeleteFunc(views, func(v cwbackend.View) bool { return !r.regionAllowed(v.Domain) })
 	}
 
--- a/internal/cwroutes/table.go
+++ b/internal/cwroutes/table.go
@@ -170,17 +170,17 @@
 	first := true
 
 	for _, r := range t.hosts[hostName(host)] {
-		if len(r.Homes) == 0 {
+		if len(r.AllowedRegions) == 0 {
 			continue
 		}
 
 		if first {
-			regions, first = slices.Clone(r.Homes), false
+			regions, first = slices.Clone(r.AllowedRegions), false
 
 			continue
 		}
 
-		regions = slices.DeleteFunc(regions, func(h carobward.Region) bool { return !slices.Contains(r.Homes, h) })
+		regions = slices.DeleteFunc(regions, func(h carobward.Region) bool { return !slices.Contains(r.AllowedRegions, h) })
 	}
 
 	return regions
--- a/internal/cwroutes/table_test.go
+++ b/internal/cwroutes/table_test.go
@@ -131,7 +131,7 @@
 		t.Run(name, func(t *testing.T) {
 			var routes []carobward.Route
 			for i, h := range c.routes {
-				routes = append(routes, carobward.Route{Prefix: fmt.Sprintf("/%d/", i), Homes: h})
+				routes = append(routes, carobward.Route{Prefix: fmt.Sprintf("/%d/", i), AllowedRegions: h})
 			}
 
 			got := New(&carobward.Routing{Hosts: map[string][]carobward.Route{"a.example": routes}}).Homes("A.example:80")
--- a/routing.go
+++ b/routing.go
@@ -62,8 +62,8 @@
 	Shares []Share
 	// Attempts is the maximum number of servers that one request is sent to.
 	Attempts int
-	// Homes are the regions that its requests may be sent to; none means any.
-	Homes []Region
+	// AllowedRegions are the regions that its requests may be sent to; none means any.
+	AllowedRegions []Region
 	// Anonymous is set if its requests need no API key.
 	Anonymous bool
 }
