--- a/internal/cwconfig/fleet.go
+++ b/internal/cwconfig/fleet.go
@@ -53,7 +53,7 @@
 			continue
 		}
 
-		if p.Peers == "" || (p.State == carobward.PeerDead && !p.Heard.IsZero()) {
+		if p.Peers == "" || (p.State == carobward.PeerDead && !p.LastSeen.IsZero()) {
 			continue
 		}
 
--- a/internal/cwmember/member.go
+++ b/internal/cwmember/member.go
@@ -91,7 +91,7 @@
 		Operators:   carobward.Address(m.about.GetOperators()),
 		State:       m.state(),
 		Revision:    m.revision,
-		Heard:       m.heard,
+		LastSeen:    m.heard,
 	}
 }
 
--- a/internal/cwnode/measure.go
+++ b/internal/cwnode/measure.go
@@ -129,8 +129,8 @@
 	last := n.measure.listed.Load().at
 
 	for _, p := range n.peers.All() {
-		if p.ID != n.settings.VM && p.Heard.After(last) {
-			last = p.Heard
+		if p.ID != n.settings.VM && p.LastSeen.After(last) {
+			last = p.LastSeen
 		}
 	}
 
--- a/internal/cwpeer/table.go
+++ b/internal/cwpeer/table.go
@@ -63,7 +63,7 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
-	p.Heard = now
+	p.LastSeen = now
 	t.put(p)
 	t.publish()
 }
--- a/internal/lab/cwnetwork/naive.go
+++ b/internal/lab/cwnetwork/naive.go
@@ -26,7 +26,7 @@
 	a := &naive{self: Self(i, 1), peers: map[carobward.VMID]carobward.Peer{}}
 	for j := range n.VMs {
 		if p := Self(j, 1); i != j {
-			p.Heard = n.Now
+			p.LastSeen = n.Now
 			a.peers[p.ID] = p
 		}
 	}
@@ -36,7 +36,7 @@
 
 func (a *naive) Tick(now time.Time) []cwmember.Message {
 	for k, p := range a.peers {
-		if now.Sub(p.Heard) > naiveTimeout {
+		if now.Sub(p.LastSeen) > naiveTimeout {
 			p.State = carobward.PeerDead
 			a.peers[k] = p
 		}
@@ -63,7 +63,7 @@
 func (a *naive) Receive(now time.Time, _ carobward.Address, d *cwwire.Datagram) []cwmember.Message {
 	from := carobward.VMID(d.GetFrom().GetId())
 	p := a.peers[from]
-	p.Heard, p.State = now, carobward.PeerLive
+	p.LastSeen, p.State = now, carobward.PeerLive
 	a.peers[from] = p
 
 	return nil
--- a/peer.go
+++ b/peer.go
@@ -19,8 +19,8 @@
 	State PeerState
 	// Revision is the configuration that was in force there when it was last seen.
 	Revision Revision
-	// Heard is when it was last seen, by the local clock.
-	Heard time.Time
+	// LastSeen is when it was last seen, by the local clock.
+	LastSeen time.Time
 }
 
 // PeerState is the state of an entry VM as its peers see it.
