--- a/caller.go
+++ b/caller.go
@@ -8,9 +8,9 @@
 	// ID returns the id that the caller gave its request, or "". Field returns the value of
 	// a header field, or "".
 	ID(field func(name string) string) RequestID
-	// Left returns how long the caller waits for the reply; ok is false if the request does
+	// TimeLeft returns how long the caller waits for the reply; ok is false if the request does
 	// not say.
-	Left(field func(name string) string) (left time.Duration, ok bool, err error)
+	TimeLeft(field func(name string) string) (left time.Duration, ok bool, err error)
 	// Key returns the API key of a request, or nil. Field returns the value of a header
 	// field.
 	Key(field func(name string) []byte) []byte
--- a/internal/cwfront/request.go
+++ b/internal/cwfront/request.go
@@ -125,7 +125,7 @@
 		return r
 	}
 
-	left, ok, err := f.Dialect.Left(field)
+	left, ok, err := f.Dialect.TimeLeft(field)
 	if err != nil {
 		r.err = carobward.NewFailure(carobward.NotRun, fasthttp.StatusBadRequest, 0, err)
 
