--- a/caller.go
+++ b/caller.go
@@ -14,11 +14,11 @@
 	// Key returns the API key of a request, or nil. Field returns the value of a header
 	// field.
 	Key(field func(name string) []byte) []byte
-	// Hides reports whether a field of a request or a reply is not forwarded. The name is
+	// Strips reports whether a field of a request or a reply is not forwarded. The name is
 	// in canonical form, such as Content-Length. Keyed is set for the fields of a request
 	// to a service whose callers authenticate by API key: the key is meant for the entry VM
 	// alone.
-	Hides(name string, keyed bool) bool
+	Strips(name string, keyed bool) bool
 	// Answer calls add for each field that every reply to a caller carries.
 	Answer(id RequestID, add func(name, value string))
 	// RetryAfter calls add for the fields that tell the caller when to retry.
--- a/internal/cwfront/request.go
+++ b/internal/cwfront/request.go
@@ -193,7 +193,7 @@
 		Method: string(h.Method()),
 		URI:    string(h.RequestURI()),
 		Host:   string(h.Host()),
-		Header: cwframe.Copy(h.All(), func(name []byte) bool { return !r.front.Dialect.Hides(string(name), r.routes.HasTeams()) }),
+		Header: cwframe.Copy(h.All(), func(name []byte) bool { return !r.front.Dialect.Strips(string(name), r.routes.HasTeams()) }),
 		Body:   append([]byte(nil), ctx.Request.Body()...),
 		Team:   r.teamName(),
 
@@ -228,7 +228,7 @@
 	resp.SetStatusCode(r.reply.Status)
 
 	for i := range r.reply.Header {
-		if h := &r.reply.Header[i]; !f.Dialect.Hides(h.Name, false) {
+		if h := &r.reply.Header[i]; !f.Dialect.Strips(h.Name, false) {
 			resp.Header.Add(h.Name, h.Value)
 		}
 	}
--- a/internal/cwgateway/panic_test.go
+++ b/internal/cwgateway/panic_test.go
@@ -11,12 +11,12 @@
 // panickingDialect is a callers' dialect that panics on one header field.
 type panickingDialect struct{ carobward.CallerDialect }
 
-func (f panickingDialect) Hides(name string, keyed bool) bool {
+func (f panickingDialect) Strips(name string, keyed bool) bool {
 	if name == "X-Fault" {
 		panic("test panic")
 	}
 
-	return f.CallerDialect.Hides(name, keyed)
+	return f.CallerDialect.Strips(name, keyed)
 }
 
 // TestPanic verifies that a request that makes an entry VM panic affects only its own caller:
