--- a/caller.go
+++ b/caller.go
@@ -19,8 +19,8 @@
 	// to a service whose callers authenticate by API key: the key is meant for the entry VM
 	// alone.
 	Strips(name string, keyed bool) bool
-	// Answer calls add for each field that every reply to a caller carries.
-	Answer(id RequestID, add func(name, value string))
+	// ReplyFields calls add for each field that every reply to a caller carries.
+	ReplyFields(id RequestID, add func(name, value string))
 	// RetryAfter calls add for the fields that tell the caller when to retry.
 	RetryAfter(after time.Duration, add func(name, value string))
 }
--- a/internal/cwfront/request.go
+++ b/internal/cwfront/request.go
@@ -233,7 +233,7 @@
 		}
 	}
 
-	f.Dialect.Answer(r.id, resp.Header.Set)
+	f.Dialect.ReplyFields(r.id, resp.Header.Set)
 
 	if r.reply.Stream != nil {
 		resp.SetBodyStream(f.stream(r), r.reply.Stream.Length)
@@ -245,7 +245,7 @@
 func (f *Front) writeFailure(resp *fasthttp.Response, r *request) {
 	failure := asFailure(r.err)
 	resp.SetStatusCode(failure.Status)
-	f.Dialect.Answer(r.id, resp.Header.Set)
+	f.Dialect.ReplyFields(r.id, resp.Header.Set)
 	f.Dialect.RetryAfter(failure.RetryAfter, resp.Header.Set)
 	resp.SetBodyString(failure.Cause.Error() + "\n")
 }
