--- a/caller.go
+++ b/caller.go
@@ -34,7 +34,7 @@
 	Region(arg func(name string) string) Region
 	// Host returns the host that the caller wants to send requests to.
 	Host(arg func(name string) string) string
-	// Answer encodes the lookup reply as JSON: the addresses, and how long the caller may
+	// EncodeReply encodes the lookup reply as JSON: the addresses, and how long the caller may
 	// cache them.
-	Answer(list []Address, keep time.Duration) ([]byte, error)
+	EncodeReply(list []Address, keep time.Duration) ([]byte, error)
 }
--- a/internal/cwgateway/listeners.go
+++ b/internal/cwgateway/listeners.go
@@ -139,7 +139,7 @@
 		return
 	}
 
-	body, err := g.Adapter.Lookup.Answer(list, g.lookupTTL())
+	body, err := g.Adapter.Lookup.EncodeReply(list, g.lookupTTL())
 	if err != nil {
 		g.log.Error(err, "The lookup reply could not be encoded.")
 		ctx.SetStatusCode(fasthttp.StatusInternalServerError)
