--- a/dialect.go
+++ b/dialect.go
@@ -14,9 +14,9 @@
 	// for a reply to another call, and another error for a reply that can't be attributed
 	// to a call.
 	Read(c *Call, r *Reply, now time.Time) error
-	// Unframed reports whether the end of the connection may mark the end of a reply. If
+	// AllowsUnframed reports whether the end of the connection may mark the end of a reply. If
 	// not, such a reply counts as truncated.
-	Unframed() bool
+	AllowsUnframed() bool
 	// Extra reports whether a reply to another call may arrive before the reply to this
 	// one, which still follows.
 	Extra() bool
--- a/internal/cwfront/health_check_test.go
+++ b/internal/cwfront/health_check_test.go
@@ -20,7 +20,7 @@
 type plainDialect struct{}
 
 func (plainDialect) Fields(*carobward.Call, time.Duration, func(name, value string)) {}
-func (plainDialect) Unframed() bool                                                  { return true }
+func (plainDialect) AllowsUnframed() bool                                            { return true }
 func (plainDialect) Extra() bool                                                     { return false }
 func (plainDialect) Read(*carobward.Call, *carobward.Reply, time.Time) error         { return nil }
 
--- a/internal/cwlink/native_dialect.go
+++ b/internal/cwlink/native_dialect.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// Unframed returns false: a reply must have a length or be chunked.
-func (NativeDialect) Unframed() bool { return false }
+// AllowsUnframed returns false: a reply must have a length or be chunked.
+func (NativeDialect) AllowsUnframed() bool { return false }
 
 // Extra returns false: after a reply to another call the connection is not used
 // again.
--- a/internal/cwlink/reply.go
+++ b/internal/cwlink/reply.go
@@ -177,7 +177,7 @@
 	length := resp.Header.ContentLength()
 	limit := int(t.call.MaxReply)
 
-	if length == lengthUnknown && !t.dialect.Unframed() {
+	if length == lengthUnknown && !t.dialect.AllowsUnframed() {
 		return ErrNoLength
 	}
 
