--- a/dialect.go
+++ b/dialect.go
@@ -17,7 +17,7 @@
 	// AllowsUnframed reports whether the end of the connection may mark the end of a reply. If
 	// not, such a reply counts as truncated.
 	AllowsUnframed() bool
-	// Extra reports whether a reply to another call may arrive before the reply to this
+	// AllowsExtraReply reports whether a reply to another call may arrive before the reply to this
 	// one, which still follows.
-	Extra() bool
+	AllowsExtraReply() bool
 }
--- a/internal/cwfront/health_check_test.go
+++ b/internal/cwfront/health_check_test.go
@@ -21,7 +21,7 @@
 
 func (plainDialect) Fields(*carobward.Call, time.Duration, func(name, value string)) {}
 func (plainDialect) AllowsUnframed() bool                                            { return true }
-func (plainDialect) Extra() bool                                                     { return false }
+func (plainDialect) AllowsExtraReply() bool                                          { return false }
 func (plainDialect) Read(*carobward.Call, *carobward.Reply, time.Time) error         { return nil }
 
 // newCheckFront returns a front that knows one server, and a request for it.
--- a/internal/cwlink/native_dialect.go
+++ b/internal/cwlink/native_dialect.go
@@ -28,9 +28,9 @@
 // AllowsUnframed returns false: a reply must have a length or be chunked.
 func (NativeDialect) AllowsUnframed() bool { return false }
 
-// Extra returns false: after a reply to another call the connection is not used
+// AllowsExtraReply returns false: after a reply to another call the connection is not used
 // again.
-func (NativeDialect) Extra() bool { return false }
+func (NativeDialect) AllowsExtraReply() bool { return false }
 
 // Read checks that the reply belongs to this call and reads the server's load
 // report and verdict. The reply must have the call's id exactly once.
--- a/internal/cwlink/reply.go
+++ b/internal/cwlink/reply.go
@@ -42,7 +42,7 @@
 func (t *roundTrip) read() (*carobward.Reply, bool, error) {
 	for others := range 1 + maxOtherReplies {
 		reply, persistent, err := t.readOne()
-		if !errors.Is(err, carobward.ErrOtherRequest) || !t.dialect.Extra() {
+		if !errors.Is(err, carobward.ErrOtherRequest) || !t.dialect.AllowsExtraReply() {
 			return reply, persistent && others == 0, err
 		}
 	}
@@ -66,7 +66,7 @@
 	reply := &carobward.Reply{Status: resp.StatusCode(), Header: cwframe.Copy(resp.Header.All(), cwframe.KeepAll)}
 
 	dialectErr := t.dialect.Read(t.call, reply, t.clock.Now())
-	skip := t.dialect.Extra() && errors.Is(dialectErr, carobward.ErrOtherRequest)
+	skip := t.dialect.AllowsExtraReply() && errors.Is(dialectErr, carobward.ErrOtherRequest)
 
 	if dialectErr != nil && !skip {
 		return nil, false, dialectErr
