--- a/cmd/cwgateway/settings.go
+++ b/cmd/cwgateway/settings.go
@@ -117,7 +117,7 @@
 	b := &s.Bounds
 
 	return cwgateway.Bounds{
-		Grace: b.Grace, MaxLookupTTL: b.MaxAnswerTTL, Seeds: s.Seeds, WarmupOvershoot: b.WarmupOvershoot, WarmupSlack: b.ColdSlack,
+		Grace: b.Grace, MaxLookupTTL: b.MaxAnswerTTL, Seeds: s.Seeds, WarmupOvershoot: b.WarmupOvershoot, WarmupSlack: b.WarmupSlack,
 		Quota:  cwquota.Bounds{Window: b.Quota.Window, Overshoot: b.Quota.Overshoot, Slack: b.Quota.Slack},
 		Limits: cwfront.Limits{ExtraShare: b.ExtraShare, ExtraWindow: b.ExtraWindow, ExtraMin: b.ExtraMin, ChecksPerSecond: b.ChecksPerSecond, MaxKeyAge: time.Duration(keyAgePart * float64(b.Revoke))},
 	}
