--- a/internal/cwfront/front.go
+++ b/internal/cwfront/front.go
@@ -43,7 +43,7 @@
 	// with them in flight.
 	Quarantine *cwquarantine.Keeper
 	// Quota has the quotas of teams.
-	Quota   *cwquota.Keeper
+	Quota   *cwquota.Limiter
 	Clock   carobward.Clock
 	Metrics *cwmetric.Set
 	Log     logr.Logger
--- a/internal/cwgateway/gateway.go
+++ b/internal/cwgateway/gateway.go
@@ -129,7 +129,7 @@
 	// quarantineKeeper shares them with the other entry VMs.
 	quarantine       *cwquarantine.Table
 	quarantineKeeper *cwquarantine.Keeper
-	quota            *cwquota.Keeper
+	quota            *cwquota.Limiter
 
 	bounds atomic.Pointer[Bounds]
 
--- a/internal/cwquota/quota.go
+++ b/internal/cwquota/quota.go
@@ -118,8 +118,8 @@
 	AskFar func(ctx context.Context, in carobward.Domain, team carobward.TeamName, want int) (Grant, error)
 }
 
-// Keeper enforces the quotas of all teams. It is safe for concurrent use.
-type Keeper struct {
+// Limiter enforces the quotas of all teams. It is safe for concurrent use.
+type Limiter struct {
 	Options
 
 	mutex  sync.Mutex
@@ -149,14 +149,14 @@
 }
 
 // New returns a Limiter without teams.
-func New(o Options) *Keeper {
+func New(o Options) *Limiter {
 	o.Log = o.Log.WithName("quota")
 
-	return &Keeper{Options: o, teams: map[carobward.TeamName]*team{}}
+	return &Limiter{Options: o, teams: map[carobward.TeamName]*team{}}
 }
 
 // SetTeams applies the teams of a configuration. Buckets keep their tokens.
-func (l *Keeper) SetTeams(list []carobward.Team) {
+func (l *Limiter) SetTeams(list []carobward.Team) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 
@@ -178,7 +178,7 @@
 }
 
 // SetBounds applies new bounds.
-func (l *Keeper) SetBounds(b Bounds) {
+func (l *Limiter) SetBounds(b Bounds) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 
@@ -187,7 +187,7 @@
 
 // Take takes a token for a request of a team. If there is none it returns ErrOverQuota or
 // ErrUnknown, with the delay after which the caller may retry.
-func (l *Keeper) Take(ctx context.Context, name carobward.TeamName) (time.Duration, error) {
+func (l *Limiter) Take(ctx context.Context, name carobward.TeamName) (time.Duration, error) {
 	now := l.Clock.Now()
 
 	want, f := l.usePrefetched(name, now)
@@ -214,7 +214,7 @@
 }
 
 // Near grants tokens of a team from the owners in this failure domain.
-func (l *Keeper) Near(ctx context.Context, name carobward.TeamName, want int) Grant {
+func (l *Limiter) Near(ctx context.Context, name carobward.TeamName, want int) Grant {
 	f := l.Fleet(l.Clock.Now())
 
 	g, err := l.askOwners(ctx, name, want, &f)
@@ -227,7 +227,7 @@
 
 // askOwners requests tokens from the owners in this failure domain, one after the other. It
 // returns an error if none of them answered.
-func (l *Keeper) askOwners(ctx context.Context, name carobward.TeamName, want int, f *Fleet) (Grant, error) {
+func (l *Limiter) askOwners(ctx context.Context, name carobward.TeamName, want int, f *Fleet) (Grant, error) {
 	none := Grant{Wait: math.MaxInt64}
 
 	for _, o := range l.shuffledOwners(name, f) {
@@ -251,7 +251,7 @@
 }
 
 // takeFromOtherDomain takes a token from another failure domain.
-func (l *Keeper) takeFromOtherDomain(ctx context.Context, name carobward.TeamName, f *Fleet, now time.Time) bool {
+func (l *Limiter) takeFromOtherDomain(ctx context.Context, name carobward.TeamName, f *Fleet, now time.Time) bool {
 	for _, i := range rand.Perm(len(f.Domains)) {
 		d := f.Domains[i]
 		if l.inBackoff(name, d, now) {
@@ -279,7 +279,7 @@
 	return false
 }
 
-func (l *Keeper) inBackoff(name carobward.TeamName, d carobward.Domain, now time.Time) bool {
+func (l *Limiter) inBackoff(name carobward.TeamName, d carobward.Domain, now time.Time) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 
@@ -288,7 +288,7 @@
 	return t == nil || now.Before(t.backoff[d])
 }
 
-func (l *Keeper) setBackoff(name carobward.TeamName, d carobward.Domain, until time.Time) {
+func (l *Limiter) setBackoff(name carobward.TeamName, d carobward.Domain, until time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 
@@ -306,7 +306,7 @@
 
 // usePrefetched uses a token that was requested in advance, or returns how many to request
 // and the entry VMs to request them from. It returns 0 if no token has to be requested.
-func (l *Keeper) usePrefetched(name carobward.TeamName, now time.Time) (int, Fleet) {
+func (l *Limiter) usePrefetched(name carobward.TeamName, now time.Time) (int, Fleet) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 
@@ -328,7 +328,7 @@
 
 // shuffledOwners returns the owners of a team's buckets in random order, so that the buckets
 // empty evenly.
-func (l *Keeper) shuffledOwners(name carobward.TeamName, f *Fleet) []carobward.VMID {
+func (l *Limiter) shuffledOwners(name carobward.TeamName, f *Fleet) []carobward.VMID {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 
@@ -359,7 +359,7 @@
 }
 
 // prefetch keeps the tokens that were granted beyond the one needed.
-func (l *Keeper) prefetch(name carobward.TeamName, tokens int, now time.Time) {
+func (l *Limiter) prefetch(name carobward.TeamName, tokens int, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 
@@ -368,7 +368,7 @@
 	}
 }
 
-func (l *Keeper) ask(ctx context.Context, to carobward.VMID, name carobward.TeamName, want int) (Grant, error) {
+func (l *Limiter) ask(ctx context.Context, to carobward.VMID, name carobward.TeamName, want int) (Grant, error) {
 	if to == l.Self {
 		return l.Grant(name, want), nil
 	}
@@ -381,7 +381,7 @@
 
 // owners returns the entry VMs of the failure domain that own buckets of a team, as far as
 // this one knows. The mutex must be held.
-func (l *Keeper) owners(t *team, f *Fleet) []carobward.VMID {
+func (l *Limiter) owners(t *team, f *Fleet) []carobward.VMID {
 	own := candidate{l.Self, cwrank.Mix(cwrank.Hash(string(l.Self)), t.hash)}
 	first, second := own, candidate{}
 
@@ -416,7 +416,7 @@
 
 // shareOf returns how a quota is divided in this failure domain. There is a single owner if
 // each of several buckets would hold less than minBurst. The mutex must be held.
-func (l *Keeper) shareOf(t *team, f *Fleet) share {
+func (l *Limiter) shareOf(t *team, f *Fleet) share {
 	s := share{owners: 1}
 	s.rate = f.Part * float64(t.quota.Rate)
 	s.burst = f.Part * (burstFraction*t.quota.Burst + slackBurstFraction*l.bounds.Slack)
@@ -437,7 +437,7 @@
 
 // Tick creates the buckets that this entry VM has come to own and drops those that it no
 // longer owns. It should be called each second.
-func (l *Keeper) Tick(now time.Time) {
+func (l *Limiter) Tick(now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 
@@ -453,7 +453,7 @@
 
 // updateBucket updates the bucket of a team if this entry VM owns one, or drops it. It
 // reports whether this entry VM owns one. The mutex must be held.
-func (l *Keeper) updateBucket(t *team, f *Fleet, now time.Time) (share, bool) {
+func (l *Limiter) updateBucket(t *team, f *Fleet, now time.Time) (share, bool) {
 	if t.quota.Rate <= 0 || !f.Settled || float64(1+len(f.Peers)) < minKnownFraction*float64(f.Near) || !slices.Contains(l.owners(t, f), l.Self) {
 		t.bucket = nil
 
@@ -467,7 +467,7 @@
 }
 
 // Grant grants tokens of a team if this entry VM owns a bucket of it.
-func (l *Keeper) Grant(name carobward.TeamName, want int) Grant {
+func (l *Limiter) Grant(name carobward.TeamName, want int) Grant {
 	now := l.Clock.Now()
 
 	l.mutex.Lock()
--- a/internal/cwquota/quota_test.go
+++ b/internal/cwquota/quota_test.go
@@ -43,7 +43,7 @@
 type simVM struct {
 	id      carobward.VMID
 	domain  int
-	keeper  *Keeper
+	keeper  *Limiter
 	started time.Time
 	alive   bool
 	// isolated is set if no other entry VM can reach it. since is when it was isolated, died
