--- a/internal/cwquota/quota.go
+++ b/internal/cwquota/quota.go
@@ -213,8 +213,8 @@
 	return g.Wait, ErrOver
 }
 
-// Near grants tokens of a team from the owners in this failure domain.
-func (l *Limiter) Near(ctx context.Context, name carobward.TeamName, want int) Grant {
+// GrantInDomain grants tokens of a team from the owners in this failure domain.
+func (l *Limiter) GrantInDomain(ctx context.Context, name carobward.TeamName, want int) Grant {
 	f := l.Fleet(l.Clock.Now())
 
 	g, err := l.askOwners(ctx, name, want, &f)
--- a/internal/cwquota/quota_test.go
+++ b/internal/cwquota/quota_test.go
@@ -90,7 +90,7 @@
 				return Grant{}, errors.New("no answer")
 			}
 
-			return o.keeper.Near(ctx, team, want), nil
+			return o.keeper.GrantInDomain(ctx, team, want), nil
 		},
 	})
 	v.keeper.SetBounds(Bounds{Window: simWindow, Overshoot: simOvershoot, Slack: simSlack})
