--- a/internal/cwgateway/gateway.go
+++ b/internal/cwgateway/gateway.go
@@ -169,7 +169,7 @@
 		Ask: func(ctx context.Context, to carobward.VMID, team carobward.TeamName, want int) (cwquota.Grant, error) {
 			return g.mesh.AskTokens(ctx, to, team, want)
 		},
-		AskFar: func(ctx context.Context, in carobward.Domain, team carobward.TeamName, want int) (cwquota.Grant, error) {
+		AskDomain: func(ctx context.Context, in carobward.Domain, team carobward.TeamName, want int) (cwquota.Grant, error) {
 			return g.mesh.AskTokensInDomain(ctx, in, team, want)
 		},
 	})
--- a/internal/cwquota/quota.go
+++ b/internal/cwquota/quota.go
@@ -114,8 +114,8 @@
 	Fleet func(now time.Time) Fleet
 	// Ask requests tokens of a team from another entry VM.
 	Ask func(ctx context.Context, to carobward.VMID, team carobward.TeamName, want int) (Grant, error)
-	// AskFar has an entry VM of another failure domain call GrantInDomain.
-	AskFar func(ctx context.Context, in carobward.Domain, team carobward.TeamName, want int) (Grant, error)
+	// AskDomain has an entry VM of another failure domain call GrantInDomain.
+	AskDomain func(ctx context.Context, in carobward.Domain, team carobward.TeamName, want int) (Grant, error)
 }
 
 // Limiter enforces the quotas of all teams. It is safe for concurrent use.
@@ -259,7 +259,7 @@
 		}
 
 		ctx, cancel := context.WithTimeout(ctx, domainTimeout)
-		g, err := l.AskFar(ctx, d, name, 1)
+		g, err := l.AskDomain(ctx, d, name, 1)
 		cancel()
 
 		if err != nil {
--- a/internal/cwquota/quota_test.go
+++ b/internal/cwquota/quota_test.go
@@ -84,7 +84,7 @@
 		Ask: func(_ context.Context, to carobward.VMID, team carobward.TeamName, want int) (Grant, error) {
 			return s.ask(v, to, team, want)
 		},
-		AskFar: func(ctx context.Context, in carobward.Domain, team carobward.TeamName, want int) (Grant, error) {
+		AskDomain: func(ctx context.Context, in carobward.Domain, team carobward.TeamName, want int) (Grant, error) {
 			o := s.inDomain(in)
 			if o == nil || !s.reachable(v, o) {
 				return Grant{}, errors.New("no answer")
