--- a/internal/cwmesh/tokens.go
+++ b/internal/cwmesh/tokens.go
@@ -143,7 +143,7 @@
 		}
 	}
 
-	f.Near, f.Part = m.Table.domainShare(m.Domains, now)
+	f.DomainSize, f.Part = m.Table.domainShare(m.Domains, now)
 
 	return f
 }
--- a/internal/cwquota/quota.go
+++ b/internal/cwquota/quota.go
@@ -87,8 +87,8 @@
 type Fleet struct {
 	// Peers are the other live entry VMs of the failure domain that are not stopping.
 	Peers []carobward.VMID
-	// Near is how many entry VMs the failure domain had lately, including this one.
-	Near int
+	// DomainSize is how many entry VMs the failure domain had lately, including this one.
+	DomainSize int
 	// Part is the fraction of all entry VMs that are in the failure domain.
 	Part float64
 	// Domains are the other failure domains.
@@ -454,7 +454,7 @@
 // updateBucket updates the bucket of a team if this entry VM owns one, or drops it. It
 // reports whether this entry VM owns one. The mutex must be held.
 func (l *Limiter) updateBucket(t *team, f *Fleet, now time.Time) (share, bool) {
-	if t.quota.Rate <= 0 || !f.Settled || float64(1+len(f.Peers)) < minKnownFraction*float64(f.Near) || !slices.Contains(l.owners(t, f), l.Self) {
+	if t.quota.Rate <= 0 || !f.Settled || float64(1+len(f.Peers)) < minKnownFraction*float64(f.DomainSize) || !slices.Contains(l.owners(t, f), l.Self) {
 		t.bucket = nil
 
 		return share{}, false
--- a/internal/cwquota/quota_test.go
+++ b/internal/cwquota/quota_test.go
@@ -102,21 +102,21 @@
 func (s *sim) fleet(v *simVM, now time.Time) Fleet {
 	const settle = 500 * time.Millisecond
 
-	f := Fleet{Near: 1, Settled: now.Sub(v.started) >= settle}
+	f := Fleet{DomainSize: 1, Settled: now.Sub(v.started) >= settle}
 
 	for _, o := range s.vms {
 		if o == v || o.domain != v.domain {
 			continue
 		}
 
-		f.Near++
+		f.DomainSize++
 
 		if s.reachable(v, o) || now.Sub(o.since) < simDetection && now.Sub(v.since) < simDetection {
 			f.Peers = append(f.Peers, o.id)
 		}
 	}
 
-	f.Part = float64(f.Near) / float64(len(s.vms))
+	f.Part = float64(f.DomainSize) / float64(len(s.vms))
 
 	for d := range simDomains {
 		if d != v.domain {
@@ -426,7 +426,7 @@
 func BenchmarkTake(b *testing.B) {
 	l := New(Options{
 		Self: "vm-1", Clock: carobward.SystemClock{}, Log: logr.Discard(),
-		Fleet: func(time.Time) Fleet { return Fleet{Near: 1, Part: 1, Settled: true} },
+		Fleet: func(time.Time) Fleet { return Fleet{DomainSize: 1, Part: 1, Settled: true} },
 	})
 	l.SetTeams([]carobward.Team{{Name: "club", Quota: quota(1e9)}})
 
