--- a/internal/cwmesh/tokens.go
+++ b/internal/cwmesh/tokens.go
@@ -143,7 +143,7 @@
 		}
 	}
 
-	f.DomainSize, f.Part = m.Table.domainShare(m.Domains, now)
+	f.DomainSize, f.DomainShare = m.Table.domainShare(m.Domains, now)
 
 	return f
 }
--- a/internal/cwquota/quota.go
+++ b/internal/cwquota/quota.go
@@ -89,8 +89,8 @@
 	Peers []carobward.VMID
 	// DomainSize is how many entry VMs the failure domain had lately, including this one.
 	DomainSize int
-	// Part is the fraction of all entry VMs that are in the failure domain.
-	Part float64
+	// DomainShare is the fraction of all entry VMs that are in the failure domain.
+	DomainShare float64
 	// Domains are the other failure domains.
 	Domains []carobward.Domain
 	// Settled is set if this entry VM has run long enough to know the others.
@@ -418,12 +418,12 @@
 // each of several buckets would hold less than minBurst. The mutex must be held.
 func (l *Limiter) shareOf(t *team, f *Fleet) share {
 	s := share{owners: 1}
-	s.rate = f.Part * float64(t.quota.Rate)
-	s.burst = f.Part * (burstFraction*t.quota.Burst + slackBurstFraction*l.bounds.Slack)
+	s.rate = f.DomainShare * float64(t.quota.Rate)
+	s.burst = f.DomainShare * (burstFraction*t.quota.Burst + slackBurstFraction*l.bounds.Slack)
 
 	if window := l.bounds.Window.Seconds(); window > 0 {
-		s.rate += f.Part * slackRateFraction * l.bounds.Slack / window
-		s.burst += f.Part * overshootFraction * l.bounds.Overshoot * (window*float64(t.quota.Rate) + t.quota.Burst)
+		s.rate += f.DomainShare * slackRateFraction * l.bounds.Slack / window
+		s.burst += f.DomainShare * overshootFraction * l.bounds.Overshoot * (window*float64(t.quota.Rate) + t.quota.Burst)
 	}
 
 	if s.burst >= maxOwners*minBurst && len(f.Peers) > 0 {
--- a/internal/cwquota/quota_test.go
+++ b/internal/cwquota/quota_test.go
@@ -116,7 +116,7 @@
 		}
 	}
 
-	f.Part = float64(f.DomainSize) / float64(len(s.vms))
+	f.DomainShare = float64(f.DomainSize) / float64(len(s.vms))
 
 	for d := range simDomains {
 		if d != v.domain {
@@ -426,7 +426,7 @@
 func BenchmarkTake(b *testing.B) {
 	l := New(Options{
 		Self: "vm-1", Clock: carobward.SystemClock{}, Log: logr.Discard(),
-		Fleet: func(time.Time) Fleet { return Fleet{DomainSize: 1, Part: 1, Settled: true} },
+		Fleet: func(time.Time) Fleet { return Fleet{DomainSize: 1, DomainShare: 1, Settled: true} },
 	})
 	l.SetTeams([]carobward.Team{{Name: "club", Quota: quota(1e9)}})
 
