--- a/internal/cwfront/team.go
+++ b/internal/cwfront/team.go
@@ -71,7 +71,7 @@
 	switch {
 	case err == nil:
 		return nil
-	case errors.Is(err, cwquota.ErrOver):
+	case errors.Is(err, cwquota.ErrOverQuota):
 		r.front.counts.Add(countOverQuota, 1)
 
 		return carobward.NewFailure(carobward.NotRun, fasthttp.StatusTooManyRequests, wait, err)
--- a/internal/cwquota/quota.go
+++ b/internal/cwquota/quota.go
@@ -69,8 +69,8 @@
 
 // The errors of a request that got no token.
 const (
-	// ErrOver: the team has exceeded its quota.
-	ErrOver = errors.ConstError("the team is beyond its quota")
+	// ErrOverQuota: the team has exceeded its quota.
+	ErrOverQuota = errors.ConstError("the team is beyond its quota")
 	// ErrUnknown: no owner of the team's tokens answered.
 	ErrUnknown = errors.ConstError("it can't be told whether the team is within its quota")
 )
@@ -210,7 +210,7 @@
 		return unknownRetryDelay, ErrUnknown
 	}
 
-	return g.Wait, ErrOver
+	return g.Wait, ErrOverQuota
 }
 
 // GrantInDomain grants tokens of a team from the owners in this failure domain.
