--- a/internal/cwquota/quota_test.go
+++ b/internal/cwquota/quota_test.go
@@ -349,9 +349,9 @@
 	}
 }
 
-// TestQuotaHot verifies that a team that sends many times its quota does not affect another
+// TestQuotaNoisyTeam verifies that a team that sends many times its quota does not affect another
 // team within its quota.
-func TestQuotaHot(t *testing.T) {
+func TestQuotaNoisyTeam(t *testing.T) {
 	hot := carobward.Team{Name: "hot", Quota: quota(30)}
 	s := newSim(t, 6, 139, []carobward.Team{{Name: "calm", Quota: quota(30)}})
 	s.teams = append(s.teams, hot)
