--- a/internal/cwquota/quota_test.go
+++ b/internal/cwquota/quota_test.go
@@ -383,9 +383,9 @@
 	}
 }
 
-// TestQuotaLost kills the owner of a bucket. Until its loss is detected most of the team's
+// TestQuotaOwnerLost kills the owner of a bucket. Until its loss is detected most of the team's
 // requests must still be admitted.
-func TestQuotaLost(t *testing.T) {
+func TestQuotaOwnerLost(t *testing.T) {
 	s := newSim(t, 7, 139, []carobward.Team{{Name: "club", Quota: quota(100)}})
 	s.simulate(2*time.Second, 0.5, s.randomVM)
 
