--- a/internal/cwfront/front.go
+++ b/internal/cwfront/front.go
@@ -201,7 +201,7 @@
 		return nil
 	}
 
-	return t.Homes(host)
+	return t.AllowedRegions(host)
 }
 
 // Leave makes each answer from now on the last one on its connection.
--- a/internal/cwroutes/table.go
+++ b/internal/cwroutes/table.go
@@ -162,9 +162,9 @@
 	return 0, len(list)
 }
 
-// Homes returns the regions that all routes of a host allow. Routes without allowed regions
+// AllowedRegions returns the regions that all routes of a host allow. Routes without allowed regions
 // are ignored.
-func (t *Table) Homes(host string) []carobward.Region {
+func (t *Table) AllowedRegions(host string) []carobward.Region {
 	var regions []carobward.Region
 
 	first := true
--- a/internal/cwroutes/table_test.go
+++ b/internal/cwroutes/table_test.go
@@ -134,7 +134,7 @@
 				routes = append(routes, carobward.Route{Prefix: fmt.Sprintf("/%d/", i), AllowedRegions: h})
 			}
 
-			got := New(&carobward.Routing{Hosts: map[string][]carobward.Route{"a.example": routes}}).Homes("A.example:80")
+			got := New(&carobward.Routing{Hosts: map[string][]carobward.Route{"a.example": routes}}).AllowedRegions("A.example:80")
 			if diff := cmp.Diff(c.want, got); diff != "" {
 				t.Error(diff)
 			}
