--- a/internal/cwfront/team.go
+++ b/internal/cwfront/team.go
@@ -28,7 +28,7 @@
 func (r *request) authorize(h *fasthttp.RequestHeader, now time.Time) error {
 	r.priority = r.route.Priority
 
-	if !r.routes.Keyed(r.route) {
+	if !r.routes.NeedsKey(r.route) {
 		return nil
 	}
 
--- a/internal/cwroutes/table.go
+++ b/internal/cwroutes/table.go
@@ -75,8 +75,8 @@
 	return all
 }
 
-// Keyed reports whether a request of a route needs an API key.
-func (t *Table) Keyed(r *Route) bool { return t.HasTeams() && !r.Anonymous }
+// NeedsKey reports whether a request of a route needs an API key.
+func (t *Table) NeedsKey(r *Route) bool { return t.HasTeams() && !r.Anonymous }
 
 // HasTeams reports whether callers authenticate by API key.
 func (t *Table) HasTeams() bool { return t.hasTeams }
