--- a/internal/cwroutes/table_test.go
+++ b/internal/cwroutes/table_test.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// TestHomes checks the regions that all routes of a host allow.
-func TestHomes(t *testing.T) {
+// TestAllowedRegions checks the regions that all routes of a host allow.
+func TestAllowedRegions(t *testing.T) {
 	type regions = []carobward.Region
 
 	for name, c := range map[string]struct {
