--- a/caller.go
+++ b/caller.go
@@ -8,8 +8,8 @@
 	// ID returns the id that the caller gave its request, or "". Field returns the value of
 	// a header field, or "".
 	ID(field func(name string) string) RequestID
-	// TimeLeft returns how long the caller waits for the reply; ok is false if the request does
-	// not say.
+	// TimeLeft returns how long the caller waits for the reply; ok is false if the request
+	// does not say.
 	TimeLeft(field func(name string) string) (left time.Duration, ok bool, err error)
 	// Key returns the API key of a request, or nil. Field returns the value of a header
 	// field.
@@ -34,7 +34,7 @@
 	Region(arg func(name string) string) Region
 	// Host returns the host that the caller wants to send requests to.
 	Host(arg func(name string) string) string
-	// EncodeReply encodes the lookup reply as JSON: the addresses, and how long the caller may
-	// cache them.
+	// EncodeReply encodes the lookup reply as JSON: the addresses, and how long the caller
+	// may cache them.
 	EncodeReply(list []Address, keep time.Duration) ([]byte, error)
 }
--- a/dialect.go
+++ b/dialect.go
@@ -14,10 +14,10 @@
 	// for a reply to another call, and another error for a reply that can't be attributed
 	// to a call.
 	Read(c *Call, r *Reply, now time.Time) error
-	// AllowsUnframed reports whether the end of the connection may mark the end of a reply. If
-	// not, such a reply counts as truncated.
+	// AllowsUnframed reports whether the end of the connection may mark the end of a reply.
+	// If not, such a reply counts as truncated.
 	AllowsUnframed() bool
-	// AllowsExtraReply reports whether a reply to another call may arrive before the reply to this
-	// one, which still follows.
+	// AllowsExtraReply reports whether a reply to another call may arrive before the reply
+	// to this one, which still follows.
 	AllowsExtraReply() bool
 }
--- a/feed.go
+++ b/feed.go
@@ -50,8 +50,8 @@
 	return r.Write < other.Write
 }
 
-// RetainedItem is an item that the store acknowledged and that stays effective although the store
-// lacks it now, has it again after its deletion, or has an older value.
+// RetainedItem is an item that the store acknowledged and that stays effective although the
+// store lacks it now, has it again after its deletion, or has an older value.
 type RetainedItem struct {
 	Item
 
@@ -100,8 +100,8 @@
 	return ByteCount(size)
 }
 
-// ErrHistoryGone is returned by a Feed that no longer has the changes since an index. All keys
-// have to be listed again.
+// ErrHistoryGone is returned by a Feed that no longer has the changes since an index. All
+// keys have to be listed again.
 const ErrHistoryGone = errors.ConstError("store: the history since then is no longer kept")
 
 // Feed is the part of the platform's store that an entry VM follows: the operators'
--- a/internal/cwquota/quota.go
+++ b/internal/cwquota/quota.go
@@ -197,7 +197,7 @@
 
 	g, err := l.askOwners(ctx, name, want, &f)
 	if g.Tokens > 0 {
-		l.prefetch(name, g.Tokens-1, now)
+		l.storePrefetched(name, g.Tokens-1, now)
 
 		return 0, nil
 	}
@@ -358,8 +358,8 @@
 	t.requests++
 }
 
-// prefetch keeps the tokens that were granted beyond the one needed.
-func (l *Limiter) prefetch(name carobward.TeamName, tokens int, now time.Time) {
+// storePrefetched keeps the tokens that were granted beyond the one needed.
+func (l *Limiter) storePrefetched(name carobward.TeamName, tokens int, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 
--- a/internal/cwquota/quota_test.go
+++ b/internal/cwquota/quota_test.go
@@ -349,8 +349,8 @@
 	}
 }
 
-// TestQuotaNoisyTeam verifies that a team that sends many times its quota does not affect another
-// team within its quota.
+// TestQuotaNoisyTeam verifies that a team that sends many times its quota does not affect
+// another team within its quota.
 func TestQuotaNoisyTeam(t *testing.T) {
 	hot := carobward.Team{Name: "hot", Quota: quota(30)}
 	s := newSim(t, 6, 139, []carobward.Team{{Name: "calm", Quota: quota(30)}})
@@ -383,8 +383,8 @@
 	}
 }
 
-// TestQuotaOwnerLost kills the owner of a bucket. Until its loss is detected most of the team's
-// requests must still be admitted.
+// TestQuotaOwnerLost kills the owner of a bucket. Until its loss is detected most of the
+// team's requests must still be admitted.
 func TestQuotaOwnerLost(t *testing.T) {
 	s := newSim(t, 7, 139, []carobward.Team{{Name: "club", Quota: quota(100)}})
 	s.simulate(2*time.Second, 0.5, s.randomVM)
--- a/internal/cwroutes/table.go
+++ b/internal/cwroutes/table.go
@@ -162,8 +162,8 @@
 	return 0, len(list)
 }
 
-// AllowedRegions returns the regions that all routes of a host allow. Routes without allowed regions
-// are ignored.
+// AllowedRegions returns the regions that all routes of a host allow. Routes without
+// allowed regions are ignored.
 func (t *Table) AllowedRegions(host string) []carobward.Region {
 	var regions []carobward.Region
 
--- a/leaving.go
+++ b/leaving.go
@@ -5,7 +5,8 @@
 // LeaveNotice is what a reply's header says about whether its server is leaving. A value
 // that can't be parsed says nothing about the server.
 type LeaveNotice struct {
-	// Present is set if the reply has the header field, Readable if its value could be parsed.
+	// Present is set if the reply has the header field, Readable if its value could be
+	// parsed.
 	Present  bool
 	Readable bool
 }
@@ -24,7 +25,8 @@
 // RetryNotice is what a server that refuses a request says about when the entry VM may
 // retry. A value that can't be parsed says nothing.
 type RetryNotice struct {
-	// Present is set if the reply has the header field, Readable if its value could be parsed.
+	// Present is set if the reply has the header field, Readable if its value could be
+	// parsed.
 	Present  bool
 	Readable bool
 	// Delay is how long, counted from the reply, the server wants no requests.
--- a/server.go
+++ b/server.go
@@ -101,8 +101,8 @@
 	Length int
 }
 
-// ErrOtherRequest is returned by a Dialect for a reply to another call. The reply to this call may
-// still follow.
+// ErrOtherRequest is returned by a Dialect for a reply to another call. The reply to this
+// call may still follow.
 const ErrOtherRequest = errors.ConstError("the reply is to another request")
 
 // Servers sends calls to servers.
