--- a/internal/cwtarget/file.go
+++ b/internal/cwtarget/file.go
@@ -1,4 +1,5 @@
-// Package cwtarget reads, validates and matches targets.
+// Package cwtarget reads and validates the targets that operators declare,
+// and finds the target of a request.
 package cwtarget
 
 import (
@@ -15,12 +16,12 @@
 	"carobward.example/carobward/internal/cwjson"
 )
 
-// Measure is the budget for measuring the servers' load, for the whole
-// system: probes, health checks and reports, all entry VMs together.
+// Measure is the budget for measuring the load of servers. It covers probes,
+// health checks and load reports, for all entry VMs together.
 type Measure struct {
-	// Calls is the number of measuring operations a second.
+	// Calls is the maximum number of measuring operations per second.
 	Calls int `json:"calls"`
-	// Bytes is the number of measuring bytes a second.
+	// Bytes is the maximum number of bytes per second that measuring may use.
 	Bytes carobward.ByteCount `json:"bytes"`
 }
 
@@ -28,7 +29,7 @@
 type Set struct {
 	// Targets is sorted by name.
 	Targets []carobward.Target `json:"targets"`
-	// Measure is nil where it is left as it is.
+	// Measure is nil if the current budget stays as it is.
 	Measure *Measure `json:"measure,omitempty"`
 }
 
@@ -36,22 +37,23 @@
 const (
 	defaultWithin = time.Second
 	defaultBody   = 64 * carobward.Kilobyte
-	suffix        = ".jsonc"
+	fileSuffix    = ".jsonc"
 )
 
-// file is what one file declares, in its order, and where.
+// file holds what one file declares, in the order of the file, and the place
+// of each key in it.
 type file struct {
 	set    Set
 	places *cwjson.Places
 }
 
-// Parse reads one file of targets: JSON with comments. The name goes into
-// the error, which names every problem with its place.
+// Parse reads one file of targets in JSON with comments and validates it. The
+// error names every problem with its place in the file called name.
 func Parse(name string, raw []byte) (Set, error) {
 	f, err := parse(name, raw)
-	s, later := join([]file{f})
+	s, invalid := merge([]file{f})
 
-	return s, cwjson.MergeProblems(err, later)
+	return s, cwjson.MergeProblems(err, invalid)
 }
 
 func parse(name string, raw []byte) (file, error) {
@@ -59,15 +61,15 @@
 
 	places, err := cwjson.Decode(name, raw, &f.set)
 	f.places = places
-	f.fill()
+	f.setDefaults()
 
 	return f, err
 }
 
-// Load reads a file, or each file of a folder that ends in .jsonc, and
-// validates the whole.
+// Load reads a file, or every file in a folder whose name ends in .jsonc, and
+// validates all targets together.
 func Load(path string) (Set, error) {
-	names, err := files(path)
+	names, err := listFiles(path)
 	if err != nil {
 		return Set{}, err
 	}
@@ -85,21 +87,21 @@
 
 		f, err := parse(n, raw)
 
-		var more cwjson.Problems
-		if errors.As(err, &more) {
-			problems = append(problems, more...)
+		var found cwjson.Problems
+		if errors.As(err, &found) {
+			problems = append(problems, found...)
 		}
 
 		all = append(all, f)
 	}
 
-	s, later := join(all)
+	s, invalid := merge(all)
 
-	return s, cwjson.MergeProblems(problems.Err(), later)
+	return s, cwjson.MergeProblems(problems.Err(), invalid)
 }
 
-// join checks the files as a whole and returns what they declare together.
-func join(all []file) (Set, error) {
+// merge validates the files together and returns all that they declare.
+func merge(all []file) (Set, error) {
 	var s Set
 
 	c := newChecker()
@@ -109,11 +111,11 @@
 
 		for j := range f.set.Targets {
 			prefix := "targets[" + strconv.Itoa(j) + "]."
-			c.target(&f.set.Targets[j], func(key string) string { return f.places.At(prefix + key) })
+			c.checkTarget(&f.set.Targets[j], func(key string) string { return f.places.At(prefix + key) })
 		}
 
 		if m := f.set.Measure; m != nil {
-			c.measure(m, f.places.At, s.Measure != nil)
+			c.checkBudget(m, f.places.At, s.Measure != nil)
 			s.Measure = m
 		}
 
@@ -121,12 +123,12 @@
 	}
 
 	s.sort()
-	c.whole(&s)
+	c.checkSet(&s)
 
 	return s, c.problems.Err()
 }
 
-func files(path string) ([]string, error) {
+func listFiles(path string) ([]string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, errors.Annotate(err, "targets")
@@ -136,30 +138,30 @@
 		return []string{path}, nil
 	}
 
-	names, err := filepath.Glob(filepath.Join(path, "*"+suffix))
+	names, err := filepath.Glob(filepath.Join(path, "*"+fileSuffix))
 	if err != nil {
 		return nil, errors.Annotate(err, "targets")
 	}
 
 	if len(names) == 0 {
-		return nil, errors.Errorf("targets: no file in %s ends in %s", path, suffix)
+		return nil, errors.Errorf("targets: no file in %s ends in %s", path, fileSuffix)
 	}
 
 	return names, nil
 }
 
-// fill sets the defaults of what the file leaves out. A zero that is written
-// out stays, and is refused.
-func (f *file) fill() {
+// setDefaults sets the defaults of the keys that the file leaves out. A zero
+// in the file is not replaced; validation rejects it.
+func (f *file) setDefaults() {
 	for i := range f.set.Targets {
 		t := &f.set.Targets[i]
-		key := "targets[" + strconv.Itoa(i) + "]."
+		prefix := "targets[" + strconv.Itoa(i) + "]."
 
-		if !f.places.Has(key + "within") {
+		if !f.places.Has(prefix + "within") {
 			t.Within = carobward.Duration(defaultWithin)
 		}
 
-		if !f.places.Has(key + "body") {
+		if !f.places.Has(prefix + "body") {
 			t.Body = defaultBody
 		}
 
--- a/internal/cwtarget/file_test.go
+++ b/internal/cwtarget/file_test.go
@@ -15,30 +15,31 @@
 	"carobward.example/carobward/internal/cwtest"
 )
 
-const fee = `{"name": "fee", "service": "billing", "promise": "once", "match": [{"method": "post", "path": "/fees"}]}`
+const feeTarget = `{"name": "fee", "service": "billing", "promise": "once", "match": [{"method": "post", "path": "/fees"}]}`
 
-// with returns a file with the fee target, some text of it replaced.
-func with(old, now string) string {
-	return "{\"targets\": [\n" + strings.Replace(fee, old, now, 1) + "\n]}"
+// fileWith returns a file that declares the fee target, with the first
+// occurrence of old replaced.
+func fileWith(old, replacement string) string {
+	return "{\"targets\": [\n" + strings.Replace(feeTarget, old, replacement, 1) + "\n]}"
 }
 
 func TestParse(t *testing.T) {
 	tests := map[string]struct{ text, err string }{
-		"fit":              {text: with("", "")},
-		"a weight":         {text: with(`"name"`, `"weight": 3, "name"`), err: `f:2:2: "targets[0].weight": unknown key, want one of body, host, match, name, promise, service, within`},
-		"a name":           {text: with(`"fee"`, `"Fee"`), err: `f:2:10: "Fee.name": want small letters, digits and dashes, at most 63, such as "sheet-lookup", got "Fee"`},
-		"no promise":       {text: with(`"promise": "once", `, ``), err: `f:2:1: "fee.promise": want "quick" (may repeat) or "once" (must not repeat), got ""`},
-		"a method":         {text: with(`post`, `POST /`), err: `f:2:79: "fee.match[0].method": want an HTTP method in capitals, such as "GET", got "POST /"`},
-		"a host with port": {text: with(`"name"`, `"host": "a.example:80", "name"`), err: `f:2:10: "fee.host": want a host name in small letters without a port, such as "fees.example", got "a.example:80"`},
-		"a path up":        {text: with(`/fees`, `/a/../fees`), err: `f:2:95: "fee.match[0].path": want a path such as "/sheets/", got "/a/../fees": ` + cwtarget.ErrSegment.Error()},
-		"a path of two":    {text: with(`/fees`, `/fees//`), err: `f:2:95: "fee.match[0].path": want a path such as "/sheets/", got "/fees//": ` + cwtarget.ErrSegment.Error()},
-		"a bare path":      {text: with(`/fees`, `fees`), err: `f:2:95: "fee.match[0].path": want a path such as "/sheets/", got "fees": ` + cwtarget.ErrForm.Error()},
-		"a zero time":      {text: with(`"name"`, `"within": "0s", "name"`), err: `f:2:12: "fee.within": want a time from 1ms to 5m0s, got 0s`},
-		"a huge body":      {text: with(`"name"`, `"body": "65MB", "name"`), err: `f:2:10: "fee.body": want from 1 to 67108864 bytes, got 68157440`},
-		"no match":         {text: with(`{"method": "post", "path": "/fees"}`, ``), err: `f:2:67: "fee.match": want from 1 to 64 of {"method": ..., "path": ...}, got 0`},
-		"the same twice":   {text: with(`]`, `, {"method": "POST", "path": "/%66ees/"}]`), err: `f:2:105: "fee.match[1]": want requests of its own, POST /%66ees/ belongs to target "fee" already`},
-		"other capitals":   {text: with(`]`, `, {"path": "/Fees/x"}]`), err: `f:2:114: "fee.match[1].path": want a path such as "/sheets/", got "/Fees/x": another target spells it "/fees"`},
-		"a bad budget":     {text: `{"measure": {"calls": -1}}`, err: `f:1:23: "measure.calls": want operations a second from 0 to 1000000, got -1`},
+		"valid":                        {text: fileWith("", "")},
+		"unknown key":                  {text: fileWith(`"name"`, `"weight": 3, "name"`), err: `f:2:2: "targets[0].weight": unknown key, want one of body, host, match, name, promise, service, within`},
+		"invalid name":                 {text: fileWith(`"fee"`, `"Fee"`), err: `f:2:10: "Fee.name": want small letters, digits and dashes, at most 63, such as "sheet-lookup", got "Fee"`},
+		"no promise":                   {text: fileWith(`"promise": "once", `, ``), err: `f:2:1: "fee.promise": want "quick" (may repeat) or "once" (must not repeat), got ""`},
+		"invalid method":               {text: fileWith(`post`, `POST /`), err: `f:2:79: "fee.match[0].method": want an HTTP method in capitals, such as "GET", got "POST /"`},
+		"host with a port":             {text: fileWith(`"name"`, `"host": "a.example:80", "name"`), err: `f:2:10: "fee.host": want a host name in small letters without a port, such as "fees.example", got "a.example:80"`},
+		"parent segment in the path":   {text: fileWith(`/fees`, `/a/../fees`), err: `f:2:95: "fee.match[0].path": want a path such as "/sheets/", got "/a/../fees": ` + cwtarget.ErrSegment.Error()},
+		"empty segment in the path":    {text: fileWith(`/fees`, `/fees//`), err: `f:2:95: "fee.match[0].path": want a path such as "/sheets/", got "/fees//": ` + cwtarget.ErrSegment.Error()},
+		"path without a leading slash": {text: fileWith(`/fees`, `fees`), err: `f:2:95: "fee.match[0].path": want a path such as "/sheets/", got "fees": ` + cwtarget.ErrForm.Error()},
+		"zero time":                    {text: fileWith(`"name"`, `"within": "0s", "name"`), err: `f:2:12: "fee.within": want a time from 1ms to 5m0s, got 0s`},
+		"body over the limit":          {text: fileWith(`"name"`, `"body": "65MB", "name"`), err: `f:2:10: "fee.body": want from 1 to 67108864 bytes, got 68157440`},
+		"no match":                     {text: fileWith(`{"method": "post", "path": "/fees"}`, ``), err: `f:2:67: "fee.match": want from 1 to 64 of {"method": ..., "path": ...}, got 0`},
+		"duplicate match":              {text: fileWith(`]`, `, {"method": "POST", "path": "/%66ees/"}]`), err: `f:2:105: "fee.match[1]": want requests of its own, POST /%66ees/ belongs to target "fee" already`},
+		"paths that differ in case":    {text: fileWith(`]`, `, {"path": "/Fees/x"}]`), err: `f:2:114: "fee.match[1].path": want a path such as "/sheets/", got "/Fees/x": another target spells it "/fees"`},
+		"invalid budget":               {text: `{"measure": {"calls": -1}}`, err: `f:1:23: "measure.calls": want operations a second from 0 to 1000000, got -1`},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -56,27 +57,27 @@
 		want  []carobward.TargetName
 		err   []string
 	}{
-		"two files": {
+		"duplicate match in two files": {
 			files: map[string]string{
-				"b.jsonc": with("", ""),
-				"a.jsonc": with("fee", "refund") + " // " + "/fees",
-				"x.txt":   "not ours",
+				"b.jsonc": fileWith("", ""),
+				"a.jsonc": fileWith("fee", "refund") + " // " + "/fees",
+				"x.txt":   "ignored",
 			},
 			err: []string{`b.jsonc:2:68: "fee.match[0]": want requests of its own, POST /fees belongs to target "refund" already`},
 		},
 		"sorted by name": {
-			files: map[string]string{"a.jsonc": with("", ""), "b.jsonc": strings.ReplaceAll(with("fee", "a-fee"), "/fees", "/a")},
+			files: map[string]string{"a.jsonc": fileWith("", ""), "b.jsonc": strings.ReplaceAll(fileWith("fee", "a-fee"), "/fees", "/a")},
 			want:  []carobward.TargetName{"a-fee", "fee"},
 		},
-		"the same name": {
-			files: map[string]string{"a.jsonc": with("", ""), "b.jsonc": with("/fees", "/b")},
+		"duplicate name": {
+			files: map[string]string{"a.jsonc": fileWith("", ""), "b.jsonc": fileWith("/fees", "/b")},
 			err:   []string{`b.jsonc:2:10: "fee.name": want a name of its own, another target has "fee" already`},
 		},
 		"two budgets": {
 			files: map[string]string{"a.jsonc": `{"measure": {"calls": 1}}`, "b.jsonc": `{"measure": {"calls": 2}}`},
 			err:   []string{`b.jsonc:1:13: "measure": want it in one file, another one has it already`},
 		},
-		"each file's slips": {
+		"problems in several files": {
 			files: map[string]string{"a.jsonc": `{"target": []}`, "b.jsonc": `{"measur": {}}`},
 			err:   []string{`a.jsonc:1:2: "target": unknown key, did you mean "targets"?`, `b.jsonc:1:2: "measur": unknown key, did you mean "measure"?`},
 		},
@@ -122,25 +123,27 @@
 	}
 }
 
-// TestTooMuchForTheStore checks that what apply would refuse for its size is
-// found before.
+// TestTooMuchForTheStore checks that validation rejects a set that the store
+// would reject for its size, and accepts 220 services with three targets
+// each.
 func TestTooMuchForTheStore(t *testing.T) {
-	s := cwtarget.Set{Targets: fleet(1800)}
+	s := cwtarget.Set{Targets: manyTargets(1800)}
 	if got := cwtest.ErrorText(s.Validate()); !strings.Contains(got, "want at most 4096 targets, got 5400") || !strings.Contains(got, "want at most 900000 bytes") {
-		t.Errorf("got %q, want both bounds named", got)
+		t.Errorf("got %q, want an error that names both limits", got)
 	}
 
-	s.Targets = fleet(220)
+	s.Targets = manyTargets(220)
 	if err := s.Validate(); err != nil {
-		t.Errorf("the fleet of the long run is refused: %v", err)
+		t.Errorf("220 services with three targets each were rejected: %v", err)
 	}
 }
 
-// FuzzParse wants that what is accepted is valid, also as the store hands it
-// back, and that each target can be found by each of its own paths.
+// FuzzParse verifies that every accepted file passes Validate, and that Find
+// returns the right target for the method and path of each match that names a
+// method.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(with("", "")))
-	f.Add([]byte(with("/fees", "/caf%C3%A9/")))
+	f.Add([]byte(fileWith("", "")))
+	f.Add([]byte(fileWith("/fees", "/caf%C3%A9/")))
 	f.Add([]byte(`{"measure": {"calls": 10, "bytes": "1MB"}}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		s, err := cwtarget.Parse("f", raw)
@@ -149,22 +152,22 @@
 		}
 
 		if err := s.Validate(); err != nil {
-			t.Fatalf("accepted, but %v", err)
+			t.Fatalf("accepted by Parse, but rejected by Validate: %v", err)
 		}
 
 		table := cwtarget.NewTable(s.Targets)
 
 		for i := range s.Targets {
-			one := &s.Targets[i]
-			for _, m := range one.Match {
+			target := &s.Targets[i]
+			for _, m := range target.Match {
 				method := m.Method
 				if method == "" {
 					method = "GET"
 				}
 
-				got, err := table.Find(one.Host, method, m.Path)
-				if m.Method != "" && (err != nil || got != one) {
-					t.Errorf("%s %s of %q: got %v, %v", m.Method, m.Path, one.Name, nameOf(got), err)
+				got, err := table.Find(target.Host, method, m.Path)
+				if m.Method != "" && (err != nil || got != target) {
+					t.Errorf("%s %s of %q: got %v, %v", m.Method, m.Path, target.Name, nameOf(got), err)
 				}
 			}
 		}
--- a/internal/cwtarget/path.go
+++ b/internal/cwtarget/path.go
@@ -6,8 +6,9 @@
 	"github.com/juju/errors"
 )
 
-// The errors of a request whose path or method is refused, since servers
-// read it in different ways: one reading could belong to another target.
+// The errors for a request whose path, method or host is rejected. Servers
+// interpret such values differently, and one interpretation could match
+// another target.
 const (
 	ErrForm     = errors.ConstError("the request target must be a path that starts with /")
 	ErrSegment  = errors.ConstError(`the path has an empty, "." or ".." segment`)
@@ -19,18 +20,18 @@
 	ErrHost     = errors.ConstError("the Host field must be a host name or an IP number")
 )
 
-// segmentsMost bounds the segments of a path.
-const segmentsMost = 64
+// maxSegments is the maximum number of segments in a path.
+const maxSegments = 64
 
-// pathOf cuts the query off a request target.
+// pathOf returns a request target without its query.
 func pathOf(uri string) string {
 	path, _, _ := strings.Cut(uri, "?")
 
 	return path
 }
 
-// nextSegment splits off the first segment of a path that starts with a
-// slash and decodes it.
+// nextSegment removes the first segment from a path that starts with a slash.
+// It returns the segment, decoded, and the rest of the path.
 func nextSegment(path string) (segment, rest string, err error) {
 	path = path[1:]
 	if i := strings.IndexByte(path, '/'); i >= 0 {
@@ -49,10 +50,10 @@
 	}
 }
 
-// decode resolves the percent-encoding of a segment, RFC 3986, 2.1. What
-// servers read in different ways is refused.
+// decode resolves the percent-encoding of a segment (RFC 3986, section 2.1).
+// It rejects what servers decode in different ways.
 func decode(segment string) (string, error) {
-	plain := true
+	unencoded := true
 
 	for i := range len(segment) {
 		c := segment[i]
@@ -60,10 +61,10 @@
 			return "", ErrByte
 		}
 
-		plain = plain && c != '%'
+		unencoded = unencoded && c != '%'
 	}
 
-	if plain {
+	if unencoded {
 		return segment, nil
 	}
 
@@ -73,7 +74,7 @@
 		c := segment[i]
 		if c == '%' {
 			var ok bool
-			if c, ok = encoded(segment[i:]); !ok || bad(c) {
+			if c, ok = decodeByte(segment[i:]); !ok || isAmbiguous(c) {
 				return "", ErrEncoding
 			}
 
@@ -83,16 +84,17 @@
 		b = append(b, c)
 	}
 
-	return string(b), doubled(b)
+	return string(b), checkDoubleEncoding(b)
 }
 
-// doubled refuses a decoded text that could be decoded once more.
-func doubled(b []byte) error {
+// checkDoubleEncoding rejects decoded text that still contains a
+// percent-encoding.
+func checkDoubleEncoding(b []byte) error {
 	text := string(b)
 
 	for i := strings.IndexByte(text, '%'); i >= 0; i = strings.IndexByte(text, '%') {
 		text = text[i:]
-		if _, ok := encoded(text); ok {
+		if _, ok := decodeByte(text); ok {
 			return ErrEncoding
 		}
 
@@ -102,8 +104,10 @@
 	return nil
 }
 
-// encoded reads the byte that a text starting with % encodes.
-func encoded(text string) (byte, bool) {
+// decodeByte decodes the percent-encoded byte at the start of text. It
+// returns false if the percent sign is not followed by two hexadecimal
+// digits.
+func decodeByte(text string) (byte, bool) {
 	if len(text) < len("%FF") {
 		return 0, false
 	}
@@ -113,23 +117,26 @@
 	return (high-1)<<4 | (low - 1), high != 0 && low != 0
 }
 
-// bad tells that some servers give a decoded byte a meaning of its own.
-func bad(c byte) bool {
+// isAmbiguous reports whether some servers treat a decoded byte as a
+// delimiter or a control character.
+func isAmbiguous(c byte) bool {
 	const del = 0x7f
 
 	return c < ' ' || c == del || c == '/' || c == '\\' || c == ';'
 }
 
-// pathByte has the bytes of a segment, RFC 3986, 3.3, but for the semicolon:
-// some servers cut a segment there. tokenByte has those of a token. hexValue
-// has the value of each hexadecimal digit, plus one.
+// pathByte is the set of bytes allowed in a segment (RFC 3986, section 3.3)
+// without the semicolon, at which some servers truncate the segment. tokenByte
+// is the set of bytes allowed in a token. hexValue maps each hexadecimal digit
+// to its value plus one, and every other byte to zero.
 var (
 	pathByte  = byteSet("-._~!$&'()*+,=:@%")
 	tokenByte = byteSet("!#$%&'*+-.^_`|~")
 	hexValue  = digitValues("0123456789abcdef", "0123456789ABCDEF")
 )
 
-// byteSet returns the letters, the digits and the given bytes.
+// byteSet returns the set of the ASCII letters, the digits and the given
+// bytes.
 func byteSet(others string) [256]bool {
 	const alphanumeric = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789"
 
@@ -153,18 +160,18 @@
 	return values
 }
 
-// fold returns a segment in small letters, ASCII only.
-func fold(segment string) string {
+// foldCase returns a segment with its ASCII letters in lower case.
+func foldCase(segment string) string {
 	for i := range len(segment) {
 		if c := segment[i]; c >= 'A' && c <= 'Z' {
-			return lower(segment)
+			return toLower(segment)
 		}
 	}
 
 	return segment
 }
 
-func lower(text string) string {
+func toLower(text string) string {
 	return strings.Map(func(r rune) rune {
 		if r >= 'A' && r <= 'Z' {
 			return r + 'a' - 'A'
@@ -174,18 +181,19 @@
 	}, text)
 }
 
-// hostOf returns a Host field's value without its port and in small letters,
-// so that spelling doesn't change the target.
+// hostOf returns the value of a Host field in lower case, without the port
+// and the trailing dot, so that the spelling does not affect which target
+// matches.
 func hostOf(field string) string {
 	if i := strings.LastIndexByte(field, ':'); i >= 0 && !strings.HasSuffix(field, "]") {
 		field = field[:i]
 	}
 
-	return fold(strings.TrimSuffix(field, "."))
+	return foldCase(strings.TrimSuffix(field, "."))
 }
 
-// isHost tells whether a Host field has nothing but the bytes of a host name
-// or an IP number and a port. It may be empty.
+// isHost reports whether a Host field consists only of bytes that occur in a
+// host name, an IP address or a port. An empty field is valid.
 func isHost(field string) bool {
 	for i := range len(field) {
 		if c := field[i]; !tokenByte[c] && strings.IndexByte(":[]", c) < 0 || strings.IndexByte("!#$%&'*+^`|~", c) >= 0 {
@@ -196,8 +204,9 @@
 	return true
 }
 
-// isMethod tells whether a method is a token, RFC 9110, 5.6.2, without small
-// letters: methods are told apart by capitals, but not every server does.
+// isMethod reports whether a method is a token (RFC 9110, section 5.6.2)
+// without lower-case letters: methods are case-sensitive, but not every
+// server respects that.
 func isMethod(method string) bool {
 	for i := range len(method) {
 		if c := method[i]; !tokenByte[c] || c >= 'a' && c <= 'z' {
--- a/internal/cwtarget/table.go
+++ b/internal/cwtarget/table.go
@@ -8,29 +8,30 @@
 	"carobward.example/carobward"
 )
 
-// ErrNone tells that a request belongs to no target.
+// ErrNone means that no target matches a request.
 const ErrNone = errors.ConstError("no target matches this request")
 
-// Table finds the target of a request: a tree of path segments a host, so
-// that the cost grows with the path and not with the number of targets. It
-// does not change once made.
+// Table finds the target of a request. It holds one tree of path segments for
+// each host, so the cost of a lookup depends on the length of the path and
+// not on the number of targets. It is immutable.
 type Table struct {
 	byName map[carobward.TargetName]*carobward.Target
 	byHost map[string]*node
 }
 
-// node is one segment of the targets' paths.
+// node is one path segment in the tree of a host.
 type node struct {
-	// spelled is the segment with its capitals; the tree's keys are folded.
-	spelled string
-	below   map[string]*node
-	// methods has the targets whose path ends here; any has the one that
-	// takes each method.
-	methods map[string]*carobward.Target
-	any     *carobward.Target
+	// spelling is the segment as the target declares it. The keys of children
+	// are case-folded.
+	spelling string
+	children map[string]*node
+	// methods has the targets whose path ends at this node, by method.
+	// anyMethod is the one whose match names no method.
+	methods   map[string]*carobward.Target
+	anyMethod *carobward.Target
 }
 
-// NewTable returns the table of the given targets, which must be valid.
+// NewTable returns a table of the given targets, which must be valid.
 func NewTable(targets []carobward.Target) *Table {
 	t := &Table{
 		byName: make(map[carobward.TargetName]*carobward.Target, len(targets)),
@@ -59,16 +60,16 @@
 	}
 
 	for rest := strings.TrimSuffix(m.Path, "/"); rest != ""; {
-		segment, left, err := nextSegment(rest)
+		segment, remaining, err := nextSegment(rest)
 		if err != nil {
 			return
 		}
 
-		n, rest = n.child(segment), left
+		n, rest = n.child(segment), remaining
 	}
 
 	if m.Method == "" {
-		n.any = target
+		n.anyMethod = target
 
 		return
 	}
@@ -80,30 +81,31 @@
 	n.methods[m.Method] = target
 }
 
-// child returns the node of a segment below n; it makes one if need be.
+// child returns the child of n for a segment and creates it if it does not
+// exist.
 func (n *node) child(segment string) *node {
-	key := fold(segment)
+	key := foldCase(segment)
 
-	if n.below[key] == nil {
-		if n.below == nil {
-			n.below = map[string]*node{}
+	if n.children[key] == nil {
+		if n.children == nil {
+			n.children = map[string]*node{}
 		}
 
-		n.below[key] = &node{spelled: segment}
+		n.children[key] = &node{spelling: segment}
 	}
 
-	return n.below[key]
+	return n.children[key]
 }
 
-// ByName returns the target of that name, or nil.
+// ByName returns the target with the given name, or nil.
 func (t *Table) ByName(name carobward.TargetName) *carobward.Target { return t.byName[name] }
 
-// Find returns the target that a request belongs to. A target of the
-// request's host goes before one of any host; then the longest path wins,
-// then a match that names the method. The uri is the request target as the
-// caller sent it, RFC 9112, 3.2, not a path that a library has cleaned
-// already: a path that can be read in several ways is refused. The error is
-// one of this package's constants.
+// Find returns the target that matches a request. A target for the host of
+// the request takes precedence over one for any host; then the longest path
+// wins, then a match that names the method. The uri must be the request
+// target as the caller sent it (RFC 9112, section 3.2), not normalized: a
+// path that servers could interpret in several ways is rejected. The error is
+// one of the constants of this package.
 func (t *Table) Find(host, method, uri string) (*carobward.Target, error) {
 	path := pathOf(uri)
 
@@ -118,33 +120,35 @@
 		return nil, ErrByte
 	}
 
-	own, shared := t.byHost[hostOf(host)], t.byHost[""]
-	if own == shared {
-		own = nil
+	ownHost, anyHost := t.byHost[hostOf(host)], t.byHost[""]
+	if ownHost == anyHost {
+		ownHost = nil
 	}
 
-	w := walk{method: method, own: own, shared: shared}
-	if err := w.run(path); err != nil {
+	s := search{method: method, ownHost: ownHost, anyHost: anyHost}
+	if err := s.run(path); err != nil {
 		return nil, err
 	}
 
-	return w.found()
+	return s.result()
 }
 
-// walk goes down the trees of the request's host and of any host at once.
-type walk struct {
-	method      string
-	own, shared *node
-	byOwn, any  *carobward.Target
-	otherCase   bool
+// search descends the trees of the request's host and of any host together.
+// ownMatch and anyMatch are the longest matches so far.
+type search struct {
+	method             string
+	ownHost, anyHost   *node
+	ownMatch, anyMatch *carobward.Target
+	caseDiffers        bool
 }
 
-// run checks each segment of the path, also those below all targets.
-func (w *walk) run(path string) error {
-	w.note()
+// run validates every segment of the path, including those below the longest
+// match.
+func (s *search) run(path string) error {
+	s.recordMatches()
 
 	for count := 0; path != ""; count++ {
-		if count == segmentsMost {
+		if count == maxSegments {
 			return ErrDeep
 		}
 
@@ -153,8 +157,8 @@
 			return err
 		}
 
-		if segment != "" && (w.own != nil || w.shared != nil) {
-			w.step(segment)
+		if segment != "" && (s.ownHost != nil || s.anyHost != nil) {
+			s.descend(segment)
 		}
 
 		path = rest
@@ -163,34 +167,35 @@
 	return nil
 }
 
-func (w *walk) step(segment string) {
-	key := fold(segment)
-	w.own = w.down(w.own, key, segment)
-	w.shared = w.down(w.shared, key, segment)
-	w.note()
+func (s *search) descend(segment string) {
+	key := foldCase(segment)
+	s.ownHost = s.childOf(s.ownHost, key, segment)
+	s.anyHost = s.childOf(s.anyHost, key, segment)
+	s.recordMatches()
 }
 
-func (w *walk) down(n *node, key, segment string) *node {
+func (s *search) childOf(n *node, key, segment string) *node {
 	if n == nil {
 		return nil
 	}
 
-	n = n.below[key]
-	if n != nil && n.spelled != segment {
-		w.otherCase = true
+	n = n.children[key]
+	if n != nil && n.spelling != segment {
+		s.caseDiffers = true
 	}
 
 	return n
 }
 
-// note remembers the targets that match so far; a longer path replaces them.
-func (w *walk) note() {
-	if t := w.own.target(w.method); t != nil {
-		w.byOwn = t
+// recordMatches stores the targets that match up to the current nodes, in
+// place of those of a shorter path.
+func (s *search) recordMatches() {
+	if t := s.ownHost.target(s.method); t != nil {
+		s.ownMatch = t
 	}
 
-	if t := w.shared.target(w.method); t != nil {
-		w.any = t
+	if t := s.anyHost.target(s.method); t != nil {
+		s.anyMatch = t
 	}
 }
 
@@ -203,17 +208,17 @@
 		return t
 	}
 
-	return n.any
+	return n.anyMethod
 }
 
-func (w *walk) found() (*carobward.Target, error) {
+func (s *search) result() (*carobward.Target, error) {
 	switch {
-	case w.otherCase:
+	case s.caseDiffers:
 		return nil, ErrCase
-	case w.byOwn != nil:
-		return w.byOwn, nil
-	case w.any != nil:
-		return w.any, nil
+	case s.ownMatch != nil:
+		return s.ownMatch, nil
+	case s.anyMatch != nil:
+		return s.anyMatch, nil
 	default:
 		return nil, ErrNone
 	}
--- a/internal/cwtarget/table_test.go
+++ b/internal/cwtarget/table_test.go
@@ -13,8 +13,9 @@
 	"carobward.example/carobward/internal/cwtarget"
 )
 
-// targets has a quick catch-all beside targets that must not repeat: a
-// request for those that slips through to it could be repeated.
+// targets returns a catch-all target that may be repeated and targets that
+// must not. If a request for one of the latter matched the catch-all, it
+// could be sent twice.
 func targets() []carobward.Target {
 	target := func(name carobward.TargetName, promise carobward.Promise, host string, match ...carobward.Match) carobward.Target {
 		return carobward.Target{
@@ -38,51 +39,51 @@
 		want              carobward.TargetName
 		err               error
 	}{
-		"exact":                     {method: "POST", uri: "/fees", want: "fee"},
-		"with a query":              {method: "POST", uri: "/fees?x=/../sheets", want: "fee"},
-		"below":                     {method: "POST", uri: "/fees/17", want: "fee"},
-		"trailing slash":            {method: "POST", uri: "/fees/", want: "fee"},
-		"without its slash":         {method: "GET", uri: "/sheets", want: "sheet"},
-		"not on a segment's border": {method: "POST", uri: "/feesx", want: "all"},
-		"longest wins":              {method: "POST", uri: "/fees/refunds/1", want: "refund"},
-		"another method":            {method: "GET", uri: "/fees", want: "all"},
-		"encoded letter":            {method: "POST", uri: "/%66ees", want: "fee"},
-		"own host":                  {host: "club.example", method: "GET", uri: "/caf%C3%A9/1", want: "club"},
-		"own host in capitals":      {host: "Club.EXAMPLE.:80", method: "GET", uri: "/caf%c3%a9", want: "club"},
-		"own host, other path":      {host: "club.example", method: "POST", uri: "/fees", want: "fee"},
-		"other host":                {host: "[::1]:80", method: "GET", uri: "/caf%C3%A9", want: "all"},
-		"root":                      {method: "GET", uri: "/", want: "all"},
-		"up":                        {method: "POST", uri: "/sheets/../fees", err: cwtarget.ErrSegment},
-		"up, encoded":               {method: "POST", uri: "/sheets/%2e%2E/fees", err: cwtarget.ErrSegment},
-		"up below":                  {method: "POST", uri: "/fees/../sheets/x", err: cwtarget.ErrSegment},
-		"up at the end":             {method: "GET", uri: "/fees/..", err: cwtarget.ErrSegment},
-		"here":                      {method: "POST", uri: "/./fees", err: cwtarget.ErrSegment},
-		"double slash":              {method: "POST", uri: "//fees", err: cwtarget.ErrSegment},
-		"double slash at the end":   {method: "POST", uri: "/fees//", err: cwtarget.ErrSegment},
-		"encoded slash":             {method: "POST", uri: "/sheets%2Ffees", err: cwtarget.ErrEncoding},
-		"up by an encoded slash":    {method: "GET", uri: "/sheets/..%2ffees", err: cwtarget.ErrEncoding},
-		"backslash":                 {method: "GET", uri: `/sheets\..\fees`, err: cwtarget.ErrByte},
-		"encoded backslash":         {method: "GET", uri: "/sheets/..%5cfees", err: cwtarget.ErrEncoding},
-		"parameter":                 {method: "POST", uri: "/fees;a=b", err: cwtarget.ErrByte},
-		"up with a parameter":       {method: "POST", uri: "/sheets/..;/fees", err: cwtarget.ErrByte},
-		"encoded parameter":         {method: "POST", uri: "/fees%3Ba", err: cwtarget.ErrEncoding},
-		"encoded twice":             {method: "POST", uri: "/%2566ees", err: cwtarget.ErrEncoding},
-		"encoded zero":              {method: "POST", uri: "/fees%00", err: cwtarget.ErrEncoding},
-		"a lone percent":            {method: "POST", uri: "/fees%", err: cwtarget.ErrEncoding},
-		"a broken encoding":         {method: "POST", uri: "/%6gees", err: cwtarget.ErrEncoding},
-		"an encoded percent":        {method: "GET", uri: "/sheets/100%25", want: "sheet"},
-		"capitals":                  {method: "POST", uri: "/Fees", err: cwtarget.ErrCase},
-		"capitals below":            {method: "POST", uri: "/fees/ABC", want: "fee"},
-		"bytes that need encoding":  {method: "GET", uri: "/caf\xc3\xa9", err: cwtarget.ErrByte},
-		"fragment":                  {method: "GET", uri: "/sheets#/fees", err: cwtarget.ErrByte},
-		"fragment in the query":     {method: "GET", uri: "/sheets?x#/fees", err: cwtarget.ErrByte},
-		"absolute form":             {method: "POST", uri: "http://club.example/fees", err: cwtarget.ErrForm},
-		"asterisk form":             {method: "OPTIONS", uri: "*", err: cwtarget.ErrForm},
-		"no path":                   {method: "GET", uri: "", err: cwtarget.ErrForm},
-		"small method":              {method: "post", uri: "/fees", err: cwtarget.ErrMethod},
-		"no method":                 {method: "", uri: "/fees", err: cwtarget.ErrMethod},
-		"user in the host":          {host: "a@club.example", method: "GET", uri: "/", err: cwtarget.ErrHost},
-		"too deep":                  {method: "GET", uri: strings.Repeat("/a", 65), err: cwtarget.ErrDeep},
+		"exact":                                {method: "POST", uri: "/fees", want: "fee"},
+		"with a query":                         {method: "POST", uri: "/fees?x=/../sheets", want: "fee"},
+		"below the path":                       {method: "POST", uri: "/fees/17", want: "fee"},
+		"trailing slash":                       {method: "POST", uri: "/fees/", want: "fee"},
+		"no trailing slash":                    {method: "GET", uri: "/sheets", want: "sheet"},
+		"prefix of a segment":                  {method: "POST", uri: "/feesx", want: "all"},
+		"longest path":                         {method: "POST", uri: "/fees/refunds/1", want: "refund"},
+		"another method":                       {method: "GET", uri: "/fees", want: "all"},
+		"encoded letter":                       {method: "POST", uri: "/%66ees", want: "fee"},
+		"own host":                             {host: "club.example", method: "GET", uri: "/caf%C3%A9/1", want: "club"},
+		"own host, upper case and port":        {host: "Club.EXAMPLE.:80", method: "GET", uri: "/caf%c3%a9", want: "club"},
+		"own host, other path":                 {host: "club.example", method: "POST", uri: "/fees", want: "fee"},
+		"other host":                           {host: "[::1]:80", method: "GET", uri: "/caf%C3%A9", want: "all"},
+		"root":                                 {method: "GET", uri: "/", want: "all"},
+		"parent segment":                       {method: "POST", uri: "/sheets/../fees", err: cwtarget.ErrSegment},
+		"encoded parent segment":               {method: "POST", uri: "/sheets/%2e%2E/fees", err: cwtarget.ErrSegment},
+		"parent segment below":                 {method: "POST", uri: "/fees/../sheets/x", err: cwtarget.ErrSegment},
+		"parent segment at the end":            {method: "GET", uri: "/fees/..", err: cwtarget.ErrSegment},
+		"dot segment":                          {method: "POST", uri: "/./fees", err: cwtarget.ErrSegment},
+		"double slash":                         {method: "POST", uri: "//fees", err: cwtarget.ErrSegment},
+		"double slash at the end":              {method: "POST", uri: "/fees//", err: cwtarget.ErrSegment},
+		"encoded slash":                        {method: "POST", uri: "/sheets%2Ffees", err: cwtarget.ErrEncoding},
+		"parent segment with an encoded slash": {method: "GET", uri: "/sheets/..%2ffees", err: cwtarget.ErrEncoding},
+		"backslash":                            {method: "GET", uri: `/sheets\..\fees`, err: cwtarget.ErrByte},
+		"encoded backslash":                    {method: "GET", uri: "/sheets/..%5cfees", err: cwtarget.ErrEncoding},
+		"parameter":                            {method: "POST", uri: "/fees;a=b", err: cwtarget.ErrByte},
+		"parent segment with a parameter":      {method: "POST", uri: "/sheets/..;/fees", err: cwtarget.ErrByte},
+		"encoded parameter":                    {method: "POST", uri: "/fees%3Ba", err: cwtarget.ErrEncoding},
+		"encoded twice":                        {method: "POST", uri: "/%2566ees", err: cwtarget.ErrEncoding},
+		"encoded zero byte":                    {method: "POST", uri: "/fees%00", err: cwtarget.ErrEncoding},
+		"percent sign only":                    {method: "POST", uri: "/fees%", err: cwtarget.ErrEncoding},
+		"invalid encoding":                     {method: "POST", uri: "/%6gees", err: cwtarget.ErrEncoding},
+		"encoded percent sign":                 {method: "GET", uri: "/sheets/100%25", want: "sheet"},
+		"upper-case path":                      {method: "POST", uri: "/Fees", err: cwtarget.ErrCase},
+		"upper case below the path":            {method: "POST", uri: "/fees/ABC", want: "fee"},
+		"bytes that need encoding":             {method: "GET", uri: "/caf\xc3\xa9", err: cwtarget.ErrByte},
+		"fragment":                             {method: "GET", uri: "/sheets#/fees", err: cwtarget.ErrByte},
+		"fragment in the query":                {method: "GET", uri: "/sheets?x#/fees", err: cwtarget.ErrByte},
+		"absolute form":                        {method: "POST", uri: "http://club.example/fees", err: cwtarget.ErrForm},
+		"asterisk form":                        {method: "OPTIONS", uri: "*", err: cwtarget.ErrForm},
+		"no path":                              {method: "GET", uri: "", err: cwtarget.ErrForm},
+		"lower-case method":                    {method: "post", uri: "/fees", err: cwtarget.ErrMethod},
+		"no method":                            {method: "", uri: "/fees", err: cwtarget.ErrMethod},
+		"user info in the host":                {host: "a@club.example", method: "GET", uri: "/", err: cwtarget.ErrHost},
+		"too deep":                             {method: "GET", uri: strings.Repeat("/a", 65), err: cwtarget.ErrDeep},
 	}
 
 	table := cwtarget.NewTable(targets())
@@ -114,9 +115,10 @@
 	return t.Name
 }
 
-// readings returns how servers may read a request target: as it is, decoded
-// once and twice, cut at parameters, with dots resolved, backslashes turned
-// and slashes joined, in small letters.
+// readings returns the paths that servers may see in a request target: as it
+// is, and decoded once and twice. For each of these it adds the lower-case
+// path, truncated at zero bytes and fragments, without parameters, with dot
+// segments resolved, backslashes as slashes and empty segments removed.
 func readings(uri string) []string {
 	path, _, _ := strings.Cut(uri, "?")
 	all := []string{path}
@@ -155,8 +157,8 @@
 	return all
 }
 
-// promised returns the promise of a path by a plain reading of the targets.
-func promised(path string) carobward.Promise {
+// expectedPromise returns the promise of a path by a simple prefix check.
+func expectedPromise(path string) carobward.Promise {
 	path += "/"
 	if strings.HasPrefix(path, "/fees/") {
 		return carobward.Once
@@ -165,8 +167,8 @@
 	return carobward.Quick
 }
 
-// FuzzFind wants that no server, whichever way it reads the request target,
-// sees a path that must not repeat where the table found one that may.
+// FuzzFind verifies that if Find returns a target that may be repeated, no
+// server can interpret the request target as a path that must not be.
 func FuzzFind(f *testing.F) {
 	for _, uri := range []string{"/fees", "/sheets/../fees", "//fees", "/%66ees", "/%2566ees", "/FEES", "/fees;a", "/sheets/..%2ffees", "/x?/fees"} {
 		f.Add(uri)
@@ -181,15 +183,15 @@
 		}
 
 		for _, r := range readings(uri) {
-			if promised(r) == carobward.Once && found.Promise != carobward.Once {
-				t.Errorf("%q is %q, but a server may read %q", uri, found.Name, r)
+			if expectedPromise(r) == carobward.Once && found.Promise != carobward.Once {
+				t.Errorf("%q matches target %q, but a server may interpret it as %q", uri, found.Name, r)
 			}
 		}
 	})
 }
 
-// fleet returns the targets of many services, three of four matches each.
-func fleet(services int) []carobward.Target {
+// manyTargets returns three targets with four matches each for every service.
+func manyTargets(services int) []carobward.Target {
 	var all []carobward.Target
 
 	for i := range services {
@@ -209,11 +211,12 @@
 	return all
 }
 
-// BenchmarkFind measures one lookup against the number of services, by the
-// table and by a scan of all lines.
+// BenchmarkFind compares a lookup in the table with a linear scan of all
+// matches, by the number of services, and measures the construction of the
+// table.
 func BenchmarkFind(b *testing.B) {
 	for _, services := range []int{2, 20, 220} {
-		all := fleet(services)
+		all := manyTargets(services)
 		table := cwtarget.NewTable(all)
 		uri := fmt.Sprintf("/s%d/part1/2/reconciliations?day=17", services/2)
 
--- a/internal/cwtarget/validate.go
+++ b/internal/cwtarget/validate.go
@@ -13,11 +13,12 @@
 	"carobward.example/carobward/internal/cwjson"
 )
 
-// SizeMost bounds all targets together, in bytes of JSON. The platform's store
-// holds values of a megabyte; the rest is for the frame around it.
+// SizeMost is the maximum size of all targets together, in bytes of JSON. The
+// store of the platform holds values of up to one megabyte; the difference
+// leaves room for the data around the targets.
 const SizeMost = 900_000
 
-// The bounds of a target's values.
+// The limits of the values of a target and of the measuring budget.
 const (
 	minWithin   = time.Millisecond
 	maxWithin   = 5 * time.Minute
@@ -30,53 +31,54 @@
 )
 
 var (
-	nameForm = regexp.MustCompile(`^[a-z][a-z0-9-]{0,62}$`)
-	hostForm = regexp.MustCompile(`^([a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?\.)*[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
+	namePattern = regexp.MustCompile(`^[a-z][a-z0-9-]{0,62}$`)
+	hostPattern = regexp.MustCompile(`^([a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?\.)*[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 )
 
-// Validate checks the whole set. The error names each target and key that is
-// wrong, its value and what would be right.
+// Validate validates the whole set. The error names each invalid key with its
+// target, its value and what is expected.
 func (s *Set) Validate() error {
 	c := newChecker()
 
 	for i := range s.Targets {
-		c.target(&s.Targets[i], nowhere)
+		c.checkTarget(&s.Targets[i], noPlace)
 	}
 
 	if s.Measure != nil {
-		c.measure(s.Measure, nowhere, false)
+		c.checkBudget(s.Measure, noPlace, false)
 	}
 
-	c.whole(s)
+	c.checkSet(s)
 
 	return c.problems.Err()
 }
 
-func nowhere(string) string { return "targets" }
+func noPlace(string) string { return "targets" }
 
-// checker collects the problems of many targets.
+// checker validates targets and collects their problems.
 type checker struct {
 	problems cwjson.Problems
 	names    map[carobward.TargetName]bool
-	rules    map[rule]carobward.TargetName
-	// spelled has each path and each start of one in folded form, and how
-	// it is spelled.
-	spelled map[string]string
+	matches  map[matchKey]carobward.TargetName
+	// spellings has the spelling of each path and of each leading part of a
+	// path, by its case-folded form.
+	spellings map[string]string
 }
 
-// rule is a match in the form in which two are the same to the table.
-type rule struct{ host, method, path string }
+// matchKey identifies a match: two matches with the same key would be the
+// same entry in a Table.
+type matchKey struct{ host, method, path string }
 
 func newChecker() *checker {
 	return &checker{
-		names:   map[carobward.TargetName]bool{},
-		rules:   map[rule]carobward.TargetName{},
-		spelled: map[string]string{},
+		names:     map[carobward.TargetName]bool{},
+		matches:   map[matchKey]carobward.TargetName{},
+		spellings: map[string]string{},
 	}
 }
 
-// whole checks what only all targets together show.
-func (c *checker) whole(s *Set) {
+// checkSet checks the limits that apply to all targets together.
+func (c *checker) checkSet(s *Set) {
 	fail := func(format string, args ...any) {
 		c.problems = append(c.problems, cwjson.Problem{Place: "targets", Text: fmt.Sprintf(format, args...)})
 	}
@@ -95,12 +97,12 @@
 	}
 }
 
-func (c *checker) measure(m *Measure, at func(string) string, second bool) {
+func (c *checker) checkBudget(m *Measure, at func(string) string, duplicate bool) {
 	fail := func(key, format string, args ...any) {
 		c.problems = append(c.problems, cwjson.Problem{Place: at(key), Key: key, Text: fmt.Sprintf(format, args...)})
 	}
 
-	if second {
+	if duplicate {
 		fail("measure", "want it in one file, another one has it already")
 	}
 
@@ -113,10 +115,10 @@
 	}
 }
 
-// failer takes one problem of a target.
-type failer func(key, format string, args ...any)
+// reportFunc reports a problem with one key of a target.
+type reportFunc func(key, format string, args ...any)
 
-func (c *checker) target(t *carobward.Target, at func(key string) string) {
+func (c *checker) checkTarget(t *carobward.Target, at func(key string) string) {
 	fail := func(key, format string, args ...any) {
 		c.problems = append(c.problems, cwjson.Problem{
 			Place: at(key), Key: string(t.Name) + "." + key, Text: fmt.Sprintf(format, args...),
@@ -133,16 +135,16 @@
 	validateBounds(t, fail)
 
 	for i := range t.Match {
-		c.match(t, i, fail)
+		c.checkMatch(t, i, fail)
 	}
 }
 
-func validateNames(t *carobward.Target, fail failer) {
-	if !nameForm.MatchString(string(t.Name)) {
+func validateNames(t *carobward.Target, fail reportFunc) {
+	if !namePattern.MatchString(string(t.Name)) {
 		fail("name", `want small letters, digits and dashes, at most 63, such as "sheet-lookup", got %q`, t.Name)
 	}
 
-	if !nameForm.MatchString(string(t.Service)) {
+	if !namePattern.MatchString(string(t.Service)) {
 		fail("service", `want the servers' service as the VM list has it, such as "records", got %q`, t.Service)
 	}
 
@@ -150,12 +152,12 @@
 		fail("promise", `want "quick" (may repeat) or "once" (must not repeat), got %q`, t.Promise)
 	}
 
-	if _, err := netip.ParseAddr(strings.Trim(t.Host, "[]")); t.Host != "" && err != nil && !hostForm.MatchString(t.Host) {
+	if _, err := netip.ParseAddr(strings.Trim(t.Host, "[]")); t.Host != "" && err != nil && !hostPattern.MatchString(t.Host) {
 		fail("host", `want a host name in small letters without a port, such as "fees.example", got %q`, t.Host)
 	}
 }
 
-func validateBounds(t *carobward.Target, fail failer) {
+func validateBounds(t *carobward.Target, fail reportFunc) {
 	if w := t.Within.Std(); w < minWithin || w > maxWithin {
 		fail("within", "want a time from %s to %s, got %s", minWithin, maxWithin, w)
 	}
@@ -169,8 +171,9 @@
 	}
 }
 
-// match checks one match and that no other target has it.
-func (c *checker) match(t *carobward.Target, i int, fail failer) {
+// checkMatch validates one match of a target and checks that no other match
+// is the same.
+func (c *checker) checkMatch(t *carobward.Target, i int, fail reportFunc) {
 	m := t.Match[i]
 	key := "match[" + strconv.Itoa(i) + "]"
 
@@ -178,36 +181,38 @@
 		fail(key+".method", `want an HTTP method in capitals, such as "GET", got %q`, m.Method)
 	}
 
-	path, err := c.path(m.Path)
+	path, err := c.canonicalPath(m.Path)
 	if err != nil {
 		fail(key+".path", `want a path such as "/sheets/", got %q: %s`, m.Path, err)
 
 		return
 	}
 
-	r := rule{hostOf(t.Host), m.Method, path}
-	if other, ok := c.rules[r]; ok {
+	k := matchKey{hostOf(t.Host), m.Method, path}
+	if other, ok := c.matches[k]; ok {
 		fail(key, "want requests of its own, %s %s belongs to target %q already", m.Method, m.Path, other)
 	}
 
-	c.rules[r] = t.Name
+	c.matches[k] = t.Name
 }
 
-// path returns the path in the form in which two are the same to the table.
-func (c *checker) path(path string) (string, error) {
+// canonicalPath validates a path and returns it decoded and without a
+// trailing slash. Paths that are the same to a Table have the same canonical
+// form.
+func (c *checker) canonicalPath(path string) (string, error) {
 	switch {
 	case !strings.HasPrefix(path, "/"):
 		return "", ErrForm
 	case len(path) > maxPath:
 		return "", fmt.Errorf("it is longer than %d bytes", maxPath)
-	case strings.Count(path, "/") > segmentsMost:
+	case strings.Count(path, "/") > maxSegments:
 		return "", ErrDeep
 	}
 
-	var done string
+	var canonical string
 
 	for rest := strings.TrimSuffix(path, "/"); rest != ""; {
-		segment, left, err := nextSegment(rest)
+		segment, remaining, err := nextSegment(rest)
 		if err == nil && segment == "" {
 			err = ErrSegment
 		}
@@ -216,15 +221,15 @@
 			return "", err
 		}
 
-		done += "/" + segment
-		rest = left
+		canonical += "/" + segment
+		rest = remaining
 
-		if before, ok := c.spelled[lower(done)]; ok && before != done {
-			return "", fmt.Errorf("another target spells it %q", before)
+		if spelling, ok := c.spellings[toLower(canonical)]; ok && spelling != canonical {
+			return "", fmt.Errorf("another target spells it %q", spelling)
 		}
 
-		c.spelled[lower(done)] = done
+		c.spellings[toLower(canonical)] = canonical
 	}
 
-	return done, nil
+	return canonical, nil
 }
