--- a/internal/cwsettings/key.go
+++ b/internal/cwsettings/key.go
@@ -8,20 +8,22 @@
 	"github.com/juju/errors"
 )
 
-// keyLow is the shortest key in bytes: 128 bits in hexadecimal digits.
-const keyLow = 32
+// minKeyLength is the minimum length of a key in bytes: 128 bits in
+// hexadecimal digits.
+const minKeyLength = 32
 
-// keyHigh is the longest key file in bytes.
-const keyHigh = 4096
+// maxKeyFileSize is the maximum size of a key file in bytes.
+const maxKeyFileSize = 4096
 
-// The permissions of a key file that are too wide.
+// The permissions that a key file should not have (othersRead) or must not have
+// (othersWrite).
 const (
 	othersRead  = 0o004
 	othersWrite = 0o022
 )
 
-// ReadKey reads a key file. Space around the key is dropped. An empty name
-// means no key.
+// ReadKey reads a key file and trims white space around the key. An empty
+// path means no key.
 func ReadKey(path string) (string, error) {
 	if path == "" {
 		return "", nil
@@ -32,8 +34,8 @@
 		return "", errors.Annotate(err, "key")
 	}
 
-	if !info.Mode().IsRegular() || info.Size() > keyHigh {
-		return "", errors.Errorf("key: want a file of at most %d bytes: %s", keyHigh, path)
+	if !info.Mode().IsRegular() || info.Size() > maxKeyFileSize {
+		return "", errors.Errorf("key: want a file of at most %d bytes: %s", maxKeyFileSize, path)
 	}
 
 	if info.Mode().Perm()&othersWrite != 0 {
@@ -46,15 +48,15 @@
 	}
 
 	key := strings.TrimSpace(string(raw))
-	if len(key) < keyLow || strings.ContainsAny(key, " \t\r\n") {
-		return "", errors.Errorf("key: want one word of at least %d characters in %s, such as `openssl rand -hex 32` prints", keyLow, path)
+	if len(key) < minKeyLength || strings.ContainsAny(key, " \t\r\n") {
+		return "", errors.Errorf("key: want one word of at least %d characters in %s, such as `openssl rand -hex 32` prints", minKeyLength, path)
 	}
 
 	return key, nil
 }
 
 // CheckKeys reads the key files that the settings name. The warnings are
-// about keys that can be used but should not stay as they are.
+// about keys that are usable but insecure.
 func (s *Settings) CheckKeys() (warnings []string, err error) {
 	for _, k := range []struct{ name, path string }{
 		{"keys.peers", s.Keys.Peers},
--- a/internal/cwsettings/link.go
+++ b/internal/cwsettings/link.go
@@ -6,21 +6,21 @@
 	"carobward.example/carobward"
 )
 
-// Link bounds the connections to servers.
+// Link limits the connections to servers.
 type Link struct {
-	// Conns is the number of connections that one server takes; all entry
-	// VMs share them.
+	// Conns is the maximum number of connections to one server, shared by all
+	// entry VMs.
 	Conns int `json:"conns"`
-	// Keep is how long a connection may be idle and still be used. It
-	// should be shorter than the servers' own idle timeout.
+	// Keep is how long an idle connection may be reused. It should be shorter
+	// than the idle timeout of the servers.
 	Keep carobward.Duration `json:"keep"`
-	// Dial bounds the time to open a connection.
+	// Dial is the timeout for opening a connection.
 	Dial carobward.Duration `json:"dial"`
-	// Header is the largest reply header in bytes.
+	// Header is the maximum size of a reply header in bytes.
 	Header carobward.ByteCount `json:"header"`
 }
 
-// The default values of the link.
+// The default values of Link.
 const (
 	defaultLinkConns  = 250
 	defaultLinkKeep   = 30 * time.Second
@@ -37,9 +37,9 @@
 	}
 }
 
-func (l *Link) validate(fail failer) {
-	fail.unless("link.conns", int64(l.Conns), 1, callsHigh)
-	fail.unless("link.header", int64(l.Header), int64(headerLow), int64(headerHigh))
-	fail.unlessTime("link.keep", l.Keep, timeLow)
-	fail.unlessTime("link.dial", l.Dial, timeLow)
+func (l *Link) validate(fail reportFunc) {
+	fail.checkRange("link.conns", int64(l.Conns), 1, maxCount)
+	fail.checkRange("link.header", int64(l.Header), int64(minHeader), int64(maxHeader))
+	fail.checkTime("link.keep", l.Keep, minTime)
+	fail.checkTime("link.dial", l.Dial, minTime)
 }
--- a/internal/cwsettings/once.go
+++ b/internal/cwsettings/once.go
@@ -6,45 +6,46 @@
 	"carobward.example/carobward"
 )
 
-// Once bounds what is kept of work that runs at most once.
+// Once limits the stored outcomes of requests that must not repeat.
 type Once struct {
-	// Horizon is how long after a caller got its ticket the outcome is kept.
-	// An older ticket is refused as unknown, never run.
+	// Horizon is how long an outcome is kept, counted from when the caller
+	// got its ticket. A request with an older ticket is answered with the
+	// verdict unknown and never run.
 	Horizon carobward.Duration `json:"horizon"`
-	// Records is the most outcomes that are kept. Beyond it new work is
-	// refused as not run.
+	// Records is the maximum number of stored outcomes. When it is reached,
+	// new requests are refused with the verdict not-run.
 	Records int `json:"records"`
-	// Bytes bounds their memory, the answers included.
+	// Bytes is the maximum memory of the stored outcomes, including the
+	// replies.
 	Bytes carobward.ByteCount `json:"bytes"`
 }
 
 // The default values of Once.
 const (
-	defaultHorizon = 5 * time.Minute
-	defaultRecords = 200_000
-	defaultOutcome = 96 * carobward.Megabyte
+	defaultHorizon   = 5 * time.Minute
+	defaultRecords   = 200_000
+	defaultOnceBytes = 96 * carobward.Megabyte
 )
 
-// horizonLeast is the shortest horizon that the tickets' clock can tell from
-// nothing.
-const horizonLeast = time.Second
+// minHorizon is the resolution of the clock in tickets.
+const minHorizon = time.Second
 
-// The most that may be kept.
+// The upper limits of Records and Bytes.
 const (
-	onceRecordsMost = 1 << 24
-	onceBytesMost   = 1 << 14 * carobward.Megabyte
+	maxOnceRecords = 1 << 24
+	maxOnceBytes   = 1 << 14 * carobward.Megabyte
 )
 
 func defaultOnce() Once {
-	return Once{Horizon: carobward.Duration(defaultHorizon), Records: defaultRecords, Bytes: defaultOutcome}
+	return Once{Horizon: carobward.Duration(defaultHorizon), Records: defaultRecords, Bytes: defaultOnceBytes}
 }
 
-func (o *Once) validate(keep carobward.Duration, fail failer) {
-	if o.Horizon.Std() < horizonLeast || o.Horizon <= keep {
+func (o *Once) validate(keep carobward.Duration, fail reportFunc) {
+	if o.Horizon.Std() < minHorizon || o.Horizon <= keep {
 		fail("once.horizon", `want at least %s and more than "keep", since callers use a ticket for that long, got %s`,
-			horizonLeast, o.Horizon.Std())
+			minHorizon, o.Horizon.Std())
 	}
 
-	fail.unless("once.records", int64(o.Records), 1, onceRecordsMost)
-	fail.unless("once.bytes", int64(o.Bytes), int64(carobward.Megabyte), int64(onceBytesMost))
+	fail.checkRange("once.records", int64(o.Records), 1, maxOnceRecords)
+	fail.checkRange("once.bytes", int64(o.Bytes), int64(carobward.Megabyte), int64(maxOnceBytes))
 }
--- a/internal/cwsettings/probe.go
+++ b/internal/cwsettings/probe.go
@@ -7,24 +7,25 @@
 	"carobward.example/carobward"
 )
 
-// Probe says how servers without fresh traffic are probed. What it may cost
-// is the operators' measuring budget.
+// Probe configures the probes of servers that have no recent traffic. The
+// cost of probes is limited by the measuring budget, which operators declare
+// with the targets.
 type Probe struct {
-	// Path is the servers' health endpoint.
+	// Path is the path of the health endpoint of the servers.
 	Path string `json:"path"`
-	// Fresh is the age from which what a server said is too old.
+	// Fresh is the age at which the last report of a server is outdated.
 	Fresh carobward.Duration `json:"fresh"`
-	// Timeout bounds one probe.
+	// Timeout is the timeout of one probe.
 	Timeout carobward.Duration `json:"timeout"`
 }
 
-// The default values of the probes, and the most that a probe may take: the
-// turns of a small budget are that far apart.
+// The default values of Probe, and the maximum timeout, which is the interval
+// between probes under a small budget.
 const (
 	defaultProbePath    = "/healthz"
 	defaultProbeFresh   = time.Second
 	defaultProbeTimeout = 500 * time.Millisecond
-	probeTimeoutMost    = 500 * time.Millisecond
+	maxProbeTimeout     = 500 * time.Millisecond
 )
 
 func defaultProbe() Probe {
@@ -35,14 +36,14 @@
 	}
 }
 
-func (p *Probe) validate(fail failer) {
+func (p *Probe) validate(fail reportFunc) {
 	if !strings.HasPrefix(p.Path, "/") {
 		fail("probe.path", `want a path such as "/healthz", got %q`, p.Path)
 	}
 
-	fail.unlessTime("probe.fresh", p.Fresh, timeLow)
+	fail.checkTime("probe.fresh", p.Fresh, minTime)
 
-	if p.Timeout.Std() < timeLow || p.Timeout.Std() > probeTimeoutMost {
-		fail("probe.timeout", "want a time from %s to %s, got %s", timeLow, probeTimeoutMost, p.Timeout.Std())
+	if p.Timeout.Std() < minTime || p.Timeout.Std() > maxProbeTimeout {
+		fail("probe.timeout", "want a time from %s to %s, got %s", minTime, maxProbeTimeout, p.Timeout.Std())
 	}
 }
--- a/internal/cwsettings/settings.go
+++ b/internal/cwsettings/settings.go
@@ -1,5 +1,5 @@
-// Package cwsettings holds the settings of one entry VM: JSON with comments,
-// defaulted and validated as a whole before use.
+// Package cwsettings reads the settings of one entry VM from JSON with
+// comments, sets defaults and validates them.
 package cwsettings
 
 import (
@@ -12,35 +12,36 @@
 	"carobward.example/carobward/internal/cwjson"
 )
 
-// Settings are all settings of one entry VM.
+// Settings are the settings of one entry VM.
 type Settings struct {
-	// VM is the id of this entry VM.
+	// VM is the ID of this entry VM.
 	VM carobward.VMID `json:"vm"`
-	// Domain is its failure domain.
+	// Domain is the failure domain of this entry VM.
 	Domain carobward.Domain `json:"domain"`
-	// Listen has the four addresses to listen on.
+	// Listen has the addresses of the four listeners.
 	Listen Listen `json:"listen"`
-	// Store is the platform's key-value service.
+	// Store is the key-value service of the platform.
 	Store Store `json:"store"`
-	// List is the platform's VM list.
+	// List is the VM list of the platform.
 	List List `json:"list"`
-	// Keys names the files that hold the keys of peers and operators.
+	// Keys names the files with the keys of peers and operators.
 	Keys Keys `json:"keys"`
-	// Limits bound what callers can hold.
+	// Limits are the limits for requests and connections of callers.
 	Limits Limits `json:"limits"`
-	// Link bounds the connections to servers.
+	// Link limits the connections to servers.
 	Link Link `json:"link"`
-	// Route is for the choice of servers and of entry VMs.
+	// Route has parameters of the choice of servers and entry VMs.
 	Route Route `json:"route"`
-	// Probe says how servers without fresh traffic are probed.
+	// Probe configures the probes of servers that have no recent traffic.
 	Probe Probe `json:"probe"`
-	// Keep is how long a caller may keep an address answer.
+	// Keep is how long a caller may use a lookup reply.
 	Keep carobward.Duration `json:"keep"`
-	// Stop bounds a graceful stop, from its start to the exit.
+	// Stop is the maximum duration of a graceful stop, up to the exit of the
+	// process.
 	Stop carobward.Duration `json:"stop"`
-	// Once bounds what is kept of work that runs at most once.
+	// Once limits the stored outcomes of requests that must not repeat.
 	Once Once `json:"once"`
-	// Trace says where spans go.
+	// Trace configures the export of spans.
 	Trace Trace `json:"trace"`
 	// Log is the lowest level that is logged: debug, info or error.
 	Log string `json:"log"`
@@ -48,36 +49,37 @@
 
 // Listen has the addresses of the four listeners.
 type Listen struct {
-	// Callers takes the callers' requests.
+	// Callers is the address for the requests of callers.
 	Callers carobward.Address `json:"callers"`
-	// Lookup answers which addresses a caller should use.
+	// Lookup is the address where callers look up which entry VMs to use.
 	Lookup carobward.Address `json:"lookup"`
-	// Peers takes the other entry VMs, TCP and UDP.
+	// Peers is the address for the other entry VMs, over TCP and UDP.
 	Peers carobward.Address `json:"peers"`
-	// Operators takes the operators' client.
+	// Operators is the address for the operators' client.
 	Operators carobward.Address `json:"operators"`
 }
 
-// Store says how to reach the key-value service.
+// Store configures the access to the key-value service.
 type Store struct {
-	// URL is the base of the service.
+	// URL is the base URL of the service.
 	URL string `json:"url"`
-	// Prefix starts every key that is used.
+	// Prefix is the common prefix of all keys that are used.
 	Prefix string `json:"prefix"`
-	// Timeout bounds one call, but for a waiting watch.
+	// Timeout is the timeout of one call. It does not apply to watches, which
+	// wait for a change.
 	Timeout carobward.Duration `json:"timeout"`
 }
 
-// List says how to reach the VM list.
+// List configures the access to the VM list.
 type List struct {
-	// URL is the whole address of the list.
+	// URL is the complete URL of the list.
 	URL string `json:"url"`
-	// Every is the time between two reads.
+	// Every is the interval between two reads.
 	Every carobward.Duration `json:"every"`
 }
 
-// Keys names key files. An empty name means no key, which is allowed on
-// loopback only.
+// Keys names key files. An empty name means no key, which is allowed only on
+// loopback addresses.
 type Keys struct {
 	// Peers is the file with the key that all entry VMs share.
 	Peers string `json:"peers"`
@@ -85,71 +87,73 @@
 	Operators string `json:"operators"`
 }
 
-// Limits bound what a caller can hold of an entry VM.
+// Limits are the limits for requests and connections of callers.
 type Limits struct {
-	// Header is the largest request header in bytes.
+	// Header is the maximum size of a request header in bytes.
 	Header carobward.ByteCount `json:"header"`
-	// Body is the largest request body in bytes; a target may ask for less.
+	// Body is the maximum size of a request body in bytes. A target may set a
+	// lower limit.
 	Body carobward.ByteCount `json:"body"`
-	// Bodies bounds the memory of the bodies of all requests at once.
+	// Bodies is the maximum memory of the bodies of all concurrent requests.
 	Bodies carobward.ByteCount `json:"bodies"`
-	// Calls is the number of requests in flight at once.
+	// Calls is the maximum number of requests in flight.
 	Calls int `json:"calls"`
-	// Conns is the number of open connections of callers.
+	// Conns is the maximum number of open connections from callers.
 	Conns int `json:"conns"`
-	// ConnsPerIP is the number of those from one IP number.
+	// ConnsPerIP is the maximum number of open connections from one IP
+	// address.
 	ConnsPerIP int `json:"connsPerIP"`
-	// Read bounds the time to read one whole request.
+	// Read is the timeout for reading a whole request.
 	Read carobward.Duration `json:"read"`
-	// Write bounds the time to write one whole reply.
+	// Write is the timeout for writing a whole reply.
 	Write carobward.Duration `json:"write"`
-	// Idle bounds the time that a connection waits for its next request.
+	// Idle is how long a connection may wait for its next request.
 	Idle carobward.Duration `json:"idle"`
 }
 
-// The places that spans can go to.
+// The destinations of spans.
 const (
 	TraceOff    = "off"
 	TraceStdout = "stdout"
 	TraceHTTP   = "http"
 )
 
-// Trace says where spans go.
+// Trace configures the export of spans.
 type Trace struct {
-	// To is off, stdout or http (OTLP over HTTP).
+	// To is the destination: off, stdout or http (OTLP over HTTP).
 	To string `json:"to"`
-	// URL is the collector's address, for http.
+	// URL is the URL of the collector, if To is http.
 	URL string `json:"url"`
-	// Share of requests that are traced, from 0 to 1, where the caller has
-	// not decided.
+	// Share is the fraction of requests that are traced, from 0 to 1, unless
+	// the caller has decided whether to trace a request.
 	Share float64 `json:"share"`
 }
 
 // The default values of the settings.
 const (
-	defaultPrefix  = "carobward/"
-	defaultStore   = 2 * time.Second
-	defaultList    = time.Second
-	defaultHeader  = 16 * carobward.Kilobyte
-	defaultBody    = carobward.Megabyte
-	defaultBodies  = 128 * carobward.Megabyte
-	defaultCalls   = 4096
-	defaultConns   = 8192
-	defaultPerIP   = defaultConns / 4
-	defaultRead    = 5 * time.Second
-	defaultWrite   = 5 * time.Second
-	defaultIdle    = time.Minute
-	defaultKeep    = 5 * time.Second
-	defaultStop    = 30 * time.Second
-	defaultLog     = "info"
-	defaultSampled = 0.01
+	defaultPrefix       = "carobward/"
+	defaultStoreTimeout = 2 * time.Second
+	defaultListEvery    = time.Second
+	defaultHeader       = 16 * carobward.Kilobyte
+	defaultBody         = carobward.Megabyte
+	defaultBodies       = 128 * carobward.Megabyte
+	defaultCalls        = 4096
+	defaultConns        = 8192
+	defaultConnsPerIP   = defaultConns / 4
+	defaultRead         = 5 * time.Second
+	defaultWrite        = 5 * time.Second
+	defaultIdle         = time.Minute
+	defaultKeep         = 5 * time.Second
+	defaultStop         = 30 * time.Second
+	defaultLog          = "info"
+	defaultTraceShare   = 0.01
 )
 
-// Defaults returns settings in which everything that has a default is set.
+// Defaults returns settings with the default of every key that has one.
 func Defaults() Settings {
 	return Settings{
-		Store: Store{Prefix: defaultPrefix, Timeout: carobward.Duration(defaultStore)},
-		List:  List{Every: carobward.Duration(defaultList)},
+		Store: Store{Prefix: defaultPrefix, Timeout: carobward.Duration(defaultStoreTimeout)},
+		List:  List{Every: carobward.Duration(defaultListEvery)},
 		Limits: Limits{
 			Header: defaultHeader,
 			Body:   defaultBody,
@@ -160,7 +164,7 @@
 			Write:  carobward.Duration(defaultWrite),
 			Idle:   carobward.Duration(defaultIdle),
 
-			ConnsPerIP: defaultPerIP,
+			ConnsPerIP: defaultConnsPerIP,
 		},
 		Link:  defaultLink(),
 		Route: defaultRoute(),
@@ -168,14 +172,14 @@
 		Keep:  carobward.Duration(defaultKeep),
 		Stop:  carobward.Duration(defaultStop),
 		Once:  defaultOnce(),
-		Trace: Trace{To: TraceOff, Share: defaultSampled},
+		Trace: Trace{To: TraceOff, Share: defaultTraceShare},
 		Log:   defaultLog,
 	}
 }
 
 // Parse reads settings from JSON with comments over the defaults and
-// validates them. The name is that of the file. The error names every
-// problem that was found, with its place.
+// validates them. The error names every problem with its place in the file
+// called name.
 func Parse(name string, raw []byte) (Settings, error) {
 	s := Defaults()
 
@@ -184,10 +188,10 @@
 		return s, err
 	}
 
-	return s, cwjson.MergeProblems(err, place(s.Validate(), places))
+	return s, cwjson.MergeProblems(err, setPlaces(s.Validate(), places))
 }
 
-// Load reads, defaults and validates a settings file.
+// Load reads a settings file, sets defaults and validates it.
 func Load(path string) (Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/cwsettings/settings_test.go
+++ b/internal/cwsettings/settings_test.go
@@ -14,40 +14,41 @@
 	"carobward.example/carobward/internal/cwtest"
 )
 
-const fit = `{
+const valid = `{
 	"vm": "ifrane-1", "domain": "Ifrane",
 	"listen": {"callers": "127.0.0.1:1", "lookup": "127.0.0.1:2", "peers": "127.0.0.1:3", "operators": "127.0.0.1:4"},
 	"store": {"url": "http://127.0.0.1:8500"}, "list": {"url": "http://127.0.0.1:8500/vms"},
 	"limits": {}, "trace": {},
 }`
 
-// with returns the fit settings with one part replaced.
-func with(old, now string) string { return strings.Replace(fit, old, now, 1) }
+// settingsWith returns the valid settings with the first occurrence of old
+// replaced.
+func settingsWith(old, text string) string { return strings.Replace(valid, old, text, 1) }
 
 func TestParse(t *testing.T) {
 	tests := map[string]struct{ text, err string }{
-		"fit":               {text: fit},
-		"an IPv6 address":   {text: with("127.0.0.1:1", "[::1]:1")},
-		"no vm":             {text: with(`"vm": "ifrane-1", `, ""), err: `s:1:1: "vm": want the id of this entry VM, small letters, digits, dashes and dots, such as "ifrane-1", got ""`},
-		"a vm with space":   {text: with("ifrane-1", "ifrane 1"), err: `s:2:8: "vm": want the id of this entry VM, small letters, digits, dashes and dots, such as "ifrane-1", got "ifrane 1"`},
-		"a host name":       {text: with("127.0.0.1:1", "localhost:1"), err: `s:3:24: "listen.callers": want an IP number and a port such as "10.0.0.5:7001", got "localhost:1"`},
-		"the same address":  {text: with("127.0.0.1:2", "127.0.0.1:1"), err: `s:3:49: "listen.lookup": want an address of its own, got "127.0.0.1:1", which is "listen.callers" already`},
-		"every address":     {text: with("127.0.0.1:1", "0.0.0.0:1"), err: `s:3:24: "listen.callers": want the address that others use for this VM, got "0.0.0.0:1"`},
-		"open without key":  {text: with("127.0.0.1:4", "10.0.0.5:4"), err: `s:3:101: "listen.operators": want a loopback address or a key file in "keys.operators", got "10.0.0.5:4" and none`},
-		"a store by name":   {text: with("http://127.0.0.1:8500", "http://store:8500"), err: `s:4:19: "store.url": want an IP number as the host, such as "http://10.0.0.2:8500", got "http://store:8500"`},
-		"a store without":   {text: with("http://127.0.0.1:8500", "127.0.0.1"), err: `s:4:19: "store.url": want an address such as "http://10.0.0.2:8500", got "127.0.0.1"`},
-		"too small headers": {text: with(`"limits": {}`, `"limits": {"header": 10}`), err: `s:5:23: "limits.header": want from 1024 to 1048576, got 10`},
-		"too few conns":     {text: with(`"limits": {}`, `"limits": {"conns": 9}`), err: `s:5:22: "limits.conns": want at least "limits.calls" (4096), since each request in flight holds a connection, got 9`},
-		"a minus":           {text: with(`"limits": {}`, `"keep": "-5s"`), err: `s:5:10: "keep": want a time from 1s to 1h0m0s, got -5s`},
-		"stop before keep":  {text: with(`"limits": {}`, `"stop": "2s"`), err: `s:5:10: "stop": want at least 2s more than "keep" (5s), since callers use old answers for that long, got 2s`},
-		"share above one":   {text: with(`"trace": {}`, `"trace": {"share": 1.01}`), err: `s:5:35: "trace.share": want a number from 0 to 1, got 1.01`},
-		"http without url":  {text: with(`"trace": {}`, `"trace": {"to": "http"}`), err: `s:5:25: "trace.url": want an address such as "http://10.0.0.2:8500", got ""`},
-		"url without http":  {text: with(`"trace": {}`, `"trace": {"url": "http://127.0.0.1:1"}`), err: `s:5:33: "trace.url": want it left out unless "trace.to" is http, got "http://127.0.0.1:1"`},
-		"an unknown level":  {text: with(`"trace": {}`, `"log": "loud"`), err: `s:5:23: "log": want debug, info or error, got "loud"`},
-		"no connections":    {text: with(`"limits": {}`, `"link": {"conns": 0}`), err: `s:5:20: "link.conns": want from 1 to 1048576, got 0`},
-		"a short horizon":   {text: with(`"limits": {}`, `"once": {"horizon": "5s"}`), err: `s:5:22: "once.horizon": want at least 1s and more than "keep", since callers use a ticket for that long, got 5s`},
-		"two at once": {
-			text: with(`"trace": {}`, `"log": "", "keep": "0s"`),
+		"valid":                    {text: valid},
+		"IPv6 address":             {text: settingsWith("127.0.0.1:1", "[::1]:1")},
+		"no vm":                    {text: settingsWith(`"vm": "ifrane-1", `, ""), err: `s:1:1: "vm": want the id of this entry VM, small letters, digits, dashes and dots, such as "ifrane-1", got ""`},
+		"space in the vm":          {text: settingsWith("ifrane-1", "ifrane 1"), err: `s:2:8: "vm": want the id of this entry VM, small letters, digits, dashes and dots, such as "ifrane-1", got "ifrane 1"`},
+		"host name":                {text: settingsWith("127.0.0.1:1", "localhost:1"), err: `s:3:24: "listen.callers": want an IP number and a port such as "10.0.0.5:7001", got "localhost:1"`},
+		"duplicate address":        {text: settingsWith("127.0.0.1:2", "127.0.0.1:1"), err: `s:3:49: "listen.lookup": want an address of its own, got "127.0.0.1:1", which is "listen.callers" already`},
+		"unspecified address":      {text: settingsWith("127.0.0.1:1", "0.0.0.0:1"), err: `s:3:24: "listen.callers": want the address that others use for this VM, got "0.0.0.0:1"`},
+		"no key, not loopback":     {text: settingsWith("127.0.0.1:4", "10.0.0.5:4"), err: `s:3:101: "listen.operators": want a loopback address or a key file in "keys.operators", got "10.0.0.5:4" and none`},
+		"store by host name":       {text: settingsWith("http://127.0.0.1:8500", "http://store:8500"), err: `s:4:19: "store.url": want an IP number as the host, such as "http://10.0.0.2:8500", got "http://store:8500"`},
+		"store without a scheme":   {text: settingsWith("http://127.0.0.1:8500", "127.0.0.1"), err: `s:4:19: "store.url": want an address such as "http://10.0.0.2:8500", got "127.0.0.1"`},
+		"header limit too low":     {text: settingsWith(`"limits": {}`, `"limits": {"header": 10}`), err: `s:5:23: "limits.header": want from 1024 to 1048576, got 10`},
+		"connection limit too low": {text: settingsWith(`"limits": {}`, `"limits": {"conns": 9}`), err: `s:5:22: "limits.conns": want at least "limits.calls" (4096), since each request in flight holds a connection, got 9`},
+		"negative time":            {text: settingsWith(`"limits": {}`, `"keep": "-5s"`), err: `s:5:10: "keep": want a time from 1s to 1h0m0s, got -5s`},
+		"stop before keep":         {text: settingsWith(`"limits": {}`, `"stop": "2s"`), err: `s:5:10: "stop": want at least 2s more than "keep" (5s), since callers use old answers for that long, got 2s`},
+		"share above 1":            {text: settingsWith(`"trace": {}`, `"trace": {"share": 1.01}`), err: `s:5:35: "trace.share": want a number from 0 to 1, got 1.01`},
+		"http without a URL":       {text: settingsWith(`"trace": {}`, `"trace": {"to": "http"}`), err: `s:5:25: "trace.url": want an address such as "http://10.0.0.2:8500", got ""`},
+		"URL without http":         {text: settingsWith(`"trace": {}`, `"trace": {"url": "http://127.0.0.1:1"}`), err: `s:5:33: "trace.url": want it left out unless "trace.to" is http, got "http://127.0.0.1:1"`},
+		"unknown log level":        {text: settingsWith(`"trace": {}`, `"log": "loud"`), err: `s:5:23: "log": want debug, info or error, got "loud"`},
+		"no connections":           {text: settingsWith(`"limits": {}`, `"link": {"conns": 0}`), err: `s:5:20: "link.conns": want from 1 to 1048576, got 0`},
+		"horizon too short":        {text: settingsWith(`"limits": {}`, `"once": {"horizon": "5s"}`), err: `s:5:22: "once.horizon": want at least 1s and more than "keep", since callers use a ticket for that long, got 5s`},
+		"two problems": {
+			text: settingsWith(`"trace": {}`, `"log": "", "keep": "0s"`),
 			err: `s:5:35: "keep": want a time from 1s to 1h0m0s, got 0s` + "\n" +
 				`s:5:23: "log": want debug, info or error, got ""`,
 		},
@@ -70,14 +71,14 @@
 		want string
 		err  string
 	}{
-		"fit":             {text: long + "\n", mode: 0o600, want: long},
-		"read by others":  {text: long, mode: 0o644, want: long},
-		"empty":           {text: " \n", mode: 0o600, err: "want one word of at least 32 characters"},
-		"short":           {text: long[1:], mode: 0o600, err: "want one word of at least 32 characters"},
-		"two words":       {text: long + " " + long, mode: 0o600, err: "want one word"},
-		"written by all":  {text: long, mode: 0o666, err: "only its owner may write"},
-		"too large":       {text: strings.Repeat(long, 200), mode: 0o600, err: "at most 4096 bytes"},
-		"written by some": {text: long, mode: 0o620, err: "only its owner may write"},
+		"valid":                 {text: long + "\n", mode: 0o600, want: long},
+		"readable by others":    {text: long, mode: 0o644, want: long},
+		"empty":                 {text: " \n", mode: 0o600, err: "want one word of at least 32 characters"},
+		"short":                 {text: long[1:], mode: 0o600, err: "want one word of at least 32 characters"},
+		"two words":             {text: long + " " + long, mode: 0o600, err: "want one word"},
+		"writable by others":    {text: long, mode: 0o666, err: "only its owner may write"},
+		"too large":             {text: strings.Repeat(long, 200), mode: 0o600, err: "at most 4096 bytes"},
+		"writable by the group": {text: long, mode: 0o620, err: "only its owner may write"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -94,7 +95,7 @@
 	}
 
 	if _, err := cwsettings.ReadKey(filepath.Join(t.TempDir(), "none")); err == nil {
-		t.Error("a key file that does not exist was read")
+		t.Error("ReadKey succeeded for a file that does not exist")
 	}
 }
 
@@ -108,7 +109,7 @@
 
 	warnings, err := s.CheckKeys()
 	if err != nil || len(warnings) != 3 {
-		t.Errorf("got %q, %v; want two warnings of reading and one of sharing", warnings, err)
+		t.Errorf("got %q, %v; want two warnings about permissions and one about a shared key", warnings, err)
 	}
 
 	s.Keys.Peers = path + "-none"
@@ -124,7 +125,7 @@
 func TestExamples(t *testing.T) {
 	files, _ := filepath.Glob("../../examples/*/*-1.jsonc")
 	if len(files) != 6 {
-		t.Fatalf("got %q, want three settings for each deployment", files)
+		t.Fatalf("got %q, want three settings files for each of two deployments", files)
 	}
 
 	for _, f := range files {
@@ -134,21 +135,21 @@
 	}
 }
 
-// FuzzParse wants that what is accepted is valid, and that each error names
-// the file.
+// FuzzParse verifies that accepted settings pass Validate, and that each line
+// of an error starts with the name of the file.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(fit))
-	f.Add([]byte(with(`"trace": {}`, `"trace": {"share": 1e-400}`)))
-	f.Add([]byte(with("127.0.0.1:1", "[::1%lo]:1")))
+	f.Add([]byte(valid))
+	f.Add([]byte(settingsWith(`"trace": {}`, `"trace": {"share": 1e-400}`)))
+	f.Add([]byte(settingsWith("127.0.0.1:1", "[::1%lo]:1")))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		s, err := cwsettings.Parse("s", raw)
 		if err == nil && s.Validate() != nil {
-			t.Errorf("accepted, but %v", s.Validate())
+			t.Errorf("accepted by Parse, but rejected by Validate: %v", s.Validate())
 		}
 
 		for line := range strings.Lines(cwtest.ErrorText(err)) {
 			if !strings.HasPrefix(line, "s:") {
-				t.Errorf("no place in %q", line)
+				t.Errorf("got error line %q without a place", line)
 			}
 		}
 	})
--- a/internal/cwsettings/validate.go
+++ b/internal/cwsettings/validate.go
@@ -17,39 +17,40 @@
 	"carobward.example/carobward/internal/cwjson"
 )
 
-// The bounds of the settings' values.
+// The limits of the values of the settings.
 const (
-	domainMost = 64
-	prefixMost = 256
-	headerLow  = carobward.Kilobyte
-	headerHigh = carobward.Megabyte
-	bodyHigh   = 64 * carobward.Megabyte
-	callsHigh  = 1 << 20
-	timeLow    = time.Millisecond
-	timeHigh   = time.Hour
-	keepLow    = time.Second
+	maxDomainLength = 64
+	maxPrefixLength = 256
+	minHeader       = carobward.Kilobyte
+	maxHeader       = carobward.Megabyte
+	maxBody         = 64 * carobward.Megabyte
+	maxCount        = 1 << 20
+	minTime         = time.Millisecond
+	maxTime         = time.Hour
+	minKeep         = time.Second
 )
 
-var vmForm = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$`)
+var vmPattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$`)
 
-// failer takes one problem of a key: what would be right and what is there.
-type failer func(key, format string, args ...any)
+// reportFunc reports a problem with a key: what is expected and what is
+// there.
+type reportFunc func(key, format string, args ...any)
 
-// Validate checks the settings as a whole. The error names every key that is
-// wrong, its value and what would be right.
+// Validate validates the settings as a whole. The error names each invalid
+// key with its value and what is expected.
 func (s *Settings) Validate() error {
 	var all cwjson.Problems
 
-	fail := failer(func(key, format string, args ...any) {
+	fail := reportFunc(func(key, format string, args ...any) {
 		all = append(all, cwjson.Problem{Place: "settings", Key: key, Text: fmt.Sprintf(format, args...)})
 	})
 
-	if !vmForm.MatchString(string(s.VM)) {
+	if !vmPattern.MatchString(string(s.VM)) {
 		fail("vm", `want the id of this entry VM, small letters, digits, dashes and dots, such as "ifrane-1", got %q`, s.VM)
 	}
 
-	if !printable(string(s.Domain), domainMost) {
-		fail("domain", `want the failure domain, such as "Ifrane", at most %d characters, got %q`, domainMost, s.Domain)
+	if !printable(string(s.Domain), maxDomainLength) {
+		fail("domain", `want the failure domain, such as "Ifrane", at most %d characters, got %q`, maxDomainLength, s.Domain)
 	}
 
 	s.Listen.validate(&s.Keys, fail)
@@ -72,8 +73,8 @@
 	return all.Err()
 }
 
-// place tells where in the file each problem is.
-func place(err error, places *cwjson.Places) error {
+// setPlaces adds the place in the file to each problem in err.
+func setPlaces(err error, places *cwjson.Places) error {
 	var all cwjson.Problems
 	if !errors.As(err, &all) {
 		return err
@@ -86,18 +87,18 @@
 	return all
 }
 
-func printable(text string, most int) bool {
-	if text == "" || utf8.RuneCountInString(text) > most || strings.TrimSpace(text) != text {
+func printable(text string, maxLength int) bool {
+	if text == "" || utf8.RuneCountInString(text) > maxLength || strings.TrimSpace(text) != text {
 		return false
 	}
 
 	return strings.IndexFunc(text, func(r rune) bool { return !unicode.IsPrint(r) }) < 0
 }
 
-func (l *Listen) validate(k *Keys, fail failer) {
+func (l *Listen) validate(k *Keys, fail reportFunc) {
 	seen := map[carobward.Address]string{}
 
-	check := func(key string, a carobward.Address, keyed bool) {
+	check := func(key string, a carobward.Address, hasKey bool) {
 		ap, err := netip.ParseAddrPort(string(a))
 		if err != nil {
 			fail(key, `want an IP number and a port such as "10.0.0.5:7001", got %q`, a)
@@ -115,7 +116,7 @@
 			fail(key, `want the address that others use for this VM, got %q`, a)
 		}
 
-		if !keyed && !ap.Addr().IsLoopback() {
+		if !hasKey && !ap.Addr().IsLoopback() {
 			fail(key, `want a loopback address or a key file in "keys.%s", got %q and none`, strings.TrimPrefix(key, "listen."), a)
 		}
 	}
@@ -126,17 +127,17 @@
 	check("listen.operators", l.Operators, k.Operators != "")
 }
 
-func (s *Store) validate(fail failer) {
+func (s *Store) validate(fail reportFunc) {
 	validateURL("store.url", s.URL, fail)
 
-	if !printable(s.Prefix, prefixMost) || strings.HasPrefix(s.Prefix, "/") || strings.ContainsAny(s.Prefix, "?#%\\ ") {
-		fail("store.prefix", `want the start of each key, such as "carobward/atlas/", at most %d characters, got %q`, prefixMost, s.Prefix)
+	if !printable(s.Prefix, maxPrefixLength) || strings.HasPrefix(s.Prefix, "/") || strings.ContainsAny(s.Prefix, "?#%\\ ") {
+		fail("store.prefix", `want the start of each key, such as "carobward/atlas/", at most %d characters, got %q`, maxPrefixLength, s.Prefix)
 	}
 }
 
-// validateURL wants an IP number as the host: an entry VM asks no name
-// service.
-func validateURL(key, text string, fail failer) {
+// validateURL requires an IP address as the host, since an entry VM does not
+// use DNS.
+func validateURL(key, text string, fail reportFunc) {
 	u, err := url.Parse(text)
 	if err != nil || (u.Scheme != "http" && u.Scheme != "https") || u.User != nil || u.RawQuery != "" || u.Fragment != "" {
 		fail(key, `want an address such as "http://10.0.0.2:8500", got %q`, text)
@@ -149,56 +150,58 @@
 	}
 }
 
-// memoryHigh is 64 GB, beyond the memory of any entry VM.
-const memoryHigh = 64 << 30
+// maxBodies is 64 GB, more than the memory of any entry VM.
+const maxBodies = 64 << 30
 
-func (l *Limits) validate(fail failer) {
-	fail.unless("limits.header", int64(l.Header), int64(headerLow), int64(headerHigh))
-	fail.unless("limits.body", int64(l.Body), 1, int64(bodyHigh))
-	fail.unless("limits.bodies", int64(l.Bodies), int64(l.Body), memoryHigh)
-	fail.unless("limits.calls", int64(l.Calls), 1, callsHigh)
-	fail.unless("limits.conns", int64(l.Conns), 1, callsHigh)
-	fail.unless("limits.connsPerIP", int64(l.ConnsPerIP), 1, callsHigh)
-	fail.unlessTime("limits.read", l.Read, timeLow)
-	fail.unlessTime("limits.write", l.Write, timeLow)
-	fail.unlessTime("limits.idle", l.Idle, timeLow)
+func (l *Limits) validate(fail reportFunc) {
+	fail.checkRange("limits.header", int64(l.Header), int64(minHeader), int64(maxHeader))
+	fail.checkRange("limits.body", int64(l.Body), 1, int64(maxBody))
+	fail.checkRange("limits.bodies", int64(l.Bodies), int64(l.Body), maxBodies)
+	fail.checkRange("limits.calls", int64(l.Calls), 1, maxCount)
+	fail.checkRange("limits.conns", int64(l.Conns), 1, maxCount)
+	fail.checkRange("limits.connsPerIP", int64(l.ConnsPerIP), 1, maxCount)
+	fail.checkTime("limits.read", l.Read, minTime)
+	fail.checkTime("limits.write", l.Write, minTime)
+	fail.checkTime("limits.idle", l.Idle, minTime)
 
 	if l.Conns < l.Calls {
 		fail("limits.conns", `want at least "limits.calls" (%d), since each request in flight holds a connection, got %d`, l.Calls, l.Conns)
 	}
 }
 
-// unless takes a problem unless a value is from low to high.
-func (f failer) unless(key string, v, low, high int64) {
+// checkRange reports a problem unless a value is in the range from low to
+// high.
+func (f reportFunc) checkRange(key string, v, low, high int64) {
 	if v < low || v > high {
 		f(key, "want from %d to %d, got %d", low, high, v)
 	}
 }
 
-// unlessTime takes a problem unless a time is from low to an hour.
-func (f failer) unlessTime(key string, v carobward.Duration, low time.Duration) {
-	if v.Std() < low || v.Std() > timeHigh {
-		f(key, "want a time from %s to %s, got %s", low, timeHigh, v.Std())
+// checkTime reports a problem unless a duration is in the range from low to
+// maxTime.
+func (f reportFunc) checkTime(key string, v carobward.Duration, low time.Duration) {
+	if v.Std() < low || v.Std() > maxTime {
+		f(key, "want a time from %s to %s, got %s", low, maxTime, v.Std())
 	}
 }
 
-// stopMore is what a graceful stop needs besides the time that callers keep
-// old answers.
-const stopMore = 2 * time.Second
+// minStopMargin is the time that a graceful stop needs in addition to the
+// time for which callers use old lookup replies.
+const minStopMargin = 2 * time.Second
 
-func (s *Settings) validateTimes(fail failer) {
-	fail.unlessTime("store.timeout", s.Store.Timeout, timeLow)
-	fail.unlessTime("list.every", s.List.Every, timeLow)
-	fail.unlessTime("keep", s.Keep, keepLow)
-	fail.unlessTime("stop", s.Stop, timeLow)
+func (s *Settings) validateTimes(fail reportFunc) {
+	fail.checkTime("store.timeout", s.Store.Timeout, minTime)
+	fail.checkTime("list.every", s.List.Every, minTime)
+	fail.checkTime("keep", s.Keep, minKeep)
+	fail.checkTime("stop", s.Stop, minTime)
 
-	if s.Stop.Std() < s.Keep.Std()+stopMore {
+	if s.Stop.Std() < s.Keep.Std()+minStopMargin {
 		fail("stop", `want at least %s more than "keep" (%s), since callers use old answers for that long, got %s`,
-			stopMore, s.Keep.Std(), s.Stop.Std())
+			minStopMargin, s.Keep.Std(), s.Stop.Std())
 	}
 }
 
-func (t *Trace) validate(fail failer) {
+func (t *Trace) validate(fail reportFunc) {
 	switch t.To {
 	case TraceOff, TraceStdout:
 	case TraceHTTP:
