--- a/internal/cwtrace/span.go
+++ b/internal/cwtrace/span.go
@@ -18,7 +18,7 @@
 	HeaderState  = "Tracestate"
 )
 
-// The keys of the spans' attributes.
+// The attribute keys of spans.
 const (
 	keyTarget  = attribute.Key("carobward.target")
 	keyID      = attribute.Key("carobward.request")
@@ -29,18 +29,18 @@
 
 var propagator propagation.TraceContext
 
-// Span is one hop. The zero Span is off.
+// Span is the span of one hop. The zero Span records nothing.
 type Span struct{ span trace.Span }
 
-// Context is a trace context as it goes over the wire.
+// Context is a W3C trace context as it is sent between hops.
 type Context struct {
 	// Parent and State are the values of the two header fields.
 	Parent, State string
 }
 
-// Get, Set and Keys make Context a carrier for the propagator.
+// Get, Set and Keys implement propagation.TextMapCarrier.
 
-// Get returns the value of a field.
+// Get returns the value of a header field.
 func (c *Context) Get(name string) string {
 	switch {
 	case strings.EqualFold(name, HeaderParent):
@@ -52,7 +52,7 @@
 	}
 }
 
-// Set takes the value of a field.
+// Set sets the value of a header field.
 func (c *Context) Set(name, value string) {
 	switch {
 	case strings.EqualFold(name, HeaderParent):
@@ -62,24 +62,24 @@
 	}
 }
 
-// Keys returns the names of both fields.
+// Keys returns the names of both header fields.
 func (c *Context) Keys() []string { return []string{HeaderParent, HeaderState} }
 
-// Request starts the span of a request that came from a caller, or from a
-// peer that passed it on. It goes on with the trace in from, if that holds
-// one that can be read; else it starts one, of which the settings' share is
-// sampled.
+// Request starts the span of a request from a caller, or from a peer that
+// forwarded it. The span continues the trace in from. If from has no valid
+// trace context, the span starts a new trace, which is sampled with the
+// probability in the settings.
 func (t *Tracer) Request(ctx context.Context, id carobward.RequestID, from Context) (context.Context, Span) {
 	if t == nil {
 		return ctx, Span{}
 	}
 
-	return t.request(ctx, id, from)
+	return t.startServer(ctx, id, from)
 }
 
-// request stands apart from Request, so that no memory is taken where the
-// tracer is off.
-func (t *Tracer) request(ctx context.Context, id carobward.RequestID, from Context) (context.Context, Span) {
+// startServer is separate from Request so that Request does not allocate if
+// tracing is off.
+func (t *Tracer) startServer(ctx context.Context, id carobward.RequestID, from Context) (context.Context, Span) {
 	ctx, s := t.tracer.Start(propagator.Extract(ctx, &from), "request", trace.WithSpanKind(trace.SpanKindServer))
 	if s.IsRecording() {
 		s.SetAttributes(keyID.String(string(id)))
@@ -88,17 +88,17 @@
 	return ctx, Span{s}
 }
 
-// Attempt starts the span of one attempt at a server.
+// Attempt starts the span of one attempt to send a request to a server.
 func (t *Tracer) Attempt(ctx context.Context, server carobward.Address) (context.Context, Span) {
-	return t.client(ctx, "attempt", keyServer, string(server))
+	return t.startClient(ctx, "attempt", keyServer, string(server))
 }
 
-// Pass starts the span of passing a request to a peer.
+// Pass starts the span of forwarding a request to a peer.
 func (t *Tracer) Pass(ctx context.Context, peer carobward.Address) (context.Context, Span) {
-	return t.client(ctx, "pass", keyServer, string(peer))
+	return t.startClient(ctx, "pass", keyServer, string(peer))
 }
 
-func (t *Tracer) client(ctx context.Context, name string, key attribute.Key, value string) (context.Context, Span) {
+func (t *Tracer) startClient(ctx context.Context, name string, key attribute.Key, value string) (context.Context, Span) {
 	if t == nil {
 		return ctx, Span{}
 	}
@@ -111,28 +111,28 @@
 	return ctx, Span{s}
 }
 
-// Target notes the target that the request belongs to.
+// Target sets the target of the request as an attribute.
 func (s Span) Target(name carobward.TargetName) {
 	if s.span != nil && s.span.IsRecording() {
 		s.span.SetAttributes(keyTarget.String(string(name)))
 	}
 }
 
-// End ends the span with the status of the reply, 0 where there is none, or
-// with a failure and its verdict.
+// End ends the span. The status is that of the reply, or 0 if there is none;
+// err is the failure of the request, whose verdict is recorded.
 func (s Span) End(status int, err error) {
 	if s.span == nil {
 		return
 	}
 
 	if s.span.IsRecording() {
-		s.outcome(status, err)
+		s.setOutcome(status, err)
 	}
 
 	s.span.End()
 }
 
-func (s Span) outcome(status int, err error) {
+func (s Span) setOutcome(status int, err error) {
 	if err != nil {
 		s.span.SetAttributes(keyVerdict.String(carobward.VerdictOf(err).String()))
 		s.span.SetStatus(codes.Error, err.Error())
@@ -143,7 +143,7 @@
 	}
 }
 
-// Context returns what the next hop needs to go on with the trace.
+// Context returns the trace context to send to the next hop.
 func (s Span) Context() Context {
 	var c Context
 	if s.span != nil {
@@ -153,8 +153,8 @@
 	return c
 }
 
-// Header returns the header with this span in place of the trace that came
-// with it. It doesn't change h, which other attempts may be reading.
+// Header returns a copy of h in which the trace context is that of this span.
+// It does not modify h, which other attempts may read concurrently.
 func (s Span) Header(h carobward.Header) carobward.Header {
 	if s.span == nil {
 		return h
--- a/internal/cwtrace/trace.go
+++ b/internal/cwtrace/trace.go
@@ -1,11 +1,11 @@
-// Package cwtrace makes the spans of a request, one a hop: the entry VM's
-// handling, the passing to a peer, and each attempt at a server. The context
-// between hops is that of W3C Trace Context
-// (https://www.w3.org/TR/trace-context/), so that the caller's trace goes on
-// through the entry VM to the server.
+// Package cwtrace records the spans of requests, one for each hop: the
+// handling of a request by an entry VM, the forwarding to a peer, and each
+// attempt to send it to a server. The context between hops is W3C Trace
+// Context (https://www.w3.org/TR/trace-context/), so that the trace of a
+// caller continues through the entry VM to the server.
 //
-// A nil *Tracer is one that is off. It costs a comparison a span and leaves
-// the callers' own trace headers as they are.
+// A nil *Tracer is valid and means that tracing is off. It costs one
+// comparison per span and leaves the trace headers of callers unchanged.
 package cwtrace
 
 import (
@@ -26,25 +26,25 @@
 	"carobward.example/carobward/internal/cwsettings"
 )
 
-// The bounds of what waits to be exported. Spans over the bound are dropped,
-// so that a slow collector holds up nothing.
+// The limits of the export queue. Spans beyond maxQueueSize are dropped, so that
+// a slow collector does not delay requests.
 const (
-	queueMost = 2048
-	batchMost = 512
+	maxQueueSize = 2048
+	maxBatchSize = 512
 )
 
-// service is the resource's name in each span.
+// service is the service name in the resource of each span.
 const service = "carobward"
 
-// Tracer makes spans and exports them in the background. It may be used by
-// many goroutines.
+// Tracer creates spans and exports them in the background. It is safe for
+// concurrent use.
 type Tracer struct {
 	provider *sdktrace.TracerProvider
 	tracer   trace.Tracer
 }
 
-// New returns the tracer that the settings ask for, which is nil where they
-// say off. Spans that go to stdout are written to w.
+// New returns the tracer that the settings specify, or nil if tracing is off.
+// Spans for stdout are written to w.
 func New(s cwsettings.Trace, vm carobward.VMID, domain carobward.Domain, w io.Writer, log logr.Logger) (*Tracer, error) {
 	exporter, err := newExporter(s, w)
 	if exporter == nil || err != nil {
@@ -53,11 +53,11 @@
 
 	log = log.WithName("trace")
 	otel.SetErrorHandler(otel.ErrorHandlerFunc(func(err error) {
-		log.Info("Spans were not exported.", "cause", err.Error())
+		log.Info("Could not export spans.", "cause", err.Error())
 	}))
 
 	return newTracer(s, vm, domain, sdktrace.WithBatcher(exporter,
-		sdktrace.WithMaxQueueSize(queueMost), sdktrace.WithMaxExportBatchSize(batchMost))), nil
+		sdktrace.WithMaxQueueSize(maxQueueSize), sdktrace.WithMaxExportBatchSize(maxBatchSize))), nil
 }
 
 func newTracer(s cwsettings.Trace, vm carobward.VMID, domain carobward.Domain, export sdktrace.TracerProviderOption) *Tracer {
@@ -79,14 +79,14 @@
 	case cwsettings.TraceStdout:
 		return stdouttrace.New(stdouttrace.WithWriter(w))
 	case cwsettings.TraceHTTP:
-		// The exporter connects when the first spans are due.
+		// The exporter connects when it exports the first spans.
 		return otlptracehttp.New(context.Background(), otlptracehttp.WithEndpointURL(s.URL))
 	default:
 		return nil, nil
 	}
 }
 
-// Close exports what waits, until ctx ends.
+// Close exports the queued spans. It returns an error if ctx ends first.
 func (t *Tracer) Close(ctx context.Context) error {
 	if t == nil {
 		return nil
--- a/internal/cwtrace/trace_test.go
+++ b/internal/cwtrace/trace_test.go
@@ -19,8 +19,8 @@
 	"carobward.example/carobward/internal/cwsettings"
 )
 
-// The trace of a caller, from the examples of W3C Trace Context, and the same
-// one not sampled.
+// The trace context of a caller, from the examples in W3C Trace Context, sampled
+// and not sampled.
 const (
 	callersTrace  = "4bf92f3577b34da6a3ce929d0e0e4736"
 	callersSpan   = "00f067aa0ba902b7"
@@ -28,15 +28,15 @@
 	notSampled    = "00-" + callersTrace + "-" + callersSpan + "-00"
 )
 
-func recorded(share float64) (*Tracer, *tracetest.InMemoryExporter) {
+func newRecordingTracer(share float64) (*Tracer, *tracetest.InMemoryExporter) {
 	e := tracetest.NewInMemoryExporter()
 
 	return newTracer(cwsettings.Trace{Share: share}, "vm-1", "Ifrane", sdktrace.WithSyncer(e)), e
 }
 
-// lines returns the name of each span, of its parent, its attributes and its
-// status.
-func lines(e *tracetest.InMemoryExporter) []string {
+// spanLines returns a line for each span with the name of its parent, its own
+// name, its attributes and its status.
+func spanLines(e *tracetest.InMemoryExporter) []string {
 	names := map[string]string{callersSpan: "caller"}
 	for _, s := range e.GetSpans() {
 		names[s.SpanContext.SpanID().String()] = s.Name
@@ -56,9 +56,10 @@
 	return all
 }
 
-// TestHops follows a request from a caller over a peer to a server.
+// TestSpans verifies the spans of a request that goes from a caller through a
+// peer to a server, and the header that the server gets.
 func TestHops(t *testing.T) {
-	tracer, exporter := recorded(0)
+	tracer, exporter := newRecordingTracer(0)
 
 	ctx, request := tracer.Request(context.Background(), "id", Context{Parent: callersParent, State: "a=b"})
 	request.Target("fee")
@@ -83,7 +84,7 @@
 		"request/pass server.address=127.0.0.1:2 http.response.status_code=504",
 		"caller/request carobward.request=id carobward.target=fee http.response.status_code=504",
 	}
-	if diff := cmp.Diff(want, lines(exporter)); diff != "" {
+	if diff := cmp.Diff(want, spanLines(exporter)); diff != "" {
 		t.Errorf("spans (-want +got):\n%s", diff)
 	}
 
@@ -95,7 +96,7 @@
 	}
 
 	if diff := cmp.Diff(wantHeader, out); diff != "" || h[0].Value != callersParent || len(h) != 3 {
-		t.Errorf("the caller's header is %v, that to the server (-want +got):\n%s", h, diff)
+		t.Errorf("the header of the caller is %v; header to the server (-want +got):\n%s", h, diff)
 	}
 }
 
@@ -106,15 +107,15 @@
 		spans  int
 		flags  string
 	}{
-		"caller says yes":       {share: 0, parent: callersParent, spans: 1, flags: "-01"},
-		"caller says no":        {share: 1, parent: notSampled, spans: 0, flags: "-00"},
-		"no caller, all":        {share: 1, spans: 1, flags: "-01"},
-		"no caller, none":       {share: 0, spans: 0, flags: "-00"},
-		"caller writes rubbish": {share: 1, parent: "00-zz", spans: 1, flags: "-01"},
+		"sampled by the caller":     {share: 0, parent: callersParent, spans: 1, flags: "-01"},
+		"not sampled by the caller": {share: 1, parent: notSampled, spans: 0, flags: "-00"},
+		"no trace context, share 1": {share: 1, spans: 1, flags: "-01"},
+		"no trace context, share 0": {share: 0, spans: 0, flags: "-00"},
+		"invalid trace context":     {share: 1, parent: "00-zz", spans: 1, flags: "-01"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			tracer, exporter := recorded(tt.share)
+			tracer, exporter := newRecordingTracer(tt.share)
 			_, s := tracer.Request(context.Background(), "id", Context{Parent: tt.parent})
 			c := s.Context()
 			s.End(200, nil)
@@ -126,21 +127,21 @@
 	}
 }
 
-// TestOff checks that a tracer that is off changes nothing and allocates
-// nothing.
+// TestDisabled verifies that a disabled tracer does not change headers and
+// does not allocate.
 func TestOff(t *testing.T) {
 	tracer, err := New(cwsettings.Trace{To: cwsettings.TraceOff}, "vm-1", "Ifrane", io.Discard, logr.Discard())
 	if tracer != nil || err != nil {
-		t.Fatalf("got %v, %v, want none", tracer, err)
+		t.Fatalf("got %v, %v, want nil, nil", tracer, err)
 	}
 
 	ctx, h := context.Background(), carobward.Header{{Name: HeaderParent, Value: callersParent}}
 
-	if got := testing.AllocsPerRun(100, func() { hops(ctx, tracer, Context{Parent: callersParent}, h) }); got != 0 {
-		t.Errorf("got %v allocations a request, want none", got)
+	if got := testing.AllocsPerRun(100, func() { traceRequest(ctx, tracer, Context{Parent: callersParent}, h) }); got != 0 {
+		t.Errorf("got %v allocations per request, want 0", got)
 	}
 
-	if diff := cmp.Diff(h, hops(ctx, tracer, Context{Parent: callersParent}, h)); diff != "" {
+	if diff := cmp.Diff(h, traceRequest(ctx, tracer, Context{Parent: callersParent}, h)); diff != "" {
 		t.Errorf("header (-want +got):\n%s", diff)
 	}
 
@@ -149,8 +150,8 @@
 	}
 }
 
-// hops makes the spans of one request with one attempt.
-func hops(ctx context.Context, t *Tracer, from Context, h carobward.Header) carobward.Header {
+// traceRequest creates the spans of one request with one attempt.
+func traceRequest(ctx context.Context, t *Tracer, from Context, h carobward.Header) carobward.Header {
 	ctx, request := t.Request(ctx, "id", from)
 	request.Target("fee")
 
@@ -162,8 +163,8 @@
 	return out
 }
 
-// TestExporters checks that spans reach both places by the time that Close
-// returns.
+// TestExporters verifies that Close exports the queued spans, to stdout and
+// to a collector.
 func TestExporters(t *testing.T) {
 	var collected bytes.Buffer
 
@@ -190,20 +191,21 @@
 				t.Fatal(err)
 			}
 
-			hops(context.Background(), tracer, Context{}, nil)
+			traceRequest(context.Background(), tracer, Context{}, nil)
 
 			if err := tracer.Close(context.Background()); err != nil {
 				t.Fatal(err)
 			}
 
 			if !strings.Contains(tt.got.String(), tt.want) || !strings.Contains(tt.got.String(), "vm-1") {
-				t.Errorf("got %q, want %q and the VM in it", tt.got, tt.want)
+				t.Errorf("got %q, want it to contain %q and the VM", tt.got, tt.want)
 			}
 		})
 	}
 }
 
-// BenchmarkHops measures the spans of one request with one attempt.
+// BenchmarkSpans measures the cost of the spans of one request with one
+// attempt.
 func BenchmarkHops(b *testing.B) {
 	for name, tracer := range map[string]*Tracer{
 		"off":       nil,
@@ -216,7 +218,7 @@
 			h := carobward.Header{{Name: "Accept", Value: "x"}}
 
 			for b.Loop() {
-				hops(context.Background(), tracer, Context{}, h)
+				traceRequest(context.Background(), tracer, Context{}, h)
 			}
 		})
 		_ = tracer.Close(context.Background())
