--- a/cmd/carobward/apply.go
+++ b/cmd/carobward/apply.go
@@ -45,13 +45,14 @@
 	} `positional-args:"yes"`
 }
 
-// The pauses between two requests.
+// The intervals between requests: while the outcome of a change is unknown, and
+// while waiting for the change to take effect.
 const (
-	retryPause = 500 * time.Millisecond
-	waitPause  = 250 * time.Millisecond
+	retryInterval = 500 * time.Millisecond
+	pollInterval  = 250 * time.Millisecond
 )
 
-// Execute makes the change and waits for it.
+// Execute applies the change and waits until it is in effect.
 func (c *applyCommand) Execute([]string) error {
 	if c.Restore == (c.Args.Targets != "") {
 		return &flags.Error{Type: flags.ErrRequired, Message: "give either FILE-OR-FOLDER or --restore"}
@@ -79,7 +80,7 @@
 	return c.send("/config", change)
 }
 
-// complete sets who makes the change and upon what.
+// complete sets the author, the base and the ID of the change.
 func (c *applyCommand) complete(change *cwconfig.Change, v *cwoperator.View) error {
 	change.Author = c.Author
 
@@ -111,12 +112,12 @@
 	return c.send("/restore", &cwconfig.Change{ID: id, Author: c.Author, Base: v.Revision})
 }
 
-// send makes the change, again and again until its outcome is known. The
-// change has an id, so that it takes effect once.
+// send sends the change until its outcome is known. The change has an ID, so
+// that it takes effect only once.
 func (c *applyCommand) send(path string, change *cwconfig.Change) error {
 	var done cwoperator.Applied
 
-	lost := false
+	replyLost := false
 	end := time.Now().Add(c.Timeout)
 
 	for {
@@ -125,21 +126,22 @@
 			break
 		}
 
-		lost = lost || errors.Is(err, errUnknown) || errors.Is(err, errNoAnswer)
+		replyLost = replyLost || errors.Is(err, errUnknown) || errors.Is(err, errNoAnswer)
 
 		switch {
 		case refusedFor(err, cwoperator.CodeNotReady, cwoperator.CodeBusy) && time.Now().Before(end):
-		case !lost || refusedFor(err, cwoperator.CodeConflict, cwoperator.CodeKey):
+		case !replyLost || refusedFor(err, cwoperator.CodeConflict, cwoperator.CodeKey):
 			// After a lost reply, a conflict proves that the change was not
-			// accepted and never will be: the store has moved on without it.
+			// accepted and never will be, since the store has a later revision
+			// without it.
 			return err
 		case time.Now().After(end):
-			c.hint(change)
+			c.printRetryCommand(change)
 
 			return errors.WithType(err, errUnknown)
 		}
 
-		time.Sleep(retryPause)
+		time.Sleep(retryInterval)
 	}
 
 	fmt.Printf("Accepted as revision %d.\n", done.Revision)
@@ -151,11 +153,12 @@
 	return c.wait(done.Revision)
 }
 
-// hint prints the command that finds out.
-func (c *applyCommand) hint(change *cwconfig.Change) {
+// printRetryCommand prints the command that finds out whether the change was
+// accepted.
+func (c *applyCommand) printRetryCommand(change *cwconfig.Change) {
 	what := "--restore"
 	if !c.Restore {
-		what = "--base " + text(change.Base) + " " + c.Args.Targets
+		what = "--base " + formatRevision(change.Base) + " " + c.Args.Targets
 	}
 
 	if c.Prune {
@@ -165,36 +168,36 @@
 	fmt.Fprintf(os.Stderr, "To find out run: carobward apply --vm %s --author %q %s\n", c.VM, c.Author, what)
 }
 
-// wait waits until a revision is in force on each entry VM, and prints those
-// where it is not.
+// wait waits until a revision is in effect on every entry VM. If that takes
+// too long, it prints the entry VMs where it is not.
 func (c *applyCommand) wait(r carobward.Revision) error {
 	if c.Wait <= 0 || r == 0 {
 		return nil
 	}
 
-	var left []cwoperator.VMStatus
+	var pending []cwoperator.VMStatus
 
-	for end := time.Now().Add(c.Wait); ; time.Sleep(waitPause) {
+	for end := time.Now().Add(c.Wait); ; time.Sleep(pollInterval) {
 		var s cwoperator.Status
 
 		err := c.call(fasthttp.MethodGet, "/status", nil, &s)
-		if left = s.Without(r); err == nil && len(left) == 0 {
+		if pending = s.Without(r); err == nil && len(pending) == 0 {
 			fmt.Printf("In force on %d entry VMs.\n", s.Reached(r))
 
 			return nil
 		}
 
 		if time.Now().After(end) {
-			printLeft(left)
+			printPending(pending)
 
 			return errors.Annotatef(errPending, "revision %d", r)
 		}
 	}
 }
 
-func printLeft(left []cwoperator.VMStatus) {
-	for i := range left {
-		v := &left[i]
+func printPending(pending []cwoperator.VMStatus) {
+	for i := range pending {
+		v := &pending[i]
 		fmt.Printf("not yet on %s in %s: %s, revision %d, ready %t, answered %t %s\n",
 			v.VM, v.Domain, v.State, v.Revision, v.Ready, v.Answered, v.Alarm)
 	}
--- a/cmd/carobward/bench.go
+++ b/cmd/carobward/bench.go
@@ -35,7 +35,7 @@
 
 Experiments with one mechanism each are commands of their own, see below.`
 
-// addExperiments adds the subcommands, each an experiment.
+// addExperiments adds a subcommand for each experiment.
 func addExperiments(bench *flags.Command) {
 	bench.SubcommandsOptional = true
 
@@ -116,7 +116,7 @@
 
 // adjust applies the flags to the suite.
 func (c *benchCommand) adjust(s *cwbench.Suite) {
-	s.Scenarios = slices.DeleteFunc(s.Scenarios, func(s cwbench.Scenario) bool { return leftOut(c.Scenario, s.Name) })
+	s.Scenarios = slices.DeleteFunc(s.Scenarios, func(s cwbench.Scenario) bool { return excluded(c.Scenario, s.Name) })
 
 	switch {
 	case c.Live && len(c.Lookup) > 0:
@@ -125,24 +125,25 @@
 		s.Variants = cwbench.LiveVariants()
 	}
 
-	s.Variants = slices.DeleteFunc(s.Variants, func(v cwbench.Variant) bool { return leftOut(c.Variants, v.Name) })
+	s.Variants = slices.DeleteFunc(s.Variants, func(v cwbench.Variant) bool { return excluded(c.Variants, v.Name) })
 
 	for i := range s.Scenarios {
-		one := &s.Scenarios[i]
-		one.Seed, one.Length = c.Seed, c.Length
+		sc := &s.Scenarios[i]
+		sc.Seed, sc.Length = c.Seed, c.Length
 
 		if c.Live {
-			one.VMs, one.Work, one.Warm = c.VMs, c.Work, liveWarm
+			sc.VMs, sc.Work, sc.Warm = c.VMs, c.Work, liveWarmup
 		}
 	}
 }
 
-// leftOut tells whether a name is not among the chosen ones.
-func leftOut(chosen []string, name string) bool {
-	return len(chosen) > 0 && !slices.ContainsFunc(chosen, func(c string) bool { return strings.HasPrefix(name, c) })
+// excluded reports whether a filter is set and the name starts with none of
+// its prefixes.
+func excluded(prefixes []string, name string) bool {
+	return len(prefixes) > 0 && !slices.ContainsFunc(prefixes, func(p string) bool { return strings.HasPrefix(name, p) })
 }
 
-// run runs the suite in the model or over sockets.
+// run runs the suite in the model or, with --live, over sockets.
 func (c *benchCommand) run(s *cwbench.Suite) ([]*cwbench.Result, error) {
 	if !c.Live {
 		fmt.Printf("suite %s, seeds %d to %d, %s a run\n", s.Name, c.Seed, c.Seed+uint64(max(c.Seeds, 1))-1, c.Length)
@@ -167,7 +168,8 @@
 	return all, cwbench.WriteMeasuring(os.Stdout, all)
 }
 
-// live runs one scenario on an embedded fleet or on processes apart.
+// live runs one scenario on an embedded fleet or, with --lookup, on separate
+// processes.
 func (c *benchCommand) live(s cwbench.Scenario, variants []cwbench.Variant) ([]*cwbench.Result, error) {
 	if len(c.Lookup) == 0 {
 		return cwbench.Live(context.Background(), s, variants, c.Rounds)
@@ -179,18 +181,19 @@
 }
 
 func addresses(list []string) []carobward.Address {
-	made := make([]carobward.Address, len(list))
+	converted := make([]carobward.Address, len(list))
 	for i, a := range list {
-		made[i] = carobward.Address(a)
+		converted[i] = carobward.Address(a)
 	}
 
-	return made
+	return converted
 }
 
-// liveWarm is the start of each slice that is left out of the figures.
-const liveWarm = 500 * time.Millisecond
+// liveWarmup is the time at the start of each slice that is excluded from the
+// results.
+const liveWarmup = 500 * time.Millisecond
 
-// files writes the files that were asked for.
+// files writes the files that the flags request.
 func (c *benchCommand) files(s cwbench.Suite, results []*cwbench.Result) error {
 	if c.JSON != "" {
 		if err := writeResults(c.JSON, results); err != nil {
--- a/cmd/carobward/bench_budget.go
+++ b/cmd/carobward/bench_budget.go
@@ -35,7 +35,7 @@
 	Servers int           `long:"servers" default:"20" description:"Live: servers."`
 }
 
-// Execute runs the fleets and prints the table.
+// Execute simulates the fleets and prints the table.
 func (c *benchBudgetCommand) Execute([]string) error {
 	budget := cwbudget.Cost{Calls: c.Calls, Bytes: c.Bytes}
 
@@ -58,7 +58,8 @@
 	return cwspend.Write(os.Stdout, budget, all)
 }
 
-// live probes over sockets for the time and prints what the servers counted.
+// live sends probes over sockets for the configured time and prints what the
+// servers counted.
 func (c *benchBudgetCommand) live(budget cwbudget.Cost) error {
 	if c.VMs[0] < 1 || c.Servers < 1 {
 		return errors.New("bench budget: at least one entry VM and one server are needed")
--- a/cmd/carobward/bench_carriers.go
+++ b/cmd/carobward/bench_carriers.go
@@ -26,7 +26,7 @@
 	Rounds  int     `long:"rounds" default:"6" description:"Rounds of decisions about the width."`
 }
 
-// Execute works out both tables and prints them.
+// Execute computes both tables and prints them.
 func (c *benchCarriersCommand) Execute([]string) error {
 	if c.Targets < 1 || c.Rounds < 0 || c.Rate < 0 || c.Most <= 0 {
 		return errors.New("bench carriers: targets and most have to be above zero, rounds and rate not below")
--- a/cmd/carobward/bench_config.go
+++ b/cmd/carobward/bench_config.go
@@ -44,12 +44,12 @@
 	Naive     bool            `long:"naive" description:"Take a naive version and the product through the same faults."`
 }
 
-// The bounds of what one process runs. A valid configuration has no more
-// targets than mostServices.
+// The limits of the flags, so that one process can run the cases. A valid
+// configuration has room for at most maxServices targets.
 const (
-	mostVMs      = 1000
-	mostChanges  = 100000
-	mostServices = 2000
+	maxVMs      = 1000
+	maxChanges  = 100000
+	maxServices = 2000
 )
 
 // Execute runs the cases and prints the table.
@@ -61,7 +61,7 @@
 		return cwspread.WriteOperators(os.Stdout, c.Seed, c.Operators)
 	}
 
-	if err := c.complete(); err != nil {
+	if err := c.prepare(); err != nil {
 		return err
 	}
 
@@ -71,11 +71,11 @@
 
 	var results []cwspread.Result
 
-	for _, one := range c.Cases {
+	for _, k := range c.Cases {
 		for _, n := range c.VMs {
-			r, err := c.measure(one, n)
+			r, err := c.measure(k, n)
 			if err != nil {
-				return errors.Annotatef(err, "bench config: case %s, %d entry VMs", one, n)
+				return errors.Annotatef(err, "bench config: case %s, %d entry VMs", k, n)
 			}
 
 			results = append(results, r)
@@ -85,8 +85,8 @@
 	return cwspread.WriteTable(os.Stdout, results)
 }
 
-// complete checks the flags and sets what was not given.
-func (c *benchConfigCommand) complete() error {
+// prepare sets the defaults of the flags and validates them.
+func (c *benchConfigCommand) prepare() error {
 	sizes, cases := []int{3, 19, 50, 100, 200}, []cwspread.Case{cwspread.Well, cwspread.Quiet, cwspread.FrozenWatchers, cwspread.Idle}
 	if c.Loopback {
 		sizes, cases = []int{19}, []cwspread.Case{cwspread.Well, cwspread.Quiet, cwspread.Outage}
@@ -100,12 +100,12 @@
 		c.Cases = cases
 	}
 
-	for _, one := range []struct {
+	for _, f := range []struct {
 		flag   string
 		values []int
-		most   int
-	}{{"vms", c.VMs, mostVMs}, {"services", c.Services, mostServices}, {"changes", []int{c.Changes}, mostChanges}} {
-		if err := within(one.flag, one.values, one.most); err != nil {
+		limit  int
+	}{{"vms", c.VMs, maxVMs}, {"services", c.Services, maxServices}, {"changes", []int{c.Changes}, maxChanges}} {
+		if err := checkRange(f.flag, f.values, f.limit); err != nil {
 			return err
 		}
 	}
@@ -114,43 +114,45 @@
 		return errors.Errorf("bench config: --idle: want more than 0s, got %s", c.Idle)
 	}
 
-	return c.known(cases)
+	return c.checkCases(cases)
 }
 
-// within refuses a flag's values that are not from one to the most.
-func within(flag string, values []int, most int) error {
+// checkRange returns an error if a value of a flag is not in the range from 1
+// to limit.
+func checkRange(flag string, values []int, limit int) error {
 	for _, n := range values {
-		if n < 1 || n > most {
-			return errors.Errorf("bench config: --%s: want from 1 to %d, got %d", flag, most, n)
+		if n < 1 || n > limit {
+			return errors.Errorf("bench config: --%s: want from 1 to %d, got %d", flag, limit, n)
 		}
 	}
 
 	return nil
 }
 
-// known refuses a case that is tried only with or without --loopback.
-func (c *benchConfigCommand) known(cases []cwspread.Case) error {
-	have := map[cwspread.Case]bool{}
-	for _, one := range cases {
-		have[one] = true
+// checkCases returns an error for a case that is not supported with, or
+// without, --loopback.
+func (c *benchConfigCommand) checkCases(cases []cwspread.Case) error {
+	supported := map[cwspread.Case]bool{}
+	for _, k := range cases {
+		supported[k] = true
 	}
 
-	for _, one := range c.Cases {
-		if !have[one] {
-			return errors.Errorf("bench config: --case: want one of %s, got %s", fmt.Sprint(cases), one)
+	for _, k := range c.Cases {
+		if !supported[k] {
+			return errors.Errorf("bench config: --case: want one of %s, got %s", fmt.Sprint(cases), k)
 		}
 	}
 
 	return nil
 }
 
-func (c *benchConfigCommand) measure(one cwspread.Case, vms int) (cwspread.Result, error) {
+func (c *benchConfigCommand) measure(k cwspread.Case, vms int) (cwspread.Result, error) {
 	switch {
 	case c.Loopback:
-		return cwspread.Loopback(one, vms, c.Changes)
-	case one == cwspread.Idle:
+		return cwspread.Loopback(k, vms, c.Changes)
+	case k == cwspread.Idle:
 		return cwspread.Rest(context.Background(), vms, c.Idle)
 	default:
-		return cwspread.Spread(one, vms, c.Changes)
+		return cwspread.Spread(k, vms, c.Changes)
 	}
 }
--- a/cmd/carobward/bench_cost.go
+++ b/cmd/carobward/bench_cost.go
@@ -20,7 +20,7 @@
 	For  time.Duration `long:"for" default:"5s" description:"How long."`
 }
 
-// Execute watches the processes and prints their cost.
+// Execute measures the processes and prints their cost.
 func (c *benchCostCommand) Execute([]string) error {
 	if c.For <= 0 {
 		return errors.NotValidf("bench cost: --for %s", c.For)
@@ -42,7 +42,7 @@
 
 	each := float64(len(c.PIDs))
 	core := float64(after.Processor-before.Processor) / float64(c.For) / each
-	fmt.Printf("%d processes, %.2f %% of a core and %.1f MB each\n", len(c.PIDs), percentOf*core, float64(after.Resident)/mega/each)
+	fmt.Printf("%d processes, %.2f %% of a core and %.1f MB each\n", len(c.PIDs), percent*core, float64(after.Resident)/mega/each)
 
 	return nil
 }
--- a/cmd/carobward/bench_hop.go
+++ b/cmd/carobward/bench_hop.go
@@ -39,10 +39,10 @@
 
 // Execute makes the calls and prints the table.
 func (c *benchHopCommand) Execute([]string) error {
-	const rateMost = 1_000_000
+	const maxRate = 1_000_000
 
 	for _, r := range c.Rates {
-		if r < 1 || r > rateMost || c.Pairs < 1 {
+		if r < 1 || r > maxRate || c.Pairs < 1 {
 			return errors.NotValidf("bench hop: rate %d, %d pairs", r, c.Pairs)
 		}
 	}
@@ -85,21 +85,21 @@
 		d, e := r.Direct, r.Entry
 		fmt.Printf("%6d %10.2f %10.2f %10.2f %10.2f %9.2f %9.2f %7d %10d %10d %7.1f %6.1f\n", o.Rate,
 			ms(d.P50), ms(d.P99), ms(e.P50), ms(e.P99), ms(e.P50-d.P50), ms(e.P99-d.P99), d.Failed+e.Failed,
-			r.Call.Microseconds(), r.Extra.Microseconds(), percentOf*r.Idle, float64(r.Resident)/float64(carobward.Megabyte))
+			r.Call.Microseconds(), r.Extra.Microseconds(), percent*r.Idle, float64(r.Resident)/float64(carobward.Megabyte))
 	}
 
 	return nil
 }
 
-// percentOf turns a share into percent.
-const percentOf = 100
+// percent converts a fraction to percent.
+const percent = 100
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// hopService is the embedded server's service.
+// hopService is the service of the embedded server.
 const hopService carobward.Service = "records"
 
-// hopFleet starts one entry VM and its only server.
+// hopFleet starts one entry VM and one server.
 func hopFleet(ctx context.Context, path string) (*cwfleet.Fleet, error) {
 	const (
 		slots  = 64
--- a/cmd/carobward/bench_idle.go
+++ b/cmd/carobward/bench_idle.go
@@ -24,7 +24,7 @@
 	Seed   uint64        `long:"seed" default:"1" description:"Seed of the server's closes."`
 }
 
-// Execute runs the trial and prints the table.
+// Execute runs the experiment and prints the table.
 func (c *benchIdleCommand) Execute([]string) error {
 	if c.Calls < 1 || c.Pause <= 0 || c.OneWay < 0 {
 		return errors.NotValidf("bench idle: calls %d, pause %s, one-way %s", c.Calls, c.Pause, c.OneWay)
--- a/cmd/carobward/bench_leave.go
+++ b/cmd/carobward/bench_leave.go
@@ -28,7 +28,7 @@
 	Lag   time.Duration `long:"lag" default:"10s" description:"How late the VM list shows a leaving server."`
 }
 
-// Execute runs the fleets and prints both tables.
+// Execute simulates the fleets and prints both tables.
 func (c *benchLeaveCommand) Execute([]string) error {
 	var (
 		last []cwleave.Last
--- a/cmd/carobward/bench_members.go
+++ b/cmd/carobward/bench_members.go
@@ -33,10 +33,10 @@
 	Seeds    int    `long:"seeds" default:"2" description:"Seeds of --faults, counted up from 0; their deaths are added up."`
 }
 
-// The least sizes that the experiments make sense for.
+// The minimum fleet sizes for which the experiments are meaningful.
 const (
-	membersLeast = 2
-	faultsLeast  = 6
+	minMembers     = 2
+	minFaultsFleet = 6
 )
 
 // Execute prints the table.
@@ -44,8 +44,8 @@
 	switch {
 	case c.Restarts < 1:
 		return errors.New("bench members: --restarts must be at least 1")
-	case slices.Min(c.Sizes) < membersLeast:
-		return errors.Errorf("bench members: --size must be at least %d", membersLeast)
+	case slices.Min(c.Sizes) < minMembers:
+		return errors.Errorf("bench members: --size must be at least %d", minMembers)
 	case c.Faults:
 		return c.faults()
 	case c.Parts:
@@ -56,8 +56,8 @@
 }
 
 func (c *benchMembersCommand) faults() error {
-	if c.Fleet < faultsLeast {
-		return errors.Errorf("bench members: --fleet must be at least %d", faultsLeast)
+	if c.Fleet < minFaultsFleet {
+		return errors.Errorf("bench members: --fleet must be at least %d", minFaultsFleet)
 	}
 
 	return cwnetwork.WriteFaults(os.Stdout, c.Fleet, c.Seeds)
--- a/cmd/carobward/bench_once.go
+++ b/cmd/carobward/bench_once.go
@@ -40,7 +40,7 @@
 	Outcomes  []int  `long:"outcomes" default:"1000" default:"10000" default:"100000" description:"How many outcomes to keep and hand over; may be given again."`
 }
 
-// Execute runs the experiments and prints their table.
+// Execute runs the experiments and prints their tables.
 func (c *benchOnceCommand) Execute([]string) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(w, "experiment\tseed\tway\tanswers\truns\tran twice\twrong\tnot-run\tunknown\tstore writes\t")
@@ -77,23 +77,23 @@
 	return nil
 }
 
-// seed runs all experiments of one seed.
+// seed runs all experiments with one seed.
 func (c *benchOnceCommand) seed(w *tabwriter.Writer, seed uint64) error {
 	for _, way := range cwfee.Ways() {
 		count, writes := way.Weigh(seed, c.Weighed)
 		printCount(w, "ways", seed, way.Name, &count, writes)
 	}
 
-	for _, one := range []struct {
+	for _, method := range []struct {
 		name string
 		send cwfee.Sender
 	}{{"tickets", cwfee.Ticketed}, {"retry on any error", cwfee.Naive}} {
-		count, err := cwfee.Compare(seed, c.Fees, one.send)
+		count, err := cwfee.Compare(seed, c.Fees, method.send)
 		if err != nil {
 			return err
 		}
 
-		printCount(w, "faults", seed, one.name, &count, 0)
+		printCount(w, "faults", seed, method.name, &count, 0)
 	}
 
 	var all cwfee.Count
@@ -106,8 +106,8 @@
 			return err
 		}
 
-		one := cwfee.Tally(played)
-		all.Add(&one)
+		tally := cwfee.Tally(played)
+		all.Add(&tally)
 	}
 
 	printCount(w, "histories", seed, "tickets", &all, 0)
--- a/cmd/carobward/bench_poison.go
+++ b/cmd/carobward/bench_poison.go
@@ -30,7 +30,7 @@
 	Seeds   int    `long:"seeds" default:"3" description:"How many seeds, counted up; their results are added up."`
 }
 
-// Execute replays all patterns in all ways and prints a table.
+// Execute replays all patterns with all variants and prints the table.
 func (c *benchPoisonCommand) Execute([]string) error {
 	if c.VMs < 1 || c.Servers < 1 || c.Seeds < 1 {
 		return errors.NotValidf("bench poison: %d entry VMs, %d servers, %d seeds", c.VMs, c.Servers, c.Seeds)
--- a/cmd/carobward/bench_scripts.go
+++ b/cmd/carobward/bench_scripts.go
@@ -22,7 +22,7 @@
 	Calls int    `long:"calls" default:"16" description:"Calls a seed and way."`
 }
 
-// Execute plays the lists and prints the table.
+// Execute replays the scripts and prints the table.
 func (c *benchScriptsCommand) Execute([]string) error {
 	if c.Seeds < 1 || c.Calls < 1 {
 		return errors.NotValidf("bench scripts: seeds %d, calls %d", c.Seeds, c.Calls)
--- a/cmd/carobward/bench_worst.go
+++ b/cmd/carobward/bench_worst.go
@@ -43,7 +43,7 @@
 	Plot      string        `long:"plot" description:"Draw what became of the requests by time into this folder."`
 }
 
-// Execute replays the patterns and prints a table.
+// Execute replays the patterns and prints the table.
 func (c *benchWorstCommand) Execute([]string) error {
 	ways, err := c.ways()
 	if err != nil {
@@ -83,29 +83,30 @@
 		share(r.Failed, r.Calls), share(r.Back, r.Calls), r.P99.Milliseconds())
 }
 
-// ways returns the chosen ways, all where none is.
+// ways returns the ways that the flags select, or all if they select none.
 func (c *benchWorstCommand) ways() ([]cwbench.Way, error) {
-	var chosen []cwbench.Way
+	var selected []cwbench.Way
 
 	for _, w := range cwbench.Ways() {
 		if len(c.Way) == 0 || slices.Contains(c.Way, w.Name) {
-			chosen = append(chosen, w)
+			selected = append(selected, w)
 		}
 	}
 
-	if len(chosen) < len(c.Way) || len(chosen) == 0 {
+	if len(selected) < len(c.Way) || len(selected) == 0 {
 		return nil, errors.Errorf("bench worst: not all of the ways %v are known", c.Way)
 	}
 
-	return chosen, nil
+	return selected, nil
 }
 
-// patterns returns the chosen patterns with the sizes of the flags.
+// patterns returns the patterns that the flags select, with the sizes from
+// the flags.
 func (c *benchWorstCommand) patterns() ([]cwbench.Pattern, error) {
-	chosen := cwbench.Patterns()
+	selected := cwbench.Patterns()
 
 	if len(c.Pattern) > 0 {
-		chosen = nil
+		selected = nil
 	}
 
 	for _, name := range c.Pattern {
@@ -114,43 +115,43 @@
 			return nil, err
 		}
 
-		chosen = append(chosen, p)
+		selected = append(selected, p)
 	}
 
-	for i := range chosen {
-		c.size(&chosen[i])
+	for i := range selected {
+		c.applySizes(&selected[i])
 
-		if err := chosen[i].Validate(); err != nil {
+		if err := selected[i].Validate(); err != nil {
 			return nil, err
 		}
 	}
 
-	return chosen, nil
+	return selected, nil
 }
 
-func (c *benchWorstCommand) size(p *cwbench.Pattern) {
+func (c *benchWorstCommand) applySizes(p *cwbench.Pattern) {
 	p.Seed = c.Seed
 
 	if c.Fleet > 0 {
 		p.Grow(c.Fleet)
 	}
 
-	set(&p.VMs, c.VMs)
-	set(&p.Servers, c.Servers)
-	set(&p.Slots, c.Slots)
-	set(&p.Rate, c.Rate)
-	set(&p.Work, c.Work)
-	set(&p.Objective, c.Objective)
+	override(&p.VMs, c.VMs)
+	override(&p.Servers, c.Servers)
+	override(&p.Slots, c.Slots)
+	override(&p.Rate, c.Rate)
+	override(&p.Work, c.Work)
+	override(&p.Objective, c.Objective)
 }
 
-// set replaces a figure by the one that a flag gives, if any.
-func set[T int | float64 | time.Duration](to *T, flag T) {
+// override replaces a value with that of a flag if the flag is set.
+func override[T int | float64 | time.Duration](to *T, flag T) {
 	if flag != 0 {
 		*to = flag
 	}
 }
 
-// plot draws the results of one pattern, a file a way.
+// plot writes a plot of each result of one pattern to a file.
 func (c *benchWorstCommand) plot(results []*cwbench.WorstResult) error {
 	if c.Plot == "" {
 		return nil
--- a/cmd/carobward/check.go
+++ b/cmd/carobward/check.go
@@ -25,21 +25,21 @@
 	Targets  string `short:"t" long:"targets" value-name:"FILE-OR-FOLDER" description:"Targets to check."`
 }
 
-// errNothing tells that check was not told what to check.
-const errNothing = errors.ConstError("check: name --settings, --targets or both")
+// errNothingToCheck means that neither settings nor targets were given.
+const errNothingToCheck = errors.ConstError("check: name --settings, --targets or both")
 
-// Execute checks what was named.
+// Execute checks the settings, the targets or both.
 func (c *checkCommand) Execute([]string) error {
 	if c.Settings == "" && c.Targets == "" {
-		return errNothing
+		return errNothingToCheck
 	}
 
-	settings, badSettings := c.settings()
-	targets, badTargets := c.targets()
+	settings, settingsErr := c.settings()
+	targets, targetsErr := c.targets()
 
-	if err := firstError(badSettings, badTargets); err != nil {
-		if badSettings != nil && badTargets != nil {
-			return fmt.Errorf("%w\n%w", badSettings, badTargets)
+	if err := firstError(settingsErr, targetsErr); err != nil {
+		if settingsErr != nil && targetsErr != nil {
+			return fmt.Errorf("%w\n%w", settingsErr, targetsErr)
 		}
 
 		return err
@@ -87,7 +87,7 @@
 	return s, err
 }
 
-// compare looks for targets that allow more than the settings do.
+// compare warns about targets that allow larger bodies than the settings do.
 func (c *checkCommand) compare(s *cwsettings.Settings, set *cwtarget.Set) {
 	for i := range set.Targets {
 		if t := &set.Targets[i]; t.Body > s.Limits.Body {
--- a/cmd/carobward/client.go
+++ b/cmd/carobward/client.go
@@ -17,14 +17,15 @@
 
 const clientTimeout = 15 * time.Second
 
-// clientFlags tell how to reach an entry VM's operators' listener.
+// clientFlags are the flags for access to the operators' listener of an entry
+// VM.
 type clientFlags struct {
 	VM  string `long:"vm" env:"CAROBWARD_VM" required:"yes" description:"Operators' address of any entry VM, such as 10.0.0.5:7004."`
 	Key string `long:"key" env:"CAROBWARD_KEY" description:"File with the operators' key."`
 }
 
-// call makes one request and reads the answer into out. It returns the
-// refusal that the entry VM gave, if any.
+// call sends a request and decodes the reply into out. If the entry VM
+// refuses the request, the error is a *refusalError.
 func (f *clientFlags) call(method, path string, in, out any) error {
 	req := fasthttp.AcquireRequest()
 	resp := fasthttp.AcquireResponse()
@@ -64,8 +65,8 @@
 	return json.Unmarshal(resp.Body(), out)
 }
 
-// noAnswer gives a request that may have run its kind. One that did not get a
-// connection has not.
+// noAnswer adds errNoAnswer to the error of a request that may have run. A
+// request whose connection could not be opened has not run.
 func noAnswer(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -75,15 +76,16 @@
 	return errors.WithType(err, errNoAnswer)
 }
 
-// refusalError is what an entry VM answered in place of a result.
+// refusalError is an error that the entry VM replied with.
 type refusalError struct {
 	cwoperator.Refused
 }
 
-// Error returns what the entry VM said.
+// Error returns the message of the entry VM.
 func (r *refusalError) Error() string { return r.Refused.Error }
 
-// Is makes the error one of the kinds that have an exit code.
+// Is matches the error with errUnknown or errRefused, which have their own
+// exit codes.
 func (r *refusalError) Is(kind error) bool {
 	if r.Unknown {
 		return kind == errUnknown
@@ -101,19 +103,19 @@
 	return r
 }
 
-// The bounds of asking again an entry VM that does not know the configuration
-// yet.
+// The time limit and the interval of the requests to an entry VM that has not
+// received the configuration yet.
 const (
-	readyMost  = 15 * time.Second
-	readyPause = 250 * time.Millisecond
+	readyTimeout  = 15 * time.Second
+	readyInterval = 250 * time.Millisecond
 )
 
-// view returns the configuration in force on the entry VM, and the last
-// changes if asked for. An entry VM that has just started is waited for.
+// view returns the effective configuration of the entry VM and, if recent is
+// set, the last changes. It waits for an entry VM that has just started.
 func (f *clientFlags) view(recent bool) (*cwoperator.View, error) {
 	v := &cwoperator.View{}
 
-	for end := time.Now().Add(readyMost); ; time.Sleep(readyPause) {
+	for end := time.Now().Add(readyTimeout); ; time.Sleep(readyInterval) {
 		err := f.call(fasthttp.MethodGet, "/config?recent="+strconv.FormatBool(recent), nil, v)
 		if !refusedFor(err, cwoperator.CodeNotReady) || time.Now().After(end) {
 			return v, err
@@ -121,7 +123,7 @@
 	}
 }
 
-// refusedFor tells whether an error is a refusal with one of the codes.
+// refusedFor reports whether an error is a refusal with one of the codes.
 func refusedFor(err error, codes ...cwoperator.Code) bool {
 	var r *refusalError
 
--- a/cmd/carobward/demo.go
+++ b/cmd/carobward/demo.go
@@ -24,7 +24,7 @@
 	Requests int `long:"requests" default:"200" description:"Lookups to make."`
 }
 
-// The make-up of the demo.
+// The sizes and times of the demo.
 const (
 	demoServers = 3
 	demoSlots   = 4
@@ -85,12 +85,12 @@
 func (c *demoCommand) requests(ctx context.Context, client *cwcaller.Client) error {
 	lookups := newTally("GET /sheets/today")
 	for range c.Requests {
-		lookups.one(client.Do(ctx, &cwcaller.Request{Method: "GET", URI: "/sheets/today"}))
+		lookups.record(client.Do(ctx, &cwcaller.Request{Method: "GET", URI: "/sheets/today"}))
 	}
 
 	fees := newTally("POST /fees")
 	for range c.Requests / 10 {
-		fees.one(client.Do(ctx, &cwcaller.Request{Method: "POST", URI: "/fees", Body: []byte("launch 17"), Once: true}))
+		fees.record(client.Do(ctx, &cwcaller.Request{Method: "POST", URI: "/fees", Body: []byte("launch 17"), Once: true}))
 	}
 
 	return errors.Trace(firstError(lookups.print(), fees.print()))
--- a/cmd/carobward/diff.go
+++ b/cmd/carobward/diff.go
@@ -16,19 +16,20 @@
 const usageDiff = `Show what apply with the same file or folder would change. Exit code 0 in
 any case but a failure.`
 
-// changeFlags name the wanted targets.
+// changeFlags are the flags that determine a change.
 type changeFlags struct {
 	clientFlags
 
 	Prune bool `long:"prune" description:"Also remove targets that the files do not have."`
 }
 
-// wanted is the argument that names the targets.
-type wanted struct {
+// targetArgs is the positional argument that names the targets.
+type targetArgs struct {
 	Targets string `positional-arg-name:"FILE-OR-FOLDER"`
 }
 
-// change returns the step from what is in force to the files.
+// change returns the change from the effective configuration to the targets
+// in the files.
 func (f *changeFlags) change(path string) (*cwconfig.Change, *cwoperator.View, error) {
 	want, err := cwtarget.Load(path)
 	if err != nil {
@@ -46,10 +47,10 @@
 	return &change, v, err
 }
 
-// idBytes is how much of a SHA-256 sum an id keeps.
+// idBytes is the number of bytes of a SHA-256 digest in an ID.
 const idBytes = 10
 
-// digest names an intent: the same parts give the same id.
+// digest returns the ID of a change. The same parts give the same ID.
 func digest(parts ...any) (carobward.ChangeID, error) {
 	raw, err := json.Marshal(parts)
 	if err != nil {
@@ -64,7 +65,7 @@
 type diffCommand struct {
 	changeFlags
 
-	Args wanted `positional-args:"yes" required:"yes"`
+	Args targetArgs `positional-args:"yes" required:"yes"`
 }
 
 // Execute prints the difference.
@@ -101,5 +102,5 @@
 	}
 }
 
-// text returns a revision in digits.
-func text(r carobward.Revision) string { return strconv.FormatUint(uint64(r), 10) }
+// formatRevision formats a revision as a decimal number.
+func formatRevision(r carobward.Revision) string { return strconv.FormatUint(uint64(r), 10) }
--- a/cmd/carobward/drain.go
+++ b/cmd/carobward/drain.go
@@ -29,11 +29,12 @@
 	} `positional-args:"yes"`
 }
 
-// Execute drains or undoes, and prints who leaves.
+// Execute starts or ends a drain if an address is given, and prints the
+// leaving servers.
 func (c *drainCommand) Execute([]string) error {
 	var all []cwoperator.Leaving
 
-	err := c.ask(&all)
+	err := c.request(&all)
 	if err != nil {
 		return err
 	}
@@ -48,7 +49,7 @@
 	return w.Flush()
 }
 
-func (c *drainCommand) ask(out *[]cwoperator.Leaving) error {
+func (c *drainCommand) request(out *[]cwoperator.Leaving) error {
 	if c.Args.Address == "" {
 		return c.call(fasthttp.MethodGet, cwoperator.DrainPath, nil, out)
 	}
--- a/cmd/carobward/get.go
+++ b/cmd/carobward/get.go
@@ -14,7 +14,7 @@
 	Recent bool `long:"recent" description:"Print the last changes instead, oldest first."`
 }
 
-// Execute prints the set or the changes.
+// Execute prints the targets or the last changes.
 func (c *getCommand) Execute([]string) error {
 	if c.Recent {
 		return c.recent()
@@ -44,14 +44,14 @@
 	for i := range v.Recent {
 		change := &v.Recent[i]
 
-		fmt.Printf("revision %d by %s, change %s\n", change.Revision, author(change.Author), change.ID)
+		fmt.Printf("revision %d by %s, change %s\n", change.Revision, authorName(change.Author), change.ID)
 		printChange(change)
 	}
 
 	return nil
 }
 
-func author(name string) string {
+func authorName(name string) string {
 	if name == "" {
 		return "someone unnamed"
 	}
--- a/cmd/carobward/main.go
+++ b/cmd/carobward/main.go
@@ -1,4 +1,5 @@
-// Command carobward is the entry VM's process and the operators' client.
+// Command carobward is both the process of an entry VM and the client of
+// operators.
 package main
 
 import (
@@ -21,19 +22,19 @@
 	exitPending = 5
 )
 
-// The kinds of failure that have an exit code of their own.
+// The kinds of errors. All but errNoAnswer have their own exit code.
 const (
 	errRefused = errors.ConstError("refused: nothing was changed")
 	errUnknown = errors.ConstError("unknown: the change may have been accepted")
 	errPending = errors.ConstError("not in force everywhere yet")
-	// errNoAnswer tells that a request got no answer and may have run.
+	// errNoAnswer means that a request got no reply and may have run.
 	errNoAnswer = errors.ConstError("no answer")
 )
 
-// version is set by the linker for a release.
+// version is set by the linker for releases.
 var version = ""
 
-// options are the flags of every subcommand.
+// options are the flags that do not belong to a subcommand.
 type options struct {
 	Version func() `long:"version" description:"Print the version and exit."`
 }
@@ -62,7 +63,7 @@
 	return exitOK
 }
 
-// command is one subcommand; its usage text stands at the head of its file.
+// command is a subcommand. Its usage text is at the top of its file.
 type command struct {
 	name, short, usage string
 	data               any
@@ -81,13 +82,13 @@
 		{"help", "Show what carobward does, or how one command is used.", usageHelp, &helpCommand{parser: p}},
 		{"bench", "Compare ways to choose servers under load.", usageBench, &benchCommand{}},
 	} {
-		made, err := p.AddCommand(c.name, c.short, c.usage, c.data)
+		added, err := p.AddCommand(c.name, c.short, c.usage, c.data)
 		if err != nil {
 			panic(err)
 		}
 
 		if c.name == "bench" {
-			addExperiments(made)
+			addExperiments(added)
 		}
 	}
 }
--- a/cmd/carobward/serve.go
+++ b/cmd/carobward/serve.go
@@ -40,7 +40,7 @@
 	}
 
 	for _, w := range warnings {
-		log.Info("Fit to serve, but look at this.", "warning", w)
+		log.Info("The settings are valid, but a key is not secure.", "warning", w)
 	}
 
 	n, err := cwnode.New(s, carobward.SystemClock{}, log)
@@ -48,12 +48,13 @@
 		return err
 	}
 
-	return n.Run(untilSignal())
+	return n.Run(signalContext())
 }
 
-// untilSignal returns a context that ends with the first signal to stop. By then the next
-// one ends the process at once: restored later, it would be lost in between.
-func untilSignal() context.Context {
+// signalContext returns a context that is canceled by the first SIGTERM or
+// SIGINT. The default handling of signals is restored before the context is
+// canceled, so that a second signal always ends the process at once.
+func signalContext() context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
--- a/cmd/carobward/tally.go
+++ b/cmd/carobward/tally.go
@@ -12,14 +12,15 @@
 	"carobward.example/carobward/pkg/cwcaller"
 )
 
-// The range of the demo's latencies in microseconds.
+// The range of the demo's latencies in microseconds, and their precision in
+// significant digits.
 const (
 	latencyMin    = 1
 	latencyMax    = 60_000_000
 	latencyDigits = 3
 )
 
-// tally counts what became of one kind of request.
+// tally counts the outcomes of one kind of request.
 type tally struct {
 	name    string
 	last    time.Time
@@ -38,8 +39,8 @@
 	}
 }
 
-// one counts one request that began when the last one ended.
-func (t *tally) one(r *cwcaller.Reply, err error) {
+// record counts a request that started when the previous one ended.
+func (t *tally) record(r *cwcaller.Reply, err error) {
 	now := time.Now()
 	took := now.Sub(t.last)
 	t.last = now
@@ -54,7 +55,7 @@
 	_ = t.times.RecordValue(took.Microseconds())
 }
 
-// print shows the counts and returns an error if any request failed.
+// print prints the counts and returns an error if a request failed.
 func (t *tally) print() error {
 	at := func(q float64) time.Duration { return time.Duration(t.times.ValueAtQuantile(q)) * time.Microsecond }
 	fmt.Printf("%s: %d served, p50 %s, p99 %s\n", t.name, t.times.TotalCount(), at(50), at(99))
--- a/cmd/cwgateway/main.go
+++ b/cmd/cwgateway/main.go
@@ -5,9 +5,9 @@
 //	CAROBWARD_BOOT=/path/to/settings.toml cwgateway
 //
 // It reads the settings that the platform writes, serves callers, and stops
-// within the grace on SIGTERM or SIGINT. On SIGHUP, and when their file has
-// changed, it reads the settings again: bounds and seeds are put in force, the
-// others change with a restart.
+// within the grace period on SIGTERM or SIGINT. It reloads the settings on
+// SIGHUP and when their file has changed. Changed bounds and seeds take effect
+// at once; other changes take effect after a restart.
 package main
 
 import (
@@ -32,28 +32,29 @@
 )
 
 const (
-	// gcPercent keeps the heap small: memory is dearer here than processor
-	// time.
+	// gcPercent is low to keep the heap small: memory is more expensive than
+	// CPU time on this platform.
 	gcPercent = 40
-	// logLines bounds the log lines that wait to be written: some 200 bytes
-	// each, and some 20 a second and request.
-	logLines = 2048
-	// metricsPort is where the metrics are served, as deploy/system.toml says.
+	// logQueueLines is the maximum number of queued log lines. A line has
+	// about 200 bytes, and there are about 20 per second and request.
+	logQueueLines = 2048
+	// metricsPort is the port of the metrics endpoint. It must match
+	// deploy/system.toml.
 	metricsPort = "9464"
 )
 
 func main() {
-	// From the first moment on, so that an early SIGHUP does not end us.
+	// Registered first, so that an early SIGHUP does not terminate the process.
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	debug.SetGCPercent(gcPercent)
 
-	out := cwlog.NewAsync(os.Stdout, logLines)
+	out := cwlog.NewAsync(os.Stdout, logQueueLines)
 	log := cwlog.New(out, "info")
 	err := run(log, out, signals)
 
 	if err != nil {
-		log.Error(err, "Ended.")
+		log.Error(err, "The entry VM stopped with an error.")
 	}
 
 	out.Close()
@@ -91,7 +92,7 @@
 
 	err = g.Run(stop)
 	if err == nil {
-		group.Wait() // It has ended, since it alone closes stop.
+		group.Wait() // The watcher has returned, since only it closes stop.
 	}
 
 	return err
@@ -99,8 +100,8 @@
 
 func options(s *platform.Settings, log logr.Logger) cwgateway.Options {
 	host, _, _ := net.SplitHostPort(string(s.Callers))
-	// All entry VMs of a deployment share its store. The key keeps those of
-	// another one out; it is no secret.
+	// All entry VMs of a deployment share its store, so the key derived from the
+	// store address rejects peers of other deployments. It is not a secret.
 	key := sha256.Sum256([]byte("carobward " + string(s.Store)))
 
 	var calls atomic.Int64
--- a/cmd/cwgateway/settings.go
+++ b/cmd/cwgateway/settings.go
@@ -14,43 +14,44 @@
 	"carobward.example/carobward/platform"
 )
 
-// settingsTime is the time between looks at the settings file, which may change
-// without a signal.
-const settingsTime = 5 * time.Second
+// settingsPollInterval is the interval between checks of the settings file,
+// which may change without a signal.
+const settingsPollInterval = 5 * time.Second
 
-// watcher follows the process's signals and its settings file.
+// watcher handles the signals to the process and reloads the settings when
+// their file changes.
 type watcher struct {
 	path    string
 	log     logr.Logger
-	started *platform.Settings
+	initial *platform.Settings
 	apply   func(cwgateway.Bounds)
-	// seen is the file's state when it was last read.
+	// seen is the state of the file when it was last read.
 	seen fileState
 }
 
-// fileState tells whether a file was written.
+// fileState is what is compared to find out whether a file has changed.
 type fileState struct {
 	changed time.Time
 	size    int64
 }
 
-func newWatcher(path string, started *platform.Settings, apply func(cwgateway.Bounds), log logr.Logger) *watcher {
-	w := &watcher{path: path, log: log, started: started, apply: apply}
-	w.seen = w.state()
+func newWatcher(path string, initial *platform.Settings, apply func(cwgateway.Bounds), log logr.Logger) *watcher {
+	w := &watcher{path: path, log: log, initial: initial, apply: apply}
+	w.seen = w.stat()
 
 	return w
 }
 
-// run closes stop on SIGTERM or SIGINT, and reads the settings again on SIGHUP
+// run closes stop on SIGTERM or SIGINT, and reloads the settings on SIGHUP
 // and when their file has changed.
 func (w *watcher) run(signals <-chan os.Signal, stop chan<- struct{}) {
-	t := time.NewTicker(settingsTime)
+	t := time.NewTicker(settingsPollInterval)
 	defer t.Stop()
 
 	for {
 		select {
 		case s := <-signals:
-			w.log.Info("Got a signal.", "signal", s.String())
+			w.log.Info("Received a signal.", "signal", s.String())
 
 			if s != syscall.SIGHUP {
 				close(stop)
@@ -60,18 +61,18 @@
 
 			w.reload("a signal")
 		case <-t.C:
-			if w.state() != w.seen {
+			if w.stat() != w.seen {
 				w.reload("its file has changed")
 			}
 		}
 	}
 }
 
-// state returns the file's state, or the zero one where it can't be read.
-func (w *watcher) state() fileState {
+// stat returns the state of the file, or the zero value if it can't be read.
+func (w *watcher) stat() fileState {
 	info, err := os.Stat(w.path) //nolint:gosec // The platform names the file.
 	if err != nil {
-		w.log.Info("The settings file can't be found.", "cause", err.Error())
+		w.log.Info("Could not check the settings file for changes.", "cause", err.Error())
 
 		return fileState{}
 	}
@@ -79,46 +80,46 @@
 	return fileState{info.ModTime(), info.Size()}
 }
 
-// reload reads the settings and puts those in force that may change.
+// reload reads the settings and applies those that can change at run time.
 func (w *watcher) reload(why string) {
-	w.seen = w.state()
+	w.seen = w.stat()
 
 	s, err := platform.ReadSettings(w.path)
 	if err != nil {
-		w.log.Error(err, "The settings can't be read, the old ones stay.", "why", why)
+		w.log.Error(err, "Could not read the settings; the current ones stay in effect.", "why", why)
 
 		return
 	}
 
-	if !reflect.DeepEqual(fixed(s), fixed(w.started)) {
-		w.log.Info("Some of the settings change with a restart: names, addresses and the store.", "why", why)
+	if !reflect.DeepEqual(restartSettings(s), restartSettings(w.initial)) {
+		w.log.Info("Some settings have changed that take effect only after a restart, such as names, addresses and the store.", "why", why)
 	}
 
-	w.log.Info("Read the settings.", "why", why)
+	w.log.Info("Reloaded the settings.", "why", why)
 	w.apply(bounds(s))
 }
 
-// fixed returns the settings without those that may change while a process
-// runs.
-func fixed(s *platform.Settings) platform.Settings {
+// restartSettings returns the settings that take effect only after a restart.
+func restartSettings(s *platform.Settings) platform.Settings {
 	f := *s
 	f.Bounds, f.First, f.Seeds = platform.Bounds{}, false, nil
 
 	return f
 }
 
-// keyAgePart is the part of the time in which a key that was taken away must be refused
-// everywhere that what is known of keys may be old. The rest is for a store whose watches
-// hear of changes late, and for heartbeats on their way.
-const keyAgePart = 0.7
+// keyAgeFraction is a fraction of the time within which a revoked key must be
+// refused everywhere. Requests that need a key are refused once the information
+// about keys is older than that. The rest of the time allows for delayed
+// watches of the store and for heartbeats in transit.
+const keyAgeFraction = 0.7
 
-// bounds returns the settings that may change while a process runs.
+// bounds returns the settings that can change at run time.
 func bounds(s *platform.Settings) cwgateway.Bounds {
 	b := &s.Bounds
 
 	return cwgateway.Bounds{
 		Grace: b.Grace, MaxLookupTTL: b.MaxAnswerTTL, Seeds: s.Seeds, WarmupOvershoot: b.WarmupOvershoot, WarmupSlack: b.WarmupSlack,
 		Quota:  cwquota.Bounds{Window: b.Quota.Window, Overshoot: b.Quota.Overshoot, Slack: b.Quota.Slack},
-		Limits: cwfront.Limits{ExtraShare: b.ExtraShare, ExtraWindow: b.ExtraWindow, ExtraMin: b.ExtraMin, ChecksPerSecond: b.ChecksPerSecond, MaxKeyAge: time.Duration(keyAgePart * float64(b.Revoke))},
+		Limits: cwfront.Limits{ExtraShare: b.ExtraShare, ExtraWindow: b.ExtraWindow, ExtraMin: b.ExtraMin, ChecksPerSecond: b.ChecksPerSecond, MaxKeyAge: time.Duration(keyAgeFraction * float64(b.Revoke))},
 	}
 }
--- a/cmd/cwstand/caller.go
+++ b/cmd/cwstand/caller.go
@@ -45,7 +45,7 @@
 	}
 
 	if c.Load > 0 {
-		c.load(o.Lookup)
+		c.runLoad(o.Lookup)
 
 		return nil
 	}
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// load puts load on and prints what became of it.
-func (c *callerCommand) load(lookup []carobward.Address) {
+// runLoad sends requests for the configured time and prints the counts.
+func (c *callerCommand) runLoad(lookup []carobward.Address) {
 	l := cwload.Start(cwload.Options{
 		Lookup: lookup, Domain: carobward.Domain(c.Domain), Callers: c.Callers, Workers: c.Workers, Read: c.URI, Charge: c.Charge,
 	})
--- a/cmd/cwstand/main.go
+++ b/cmd/cwstand/main.go
@@ -1,5 +1,5 @@
 // Command cwstand runs the stand-ins as separate processes: the platform, a
-// server, a caller.
+// server or a caller.
 package main
 
 import (
@@ -44,8 +44,8 @@
 	}
 }
 
-// listen opens a listener and prints its address, which a test reads where
-// the port was left open.
+// listen opens a listener and prints its address, which tests read if they
+// let the system choose the port.
 func listen(address string) (net.Listener, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
@@ -57,8 +57,8 @@
 	return ln, nil
 }
 
-// wait returns at SIGTERM or SIGINT.
-func wait() {
+// waitForSignal returns on SIGTERM or SIGINT.
+func waitForSignal() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 
--- a/cmd/cwstand/platform.go
+++ b/cmd/cwstand/platform.go
@@ -9,7 +9,7 @@
 	Listen string `long:"listen" default:"127.0.0.1:7100" description:"Address to listen on."`
 }
 
-// Execute serves until a signal.
+// Execute serves until SIGTERM or SIGINT.
 func (c *platformCommand) Execute([]string) error {
 	ln, err := listen(c.Listen)
 	if err != nil {
@@ -19,7 +19,7 @@
 	p := cwstand.NewPlatform(ln)
 	defer p.Close()
 
-	wait()
+	waitForSignal()
 
 	return nil
 }
--- a/cmd/cwstand/server.go
+++ b/cmd/cwstand/server.go
@@ -49,17 +49,18 @@
 	Grace      time.Duration `long:"grace" description:"Time from the drain to the end of the listener."`
 }
 
-// The bounds of the command.
+// The time limits of the command.
 const (
-	// noisyHorizon is how far slow-downs are drawn; then they start again.
-	noisyHorizon = 10 * time.Minute
-	stopMost     = 30 * time.Second
+	// noiseHorizon is the period for which slow-downs are generated. They
+	// repeat after it.
+	noiseHorizon    = 10 * time.Minute
+	shutdownTimeout = 30 * time.Second
 )
 
-// Execute serves until a signal.
+// Execute serves until SIGTERM or SIGINT.
 func (c *serverCommand) Execute([]string) error {
 	if c.Script != "" {
-		return c.misbehave()
+		return c.serveScript()
 	}
 
 	ln, err := listen(c.Listen)
@@ -69,7 +70,7 @@
 
 	s := cwstand.NewServer(ln, cwstand.ServerOptions{
 		Slots: c.Slots, Work: c.Work, Spread: c.Spread, MaxQueue: c.Queue, MaxConns: c.Conns, OpenDelay: c.Open,
-		Speed: cwstand.NewSpeed(c.spans()), SpeedPeriod: noisyHorizon,
+		Speed: cwstand.NewSpeed(c.slowSpans()), SpeedPeriod: noiseHorizon,
 		ReportLag: c.ReportLag, ReportLie: cwstand.Lie(c.ReportLie), HealthLag: c.HealthLag,
 		ReportOnRequest: c.Asked, Run: uint64(time.Now().Unix()),
 	})
@@ -84,18 +85,19 @@
 		}
 	}()
 
-	wait()
+	waitForSignal()
 	s.Drain()
 	time.Sleep(c.Grace)
 
-	ctx, cancel := context.WithTimeout(context.Background(), stopMost)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 
 	return s.Shutdown(ctx)
 }
 
-// misbehave serves by the script until a signal, and prints what it counted.
-func (c *serverCommand) misbehave() error {
+// serveScript misbehaves as the script says until SIGTERM or SIGINT, and
+// prints the counts.
+func (c *serverCommand) serveScript() error {
 	f, err := os.Open(c.Script)
 	if err != nil {
 		return errors.Annotate(err, "server")
@@ -116,17 +118,17 @@
 	actor := cwstand.NewActor(acts)
 	s := cwstand.NewScripted(ln, actor.Serve)
 
-	wait()
+	waitForSignal()
 	s.Close()
 	fmt.Printf("requests %d, connections %d, ids that began twice %d\n", s.Requests(), s.Conns(), actor.Repeated())
 
 	return nil
 }
 
-// spans are the stretches in which the server is slower.
-func (c *serverCommand) spans() []cwstand.Slowdown {
+// slowSpans returns the periods in which the server is slow.
+func (c *serverCommand) slowSpans() []cwstand.Slowdown {
 	noise := cwstand.Noise{Every: c.NoisyEvery, For: c.NoisyFor, Factor: c.Factor}
-	spans := noise.Slowdowns(c.Seed, noisyHorizon)
+	spans := noise.Slowdowns(c.Seed, noiseHorizon)
 
 	if c.Slow > 1 {
 		spans = append(spans, cwstand.Slowdown{To: cwstand.Forever, Factor: c.Slow})
