--- a/pkg/cwcaller/book.go
+++ b/pkg/cwcaller/book.go
@@ -14,111 +14,114 @@
 	"carobward.example/carobward"
 )
 
-// line is one address that may be used.
-type line struct {
+// endpoint has the addresses of an entry VM for requests and for lookups.
+type endpoint struct {
 	Address carobward.Address `json:"address"`
 	Lookup  carobward.Address `json:"lookup"`
 }
 
-// answer is what an entry VM says to use.
-type answer struct {
-	Use    []line `json:"use"`
-	Keep   int    `json:"keep"`
-	Width  int    `json:"width"`
-	Ticket string `json:"ticket"`
+// lookupReply is the reply of an entry VM to a lookup: which entry VMs to
+// use, how long the reply may be kept in seconds, and a ticket prefix.
+type lookupReply struct {
+	Use    []endpoint `json:"use"`
+	Keep   int        `json:"keep"`
+	Width  int        `json:"width"`
+	Ticket string     `json:"ticket"`
 }
 
-// book keeps the last answer.
-type book struct {
+// lookupCache keeps the last lookup reply and refreshes it.
+type lookupCache struct {
 	options *Options
 	clock   carobward.Clock
 	http    *fasthttp.Client
 
-	mutex  sync.Mutex
-	kept   answer
-	asked  time.Time
-	asking bool
-	// prefixes has the ticket prefixes of the entry VMs, by their lookup.
-	prefixes map[carobward.Address]string
-	number   uint64
+	mutex      sync.Mutex
+	reply      lookupReply
+	refreshed  time.Time
+	refreshing bool
+	// prefixes has the ticket prefix of each entry VM by its lookup address.
+	prefixes   map[carobward.Address]string
+	lastNumber uint64
 }
 
-func newBook(o *Options, clock carobward.Clock, h *fasthttp.Client) *book {
-	return &book{options: o, clock: clock, http: h}
+func newLookupCache(o *Options, clock carobward.Clock, h *fasthttp.Client) *lookupCache {
+	return &lookupCache{options: o, clock: clock, http: h}
 }
 
-// askMost bounds one question. A new answer is asked for when renewShare of
-// renewOf parts of the time to keep the old one are over, so that it is there
-// in time.
+// lookupTimeout is the timeout of one lookup. A refresh starts when
+// refreshNumerator/refreshDenominator of the time for which the reply may be
+// kept is over, so that the new reply arrives before the old one expires.
 const (
-	askMost    = time.Second
-	renewShare = 3
-	renewOf    = 4
+	lookupTimeout      = time.Second
+	refreshNumerator   = 3
+	refreshDenominator = 4
 )
 
-// lines returns the addresses to use. An old answer is better than none.
-func (b *book) lines(ctx context.Context) ([]line, error) {
-	b.mutex.Lock()
-	first := len(b.kept.Use) == 0
-	renew := !b.asking && b.due()
-	b.asking = b.asking || renew
-	b.mutex.Unlock()
+// endpoints returns the endpoints to use. It returns expired ones while no
+// entry VM answers a lookup.
+func (c *lookupCache) endpoints(ctx context.Context) ([]endpoint, error) {
+	c.mutex.Lock()
+	empty := len(c.reply.Use) == 0
+	stale := !c.refreshing && c.mustRefresh()
+	c.refreshing = c.refreshing || stale
+	c.mutex.Unlock()
 
 	switch {
-	case first:
-		if err := b.renew(ctx); err != nil {
+	case empty:
+		if err := c.refresh(ctx); err != nil {
 			return nil, err
 		}
-	case renew:
-		go func() { _ = b.renew(context.WithoutCancel(ctx)) }()
+	case stale:
+		go func() { _ = c.refresh(context.WithoutCancel(ctx)) }()
 	}
 
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 
-	return b.kept.Use, nil
+	return c.reply.Use, nil
 }
 
-// due tells whether it is time for a new answer.
-func (b *book) due() bool {
-	keep := time.Duration(b.kept.Keep) * time.Second
+// mustRefresh reports whether it is time to refresh the lookup reply.
+func (c *lookupCache) mustRefresh() bool {
+	keep := time.Duration(c.reply.Keep) * time.Second
 
-	return b.clock.Now().Sub(b.asked) >= keep/renewOf*renewShare
+	return c.clock.Now().Sub(c.refreshed) >= keep/refreshDenominator*refreshNumerator
 }
 
-// renew asks for a new answer and keeps it.
-func (b *book) renew(ctx context.Context) error {
-	b.mutex.Lock()
-	old := b.kept.Use
-	b.mutex.Unlock()
+// refresh looks up the endpoints and stores the reply.
+func (c *lookupCache) refresh(ctx context.Context) error {
+	c.mutex.Lock()
+	old := c.reply.Use
+	c.mutex.Unlock()
 
-	a, err := b.ask(ctx, old)
+	a, err := c.query(ctx, old)
 
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 
-	b.asking = false
+	c.refreshing = false
 	if err != nil {
 		return err
 	}
 
-	b.kept, b.asked = a, b.clock.Now()
-	b.prefixes = map[carobward.Address]string{}
+	c.reply, c.refreshed = a, c.clock.Now()
+	c.prefixes = map[carobward.Address]string{}
 
 	return nil
 }
 
-// ticket returns a new ticket of the entry VM that will be used, so that the
-// request need not be passed on. It is empty where that VM gives none.
-func (b *book) ticket(ctx context.Context, of line) string {
-	b.mutex.Lock()
-	prefix := b.prefixes[of.Lookup]
-	b.number++
-	number := b.number
-	b.mutex.Unlock()
+// newTicket returns a new ticket of the entry VM to which the request will be
+// sent, so that it does not have to forward the request to the owner of the
+// ticket. The ticket is empty if the entry VM returns no ticket prefix.
+func (c *lookupCache) newTicket(ctx context.Context, at endpoint) string {
+	c.mutex.Lock()
+	prefix := c.prefixes[at.Lookup]
+	c.lastNumber++
+	number := c.lastNumber
+	c.mutex.Unlock()
 
 	if prefix == "" {
-		a, _ := b.askOne(ctx, of.Lookup)
+		a, _ := c.queryOne(ctx, at.Lookup)
 		prefix = a.Ticket
 	}
 
@@ -126,68 +129,70 @@
 		return ""
 	}
 
-	b.mutex.Lock()
-	b.prefixes[of.Lookup] = prefix
-	b.mutex.Unlock()
+	c.mutex.Lock()
+	c.prefixes[at.Lookup] = prefix
+	c.mutex.Unlock()
 
 	return prefix + "." + strconv.FormatUint(number, 10)
 }
 
-// forget drops the prefix of a ticket that its entry VM did not take.
-func (b *book) forget(ticket string) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
+// forgetPrefix removes the prefix of a ticket under which no attempt has run.
+func (c *lookupCache) forgetPrefix(ticket string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 
-	for l, prefix := range b.prefixes {
+	for address, prefix := range c.prefixes {
 		if strings.HasPrefix(ticket, prefix+".") {
-			delete(b.prefixes, l)
+			delete(c.prefixes, address)
 		}
 	}
 }
 
-// ask asks the entry VMs that were in the last answer, then the ones of the
-// options.
-func (b *book) ask(ctx context.Context, old []line) (answer, error) {
-	var from []carobward.Address
+// query looks up the endpoints, first at the entry VMs in the last reply,
+// then at those in the options.
+func (c *lookupCache) query(ctx context.Context, old []endpoint) (lookupReply, error) {
+	var addresses []carobward.Address
 
-	for _, u := range old {
-		from = append(from, u.Lookup)
+	for _, e := range old {
+		addresses = append(addresses, e.Lookup)
 	}
 
-	for _, l := range append(from, b.options.Lookup...) {
-		if a, ok := b.askOne(ctx, l); ok && len(a.Use) > 0 {
+	for _, address := range append(addresses, c.options.Lookup...) {
+		if a, ok := c.queryOne(ctx, address); ok && len(a.Use) > 0 {
 			return a, nil
 		}
 	}
 
-	return answer{}, ErrLookup
+	return lookupReply{}, ErrLookup
 }
 
-func (b *book) askOne(ctx context.Context, at carobward.Address) (answer, bool) {
-	b.mutex.Lock()
-	width := b.kept.Width
-	b.mutex.Unlock()
+// queryOne looks up the endpoints at one entry VM. It reports whether there
+// was a valid reply.
+func (c *lookupCache) queryOne(ctx context.Context, at carobward.Address) (lookupReply, bool) {
+	c.mutex.Lock()
+	width := c.reply.Width
+	c.mutex.Unlock()
 
 	query := url.Values{
-		"caller": {b.options.Caller},
-		"domain": {string(b.options.Domain)},
-		"target": {string(b.options.Target)},
+		"caller": {c.options.Caller},
+		"domain": {string(c.options.Domain)},
+		"target": {string(c.options.Target)},
 		"width":  {strconv.Itoa(width)},
 	}.Encode()
 
-	end := b.clock.Now().Add(askMost)
+	end := c.clock.Now().Add(lookupTimeout)
 	if d, ok := ctx.Deadline(); ok && d.Before(end) {
 		end = d
 	}
 
-	status, body, err := b.http.GetDeadline(nil, "http://"+string(at)+"/addresses?"+query, end)
+	status, body, err := c.http.GetDeadline(nil, "http://"+string(at)+"/addresses?"+query, end)
 	if err != nil || status != fasthttp.StatusOK {
-		return answer{}, false
+		return lookupReply{}, false
 	}
 
-	var a answer
+	var a lookupReply
 	if err := json.Unmarshal(body, &a); err != nil {
-		return answer{}, false
+		return lookupReply{}, false
 	}
 
 	return a, true
--- a/pkg/cwcaller/caller.go
+++ b/pkg/cwcaller/caller.go
@@ -1,13 +1,13 @@
-// Package cwcaller is the callers' library: it asks the entry VMs which
-// addresses to use, keeps the answer, sends requests there and tries again
-// where that is safe.
+// Package cwcaller is the client library for callers. It looks up which entry
+// VMs to use, caches the reply, sends requests to these entry VMs and retries
+// if that is safe.
 //
-// A request that must not repeat is sent with Once set. It gets a ticket, and
-// after a lost reply it is sent again with the same ticket, which starts
-// nothing anew: the entry VM that owns the ticket answers with the recorded
-// outcome. A new ticket is used only after a "not-run". Other requests are
-// sent again after a "not-run", and after an "unknown" if their method is
-// idempotent (RFC 9110, 9.2.2).
+// A request that must not repeat is sent with Once set. It gets a ticket. If
+// its reply is lost, it is sent again with the same ticket, which does not
+// run it again: the entry VM that owns the ticket replies with the recorded
+// outcome. A new ticket is used only after the verdict not-run. Other
+// requests are retried after the verdict not-run, and after the verdict
+// unknown if their method is idempotent (RFC 9110, section 9.2.2).
 package cwcaller
 
 import (
@@ -21,23 +21,26 @@
 	"carobward.example/carobward"
 )
 
-// Options say who the caller is and where to ask.
+// Options configure a Client.
 type Options struct {
-	// Caller is a name that spreads callers over the entry VMs.
+	// Caller is a name that is used to spread callers over the entry VMs.
 	Caller string
-	// Domain is the caller's failure domain, if it has one.
+	// Domain is the failure domain of the caller, if it has one.
 	Domain carobward.Domain
-	// Target is the target of the requests, if they all have the same: then
-	// the answer names the entry VMs that carry it. Without it any do.
+	// Target is the target of all requests, if they have the same one: the
+	// lookup then returns the entry VMs that serve this target. Without it,
+	// the lookup returns any entry VMs.
 	Target carobward.TargetName
-	// Lookup lists addresses of entry VMs' lookup listeners.
+	// Lookup lists the lookup addresses of entry VMs.
 	Lookup []carobward.Address
-	// Timeout bounds a request whose context has no deadline; by default
-	// two seconds.
+	// Timeout is the timeout of a request including its retries. The default
+	// is two seconds. An earlier deadline of the context takes precedence.
 	Timeout time.Duration
-	// Tries bounds how often one request is sent; by default eight times.
+	// Tries is the maximum number of times that a request is sent. The
+	// default is eight.
 	Tries int
-	// Body bounds a reply's body; by default a megabyte.
+	// Body is the maximum size of the body of a reply. The default is one
+	// megabyte.
 	Body carobward.ByteCount
 }
 
@@ -48,32 +51,33 @@
 	defaultBody    = carobward.Megabyte
 )
 
-// Request is one request.
+// Request is an HTTP request.
 type Request struct {
 	Method string
 	URI    string
 	Header carobward.Header
 	Body   []byte
-	// Once says that the request must not repeat.
+	// Once means that the request must not repeat.
 	Once bool
 }
 
-// Reply is a whole reply.
+// Reply is a complete HTTP reply.
 type Reply struct {
 	Status int
 	Header carobward.Header
 	Body   []byte
 }
 
-// Client sends requests. It may be used by many goroutines.
+// Client sends requests. It is safe for concurrent use.
 type Client struct {
 	options Options
 	clock   carobward.Clock
 	http    *fasthttp.Client
-	// fresh carries Once requests, each on a connection of its own: on a kept
-	// one, which its entry VM may have closed, a failure would be unknown.
-	fresh *fasthttp.Client
-	book  *book
+	// unpooled sends Once requests, each on a new connection. On a pooled
+	// connection, which the entry VM may have closed, a failure would leave
+	// the outcome unknown.
+	unpooled *fasthttp.Client
+	lookups  *lookupCache
 }
 
 // New returns a client.
@@ -92,10 +96,10 @@
 
 	h := newHTTP(&o)
 
-	return &Client{options: o, clock: clock, http: h, fresh: newHTTP(&o), book: newBook(&o, clock, h)}
+	return &Client{options: o, clock: clock, http: h, unpooled: newHTTP(&o), lookups: newLookupCache(&o, clock, h)}
 }
 
-// newHTTP returns an HTTP client that sends each request once.
+// newHTTP returns an HTTP client that does not retry requests.
 func newHTTP(o *Options) *fasthttp.Client {
 	return &fasthttp.Client{
 		Name:                      "cwcaller",
@@ -106,17 +110,18 @@
 	}
 }
 
-// dialMost bounds the opening of a connection.
-const dialMost = time.Second
+// dialTimeout is the timeout for opening a connection.
+const dialTimeout = time.Second
 
-// dialError tells that no connection was opened, so that nothing was sent.
+// dialError means that the connection could not be opened, so nothing was
+// sent.
 type dialError struct{ error }
 
 // Unwrap returns the cause.
 func (e dialError) Unwrap() error { return e.error }
 
 func dial(address string) (net.Conn, error) {
-	c, err := net.DialTimeout("tcp", address, dialMost)
+	c, err := net.DialTimeout("tcp", address, dialTimeout)
 	if err != nil {
 		return nil, dialError{err}
 	}
@@ -124,34 +129,34 @@
 	return c, nil
 }
 
-// Do sends a request and tries again where that is safe, until its deadline.
-// The error is a Failure whose verdict says whether the request may have run;
-// the reply that goes with it, if any, is the last one.
+// Do sends a request and retries if that is safe, until the deadline. The
+// error is a Failure whose verdict says whether the request may have run. The
+// reply returned with an error is the last one, or nil.
 func (c *Client) Do(ctx context.Context, r *Request) (*Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.options.Timeout)
 	defer cancel()
 
-	t := &try{client: c, request: r}
+	k := &call{client: c, request: r}
 
 	for range c.options.Tries {
-		reply, err := t.next(ctx)
+		reply, err := k.attempt(ctx)
 		if err == nil {
 			return reply, nil
 		}
 
-		if !t.again(err) || !wait(ctx, err) {
-			return reply, t.verdict(err)
+		if !k.mayRetry(err) || !waitForRetry(ctx, err) {
+			return reply, k.finalFailure(err)
 		}
 
-		t.failed = err
+		k.lastFailure = err
 	}
 
-	return nil, t.verdict(t.failed)
+	return nil, k.finalFailure(k.lastFailure)
 }
 
-// wait waits until the caller should come back. It returns false if that is
-// after the request's deadline.
-func wait(ctx context.Context, f *carobward.Failure) bool {
+// waitForRetry waits for the delay in f. It returns false if the deadline of
+// the request is earlier.
+func waitForRetry(ctx context.Context, f *carobward.Failure) bool {
 	if end, ok := ctx.Deadline(); ok && time.Until(end) <= f.RetryAfter {
 		return false
 	}
@@ -167,5 +172,5 @@
 	}
 }
 
-// ErrLookup tells that no entry VM answered which addresses to use.
+// ErrLookup means that no entry VM answered the lookup.
 const ErrLookup = errors.ConstError("caller: no entry VM answered which addresses to use")
--- a/pkg/cwcaller/caller_test.go
+++ b/pkg/cwcaller/caller_test.go
@@ -15,28 +15,29 @@
 	"carobward.example/carobward/internal/cwtest"
 )
 
-// step is what one request is answered with.
-type step struct {
+// scriptedReply is the reply to one request.
+type scriptedReply struct {
 	status  int
 	verdict string
 	ticket  string
 	// cut closes the connection without a reply.
 	cut bool
-	// attempt is set where this one request has not run.
-	attempt bool
+	// attemptNotRun adds the verdict not-run for this attempt.
+	attemptNotRun bool
 }
 
-// entry is an entry VM that answers by a list of steps and keeps the tickets
-// that came. Two of them share the list.
-type entry struct {
+// fakeEntryVM is an entry VM that sends scripted replies and records the
+// tickets of the requests. After the last scripted reply it replies with
+// status 200.
+type fakeEntryVM struct {
 	mutex   sync.Mutex
-	steps   []step
+	replies []scriptedReply
 	tickets []string
 	down    bool
-	lookup  answer
+	lookup  lookupReply
 }
 
-func (e *entry) handle(ctx *fasthttp.RequestCtx) {
+func (e *fakeEntryVM) handle(ctx *fasthttp.RequestCtx) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 
@@ -55,9 +56,9 @@
 
 	e.tickets = append(e.tickets, string(ctx.Request.Header.Peek(carobward.HeaderTicket)))
 
-	s := step{status: 200, verdict: "ran"}
-	if len(e.steps) > 0 {
-		s, e.steps = e.steps[0], e.steps[1:]
+	s := scriptedReply{status: 200, verdict: "ran"}
+	if len(e.replies) > 0 {
+		s, e.replies = e.replies[0], e.replies[1:]
 	}
 
 	if s.cut {
@@ -70,7 +71,7 @@
 	ctx.Response.Header.Set(carobward.HeaderVerdict, s.verdict)
 	ctx.Response.Header.Set(carobward.HeaderRetryMillis, "1")
 
-	if s.attempt {
+	if s.attemptNotRun {
 		ctx.Response.Header.Set(carobward.HeaderAttempt, "not-run")
 	}
 
@@ -79,10 +80,10 @@
 	}
 }
 
-// listen serves on loopback.
-func (e *entry) listen(t *testing.T) carobward.Address { return cwtest.ServeHTTP(t, e.handle) }
+// listen serves on a loopback address.
+func (e *fakeEntryVM) listen(t *testing.T) carobward.Address { return cwtest.ServeHTTP(t, e.handle) }
 
-// closedAddress is an address on which nobody listens.
+// closedAddress returns an address on which nothing listens.
 func closedAddress(t *testing.T) carobward.Address {
 	t.Helper()
 
@@ -101,36 +102,36 @@
 		once = Request{Method: "POST", URI: "/fees", Once: true}
 		post = Request{Method: "POST", URI: "/fees"}
 		get  = Request{Method: "GET", URI: "/sheets"}
-		cut  = step{cut: true}
+		cut  = scriptedReply{cut: true}
 	)
 
 	for name, test := range map[string]struct {
 		request Request
-		steps   []step
+		replies []scriptedReply
 		want    carobward.Verdict
 		tickets []string
 	}{
-		"once":                           {once, nil, carobward.Ran, []string{"p.1"}},
-		"once, reply lost":               {once, []step{cut}, carobward.Ran, []string{"p.1", "p.1"}},
-		"once, not run":                  {once, []step{{status: 503, verdict: "not-run", ticket: "q.0"}}, carobward.Ran, []string{"p.1", "q.0"}},
-		"once, still running":            {once, []step{cut, {status: 409, verdict: "unknown", ticket: "p.1"}}, carobward.Ran, []string{"p.1", "p.1", "p.1"}},
-		"once, lost for good":            {once, []step{cut, {status: 410, verdict: "unknown", ticket: "p.1"}}, carobward.Unknown, []string{"p.1", "p.1"}},
-		"once, not-run of a try only":    {once, []step{cut, {status: 404, verdict: "not-run", ticket: ""}}, carobward.Unknown, []string{"p.1", "p.1"}},
-		"once, busy before the ticket":   {once, []step{cut, {status: 503, verdict: "not-run", ticket: ""}}, carobward.Ran, []string{"p.1", "p.1", "p.1"}},
-		"once, not-run closes the first": {once, []step{cut, {status: 404, verdict: "not-run", ticket: "q.0"}}, carobward.NotRun, []string{"p.1", "p.1"}},
-		"once, always lost":              {once, []step{cut, cut, cut}, carobward.Unknown, []string{"p.1", "p.1", "p.1"}},
-		"once, owner gone, first try":    {once, []step{{status: 503, verdict: "unknown", ticket: "p.1", attempt: true}}, carobward.Ran, []string{"p.1", "p.2"}},
-		"once, owner gone, second try":   {once, []step{cut, {status: 410, verdict: "unknown", ticket: "p.1", attempt: true}}, carobward.Unknown, []string{"p.1", "p.1"}},
-		"once, ticket too old":           {once, []step{{status: 410, verdict: "unknown", ticket: "p.1", attempt: true}}, carobward.Ran, []string{"p.1", "p.2"}},
-		"post, reply lost":               {post, []step{cut}, carobward.Unknown, []string{""}},
-		"post, not run":                  {post, []step{{status: 503, verdict: "not-run", ticket: ""}}, carobward.Ran, []string{"", ""}},
-		"get, reply lost":                {get, []step{cut}, carobward.Ran, []string{"", ""}},
-		"get, wrong":                     {get, []step{{status: 404, verdict: "not-run", ticket: ""}}, carobward.NotRun, []string{""}},
+		"once":                                    {once, nil, carobward.Ran, []string{"p.1"}},
+		"once, reply lost":                        {once, []scriptedReply{cut}, carobward.Ran, []string{"p.1", "p.1"}},
+		"once, not run":                           {once, []scriptedReply{{status: 503, verdict: "not-run", ticket: "q.0"}}, carobward.Ran, []string{"p.1", "q.0"}},
+		"once, still running":                     {once, []scriptedReply{cut, {status: 409, verdict: "unknown", ticket: "p.1"}}, carobward.Ran, []string{"p.1", "p.1", "p.1"}},
+		"once, outcome lost":                      {once, []scriptedReply{cut, {status: 410, verdict: "unknown", ticket: "p.1"}}, carobward.Unknown, []string{"p.1", "p.1"}},
+		"once, attempt not run":                   {once, []scriptedReply{cut, {status: 404, verdict: "not-run", ticket: ""}}, carobward.Unknown, []string{"p.1", "p.1"}},
+		"once, busy, no ticket":                   {once, []scriptedReply{cut, {status: 503, verdict: "not-run", ticket: ""}}, carobward.Ran, []string{"p.1", "p.1", "p.1"}},
+		"once, ticket closed":                     {once, []scriptedReply{cut, {status: 404, verdict: "not-run", ticket: "q.0"}}, carobward.NotRun, []string{"p.1", "p.1"}},
+		"once, replies always lost":               {once, []scriptedReply{cut, cut, cut}, carobward.Unknown, []string{"p.1", "p.1", "p.1"}},
+		"once, owner unavailable, first attempt":  {once, []scriptedReply{{status: 503, verdict: "unknown", ticket: "p.1", attemptNotRun: true}}, carobward.Ran, []string{"p.1", "p.2"}},
+		"once, owner unavailable, second attempt": {once, []scriptedReply{cut, {status: 410, verdict: "unknown", ticket: "p.1", attemptNotRun: true}}, carobward.Unknown, []string{"p.1", "p.1"}},
+		"once, ticket too old":                    {once, []scriptedReply{{status: 410, verdict: "unknown", ticket: "p.1", attemptNotRun: true}}, carobward.Ran, []string{"p.1", "p.2"}},
+		"post, reply lost":                        {post, []scriptedReply{cut}, carobward.Unknown, []string{""}},
+		"post, not run":                           {post, []scriptedReply{{status: 503, verdict: "not-run", ticket: ""}}, carobward.Ran, []string{"", ""}},
+		"get, reply lost":                         {get, []scriptedReply{cut}, carobward.Ran, []string{"", ""}},
+		"get, not found":                          {get, []scriptedReply{{status: 404, verdict: "not-run", ticket: ""}}, carobward.NotRun, []string{""}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := &entry{steps: test.steps}
+			e := &fakeEntryVM{replies: test.replies}
 			at := e.listen(t)
-			e.lookup = answer{Use: []line{{at, at}, {at, at}}, Keep: 60, Ticket: "p"}
+			e.lookup = lookupReply{Use: []endpoint{{at, at}, {at, at}}, Keep: 60, Ticket: "p"}
 
 			c := New(Options{Lookup: []carobward.Address{closedAddress(t), at}, Timeout: time.Minute, Tries: 3}, carobward.SystemClock{})
 
@@ -153,12 +154,13 @@
 	}
 }
 
-// TestTicketOfTheVMThatIsUsed: nothing was sent to an entry VM that is gone,
-// so that the next one is asked for a ticket of its own.
+// TestTicketOfNextVM verifies that if the first entry VM refuses the
+// connection, so that nothing was sent, the request takes a ticket of the
+// second one.
 func TestTicketOfTheVMThatIsUsed(t *testing.T) {
-	first, second := &entry{}, &entry{lookup: answer{Ticket: "second"}}
-	at, gone := first.listen(t), closedAddress(t)
-	first.lookup = answer{Use: []line{{gone, at}, {second.listen(t), second.listen(t)}}, Keep: 60, Ticket: "first"}
+	first, second := &fakeEntryVM{}, &fakeEntryVM{lookup: lookupReply{Ticket: "second"}}
+	at, closed := first.listen(t), closedAddress(t)
+	first.lookup = lookupReply{Use: []endpoint{{closed, at}, {second.listen(t), second.listen(t)}}, Keep: 60, Ticket: "first"}
 
 	c := New(Options{Lookup: []carobward.Address{at}, Timeout: time.Minute}, carobward.SystemClock{})
 	if _, err := c.Do(context.Background(), &Request{Method: "POST", URI: "/fees", Once: true}); err != nil {
@@ -173,12 +175,13 @@
 	}
 }
 
-// TestAddresses: an address that is gone is passed over, an old answer is
-// used on while no entry VM gives a new one, and without any nothing is sent.
+// TestAddresses verifies that an address that refuses connections is skipped,
+// that an expired lookup reply is used while no entry VM answers lookups, and
+// that without any lookup reply the verdict is not-run.
 func TestAddresses(t *testing.T) {
-	e := &entry{}
-	at, gone := e.listen(t), closedAddress(t)
-	e.lookup = answer{Use: []line{{gone, gone}, {at, at}}, Keep: 0, Ticket: "p"}
+	e := &fakeEntryVM{}
+	at, closed := e.listen(t), closedAddress(t)
+	e.lookup = lookupReply{Use: []endpoint{{closed, closed}, {at, at}}, Keep: 0, Ticket: "p"}
 
 	c := New(Options{Lookup: []carobward.Address{at}, Timeout: time.Minute}, carobward.SystemClock{})
 
@@ -192,10 +195,10 @@
 		e.mutex.Unlock()
 	}
 
-	short := Options{Lookup: []carobward.Address{gone}, Timeout: time.Minute, Tries: 2}
+	options := Options{Lookup: []carobward.Address{closed}, Timeout: time.Minute, Tries: 2}
 
-	_, err := New(short, carobward.SystemClock{}).Do(context.Background(), &Request{Method: "GET", URI: "/sheets"})
+	_, err := New(options, carobward.SystemClock{}).Do(context.Background(), &Request{Method: "GET", URI: "/sheets"})
 	if v := carobward.VerdictOf(err); err == nil || v != carobward.NotRun {
-		t.Errorf("without an answer: %v", err)
+		t.Errorf("without a lookup reply: got %v, want verdict not-run", err)
 	}
 }
--- a/pkg/cwcaller/try.go
+++ b/pkg/cwcaller/try.go
@@ -11,49 +11,51 @@
 	"carobward.example/carobward"
 )
 
-// try is one request on its way through several attempts.
-type try struct {
+// call is a request that is sent in one or more attempts.
+type call struct {
 	client  *Client
 	request *Request
-	// ticket is the one to use; empty before the first attempt.
+	// ticket is the ticket of the next attempt. It is empty before the first.
 	ticket string
-	// doubt is set once an attempt under the ticket may have run.
-	doubt bool
-	// anew is set where no attempt under the ticket can have run, so that the
-	// next one takes another ticket.
-	anew bool
-	// place counts the addresses that failed, of as many as there are.
-	place  int
-	places int
-	failed *carobward.Failure
+	// mayHaveRun is set once an attempt under the ticket may have run.
+	mayHaveRun bool
+	// ticketDropped is set if no attempt under the last ticket can have run,
+	// so that the next attempt takes a new ticket.
+	ticketDropped bool
+	// failures counts the attempts without a reply or with status 503. After
+	// each of them the next of the addressCount addresses is used.
+	failures     int
+	addressCount int
+	lastFailure  *carobward.Failure
 }
 
-// The pause before the next attempt where the reply does not say it.
+// The delay before the next attempt if no reply specifies it: by default, after
+// an address without a reply, and after all addresses were without a reply.
 const (
-	pauseDefault = 500 * time.Millisecond
-	pauseMoved   = 5 * time.Millisecond
-	pauseRound   = 100 * time.Millisecond
+	defaultRetryDelay = 500 * time.Millisecond
+	nextAddressDelay  = 5 * time.Millisecond
+	allFailedDelay    = 100 * time.Millisecond
 )
 
-// next makes one attempt.
-func (t *try) next(ctx context.Context) (*Reply, *carobward.Failure) {
-	use, err := t.client.book.lines(ctx)
+// attempt makes one attempt.
+func (k *call) attempt(ctx context.Context) (*Reply, *carobward.Failure) {
+	use, err := k.client.lookups.endpoints(ctx)
 	if err != nil {
-		return nil, carobward.NewFailure(carobward.NotRun, fasthttp.StatusServiceUnavailable, pauseDefault, err)
+		return nil, carobward.NewFailure(carobward.NotRun, fasthttp.StatusServiceUnavailable, defaultRetryDelay, err)
 	}
 
-	t.places = len(use)
-	to := use[t.place%len(use)]
+	k.addressCount = len(use)
+	to := use[k.failures%len(use)]
 
-	if t.request.Once && t.ticket == "" {
-		t.ticket = t.client.book.ticket(ctx, to)
+	if k.request.Once && k.ticket == "" {
+		k.ticket = k.client.lookups.newTicket(ctx, to)
 	}
 
-	t.anew = false
+	k.ticketDropped = false
 
-	reply, err := t.client.send(ctx, to.Address, t, len(use) > 1)
+	reply, err := k.client.send(ctx, to.Address, k, len(use) > 1)
 	if err != nil {
-		return nil, t.lost(err)
+		return nil, k.noReply(err)
 	}
 
 	v := carobward.ParseVerdict(reply.Header.Get(carobward.HeaderVerdict))
@@ -61,88 +63,91 @@
 		return reply, nil
 	}
 
-	t.answered(v, reply)
+	k.update(v, reply)
 
 	cause := errors.Errorf("caller: %s", reply.Body)
 
-	return reply, carobward.NewFailure(v, reply.Status, pause(reply), cause)
+	return reply, carobward.NewFailure(v, reply.Status, retryDelay(reply), cause)
 }
 
-// lost handles an attempt without a reply: the next address is tried.
-func (t *try) lost(err error) *carobward.Failure {
-	t.place++
+// noReply handles an attempt without a reply. The next attempt uses the next
+// address.
+func (k *call) noReply(err error) *carobward.Failure {
+	k.failures++
 
-	after := pauseMoved
-	if t.place%t.places == 0 {
-		after = pauseRound
+	after := nextAddressDelay
+	if k.failures%k.addressCount == 0 {
+		after = allFailedDelay
 	}
 
 	var d dialError
 	if errors.As(err, &d) {
-		t.renew()
+		k.dropTicket()
 
 		return carobward.NewFailure(carobward.NotRun, fasthttp.StatusServiceUnavailable, after, err)
 	}
 
-	t.doubt = true
+	k.mayHaveRun = true
 
 	return carobward.NewFailure(carobward.Unknown, fasthttp.StatusBadGateway, after, err)
 }
 
-// answered takes the ticket that a reply names, and notes what a failure
-// means for it. A not-run that names a new ticket closes the old one, so that
-// earlier attempts under it have not run either. Without one it speaks for
-// this attempt only, as does the attempt's own verdict.
-func (t *try) answered(v carobward.Verdict, reply *Reply) {
+// update stores the ticket in a reply and works out what a failure means for
+// it. The verdict not-run with a new ticket closes the old one, which means
+// that earlier attempts under it have not run either. Without a new ticket,
+// the verdict applies to this attempt only, as does the verdict of the
+// attempt in its own header field.
+func (k *call) update(v carobward.Verdict, reply *Reply) {
 	next := reply.Header.Get(carobward.HeaderTicket)
 	attempt := carobward.ParseVerdict(reply.Header.Get(carobward.HeaderAttempt))
-	closes := v == carobward.NotRun && next != "" && next != t.ticket
+	closes := v == carobward.NotRun && next != "" && next != k.ticket
 
 	switch {
 	case closes:
-		t.doubt = false
+		k.mayHaveRun = false
 	case v != carobward.NotRun && attempt != carobward.NotRun:
-		t.doubt = true
+		k.mayHaveRun = true
 	}
 
-	if t.request.Once && next != "" {
-		t.ticket = next
+	if k.request.Once && next != "" {
+		k.ticket = next
 	}
 
 	if !closes {
-		t.renew()
+		k.dropTicket()
 	}
 
 	if reply.Status == fasthttp.StatusServiceUnavailable {
-		t.place++
+		k.failures++
 	}
 }
 
-// renew lets the next attempt take a ticket of the entry VM that it goes to,
-// if none under this one can have run: its owner may be gone.
-func (t *try) renew() {
-	if t.request.Once && !t.doubt {
-		t.client.book.forget(t.ticket)
-		t.ticket, t.anew = "", true
+// dropTicket makes the next attempt take a new ticket of the entry VM to
+// which it is sent, if no attempt under the current ticket can have run: the
+// owner of the current ticket may be unavailable.
+func (k *call) dropTicket() {
+	if k.request.Once && !k.mayHaveRun {
+		k.client.lookups.forgetPrefix(k.ticket)
+		k.ticket, k.ticketDropped = "", true
 	}
 }
 
-// again tells whether the request may be sent again after a failure.
-func (t *try) again(f *carobward.Failure) bool {
-	if f.Verdict == carobward.Ran || (final[f.Status] && (!t.anew || f.Status != fasthttp.StatusGone)) {
+// mayRetry reports whether the request may be sent again after a failure.
+func (k *call) mayRetry(f *carobward.Failure) bool {
+	if f.Verdict == carobward.Ran || (permanentStatuses[f.Status] && (!k.ticketDropped || f.Status != fasthttp.StatusGone)) {
 		return false
 	}
 
-	if !t.doubt || t.request.Once {
-		return !t.doubt || t.ticket != ""
+	if !k.mayHaveRun || k.request.Once {
+		return !k.mayHaveRun || k.ticket != ""
 	}
 
-	return idempotent[t.request.Method]
+	return idempotentMethods[k.request.Method]
 }
 
-// final has the statuses after which trying again is useless: the request is
-// wrong, or the outcome will never be known.
-var final = map[int]bool{
+// permanentStatuses has the statuses after which a retry is useless: the
+// request is invalid, or the outcome will never be known.
+var permanentStatuses = map[int]bool{
 	fasthttp.StatusBadRequest:            true,
 	fasthttp.StatusNotFound:              true,
 	fasthttp.StatusGone:                  true,
@@ -150,8 +155,9 @@
 	fasthttp.StatusUnprocessableEntity:   true,
 }
 
-// idempotent has the methods that may be sent again, RFC 9110, 9.2.2.
-var idempotent = map[string]bool{
+// idempotentMethods has the idempotent methods (RFC 9110, section 9.2.2). The
+// empty method means GET.
+var idempotentMethods = map[string]bool{
 	"":                     true,
 	fasthttp.MethodGet:     true,
 	fasthttp.MethodHead:    true,
@@ -161,20 +167,20 @@
 	fasthttp.MethodDelete:  true,
 }
 
-// verdict makes the last failure speak for all attempts.
-func (t *try) verdict(f *carobward.Failure) *carobward.Failure {
+// finalFailure returns the last failure with the verdict for all attempts.
+func (k *call) finalFailure(f *carobward.Failure) *carobward.Failure {
 	switch {
-	case t.doubt && f.Verdict == carobward.NotRun:
+	case k.mayHaveRun && f.Verdict == carobward.NotRun:
 		f.Verdict = carobward.Unknown
-	case t.anew && f.Verdict == carobward.Unknown:
+	case k.ticketDropped && f.Verdict == carobward.Unknown:
 		f.Verdict = carobward.NotRun
 	}
 
 	return f
 }
 
-// pause returns when the reply asks to come back.
-func pause(r *Reply) time.Duration {
+// retryDelay returns the delay before the next attempt that a reply requests.
+func retryDelay(r *Reply) time.Duration {
 	if n, err := strconv.ParseUint(r.Header.Get(carobward.HeaderRetryMillis), 10, 31); err == nil {
 		return time.Duration(n) * time.Millisecond
 	}
@@ -183,15 +189,17 @@
 		return time.Duration(n) * time.Second
 	}
 
-	return pauseDefault
+	return defaultRetryDelay
 }
 
-// attemptLeast is the least time that an attempt gets.
-const attemptLeast = 100 * time.Millisecond
+// minAttemptTime is the minimum time for an attempt, unless the request has
+// less left.
+const minAttemptTime = 100 * time.Millisecond
 
-// send makes one attempt at one address. Where there are others it gets half
-// of the time that is left, so that a silent entry VM does not take it all.
-func (c *Client) send(ctx context.Context, to carobward.Address, t *try, others bool) (*Reply, error) {
+// send makes one attempt at one address. If there are other addresses, the
+// attempt gets half of the remaining time, so that an entry VM that does not
+// reply does not use all of it.
+func (c *Client) send(ctx context.Context, to carobward.Address, k *call, others bool) (*Reply, error) {
 	now := c.clock.Now()
 
 	end, ok := ctx.Deadline()
@@ -200,7 +208,7 @@
 	}
 
 	left := end.Sub(now)
-	if half := left / 2; others && half > attemptLeast {
+	if half := left / 2; others && half > minAttemptTime {
 		left = half
 	}
 
@@ -210,12 +218,12 @@
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 
-	fill(req, to, t)
+	fillRequest(req, to, k)
 	req.Header.Set(carobward.HeaderTimeout, strconv.FormatInt(max(1, left.Milliseconds()), 10))
 
 	h := c.http
-	if t.request.Once {
-		h = c.fresh
+	if k.request.Once {
+		h = c.unpooled
 		req.SetConnectionClose()
 	}
 
@@ -224,15 +232,15 @@
 	}
 
 	reply := &Reply{Status: resp.StatusCode(), Body: append([]byte(nil), resp.Body()...)}
-	for k, v := range resp.Header.All() {
-		reply.Header = append(reply.Header, carobward.Field{Name: string(k), Value: string(v)})
+	for name, value := range resp.Header.All() {
+		reply.Header = append(reply.Header, carobward.Field{Name: string(name), Value: string(value)})
 	}
 
 	return reply, nil
 }
 
-func fill(req *fasthttp.Request, to carobward.Address, t *try) {
-	r := t.request
+func fillRequest(req *fasthttp.Request, to carobward.Address, k *call) {
+	r := k.request
 
 	req.Header.SetMethod(r.Method)
 	req.SetRequestURI("http://" + string(to) + r.URI)
@@ -242,7 +250,7 @@
 		req.Header.Add(f.Name, f.Value)
 	}
 
-	if t.ticket != "" {
-		req.Header.Set(carobward.HeaderTicket, t.ticket)
+	if k.ticket != "" {
+		req.Header.Set(carobward.HeaderTicket, k.ticket)
 	}
 }
