--- a/internal/cwtarget/validate.go
+++ b/internal/cwtarget/validate.go
@@ -13,10 +13,10 @@
 	"carobward.example/carobward/internal/cwjson"
 )
 
-// SizeMost is the maximum size of all targets together, in bytes of JSON. The
+// MaxSize is the maximum size of all targets together, in bytes of JSON. The
 // store of the platform holds values of up to one megabyte; the difference
 // leaves room for the data around the targets.
-const SizeMost = 900_000
+const MaxSize = 900_000
 
 // The limits of the values of a target and of the measuring budget.
 const (
@@ -92,8 +92,8 @@
 		fail("can't be written as JSON: %s", err)
 	}
 
-	if len(raw) > SizeMost {
-		fail("want at most %d bytes of JSON for all together, got %d", SizeMost, len(raw))
+	if len(raw) > MaxSize {
+		fail("want at most %d bytes of JSON for all together, got %d", MaxSize, len(raw))
 	}
 }
 
