--- a/internal/cwentry/target.go
+++ b/internal/cwentry/target.go
@@ -22,7 +22,7 @@
 	}
 
 	status := fasthttp.StatusBadRequest
-	if errors.Is(err, cwtarget.ErrNone) {
+	if errors.Is(err, cwtarget.ErrNoTarget) {
 		status = fasthttp.StatusNotFound
 	}
 
--- a/internal/cwtarget/table.go
+++ b/internal/cwtarget/table.go
@@ -8,8 +8,8 @@
 	"carobward.example/carobward"
 )
 
-// ErrNone means that no target matches a request.
-const ErrNone = errors.ConstError("no target matches this request")
+// ErrNoTarget means that no target matches a request.
+const ErrNoTarget = errors.ConstError("no target matches this request")
 
 // Table finds the target of a request. It holds one tree of path segments for
 // each host, so the cost of a lookup depends on the length of the path and
@@ -220,6 +220,6 @@
 	case s.anyMatch != nil:
 		return s.anyMatch, nil
 	default:
-		return nil, ErrNone
+		return nil, ErrNoTarget
 	}
 }
--- a/internal/cwtarget/table_test.go
+++ b/internal/cwtarget/table_test.go
@@ -102,8 +102,8 @@
 	}
 
 	_, err := cwtarget.NewTable(targets()[1:2]).Find("", "GET", "/fees")
-	if !errors.Is(err, cwtarget.ErrNone) {
-		t.Errorf("got %v, want %v", err, cwtarget.ErrNone)
+	if !errors.Is(err, cwtarget.ErrNoTarget) {
+		t.Errorf("got %v, want %v", err, cwtarget.ErrNoTarget)
 	}
 }
 
