--- a/internal/cwtarget/file_test.go
+++ b/internal/cwtarget/file_test.go
@@ -33,7 +33,7 @@
 		"host with a port":             {text: fileWith(`"name"`, `"host": "a.example:80", "name"`), err: `f:2:10: "fee.host": want a host name in small letters without a port, such as "fees.example", got "a.example:80"`},
 		"parent segment in the path":   {text: fileWith(`/fees`, `/a/../fees`), err: `f:2:95: "fee.match[0].path": want a path such as "/sheets/", got "/a/../fees": ` + cwtarget.ErrSegment.Error()},
 		"empty segment in the path":    {text: fileWith(`/fees`, `/fees//`), err: `f:2:95: "fee.match[0].path": want a path such as "/sheets/", got "/fees//": ` + cwtarget.ErrSegment.Error()},
-		"path without a leading slash": {text: fileWith(`/fees`, `fees`), err: `f:2:95: "fee.match[0].path": want a path such as "/sheets/", got "fees": ` + cwtarget.ErrForm.Error()},
+		"path without a leading slash": {text: fileWith(`/fees`, `fees`), err: `f:2:95: "fee.match[0].path": want a path such as "/sheets/", got "fees": ` + cwtarget.ErrNotPath.Error()},
 		"zero time":                    {text: fileWith(`"name"`, `"within": "0s", "name"`), err: `f:2:12: "fee.within": want a time from 1ms to 5m0s, got 0s`},
 		"body over the limit":          {text: fileWith(`"name"`, `"body": "65MB", "name"`), err: `f:2:10: "fee.body": want from 1 to 67108864 bytes, got 68157440`},
 		"no match":                     {text: fileWith(`{"method": "post", "path": "/fees"}`, ``), err: `f:2:67: "fee.match": want from 1 to 64 of {"method": ..., "path": ...}, got 0`},
--- a/internal/cwtarget/path.go
+++ b/internal/cwtarget/path.go
@@ -10,7 +10,7 @@
 // interpret such values differently, and one interpretation could match
 // another target.
 const (
-	ErrForm     = errors.ConstError("the request target must be a path that starts with /")
+	ErrNotPath  = errors.ConstError("the request target must be a path that starts with /")
 	ErrSegment  = errors.ConstError(`the path has an empty, "." or ".." segment`)
 	ErrByte     = errors.ConstError(`the path has a byte that must be percent-encoded, or a "\" or ";"`)
 	ErrEncoding = errors.ConstError("the path has a percent-encoding that is broken, doubled, or of a slash, backslash, semicolon or control byte")
--- a/internal/cwtarget/table.go
+++ b/internal/cwtarget/table.go
@@ -115,7 +115,7 @@
 	case !isHost(host):
 		return nil, ErrHost
 	case !strings.HasPrefix(path, "/"):
-		return nil, ErrForm
+		return nil, ErrNotPath
 	case strings.IndexByte(uri, '#') >= 0:
 		return nil, ErrByte
 	}
--- a/internal/cwtarget/validate.go
+++ b/internal/cwtarget/validate.go
@@ -202,7 +202,7 @@
 func (c *checker) canonicalPath(path string) (string, error) {
 	switch {
 	case !strings.HasPrefix(path, "/"):
-		return "", ErrForm
+		return "", ErrNotPath
 	case len(path) > maxPath:
 		return "", fmt.Errorf("it is longer than %d bytes", maxPath)
 	case strings.Count(path, "/") > maxSegments:
