--- a/internal/cwtarget/path.go
+++ b/internal/cwtarget/path.go
@@ -10,14 +10,14 @@
 // interpret such values differently, and one interpretation could match
 // another target.
 const (
-	ErrNotPath  = errors.ConstError("the request target must be a path that starts with /")
-	ErrSegment  = errors.ConstError(`the path has an empty, "." or ".." segment`)
-	ErrByte     = errors.ConstError(`the path has a byte that must be percent-encoded, or a "\" or ";"`)
-	ErrEncoding = errors.ConstError("the path has a percent-encoding that is broken, doubled, or of a slash, backslash, semicolon or control byte")
-	ErrDeep     = errors.ConstError("the path has too many segments")
-	ErrCase     = errors.ConstError("the path differs from a target's only in capitals")
-	ErrMethod   = errors.ConstError("the method must be a token in capitals")
-	ErrHost     = errors.ConstError("the Host field must be a host name or an IP number")
+	ErrNotPath         = errors.ConstError("the request target must be a path that starts with /")
+	ErrSegment         = errors.ConstError(`the path has an empty, "." or ".." segment`)
+	ErrByte            = errors.ConstError(`the path has a byte that must be percent-encoded, or a "\" or ";"`)
+	ErrEncoding        = errors.ConstError("the path has a percent-encoding that is broken, doubled, or of a slash, backslash, semicolon or control byte")
+	ErrTooManySegments = errors.ConstError("the path has too many segments")
+	ErrCase            = errors.ConstError("the path differs from a target's only in capitals")
+	ErrMethod          = errors.ConstError("the method must be a token in capitals")
+	ErrHost            = errors.ConstError("the Host field must be a host name or an IP number")
 )
 
 // maxSegments is the maximum number of segments in a path.
--- a/internal/cwtarget/table.go
+++ b/internal/cwtarget/table.go
@@ -149,7 +149,7 @@
 
 	for count := 0; path != ""; count++ {
 		if count == maxSegments {
-			return ErrDeep
+			return ErrTooManySegments
 		}
 
 		segment, rest, err := nextSegment(path)
--- a/internal/cwtarget/table_test.go
+++ b/internal/cwtarget/table_test.go
@@ -83,7 +83,7 @@
 		"lower-case method":                    {method: "post", uri: "/fees", err: cwtarget.ErrMethod},
 		"no method":                            {method: "", uri: "/fees", err: cwtarget.ErrMethod},
 		"user info in the host":                {host: "a@club.example", method: "GET", uri: "/", err: cwtarget.ErrHost},
-		"too deep":                             {method: "GET", uri: strings.Repeat("/a", 65), err: cwtarget.ErrDeep},
+		"too deep":                             {method: "GET", uri: strings.Repeat("/a", 65), err: cwtarget.ErrTooManySegments},
 	}
 
 	table := cwtarget.NewTable(targets())
--- a/internal/cwtarget/validate.go
+++ b/internal/cwtarget/validate.go
@@ -206,7 +206,7 @@
 	case len(path) > maxPath:
 		return "", fmt.Errorf("it is longer than %d bytes", maxPath)
 	case strings.Count(path, "/") > maxSegments:
-		return "", ErrDeep
+		return "", ErrTooManySegments
 	}
 
 	var canonical string
