--- a/internal/cwtarget/file_test.go
+++ b/internal/cwtarget/file_test.go
@@ -123,10 +123,10 @@
 	}
 }
 
-// TestTooMuchForTheStore checks that validation rejects a set that the store
+// TestSizeLimits checks that validation rejects a set that the store
 // would reject for its size, and accepts 220 services with three targets
 // each.
-func TestTooMuchForTheStore(t *testing.T) {
+func TestSizeLimits(t *testing.T) {
 	s := cwtarget.Set{Targets: manyTargets(1800)}
 	if got := cwtest.ErrorText(s.Validate()); !strings.Contains(got, "want at most 4096 targets, got 5400") || !strings.Contains(got, "want at most 900000 bytes") {
 		t.Errorf("got %q, want an error that names both limits", got)
