--- a/internal/cwtarget/file_test.go
+++ b/internal/cwtarget/file_test.go
@@ -111,7 +111,7 @@
 	}
 }
 
-func TestPageHasEachKey(t *testing.T) {
+func TestKeysDocumented(t *testing.T) {
 	cwtest.CheckDocKeys(t, "../../docs/targets.md", cwjson.Keys(reflect.TypeFor[cwtarget.Set]()))
 }
 
