--- a/internal/cwsettings/settings_test.go
+++ b/internal/cwsettings/settings_test.go
@@ -118,7 +118,7 @@
 	}
 }
 
-func TestPageHasEachKey(t *testing.T) {
+func TestKeysDocumented(t *testing.T) {
 	cwtest.CheckDocKeys(t, "../../docs/settings.md", cwjson.Keys(reflect.TypeFor[cwsettings.Settings]()))
 }
 
