--- a/internal/cwtrace/trace_test.go
+++ b/internal/cwtrace/trace_test.go
@@ -58,7 +58,7 @@
 
 // TestSpans verifies the spans of a request that goes from a caller through a
 // peer to a server, and the header that the server gets.
-func TestHops(t *testing.T) {
+func TestSpans(t *testing.T) {
 	tracer, exporter := newRecordingTracer(0)
 
 	ctx, request := tracer.Request(context.Background(), "id", Context{Parent: callersParent, State: "a=b"})
