--- a/internal/cwtrace/trace_test.go
+++ b/internal/cwtrace/trace_test.go
@@ -206,7 +206,7 @@
 
 // BenchmarkSpans measures the cost of the spans of one request with one
 // attempt.
-func BenchmarkHops(b *testing.B) {
+func BenchmarkSpans(b *testing.B) {
 	for name, tracer := range map[string]*Tracer{
 		"off":       nil,
 		"unsampled": newTracer(cwsettings.Trace{Share: 0}, "vm-1", "Ifrane", sdktrace.WithBatcher(tracetest.NewNoopExporter())),
