--- a/internal/cwtrace/trace_test.go
+++ b/internal/cwtrace/trace_test.go
@@ -129,7 +129,7 @@
 
 // TestDisabled verifies that a disabled tracer does not change headers and
 // does not allocate.
-func TestOff(t *testing.T) {
+func TestDisabled(t *testing.T) {
 	tracer, err := New(cwsettings.Trace{To: cwsettings.TraceOff}, "vm-1", "Ifrane", io.Discard, logr.Discard())
 	if tracer != nil || err != nil {
 		t.Fatalf("got %v, %v, want nil, nil", tracer, err)
