--- a/pkg/cwcaller/caller_test.go
+++ b/pkg/cwcaller/caller_test.go
@@ -157,7 +157,7 @@
 // TestTicketOfNextVM verifies that if the first entry VM refuses the
 // connection, so that nothing was sent, the request takes a ticket of the
 // second one.
-func TestTicketOfTheVMThatIsUsed(t *testing.T) {
+func TestTicketOfNextVM(t *testing.T) {
 	first, second := &fakeEntryVM{}, &fakeEntryVM{lookup: lookupReply{Ticket: "second"}}
 	at, closed := first.listen(t), closedAddress(t)
 	first.lookup = lookupReply{Use: []endpoint{{closed, at}, {second.listen(t), second.listen(t)}}, Keep: 60, Ticket: "first"}
