--- a/internal/cwconfig/change.go
+++ b/internal/cwconfig/change.go
@@ -12,48 +12,50 @@
 	"carobward.example/carobward/internal/cwtarget"
 )
 
-// Chain is a hash over all changes up to a revision, so that two histories
-// with the same revision number can be told apart. It is empty before the
-// first change.
+// Chain is a hash over all changes up to a revision. It distinguishes two
+// histories with the same revision number. It is empty before the first change.
 type Chain string
 
-// chainBytes is how much of a SHA-256 sum a Chain keeps. It guards against
-// mistakes, not against forgery: who can write the store can write a chain.
+// chainBytes is the length that a SHA-256 sum is truncated to. A Chain detects
+// mistakes, not forgery: whoever can write to the store can compute one.
 const chainBytes = 16
 
 // Change is a step from one revision to the next.
 type Change struct {
-	// ID names the change. The same intent upon the same base has the same
-	// id, so that it can be made again after a lost reply.
+	// ID identifies the change. Submitting the same content on the same base
+	// again gives the same ID, so a change can be retried after a lost reply.
 	ID carobward.ChangeID `json:"id"`
-	// Source names the intent without its base.
+	// Source identifies the content of the change, independent of its base.
 	Source carobward.ChangeID `json:"source,omitempty"`
-	// Author is who made the change, for people to read.
+	// Author is the operator who made the change; informational only.
 	Author string `json:"author,omitempty"`
-	// Base is the revision that the writer saw.
+	// Base is the revision that the change was made against.
 	Base carobward.Revision `json:"base"`
-	// Revision is the one that the change made; zero before it is accepted.
+	// Revision is the revision that the change created; zero until it is
+	// accepted.
 	Revision carobward.Revision `json:"revision,omitempty"`
 	// Chain is the hash of the history up to and with this change.
 	Chain Chain `json:"chain,omitempty"`
-	// Put holds targets that are new or replaced.
+	// Put holds the targets to add or replace.
 	Put []carobward.Target `json:"put,omitempty"`
-	// Drop names targets that are removed.
+	// Drop holds the names of the targets to remove.
 	Drop []carobward.TargetName `json:"drop,omitempty"`
-	// Measure replaces the measuring budget, if set.
+	// Measure replaces the measuring budget if it is set.
 	Measure *cwtarget.Measure `json:"measure,omitempty"`
-	// Whole replaces everything and starts a new history: it puts the
-	// fleet's configuration back into a store that was restored.
+	// FullSet replaces the whole configuration and starts a new history. It
+	// is used to write the fleet's configuration back to a store that was
+	// restored from a backup.
 	Whole *cwtarget.Set `json:"whole,omitempty"`
 }
 
-// Empty tells that the change changes nothing.
+// Empty reports whether the change has no effect.
 func (c *Change) Empty() bool {
 	return len(c.Put) == 0 && len(c.Drop) == 0 && c.Measure == nil && c.Whole == nil
 }
 
-// next returns the chain after c, upon the chain before it.
-func (c *Change) next(before Chain) (Chain, error) {
+// chainAfter returns the chain after c is appended to a history whose chain is
+// before. A change that replaces everything starts with an empty chain.
+func (c *Change) chainAfter(before Chain) (Chain, error) {
 	plain := *c
 	plain.Chain = ""
 
@@ -73,9 +75,9 @@
 	return Chain(hex.EncodeToString(h.Sum(nil)[:chainBytes])), nil
 }
 
-// normal returns the change as a reader of the store sees it, so that its
-// chain is the same on both sides.
-func (c *Change) normal() (Change, error) {
+// normalized returns the change after a round trip through JSON, so that the
+// writer computes the same chain as a reader of the store.
+func (c *Change) normalized() (Change, error) {
 	raw, err := json.Marshal(c)
 	if err != nil {
 		return Change{}, errors.Annotate(err, "config")
@@ -83,10 +85,11 @@
 
 	var read Change
 
-	return read, errors.Annotate(strict(raw, &read), "config")
+	return read, errors.Annotate(decodeStrict(raw, &read), "config")
 }
 
-// Touched returns the names of the targets that the change puts or drops.
+// Touched returns the names of the targets that the change adds, replaces or
+// removes.
 func (c *Change) Touched() map[carobward.TargetName]bool {
 	names := map[carobward.TargetName]bool{}
 	for i := range c.Put {
@@ -100,9 +103,9 @@
 	return names
 }
 
-// strict decodes JSON and refuses unknown keys: what this version does not
-// know it must not drop silently.
-func strict(raw []byte, into any) error {
+// decodeStrict decodes a single JSON value and returns an error for unknown
+// keys: settings from a newer version must not be dropped silently.
+func decodeStrict(raw []byte, into any) error {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.DisallowUnknownFields()
 
--- a/internal/cwconfig/condition.go
+++ b/internal/cwconfig/condition.go
@@ -9,40 +9,40 @@
 	"carobward.example/carobward"
 )
 
-// Condition is what an entry VM knows of its own configuration.
+// Condition is the state of the configuration on this entry VM.
 type Condition struct {
-	// Ready tells that the configuration is in force; a newcomer is not
-	// until it has asked the store or several peers.
+	// Ready reports whether the configuration is in effect. A new entry VM
+	// becomes ready after it has queried the store or several peers.
 	Ready bool
-	// Revision and Chain name the configuration in force.
+	// Revision and Chain identify the effective configuration.
 	Revision carobward.Revision
 	Chain    Chain
-	// Fresh is the latest time of which it is known that no higher revision
-	// had been accepted by then; zero for never.
+	// Fresh is the latest time at which the effective revision is known to
+	// have been the newest one accepted; zero if that was never known.
 	Fresh time.Time
-	// Alarm says what is wrong; empty for nothing.
+	// Alarm describes a problem that needs an operator; empty if there is none.
 	Alarm string
 }
 
-// source is where an alarm comes from.
-type source uint8
+// alarmSource is the origin of an alarm.
+type alarmSource uint8
 
 const (
-	fromStore source = iota
+	fromStore alarmSource = iota
 	fromPeer
-	sources
+	numAlarmSources
 )
 
-// alarmKeep is how long an alarm about a peer stands after it was last seen.
-// One about the store stands until the store is read well again.
-const alarmKeep = 30 * time.Second
+// peerAlarmTTL is how long an alarm about a peer is kept after its cause was
+// last seen. An alarm about the store is kept until the next successful read.
+const peerAlarmTTL = 30 * time.Second
 
-// vitals holds the parts of a Condition that change.
-type vitals struct {
+// conditionState holds what a Condition is made of besides the configuration.
+type conditionState struct {
 	mutex  sync.Mutex
 	ready  bool
 	fresh  time.Time
-	alarms [sources]alarm
+	alarms [numAlarmSources]alarm
 }
 
 type alarm struct {
@@ -50,60 +50,60 @@
 	at   time.Time
 }
 
-// freshen notes that all accepted until then is in force.
-func (v *vitals) freshen(until time.Time) {
-	v.mutex.Lock()
-	defer v.mutex.Unlock()
+// updateFresh records that every change accepted before until is in effect.
+func (s *conditionState) updateFresh(until time.Time) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 
-	if until.After(v.fresh) {
-		v.fresh = until
+	if until.After(s.fresh) {
+		s.fresh = until
 	}
 }
 
-// raise notes an alarm. It tells whether it is a new one.
-func (v *vitals) raise(from source, err error, now time.Time) bool {
-	v.mutex.Lock()
-	defer v.mutex.Unlock()
+// raiseAlarm records an alarm and reports whether its text is new.
+func (s *conditionState) raiseAlarm(from alarmSource, err error, now time.Time) bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 
-	before := v.alarms[from].text
-	v.alarms[from] = alarm{text: err.Error(), at: now}
+	before := s.alarms[from].text
+	s.alarms[from] = alarm{text: err.Error(), at: now}
 
 	return before != err.Error()
 }
 
-// clear ends the alarm from a source.
-func (v *vitals) clear(from source) {
-	v.mutex.Lock()
-	defer v.mutex.Unlock()
+// clearAlarm removes the alarm of a source.
+func (s *conditionState) clearAlarm(from alarmSource) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 
-	v.alarms[from] = alarm{}
+	s.alarms[from] = alarm{}
 }
 
-func (v *vitals) setReady() {
-	v.mutex.Lock()
-	defer v.mutex.Unlock()
+func (s *conditionState) setReady() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 
-	v.ready = true
+	s.ready = true
 }
 
-// condition returns the Condition at a time.
-func (v *vitals) condition(config *Config, now time.Time) Condition {
-	v.mutex.Lock()
-	defer v.mutex.Unlock()
+// condition returns the Condition at the time now.
+func (s *conditionState) condition(config *Config, now time.Time) Condition {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 
-	c := Condition{Ready: v.ready, Revision: config.Revision, Chain: config.Chain, Fresh: v.fresh}
-	if a := v.alarms[fromPeer]; now.Sub(a.at) < alarmKeep {
+	c := Condition{Ready: s.ready, Revision: config.Revision, Chain: config.Chain, Fresh: s.fresh}
+	if a := s.alarms[fromPeer]; now.Sub(a.at) < peerAlarmTTL {
 		c.Alarm = a.text
 	}
 
-	if a := v.alarms[fromStore]; a.text != "" {
+	if a := s.alarms[fromStore]; a.text != "" {
 		c.Alarm = a.text
 	}
 
 	return c
 }
 
-// alarming tells whether an error calls for an operator.
-func alarming(err error) bool {
-	return diverged(err) || errors.Is(err, ErrOlder) || errors.Is(err, ErrUnreadable) || errors.Is(err, ErrParts)
+// needsOperator reports whether an error needs the attention of an operator.
+func needsOperator(err error) bool {
+	return isDiverged(err) || errors.Is(err, ErrOlder) || errors.Is(err, ErrUnreadable) || errors.Is(err, ErrParts)
 }
--- a/internal/cwconfig/config.go
+++ b/internal/cwconfig/config.go
@@ -1,6 +1,7 @@
-// Package cwconfig holds the operators' configuration: one revision for the
-// whole, changes as deltas, and the copy in force on this entry VM, which
-// never goes back.
+// Package cwconfig distributes the operators' configuration to the entry VMs.
+// The configuration has one revision as a whole; changes to it are deltas
+// written to a shared store. Each entry VM holds an effective copy, kept up to
+// date from the store and from peers, whose revision never decreases.
 package cwconfig
 
 import (
@@ -17,49 +18,49 @@
 
 // Config is one revision of the whole configuration.
 type Config struct {
-	// Revision numbers it; zero means that there is none yet.
+	// Revision is zero for the empty configuration before the first change.
 	Revision carobward.Revision `json:"revision"`
-	// Chain is the hash of the history that led to it.
+	// Chain is the hash of the history that led to this revision.
 	Chain Chain `json:"chain"`
 	// Set holds the targets and the measuring budget.
 	Set cwtarget.Set `json:"set"`
 }
 
-// The errors of a step from one configuration to another.
+// The errors of applying changes to a configuration.
 const (
-	// ErrGap tells that changes are missing in between: a full copy is
-	// needed.
+	// ErrGap means that changes between the two revisions are missing; a
+	// full copy is needed.
 	ErrGap = errors.ConstError("config: changes are missing in between")
-	// ErrSize tells that a value would not fit into the store. The targets
-	// of a valid Set always do.
+	// ErrTooLarge means that a value exceeds the size limit of the store.
+	// The targets of a valid Set never do.
 	ErrSize = errors.ConstError("config: too large for the store")
 )
 
-// Diverged says that there are two histories with the same revision.
+// Diverged is the error for two different histories with the same revision.
 type Diverged struct {
 	Revision carobward.Revision
 	Ours     Chain
 	Theirs   Chain
 }
 
-// Error tells both chains.
+// Error returns a message with both chains.
 func (d *Diverged) Error() string {
 	return fmt.Sprintf("config: revision %d has another history (%s) than ours (%s)", d.Revision, d.Theirs, d.Ours)
 }
 
 // With returns the configuration after a change, and the change with its
-// revision and chain.
+// revision and chain set.
 func (c *Config) With(change Change) (*Config, Change, error) {
 	change.Revision = c.Revision + 1
 
-	chain, err := change.next(c.Chain)
+	chain, err := change.chainAfter(c.Chain)
 	if err != nil {
 		return nil, change, err
 	}
 
 	change.Chain = chain
 
-	next := c.step(&change)
+	next := c.apply(&change)
 	if err := next.Set.Validate(); err != nil {
 		return nil, change, err
 	}
@@ -67,8 +68,8 @@
 	return next, change, nil
 }
 
-// step applies a change that has its revision and chain.
-func (c *Config) step(change *Change) *Config {
+// apply applies a change whose revision and chain are set.
+func (c *Config) apply(change *Change) *Config {
 	next := &Config{Revision: change.Revision, Chain: change.Chain}
 
 	if change.Whole != nil {
@@ -80,11 +81,11 @@
 	return next
 }
 
-// Replay applies the changes beyond c's revision. It returns c itself if
-// there are none, or ErrGap, a Diverged or ErrUnreadable.
+// Replay applies the changes with a higher revision than c's. It returns c
+// itself if there are none. The error is ErrGap, a Diverged or ErrUnreadable.
 func (c *Config) Replay(changes []Change) (*Config, error) {
-	changes = changes[lastWhole(changes, c.Revision):]
-	now := c
+	changes = changes[lastFull(changes, c.Revision):]
+	result := c
 
 	for i := range changes {
 		change := &changes[i]
@@ -98,32 +99,32 @@
 			}
 
 			continue
-		case change.Revision != now.Revision+1 && change.Whole == nil:
+		case change.Revision != result.Revision+1 && change.Whole == nil:
 			return nil, ErrGap
 		}
 
-		next, err := now.follow(change)
+		next, err := result.verifyAndApply(change)
 		if err != nil {
 			return nil, err
 		}
 
-		now = next
+		result = next
 	}
 
-	if now == c {
+	if result == c {
 		return c, nil
 	}
 
-	if err := now.Set.Validate(); err != nil {
-		return nil, errors.WithType(errors.Annotatef(err, "config: revision %d", now.Revision), ErrUnreadable)
+	if err := result.Set.Validate(); err != nil {
+		return nil, errors.WithType(errors.Annotatef(err, "config: revision %d", result.Revision), ErrUnreadable)
 	}
 
-	return now, nil
+	return result, nil
 }
 
-// lastWhole returns where the last change beyond a revision that replaces
-// everything is, or zero.
-func lastWhole(changes []Change, beyond carobward.Revision) int {
+// lastFull returns the index of the last change after the revision beyond that
+// replaces the whole configuration, or zero if there is none.
+func lastFull(changes []Change, beyond carobward.Revision) int {
 	for i := len(changes) - 1; i >= 0; i-- {
 		if changes[i].Whole != nil && changes[i].Revision > beyond {
 			return i
@@ -133,9 +134,10 @@
 	return 0
 }
 
-// follow checks that a change continues our history and applies it.
-func (c *Config) follow(change *Change) (*Config, error) {
-	chain, err := change.next(c.Chain)
+// verifyAndApply checks by its chain that a change continues c's history, and
+// applies it.
+func (c *Config) verifyAndApply(change *Change) (*Config, error) {
+	chain, err := change.chainAfter(c.Chain)
 	if err != nil {
 		return nil, err
 	}
@@ -144,11 +146,11 @@
 		return nil, &Diverged{Revision: change.Revision, Ours: chain, Theirs: change.Chain}
 	}
 
-	return c.step(change), nil
+	return c.apply(change), nil
 }
 
 func merge(set *cwtarget.Set, change *Change) cwtarget.Set {
-	gone := change.Touched()
+	touched := change.Touched()
 	next := cwtarget.Set{Measure: set.Measure}
 
 	if change.Measure != nil {
@@ -156,7 +158,7 @@
 	}
 
 	for i := range set.Targets {
-		if !gone[set.Targets[i].Name] {
+		if !touched[set.Targets[i].Name] {
 			next.Targets = append(next.Targets, set.Targets[i])
 		}
 	}
@@ -168,7 +170,7 @@
 }
 
 // Diff returns the change that leads from c to the wanted set. Targets that
-// are missing from it are dropped only if prune is set.
+// are missing from the wanted set are removed only if prune is set.
 func (c *Config) Diff(want cwtarget.Set, prune bool) Change {
 	change := Change{Base: c.Revision}
 	have := map[carobward.TargetName]*carobward.Target{}
@@ -179,7 +181,7 @@
 
 	for i := range want.Targets {
 		w := &want.Targets[i]
-		if h := have[w.Name]; h == nil || !same(h, w) {
+		if h := have[w.Name]; h == nil || !equalTargets(h, w) {
 			change.Put = append(change.Put, *w)
 		}
 
@@ -201,7 +203,7 @@
 	return change
 }
 
-func same(a, b *carobward.Target) bool {
+func equalTargets(a, b *carobward.Target) bool {
 	x, _ := json.Marshal(a)
 	y, _ := json.Marshal(b)
 
--- a/internal/cwconfig/config_test.go
+++ b/internal/cwconfig/config_test.go
@@ -12,7 +12,7 @@
 	"carobward.example/carobward/internal/cwtarget"
 )
 
-// target returns a valid target whose service tells who made it.
+// target returns a valid target. The service distinguishes versions of it.
 func target(name, service string) carobward.Target {
 	return carobward.Target{
 		Name: carobward.TargetName(name), Service: carobward.Service(service), Promise: carobward.Quick,
@@ -21,6 +21,7 @@
 	}
 }
 
+// put returns a change that puts targets with the given names.
 func put(id, author string, base int, names ...string) Change {
 	c := Change{ID: carobward.ChangeID(id), Author: author, Base: carobward.Revision(base)}
 	for _, n := range names {
@@ -30,8 +31,8 @@
 	return c
 }
 
-// history returns the configurations from revision zero on, and the changes
-// that led from one to the next.
+// history returns the configurations of revisions 0 to n, and the changes that
+// lead from one to the next.
 func history(t testing.TB, n int, prefix string) ([]*Config, []Change) {
 	t.Helper()
 
@@ -53,14 +54,14 @@
 
 func TestReplay(t *testing.T) {
 	configs, changes := history(t, 6, "a")
-	_, others := history(t, 6, "b")
+	_, diverging := history(t, 6, "b")
 
-	whole := Change{ID: "whole", Base: 8, Revision: 9, Whole: &configs[2].Set}
-	whole.Chain, _ = whole.next("")
+	replacement := Change{ID: "whole", Base: 8, Revision: 9, Whole: &configs[2].Set}
+	replacement.Chain, _ = replacement.chainAfter("")
 
 	broken := changes[3]
 	broken.Put = []carobward.Target{target("t3", "")}
-	broken.Chain, _ = broken.next(changes[2].Chain)
+	broken.Chain, _ = broken.chainAfter(changes[2].Chain)
 
 	for name, test := range map[string]struct {
 		from    *Config
@@ -68,18 +69,18 @@
 		want    carobward.Revision
 		err     func(error) bool
 	}{
-		"all from nothing":           {configs[0], changes, 6, nil},
-		"the rest":                   {configs[4], changes[2:], 6, nil},
-		"just the next":              {configs[4], changes[4:5], 5, nil},
-		"nothing new":                {configs[6], changes[3:], 6, nil},
-		"older ones only":            {configs[6], changes[:3], 6, nil},
-		"none":                       {configs[3], nil, 3, nil},
-		"a gap":                      {configs[2], changes[3:], 0, func(err error) bool { return errors.Is(err, ErrGap) }},
-		"another history, same":      {configs[4], others[:4], 0, diverged},
-		"another history, next":      {configs[4], others[4:], 0, diverged},
-		"whole over a gap":           {configs[2], []Change{whole}, 9, nil},
-		"whole over another history": {configs[6], append(others[3:4:4], whole), 9, nil},
-		"malformed targets":          {configs[3], []Change{broken}, 0, func(err error) bool { return errors.Is(err, ErrUnreadable) }},
+		"all from revision 0":       {configs[0], changes, 6, nil},
+		"overlapping changes":       {configs[4], changes[2:], 6, nil},
+		"next change only":          {configs[4], changes[4:5], 5, nil},
+		"no newer changes":          {configs[6], changes[3:], 6, nil},
+		"older changes only":        {configs[6], changes[:3], 6, nil},
+		"no changes":                {configs[3], nil, 3, nil},
+		"gap":                       {configs[2], changes[3:], 0, func(err error) bool { return errors.Is(err, ErrGap) }},
+		"diverged, same revision":   {configs[4], diverging[:4], 0, isDiverged},
+		"diverged, next revision":   {configs[4], diverging[4:], 0, isDiverged},
+		"full set after a gap":      {configs[2], []Change{replacement}, 9, nil},
+		"full set after divergence": {configs[6], append(diverging[3:4:4], replacement), 9, nil},
+		"invalid target":            {configs[3], []Change{broken}, 0, func(err error) bool { return errors.Is(err, ErrUnreadable) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, err := test.from.Replay(test.changes)
@@ -116,18 +117,18 @@
 		change Change
 		want   string
 	}{
-		"upon the newest":  {put("x", "me", 6, "fee"), ""},
-		"another target":   {put("x", "me", 4, "gate"), ""},
-		"seen already":     {put("x", "me", 4, "fee"), ""},
-		"the same target":  {put("x", "me", 4, "sheet"), `config: target "sheet" was changed in revision 5 by bo (change b) after your base`},
-		"a dropped target": {Change{ID: "x", Base: 3, Drop: []carobward.TargetName{"fee"}}, `config: target "fee" was changed in revision 4 by ana (change a) after your base`},
-		"the budget":       {measure, "config: the measuring budget was changed in revision 6 by cy (change c) after your base"},
-		"a base too old":   {put("x", "me", 2, "gate"), ErrBase.Error()},
-		"a base to come":   {put("x", "me", 7, "gate"), "config: base 7 is not accepted yet, the last revision is 6"},
+		"newest base":      {put("x", "me", 6, "fee"), ""},
+		"other target":     {put("x", "me", 4, "gate"), ""},
+		"base has change":  {put("x", "me", 4, "fee"), ""},
+		"same target":      {put("x", "me", 4, "sheet"), `config: target "sheet" was changed in revision 5 by bo (change b) after your base`},
+		"dropped target":   {Change{ID: "x", Base: 3, Drop: []carobward.TargetName{"fee"}}, `config: target "fee" was changed in revision 4 by ana (change a) after your base`},
+		"measuring budget": {measure, "config: the measuring budget was changed in revision 6 by cy (change c) after your base"},
+		"base too old":     {put("x", "me", 2, "gate"), ErrBase.Error()},
+		"future base":      {put("x", "me", 7, "gate"), "config: base 7 is not accepted yet, the last revision is 6"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := ""
-			if err := check(&test.change, changes, 6); err != nil {
+			if err := checkConflicts(&test.change, changes, 6); err != nil {
 				got = err.Error()
 			}
 
@@ -138,7 +139,8 @@
 	}
 }
 
-// TestRepeated: the same intent once more must not revert another's change.
+// TestCheckRevert verifies that applying the same content again does not revert
+// another author's later change.
 func TestRepeated(t *testing.T) {
 	mine := put("x", "me", 9, "fee")
 	mine.Source = "files"
@@ -148,12 +150,12 @@
 		changes []Change
 		refused bool
 	}{
-		"not made yet":          {[]Change{other}, false},
-		"made, nothing since":   {[]Change{other, accepted}, false},
-		"made, another's since": {[]Change{accepted, other}, true},
-		"made, one's own since": {[]Change{accepted, own}, false},
-		"made again":            {[]Change{accepted, own, accepted}, false},
-		"another target since":  {[]Change{accepted, put("q", "bo", 2, "gate")}, false},
+		"not applied yet":              {[]Change{other}, false},
+		"no change since":              {[]Change{other, accepted}, false},
+		"another author's since":       {[]Change{accepted, other}, true},
+		"same author's since":          {[]Change{accepted, own}, false},
+		"applied again":                {[]Change{accepted, own, accepted}, false},
+		"another author, other target": {[]Change{accepted, put("q", "bo", 2, "gate")}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if err := Repeated(&mine, test.changes); (err != nil) != test.refused {
@@ -163,6 +165,8 @@
 	}
 }
 
+// TestHeadLimits verifies that a head stays within its limits and drops
+// no changes that the snapshot doesn't include.
 func TestHeadKeepsItsBounds(t *testing.T) {
 	large := put("large", "ana", 20)
 	for i := range 200 {
@@ -180,19 +184,19 @@
 
 		next, before := head.With(c)
 		if before > c.Revision-1 {
-			t.Fatalf("revision %d wants a snapshot of %d, which is not accepted yet", c.Revision, before)
+			t.Fatalf("revision %d requires a snapshot of %d, which is not accepted yet", c.Revision, before)
 		}
 
 		if snapshotAt = max(snapshotAt, before); next.Base() > snapshotAt {
-			t.Fatalf("revision %d drops changes that no snapshot has", c.Revision)
+			t.Fatalf("revision %d drops changes that are not in the snapshot", c.Revision)
 		}
 
 		total := 0
 		for j := range next.Changes {
-			total += size(&next.Changes[j])
+			total += jsonSize(&next.Changes[j])
 		}
 
-		if len(next.Changes) > ringMost || (total > ringBytes && len(next.Changes) > 1) {
+		if len(next.Changes) > maxHeadChanges || (total > maxHeadBytes && len(next.Changes) > 1) {
 			t.Errorf("revision %d: %d changes, %d bytes", c.Revision, len(next.Changes), total)
 		}
 
@@ -218,11 +222,11 @@
 
 		again, err := encode(head)
 		if err != nil || head.Revision() == 0 {
-			return // Larger than the store takes, or never written.
+			return // Too large for the store, or a head that is never written.
 		}
 
 		if back, err := DecodeHead(again); err != nil || !cmp.Equal(head.Revision(), back.Revision()) {
-			t.Errorf("%s is read back as %+v, %v", again, back, err)
+			t.Errorf("%s is decoded as %+v, %v", again, back, err)
 		}
 
 		_, _ = (&Config{}).Replay(head.Changes)
@@ -263,7 +267,8 @@
 	})
 }
 
-// TestHolderOnlyRises: neither a full copy nor changes lower the revision.
+// TestHolderOnlyRises verifies that neither a full configuration nor changes can
+// lower the revision of a Holder.
 func TestHolderOnlyRises(t *testing.T) {
 	configs, changes := history(t, 4, "a")
 	h := NewHolder()
@@ -272,7 +277,7 @@
 		h.Adopt(configs[step.take])
 
 		if got := h.Revision(); got != carobward.Revision(step.want) {
-			t.Errorf("revision %d after a copy of %d, want %d", got, step.take, step.want)
+			t.Errorf("revision %d after adopting revision %d, want %d", got, step.take, step.want)
 		}
 	}
 
--- a/internal/cwconfig/conflict.go
+++ b/internal/cwconfig/conflict.go
@@ -8,17 +8,17 @@
 	"carobward.example/carobward"
 )
 
-// Conflict says that a change touches what another one changed since its
-// base. Nothing was changed.
+// Conflict is the error for a change that overlaps with one accepted since its
+// base. The change was not applied.
 type Conflict struct {
-	// Other is the change that came first.
+	// Other is the change that was accepted first.
 	Other Change
-	// Target is the target both touch; empty for the measuring budget, or
-	// where Other replaced everything.
+	// Target is the target that both changes touch. It is empty if both set
+	// the measuring budget, or if either replaces the whole configuration.
 	Target carobward.TargetName
 }
 
-// Error names the other change.
+// Error returns a message that names the other change.
 func (c *Conflict) Error() string {
 	what := "the measuring budget"
 
@@ -37,11 +37,12 @@
 	return fmt.Sprintf("config: %s was changed in revision %d%s (change %s) after your base", what, c.Other.Revision, by, c.Other.ID)
 }
 
-// ErrBase tells that the change's base is too old to tell what came since.
+// ErrBaseTooOld means that the changes since the base are not all retained, so
+// that conflicts with them can't be ruled out.
 const ErrBase = errors.ConstError("config: the base is too old, read the configuration again")
 
-// find returns the change with an id among the given ones.
-func find(changes []Change, id carobward.ChangeID) (Change, bool) {
+// findChange returns the change with the given ID, if it is among changes.
+func findChange(changes []Change, id carobward.ChangeID) (Change, bool) {
 	for i := range changes {
 		if changes[i].ID == id {
 			return changes[i], true
@@ -51,9 +52,10 @@
 	return Change{}, false
 }
 
-// check looks for a conflict of a change with the ones since its base. The
-// changes given are the last ones up to revision now, oldest first.
-func check(change *Change, changes []Change, now carobward.Revision) error {
+// checkConflicts returns a Conflict if a change overlaps with one accepted since
+// its base. The changes given are the last ones up to revision now, oldest
+// first.
+func checkConflicts(change *Change, changes []Change, now carobward.Revision) error {
 	if change.Base > now {
 		return errors.Errorf("config: base %d is not accepted yet, the last revision is %d", change.Base, now)
 	}
@@ -79,7 +81,8 @@
 	return nil
 }
 
-// overlap returns a Conflict if two changes touch the same.
+// overlap returns a Conflict if two changes touch the same target, both set the
+// measuring budget, or either replaces the whole configuration.
 func overlap(change, other *Change) error {
 	if other.Whole != nil || change.Whole != nil {
 		return &Conflict{Other: *other}
@@ -100,9 +103,10 @@
 	return nil
 }
 
-// Repeated returns a Conflict if the change's intent was accepted before and
-// somebody else has changed the same since: making it once more would revert
-// the other's change. An operator who wants that names the base.
+// CheckRevert returns a Conflict if a change with the same Source was accepted
+// before and another author has made an overlapping change since: applying it
+// again would revert that author's change. An operator who wants this gives
+// the base explicitly.
 func Repeated(change *Change, changes []Change) error {
 	seen := false
 
--- a/internal/cwconfig/exchange.go
+++ b/internal/cwconfig/exchange.go
@@ -12,24 +12,24 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// ServiceName is the name that the Service is registered by.
+// ServiceName is the name under which the Service is registered with net/rpc.
 const ServiceName = "Config"
 
-// askMost bounds one exchange with a peer.
-const askMost = time.Second
+// exchangeTimeout limits one exchange with a peer.
+const exchangeTimeout = time.Second
 
 const exchangeMethod = ServiceName + ".Exchange"
 
-// Service answers peers that ask for the configuration.
+// Service handles configuration requests from peers.
 type Service struct {
 	syncer *Syncer
 }
 
-// Service returns what peers may call.
+// Service returns the handler for calls from peers.
 func (s *Syncer) Service() *Service { return &Service{syncer: s} }
 
-// Exchange tells a peer what it does not have yet. A peer that has more is
-// asked in turn.
+// Exchange replies with our digest and the changes that the peer lacks. If the
+// peer has a higher revision, an exchange with it is queued.
 func (s *Service) Exchange(in *cwwire.ConfigRequest, out *cwwire.ConfigReply) error {
 	r := s.syncer
 
@@ -40,7 +40,7 @@
 
 	if in.GetDigest().GetRevision() > out.GetDigest().GetRevision() {
 		select {
-		case r.news <- news{carobward.VMID(in.GetDigest().GetVm()), carobward.Revision(in.GetDigest().GetRevision())}:
+		case r.announcements <- announcement{carobward.VMID(in.GetDigest().GetVm()), carobward.Revision(in.GetDigest().GetRevision())}:
 		default:
 		}
 
@@ -50,30 +50,31 @@
 	return r.newer(in, out)
 }
 
-// newer puts into out what the asking peer lacks.
+// newer adds to the reply the changes that the requesting peer lacks, or the
+// full configuration if the changes since its revision are not all retained.
 func (s *Syncer) newer(in *cwwire.ConfigRequest, out *cwwire.ConfigReply) error {
-	now := s.holder.current.Load()
+	effective := s.holder.current.Load()
 	since := carobward.Revision(in.GetDigest().GetRevision())
 
-	if !s.Condition().Ready || now.config.Revision <= since {
+	if !s.Condition().Ready || effective.config.Revision <= since {
 		return nil
 	}
 
-	if in.GetWant() != cwwire.ConfigWant_CONFIG_WANT_FULL && len(now.recent) > 0 && now.recent[0].Revision <= since+1 {
-		changes, err := pack(now.recent, since)
+	if in.GetWant() != cwwire.ConfigWant_CONFIG_WANT_FULL && len(effective.recent) > 0 && effective.recent[0].Revision <= since+1 {
+		changes, err := pack(effective.recent, since)
 		out.Changes = changes
 
 		return err
 	}
 
-	full, err := encode(now.config)
+	full, err := encode(effective.config)
 	out.Full = full
 
 	return err
 }
 
-// pack encodes the changes from a revision on. The one that made the
-// revision goes along, so that another history is found out.
+// pack encodes the changes from the revision since on. The change that created
+// since is included, so that the receiver detects a diverged history.
 func pack(changes []Change, since carobward.Revision) ([][]byte, error) {
 	var all [][]byte
 
@@ -111,17 +112,19 @@
 	return d
 }
 
-// exchange asks one random peer for what is newer there.
+// exchange exchanges digests with one peer: preferably one with a higher
+// revision, else a random one.
 func (s *Syncer) exchange(ctx context.Context) {
-	for _, p := range s.best(s.others()) {
+	for _, p := range s.preferNewer(s.others()) {
 		s.Ask(ctx, p.Peers)
 
 		return
 	}
 }
 
-// best puts a peer first that is known to have a higher revision, if any.
-func (s *Syncer) best(peers []carobward.Peer) []carobward.Peer {
+// preferNewer returns the peers from the first one on that is known to have a
+// higher revision, or all of them if there is none.
+func (s *Syncer) preferNewer(peers []carobward.Peer) []carobward.Peer {
 	for i, p := range peers {
 		if p.Revision > s.holder.Revision() {
 			return peers[i:]
@@ -131,14 +134,15 @@
 	return peers
 }
 
-// news is what a peer said that has a higher revision.
-type news struct {
+// announcement is the higher revision that a peer reported in its digest.
+type announcement struct {
 	from     carobward.VMID
 	revision carobward.Revision
 }
 
-// askFor asks the peer that has news, unless it is known by now.
-func (s *Syncer) askFor(ctx context.Context, n news) {
+// fetchAnnounced exchanges with the peer that announced a higher revision, unless
+// that revision has been reached in the meantime.
+func (s *Syncer) fetchAnnounced(ctx context.Context, n announcement) {
 	if n.revision <= s.holder.Revision() {
 		return
 	}
@@ -150,7 +154,8 @@
 	}
 }
 
-// offer tells a few random peers of our revision. Who has less asks back.
+// offer sends our digest to a few random peers. Those with a lower revision
+// request the changes in turn.
 func (s *Syncer) offer(ctx context.Context) {
 	var group conc.WaitGroup
 
@@ -162,25 +167,25 @@
 	group.Wait()
 }
 
-// Ask exchanges digests with the peer at an address and takes what is newer
-// there.
+// ExchangeWith exchanges digests with the peer at an address and applies the
+// changes that the peer has and this entry VM lacks.
 func (s *Syncer) Ask(ctx context.Context, to carobward.Address) {
-	err := s.ask(ctx, to, cwwire.ConfigWant_CONFIG_WANT_NEWER)
+	err := s.exchangeOnce(ctx, to, cwwire.ConfigWant_CONFIG_WANT_NEWER)
 	if errors.Is(err, ErrGap) {
-		err = s.ask(ctx, to, cwwire.ConfigWant_CONFIG_WANT_FULL)
+		err = s.exchangeOnce(ctx, to, cwwire.ConfigWant_CONFIG_WANT_FULL)
 	}
 
 	switch {
 	case err == nil || ctx.Err() != nil:
-	case alarming(err):
+	case needsOperator(err):
 		s.alarm(fromPeer, errors.Annotatef(err, "peer %s", to))
 	default:
 		s.metrics.Add(metricFailed, 1)
-		s.log.V(1).Info("A peer did not answer.", "peer", to, "cause", err.Error())
+		s.log.V(1).Info("Exchanging the configuration with a peer failed.", "peer", to, "cause", err.Error())
 	}
 }
 
-func (s *Syncer) ask(ctx context.Context, to carobward.Address, want cwwire.ConfigWant) error {
+func (s *Syncer) exchangeOnce(ctx context.Context, to carobward.Address, want cwwire.ConfigWant) error {
 	sent := s.clock.Now()
 
 	reply, err := s.call(ctx, to, want)
@@ -188,12 +193,12 @@
 		return err
 	}
 
-	return s.hear(reply, sent)
+	return s.handleReply(reply, sent)
 }
 
 func (s *Syncer) call(ctx context.Context, to carobward.Address, want cwwire.ConfigWant) (*cwwire.ConfigReply, error) {
 	in, out := &cwwire.ConfigRequest{Digest: s.digest(), Want: want}, &cwwire.ConfigReply{}
-	ctx, cancel := context.WithTimeout(ctx, askMost)
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 
 	s.metrics.Add(metricSent, int64(proto.Size(in)))
@@ -204,9 +209,9 @@
 	return out, err
 }
 
-// hear takes the reply to a request that was sent at a time.
-func (s *Syncer) hear(reply *cwwire.ConfigReply, sent time.Time) error {
-	if err := s.learn(reply); err != nil {
+// handleReply processes the reply to a request that was sent at the given time.
+func (s *Syncer) handleReply(reply *cwwire.ConfigReply, sent time.Time) error {
+	if err := s.applyReply(reply); err != nil {
 		return err
 	}
 
@@ -218,15 +223,15 @@
 	}
 
 	if d.GetKnown() && theirs <= now.Revision {
-		s.vitals.freshen(sent.Add(-time.Duration(d.GetAgeMillis()) * time.Millisecond))
+		s.state.updateFresh(sent.Add(-time.Duration(d.GetAgeMillis()) * time.Millisecond))
 	}
 
 	return nil
 }
 
-// learn puts in force what a reply brought.
-func (s *Syncer) learn(reply *cwwire.ConfigReply) error {
-	var rose bool
+// applyReply makes the changes or the full configuration of a reply effective.
+func (s *Syncer) applyReply(reply *cwwire.ConfigReply) error {
+	var advanced bool
 
 	switch {
 	case len(reply.GetFull()) > 0:
@@ -237,43 +242,43 @@
 
 		s.metrics.Add(metricFull, 1)
 
-		rose = s.holder.Adopt(config)
+		advanced = s.holder.Adopt(config)
 	case len(reply.GetChanges()) > 0:
 		changes, err := unpack(reply.GetChanges())
 		if err != nil {
 			return err
 		}
 
-		if rose, err = s.holder.Advance(changes); err != nil {
+		if advanced, err = s.holder.Advance(changes); err != nil {
 			return err
 		}
 	}
 
-	if rose {
-		s.adopted("peer")
+	if advanced {
+		s.recordAdopted("peer")
 	}
 
 	return nil
 }
 
-// unpack decodes changes and checks that they follow one another.
+// unpack decodes changes and checks that they are consecutive.
 func unpack(raw [][]byte) ([]Change, error) {
 	changes := make([]Change, len(raw))
 
 	for i := range raw {
-		if err := strict(raw[i], &changes[i]); err != nil {
+		if err := decodeStrict(raw[i], &changes[i]); err != nil {
 			return nil, errors.WithType(errors.Annotate(err, "config: change"), ErrUnreadable)
 		}
 	}
 
-	return changes, linked(changes)
+	return changes, checkSequence(changes)
 }
 
 // unpackFull decodes and validates a whole configuration.
 func unpackFull(raw []byte) (*Config, error) {
 	c := &Config{}
 
-	err := strict(raw, c)
+	err := decodeStrict(raw, c)
 	if err == nil {
 		err = c.Set.Validate()
 	}
--- a/internal/cwconfig/export_test.go
+++ b/internal/cwconfig/export_test.go
@@ -1,8 +1,8 @@
 package cwconfig
 
-// What the tests outside of the package call: they use cwspread, which
-// imports this package.
+// Functions for the tests in package cwconfig_test, which can't be in this
+// package because they use cwspread, which imports it.
 var (
-	Saw  = (*Syncer).saw
-	Hear = (*Syncer).hear
+	HandleRead  = (*Syncer).handleRead
+	HandleReply = (*Syncer).handleReply
 )
--- a/internal/cwconfig/fleet.go
+++ b/internal/cwconfig/fleet.go
@@ -11,44 +11,44 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// surveyMost bounds how many peers are asked at once for an operator.
-const surveyMost = 32
+// maxStatusCalls limits the concurrent calls to peers for one FleetStatus.
+const maxStatusCalls = 32
 
-// ErrBehind tells that peers have a higher revision than this entry VM, which
-// could not get it. Nothing was changed.
+// ErrBehind means that peers have a higher revision than this entry VM, and
+// fetching it failed. Nothing was changed.
 const ErrBehind = errors.ConstError("config: this entry VM is behind its peers, ask another one")
 
-// ErrNotReady tells that this entry VM does not know the configuration yet.
+// ErrNotReady means that this entry VM has not received the configuration yet.
 // Nothing was changed.
 const ErrNotReady = errors.ConstError("config: this entry VM has neither reached the store nor enough peers yet")
 
-// Standing is the condition of one entry VM as it says itself.
+// PeerStatus is the condition that an entry VM reports of itself.
 type Standing struct {
-	// Peer is the entry VM.
 	Peer carobward.Peer
-	// Answered tells that it answered; else only Peer is set.
+	// Answered reports whether the entry VM answered; if not, only Peer is
+	// set.
 	Answered bool
-	// Ready, Revision and Alarm are as in its Condition.
+	// Ready, Revision and Alarm are those of its Condition.
 	Ready    bool
 	Revision carobward.Revision
 	Alarm    string
-	// Age is for how long it has not known whether its revision is the
-	// newest; negative for never.
+	// Age is the time since its revision was last known to be the newest;
+	// negative if that was never known.
 	Age time.Duration
 }
 
-// Standings asks all entry VMs for their condition, but for dead ones. Those
-// that are only listed have not been heard of and are asked as well.
+// FleetStatus asks all entry VMs for their condition, except dead ones. Those
+// that are on the VM list but have never sent a heartbeat are asked as well.
 func (s *Syncer) Standings(ctx context.Context) []Standing {
 	self, all := s.peers.Self(), s.peers.All()
-	standings := make([]Standing, len(all))
-	group := pool.New().WithMaxGoroutines(surveyMost)
+	statuses := make([]Standing, len(all))
+	group := pool.New().WithMaxGoroutines(maxStatusCalls)
 
 	for i, p := range all {
-		standings[i].Peer = p
+		statuses[i].Peer = p
 
 		if p.ID == self.ID {
-			standings[i].read(s.digest())
+			statuses[i].setDigest(s.digest())
 
 			continue
 		}
@@ -60,17 +60,17 @@
 		group.Go(func() {
 			reply, err := s.call(ctx, p.Peers, cwwire.ConfigWant_CONFIG_WANT_DIGEST)
 			if err == nil {
-				standings[i].read(reply.GetDigest())
+				statuses[i].setDigest(reply.GetDigest())
 			}
 		})
 	}
 
 	group.Wait()
 
-	return standings
+	return statuses
 }
 
-func (s *Standing) read(d *cwwire.ConfigDigest) {
+func (s *Standing) setDigest(d *cwwire.ConfigDigest) {
 	s.Answered = true
 	s.Ready = d.GetReady()
 	s.Revision = carobward.Revision(d.GetRevision())
@@ -82,8 +82,8 @@
 	}
 }
 
-// FleetRevision returns the highest revision that a peer is known to have, or
-// this entry VM.
+// FleetRevision returns the highest revision known on any entry VM, this one
+// included.
 func (s *Syncer) FleetRevision() carobward.Revision {
 	highest := s.holder.Revision()
 	for _, p := range s.others() {
@@ -93,9 +93,9 @@
 	return highest
 }
 
-// CatchUp makes sure that no live peer is known to have a higher revision
-// than this entry VM, so that a change made here can't start a second history
-// upon an older store.
+// CatchUp fetches the configuration from peers until none of them is known to
+// have a higher revision than this entry VM, or returns ErrBehind. Without it,
+// a change made here on an older store could start a second history.
 func (s *Syncer) CatchUp(ctx context.Context) error {
 	if !s.Condition().Ready {
 		return ErrNotReady
--- a/internal/cwconfig/head.go
+++ b/internal/cwconfig/head.go
@@ -8,49 +8,50 @@
 	"carobward.example/carobward"
 )
 
-// The keys of the store.
+// The keys in the store.
 const (
-	// HeadKey holds the Head. Its swap is what accepts a change.
+	// HeadKey holds the Head. A change is accepted by the compare-and-swap
+	// of this key.
 	HeadKey carobward.Key = "head"
-	// SnapshotKey holds a whole Config of some revision that the head's
-	// changes lead on from.
+	// SnapshotKey holds a full Config, of a revision from which the head's
+	// changes continue.
 	SnapshotKey carobward.Key = "snapshot"
 )
 
-// The bounds of the store's values.
+// The format and the limits of the values in the store.
 const (
-	// format is the version of the values' layout.
+	// format is the version of the encoding.
 	format = 1
-	// valueMost is the largest value in bytes that the store takes.
-	valueMost = 1_000_000
-	// ringMost and ringBytes are how many changes a head holds at most; a
-	// larger change is held alone. Each watcher reads all that is held at
-	// each change.
-	ringMost  = 24
-	ringBytes = 8_000
-	// ringKeep is how many changes stay when a head has grown too large, so
-	// that who has missed a few needs no full copy.
-	ringKeep = 8
+	// maxValueBytes is the largest value that the store accepts.
+	maxValueBytes = 1_000_000
+	// maxHeadChanges and maxHeadBytes limit the changes in a head, because
+	// each watcher reads the whole head after every change. A single change
+	// larger than that is stored on its own.
+	maxHeadChanges = 24
+	maxHeadBytes   = 8_000
+	// keptHeadChanges is how many changes are kept when a head exceeds the
+	// limits, so that a reader that missed a few needs no full copy.
+	keptHeadChanges = 8
 )
 
-// ErrUnreadable tells that a value of the store is malformed or was written
-// by a newer version.
+// ErrUnreadable means that a value is malformed or was written by a newer
+// version.
 const ErrUnreadable = errors.ConstError("config: unreadable, it may come from a newer version")
 
-// Head is the newest revision of the configuration, as the last changes that
-// led to it, oldest first.
+// Head identifies the newest revision of the configuration by the last changes
+// that led to it, oldest first.
 type Head struct {
 	Format  int      `json:"format"`
 	Changes []Change `json:"changes"`
 }
 
-// snapshot is the frame of a Config in the store.
+// snapshot is the stored form of a Config.
 type snapshot struct {
 	Format int    `json:"format"`
 	Config Config `json:"config"`
 }
 
-// Revision returns the newest revision, zero for none.
+// Revision returns the newest revision, or zero if there is none.
 func (h *Head) Revision() carobward.Revision {
 	if len(h.Changes) == 0 {
 		return 0
@@ -59,7 +60,7 @@
 	return h.Changes[len(h.Changes)-1].Revision
 }
 
-// Base returns the revision that the first change was made upon.
+// Base returns the revision before the first change of the head.
 func (h *Head) Base() carobward.Revision {
 	if len(h.Changes) == 0 {
 		return 0
@@ -68,25 +69,25 @@
 	return h.Changes[0].Revision - 1
 }
 
-// With returns the head after an accepted change. The revision tells what
-// has to be in the snapshot before the head may be written; zero is for
-// nothing.
+// With returns the head after an accepted change, and the revision that the
+// snapshot must have at least before the head may be written. It is zero if
+// the snapshot doesn't need an update.
 func (h *Head) With(change Change) (Head, carobward.Revision) {
 	all := append(append([]Change(nil), h.Changes...), change)
 	sizes := make([]int, len(all))
 	total := 0
 
 	for i := range all {
-		sizes[i] = size(&all[i])
+		sizes[i] = jsonSize(&all[i])
 		total += sizes[i]
 	}
 
-	if len(all) <= ringMost && total <= ringBytes {
+	if len(all) <= maxHeadChanges && total <= maxHeadBytes {
 		return Head{Format: format, Changes: all}, 0
 	}
 
 	first := 0
-	for first < len(all)-1 && (len(all)-first > ringKeep || total > ringBytes) {
+	for first < len(all)-1 && (len(all)-first > keptHeadChanges || total > maxHeadBytes) {
 		total -= sizes[first]
 		first++
 	}
@@ -99,38 +100,38 @@
 	return head, head.Base()
 }
 
-// size returns the bytes that a change takes in JSON.
-func size(c *Change) int {
+// jsonSize returns the size of a change in JSON, in bytes.
+func jsonSize(c *Change) int {
 	raw, err := json.Marshal(c)
 	if err != nil {
-		return valueMost
+		return maxValueBytes
 	}
 
 	return len(raw)
 }
 
-// encode writes a value as the store holds it.
+// encode encodes a value for the store and checks its size.
 func encode(v any) ([]byte, error) {
 	raw, err := json.Marshal(v)
 	if err != nil {
 		return nil, errors.Annotate(err, "config")
 	}
 
-	if len(raw) > valueMost {
-		return nil, errors.Annotatef(ErrSize, "config: %d bytes, %d are allowed", len(raw), valueMost)
+	if len(raw) > maxValueBytes {
+		return nil, errors.Annotatef(ErrSize, "config: %d bytes, %d are allowed", len(raw), maxValueBytes)
 	}
 
 	return raw, nil
 }
 
-// DecodeHead reads a head. No bytes are the head of no configuration.
+// DecodeHead decodes a head. Empty input gives a head without changes.
 func DecodeHead(raw []byte) (Head, error) {
 	h := Head{Format: format}
 	if len(raw) == 0 {
 		return h, nil
 	}
 
-	if err := strict(raw, &h); err != nil {
+	if err := decodeStrict(raw, &h); err != nil {
 		return Head{}, errors.WithType(errors.Annotate(err, "config: head"), ErrUnreadable)
 	}
 
@@ -138,11 +139,11 @@
 		return Head{}, errors.Annotatef(ErrUnreadable, "head has format %d", h.Format)
 	}
 
-	return h, errors.Annotate(linked(h.Changes), "head")
+	return h, errors.Annotate(checkSequence(h.Changes), "head")
 }
 
-// linked checks that changes follow one another.
-func linked(changes []Change) error {
+// checkSequence checks that changes are complete and consecutive.
+func checkSequence(changes []Change) error {
 	if len(changes) == 0 {
 		return errors.Annotate(ErrUnreadable, "no changes")
 	}
@@ -157,7 +158,7 @@
 			continue
 		}
 
-		chain, err := c.next(changes[i-1].Chain)
+		chain, err := c.chainAfter(changes[i-1].Chain)
 		if err != nil || chain != c.Chain || c.Revision != changes[i-1].Revision+1 {
 			return errors.Annotatef(ErrUnreadable, "change %d does not follow the one before", i)
 		}
@@ -166,7 +167,7 @@
 	return nil
 }
 
-// DecodeSnapshot reads a snapshot. No bytes are the configuration of
+// DecodeSnapshot decodes a snapshot. Empty input gives the configuration of
 // revision zero.
 func DecodeSnapshot(raw []byte) (*Config, error) {
 	s := snapshot{Format: format}
@@ -174,7 +175,7 @@
 		return &s.Config, nil
 	}
 
-	if err := strict(raw, &s); err != nil {
+	if err := decodeStrict(raw, &s); err != nil {
 		return nil, errors.WithType(errors.Annotate(err, "config: snapshot"), ErrUnreadable)
 	}
 
--- a/internal/cwconfig/history_test.go
+++ b/internal/cwconfig/history_test.go
@@ -16,11 +16,11 @@
 	"carobward.example/carobward/internal/lab/cwstore"
 )
 
-// chain is what a read of the store showed: id/target of each change in order.
+// chain is the result of a read of the store: id/target of each change in order.
 type chain string
 
-// chainModel is the store as a register of accepted changes, compared and
-// swapped. The state is the list of changes, as id/target each.
+// chainModel models the store as a register with compare-and-swap that holds
+// the accepted changes. The state is the list of changes, as id/target each.
 func chainModel() porcupine.Model {
 	model := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{""} },
@@ -41,6 +41,8 @@
 	return model.ToModel()
 }
 
+// step returns the possible states after an operator's attempt, given the outcome
+// that the operator was told; none if the outcome contradicts the state.
 func step(state string, a cwspread.Attempt) []any {
 	list := strings.Fields(state)
 	grown := strings.TrimSpace(state + " " + string(a.ID) + "/" + string(a.Target))
@@ -68,9 +70,10 @@
 	return []any{state}
 }
 
-// TestHistoryOfOperators: what concurrent operators are told under lost
-// replies, lost writes and outages fits one chain of accepted changes; unknown
-// ones may or may not be in it, refused ones never are.
+// TestHistoryOfOperators verifies that the outcomes reported to concurrent
+// operators during lost replies, lost writes and outages are consistent with a
+// single chain of accepted changes. A change with an unknown outcome may or may
+// not be in it, a refused one never is.
 func TestHistoryOfOperators(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -83,14 +86,14 @@
 			}
 
 			if result, _ := porcupine.CheckOperationsVerbose(chainModel(), history, time.Minute); result != porcupine.Ok {
-				t.Errorf("the history is %s: %+v", result, history)
+				t.Errorf("linearizability check: %s: %+v", result, history)
 			}
 		})
 	}
 }
 
-// chainOf returns all changes in the store. They fit in few heads, so that
-// a holder which has followed all along has each of them.
+// chainOf returns all changes that were accepted, collected from the heads
+// written to the store: the last head alone doesn't hold all of them.
 func chainOf(t *testing.T, store *cwstore.Store) chain {
 	t.Helper()
 
--- a/internal/cwconfig/holder.go
+++ b/internal/cwconfig/holder.go
@@ -8,57 +8,57 @@
 	"carobward.example/carobward/internal/cwtarget"
 )
 
-// The bounds of the changes that a holder keeps for peers and writers.
+// The limits of the changes that a Holder retains for peers and writers.
 const (
-	recentMost  = 256
-	recentBytes = 512_000
+	maxRecentChanges = 256
+	maxRecentBytes   = 512_000
 )
 
-// Holder holds the configuration in force on this entry VM. Its revision
-// only rises.
+// Holder holds the effective configuration of this entry VM. Its revision never
+// decreases.
 type Holder struct {
 	mutex   sync.Mutex
-	current atomic.Pointer[inForce]
-	// raised has a token after the revision rose.
-	raised chan struct{}
+	current atomic.Pointer[effectiveConfig]
+	// advanced receives a value after the revision has increased.
+	advanced chan struct{}
 }
 
-type inForce struct {
+type effectiveConfig struct {
 	config *Config
 	table  *cwtarget.Table
 	// recent holds the last changes up to the revision, oldest first. It is
-	// empty after a full copy.
+	// empty after a full copy was adopted.
 	recent []Change
 }
 
-// NewHolder returns a holder of the empty configuration.
+// NewHolder returns a Holder with the empty configuration.
 func NewHolder() *Holder {
-	h := &Holder{raised: make(chan struct{}, 1)}
-	h.current.Store(&inForce{config: &Config{}, table: cwtarget.NewTable(nil)})
+	h := &Holder{advanced: make(chan struct{}, 1)}
+	h.current.Store(&effectiveConfig{config: &Config{}, table: cwtarget.NewTable(nil)})
 
 	return h
 }
 
-// Config returns the configuration in force. It must not be changed.
+// Config returns the effective configuration. It must not be modified.
 func (h *Holder) Config() *Config { return h.current.Load().config }
 
-// Targets returns the targets in force.
+// Targets returns the effective targets.
 func (h *Holder) Targets() *cwtarget.Table { return h.current.Load().table }
 
-// Revision returns the revision in force.
+// Revision returns the effective revision.
 func (h *Holder) Revision() carobward.Revision { return h.Config().Revision }
 
-// Recent returns the last changes up to the revision in force, oldest first.
-// They must not be changed.
+// Recent returns the last changes up to the effective revision, oldest first.
+// They must not be modified.
 func (h *Holder) Recent() []Change { return h.current.Load().recent }
 
-// Adopt puts a whole configuration in force if its revision is higher than
-// the one that is. It tells whether it did.
+// Adopt makes a configuration effective if its revision is higher than the
+// current one. It reports whether it did.
 func (h *Holder) Adopt(c *Config) bool { return h.adoptWith(c, nil) }
 
-// Advance puts the result of changes in force. It returns ErrGap where a
-// full copy is needed, a Diverged, or ErrUnreadable; then nothing changes.
-// It tells whether the revision rose.
+// Advance applies changes to the effective configuration and reports whether
+// the revision increased. The error is ErrGap if a full copy is needed, a
+// Diverged or ErrUnreadable; then nothing is changed.
 func (h *Holder) Advance(changes []Change) (bool, error) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -71,7 +71,8 @@
 	return h.adopt(next, changes), nil
 }
 
-// adoptWith is Adopt with the last changes that led to the configuration.
+// adoptWith is like Adopt and also retains the last changes that led to the
+// configuration.
 func (h *Holder) adoptWith(c *Config, changes []Change) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -79,30 +80,30 @@
 	return h.adopt(c, changes)
 }
 
-// adopt puts a configuration in force. The caller holds the mutex.
+// adopt implements Adopt and Advance. The caller must hold the mutex.
 func (h *Holder) adopt(c *Config, changes []Change) bool {
-	now := h.current.Load()
-	if c.Revision <= now.config.Revision {
+	old := h.current.Load()
+	if c.Revision <= old.config.Revision {
 		return false
 	}
 
-	h.current.Store(&inForce{
+	h.current.Store(&effectiveConfig{
 		config: c,
 		table:  cwtarget.NewTable(c.Set.Targets),
-		recent: extend(now.recent, changes),
+		recent: appendRecent(old.recent, changes),
 	})
 
 	select {
-	case h.raised <- struct{}{}:
+	case h.advanced <- struct{}{}:
 	default:
 	}
 
 	return true
 }
 
-// extend appends the new ones of changes to recent ones, within the bounds.
-// Changes that do not follow the recent ones replace them.
-func extend(recent, changes []Change) []Change {
+// appendRecent returns the recent changes followed by the new ones, trimmed to
+// the limits. If there is a gap between the two, the recent ones are discarded.
+func appendRecent(recent, changes []Change) []Change {
 	if len(changes) == 0 {
 		return nil
 	}
@@ -125,17 +126,17 @@
 		}
 	}
 
-	return bounded(all)
+	return trimRecent(all)
 }
 
-// bounded drops the oldest changes beyond the bounds.
-func bounded(all []Change) []Change {
+// trimRecent drops the oldest changes that exceed the limits.
+func trimRecent(all []Change) []Change {
 	first := len(all)
 	total := 0
 
-	for first > 0 && len(all)-first < recentMost {
-		total += size(&all[first-1])
-		if total > recentBytes {
+	for first > 0 && len(all)-first < maxRecentChanges {
+		total += jsonSize(&all[first-1])
+		if total > maxRecentBytes {
 			break
 		}
 
--- a/internal/cwconfig/join.go
+++ b/internal/cwconfig/join.go
@@ -11,20 +11,19 @@
 )
 
 const (
-	// joinAsk is how many peers a newcomer asks at once, joinNeed how many
-	// have to answer if the store does not.
-	joinAsk  = 5
-	joinNeed = 3
-	// joinRetry is the pause between two tries.
+	// joinPeers is how many peers a new entry VM asks at once, minJoinAnswers
+	// how many of them have to answer if the store doesn't.
+	joinPeers      = 5
+	minJoinAnswers = 3
+	// joinRetry is the delay between two attempts.
 	joinRetry = 300 * time.Millisecond
-	// joinGrace is how long a newcomer waits for peers to become known,
-	// before it takes the store's word alone.
+	// joinGrace is how long a new entry VM waits for peers to become known
+	// before it accepts the store's answer without any peer's.
 	joinGrace = time.Second
 )
 
-// join waits until the configuration is known from the store or from several
-// peers, and puts the highest revision in force. It returns false if ctx ends
-// before.
+// join retries Join until this entry VM is ready. It returns false if ctx ends
+// first.
 func (s *Syncer) join(ctx context.Context) bool {
 	began := s.clock.Now()
 
@@ -41,11 +40,13 @@
 	}
 }
 
-// Join asks the store and some peers once. It tells whether that was enough
-// to be ready. Alone it trusts the store only if told so.
-func (s *Syncer) Join(ctx context.Context, alone bool) bool {
+// Join queries the store and a few peers once, makes the highest revision
+// effective, and reports whether this entry VM is ready. The answer of the
+// store or of enough peers is required. Without any known peer, it succeeds
+// only if storeOnly is set.
+func (s *Syncer) Join(ctx context.Context, storeOnly bool) bool {
 	peers := s.others()
-	if len(peers) == 0 && !alone {
+	if len(peers) == 0 && !storeOnly {
 		return false
 	}
 
@@ -58,14 +59,14 @@
 	)
 
 	group.Go(func() { found, storeErr = s.reader.State(ctx, &Config{}) })
-	answers := s.survey(ctx, peers[:min(len(peers), joinAsk)])
+	answers := s.surveyPeers(ctx, peers[:min(len(peers), joinPeers)])
 	group.Wait()
 
-	if alarming(storeErr) {
+	if needsOperator(storeErr) {
 		s.alarm(fromStore, storeErr)
 	}
 
-	if storeErr != nil && len(answers) < min(joinNeed, max(len(peers), 1)) {
+	if storeErr != nil && len(answers) < min(minJoinAnswers, max(len(peers), 1)) {
 		return false
 	}
 
@@ -74,22 +75,23 @@
 	}
 
 	if storeErr == nil && found.Head.Revision() <= s.holder.Revision() {
-		s.vitals.freshen(sent)
+		s.state.updateFresh(sent)
 	}
 
-	s.vitals.setReady()
+	s.state.setReady()
 
 	return true
 }
 
-// answer is what a ready peer said of its configuration.
+// answer is the revision that a ready peer reported.
 type answer struct {
 	from     carobward.Address
 	revision carobward.Revision
 }
 
-// survey asks peers for their digests and returns those of the ready ones.
-func (s *Syncer) survey(ctx context.Context, peers []carobward.Peer) []answer {
+// surveyPeers asks peers for their digests and returns the answers of those
+// that are ready.
+func (s *Syncer) surveyPeers(ctx context.Context, peers []carobward.Peer) []answer {
 	all := make([]answer, len(peers))
 
 	var group conc.WaitGroup
@@ -116,8 +118,9 @@
 	return ready
 }
 
-// fetch puts the highest of the answers and the store's state in force. It
-// returns false if a peer that has the highest does not hand it out.
+// fetch makes the highest revision among the answers and the store's state
+// effective. It returns false if that revision is a peer's and could not be
+// fetched from it.
 func (s *Syncer) fetch(ctx context.Context, answers []answer, found *Found) bool {
 	best := answer{}
 
--- a/internal/cwconfig/model_test.go
+++ b/internal/cwconfig/model_test.go
@@ -17,190 +17,194 @@
 	"carobward.example/carobward/internal/lab/cwstore"
 )
 
-// The schedules are the same on each run; another -rapid.seed gives others.
+// The fixed seed makes the generated schedules reproducible. Use -rapid.seed for
+// others.
 var _ = flag.Set("rapid.seed", "7")
 
-// world is a fleet with what its operators were told.
-type world struct {
+// simulation is a fleet, with the outcomes that its operators were told.
+type simulation struct {
 	*cwspread.Fleet
-	time  *cwspread.Clock
-	saved map[carobward.Key]carobward.Entry
-	// accepted has the id of each accepted change by its revision.
+	fleetClock *cwspread.Clock
+	saved      map[carobward.Key]carobward.Entry
+	// accepted holds the ID of each accepted change by its revision.
 	accepted map[carobward.Revision]carobward.ChangeID
 	refused  map[carobward.ChangeID]bool
 	highest  map[int]carobward.Revision
-	made     int
-	// restores tells whether the store may be restored. Cuts are tried
-	// without: an entry VM that is cut off from all others and writes into a
-	// store that was restored starts a second history, which is not promised
-	// to be met.
+	changes  int
+	// restores reports whether the store may be restored from a backup.
+	// Links are cut only if not: an entry VM that is cut off from all others
+	// and writes to a restored store starts a second history, which the
+	// design does not rule out.
 	restores bool
 }
 
-func newWorld(t *rapid.T) *world {
+func newSimulation(t *rapid.T) *simulation {
 	clock := cwspread.NewClock(began)
-	w := &world{
-		Fleet: cwspread.New(4, clock), time: clock, accepted: map[carobward.Revision]carobward.ChangeID{},
+	s := &simulation{
+		Fleet: cwspread.New(4, clock), fleetClock: clock, accepted: map[carobward.Revision]carobward.ChangeID{},
 		refused: map[carobward.ChangeID]bool{}, highest: map[int]carobward.Revision{},
 	}
-	w.saved, w.restores = w.Store.Save(), rapid.Bool().Draw(t, "restores")
+	s.saved, s.restores = s.Store.Save(), rapid.Bool().Draw(t, "restores")
 
-	if !w.Join() {
+	if !s.Join() {
 		t.Fatal("the fleet did not join")
 	}
 
-	return w
+	return s
 }
 
-func (w *world) any(t *rapid.T) int { return rapid.IntRange(0, len(w.Order)-1).Draw(t, "vm") }
+func (s *simulation) drawVM(t *rapid.T) int { return rapid.IntRange(0, len(s.Order)-1).Draw(t, "vm") }
 
-func (w *world) change(t *rapid.T) {
-	i := w.any(t)
-	v := w.At(i)
-	w.made++
-	id := fmt.Sprint("c", w.made)
+func (s *simulation) change(t *rapid.T) {
+	i := s.drawVM(t)
+	v := s.At(i)
+	s.changes++
+	id := fmt.Sprint("c", s.changes)
 	behind := rapid.IntRange(0, 2).Draw(t, "behind")
 	base := max(0, int(v.Holder.Revision())-behind)
 
-	w.Store.Fault = cwstore.Script(rapid.SampledFrom([]string{".", "l.", "x.", "l", "x", "d"}).Draw(t, "writes"),
+	s.Store.Fault = cwstore.Script(rapid.SampledFrom([]string{".", "l.", "x.", "l", "x", "d"}).Draw(t, "writes"),
 		rapid.SampledFrom([]string{".", ".", ".d", "d"}).Draw(t, "reads"))
-	revision, err := v.Apply(cwspread.Put(id, fmt.Sprint("operator-", i), base, fmt.Sprint("t", w.made%3)), true)
-	w.Store.Fault = nil
+	revision, err := v.Apply(cwspread.Put(id, fmt.Sprint("operator-", i), base, fmt.Sprint("t", s.changes%3)), true)
+	s.Store.Fault = nil
 
 	switch {
 	case err == nil:
-		if other, ok := w.accepted[revision]; ok {
+		if other, ok := s.accepted[revision]; ok {
 			t.Fatalf("revision %d was accepted as %s and as %s", revision, other, id)
 		}
 
-		w.accepted[revision] = carobward.ChangeID(id)
+		s.accepted[revision] = carobward.ChangeID(id)
 	case !errors.Is(err, carobward.ErrStoreUnknown):
-		w.refused[carobward.ChangeID(id)] = true
+		s.refused[carobward.ChangeID(id)] = true
 	}
 }
 
-func (w *world) restore(t *rapid.T) {
-	v := w.At(w.any(t))
-	if !w.restores || v.Syncer.CatchUp(context.Background()) != nil {
+func (s *simulation) restore(t *rapid.T) {
+	v := s.At(s.drawVM(t))
+	if !s.restores || v.Syncer.CatchUp(context.Background()) != nil {
 		return
 	}
 
-	w.made++
-	_, _ = v.Writer.Restore(context.Background(), cwconfig.Change{ID: carobward.ChangeID(fmt.Sprint("r", w.made))}, v.Syncer.FleetRevision())
+	s.changes++
+	_, _ = v.Writer.Restore(context.Background(), cwconfig.Change{ID: carobward.ChangeID(fmt.Sprint("r", s.changes))}, v.Syncer.FleetRevision())
 }
 
-// check looks at what must always hold.
-func (w *world) check(t *rapid.T) {
+// check verifies the invariants: no entry VM lowers its revision, no two
+// histories have the same revision, and no refused change is in effect.
+func (s *simulation) check(t *rapid.T) {
 	chains := map[carobward.Revision]cwconfig.Chain{}
 
-	for i := range w.Order {
-		c := w.At(i).Holder.Config()
-		if c.Revision < w.highest[i] {
-			t.Fatalf("vm-%d went back from revision %d to %d", i, w.highest[i], c.Revision)
+	for i := range s.Order {
+		c := s.At(i).Holder.Config()
+		if c.Revision < s.highest[i] {
+			t.Fatalf("the revision of vm-%d decreased from %d to %d", i, s.highest[i], c.Revision)
 		}
 
-		w.highest[i] = c.Revision
+		s.highest[i] = c.Revision
 
 		if other, ok := chains[c.Revision]; ok && other != c.Chain {
-			t.Fatalf("two histories are in force as revision %d", c.Revision)
+			t.Fatalf("two histories are in effect with revision %d", c.Revision)
 		}
 
 		chains[c.Revision] = c.Chain
 
-		for _, change := range w.At(i).Holder.Recent() {
-			if w.refused[change.ID] {
-				t.Fatalf("change %s was refused and is in force", change.ID)
+		for _, change := range s.At(i).Holder.Recent() {
+			if s.refused[change.ID] {
+				t.Fatalf("change %s was refused but is in effect", change.ID)
 			}
 		}
 	}
 }
 
-// heal ends all faults and lets the fleet meet, with an operator who restores
-// the store if that is what it takes.
-func (w *world) heal(t *rapid.T) {
-	clear(w.Cut)
+// heal ends all faults, lets the fleet converge and restores the store if it
+// raises an alarm. It then checks that all entry VMs have the same revision and
+// every accepted change.
+func (s *simulation) heal(t *rapid.T) {
+	clear(s.Cut)
 
 	for range 2 {
-		w.Gossip()
+		s.Gossip()
 
-		for i := range w.Order {
-			w.At(i).Syncer.Poll(context.Background())
+		for i := range s.Order {
+			s.At(i).Syncer.Poll(context.Background())
 		}
 	}
 
-	if w.At(0).Syncer.Condition().Alarm != "" {
-		w.restore0()
-		w.Gossip()
+	if s.At(0).Syncer.Condition().Alarm != "" {
+		s.restoreFromFirst()
+		s.Gossip()
 	}
 
 	highest := carobward.Revision(0)
-	for r := range w.accepted {
+	for r := range s.accepted {
 		highest = max(highest, r)
 	}
 
-	for i := range w.Order {
-		v := w.At(i)
-		if r := v.Holder.Revision(); r < highest || r != w.At(0).Holder.Revision() {
-			t.Fatalf("vm-%d has revision %d, accepted was %d", i, r, highest)
+	for i := range s.Order {
+		v := s.At(i)
+		if r := v.Holder.Revision(); r < highest || r != s.At(0).Holder.Revision() {
+			t.Fatalf("vm-%d has revision %d, the highest accepted is %d", i, r, highest)
 		}
 
 		for _, change := range v.Holder.Recent() {
-			if id, ok := w.accepted[change.Revision]; ok && id != change.ID {
-				t.Fatalf("revision %d was accepted as %s and is %s", change.Revision, id, change.ID)
+			if id, ok := s.accepted[change.Revision]; ok && id != change.ID {
+				t.Fatalf("revision %d was accepted as %s but is %s", change.Revision, id, change.ID)
 			}
 		}
 	}
 }
 
-func (w *world) restore0() {
-	v := w.At(0)
+func (s *simulation) restoreFromFirst() {
+	v := s.At(0)
 	_, _ = v.Writer.Restore(context.Background(), cwconfig.Change{ID: "heal"}, v.Syncer.FleetRevision())
 }
 
-// TestGeneratedSchedules: under generated changes, lost replies, outages,
-// cuts, restored stores and newcomers no entry VM goes back, no two
-// histories are in force as one revision, no refused change is, and each
-// accepted one is once the faults end.
+// TestGeneratedSchedules verifies under random changes, lost replies, outages,
+// network cuts, store restores and joining entry VMs that no revision decreases,
+// no two histories are in effect with the same revision, no refused change takes
+// effect, and each accepted one has taken effect once the faults have ended.
 func TestGeneratedSchedules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		s := newSimulation(t)
 
 		t.Repeat(map[string]func(*rapid.T){
-			"":       w.check,
-			"change": w.change,
+			"":       s.check,
+			"change": s.change,
 			"poll": func(t *rapid.T) {
-				w.Store.Fault = cwstore.Script(".", rapid.SampledFrom([]string{".", "d"}).Draw(t, "reads"))
-				w.At(w.any(t)).Syncer.Poll(context.Background())
-				w.Store.Fault = nil
+				s.Store.Fault = cwstore.Script(".", rapid.SampledFrom([]string{".", "d"}).Draw(t, "reads"))
+				s.At(s.drawVM(t)).Syncer.Poll(context.Background())
+				s.Store.Fault = nil
 			},
-			"exchange": func(t *rapid.T) { w.At(w.any(t)).Syncer.Ask(context.Background(), w.Order[w.any(t)]) },
+			"exchange": func(t *rapid.T) { s.At(s.drawVM(t)).Syncer.Ask(context.Background(), s.Order[s.drawVM(t)]) },
 			"older": func(*rapid.T) {
-				if w.restores {
-					w.Store.Restore(w.saved)
+				if s.restores {
+					s.Store.Restore(s.saved)
 				}
 			},
-			"save":    func(*rapid.T) { w.saved = w.Store.Save() },
-			"restore": w.restore,
-			"time":    func(*rapid.T) { w.time.Advance(10 * time.Second) },
+			"save":    func(*rapid.T) { s.saved = s.Store.Save() },
+			"restore": s.restore,
+			"time":    func(*rapid.T) { s.fleetClock.Advance(10 * time.Second) },
 			"newcomer": func(*rapid.T) {
-				if len(w.Order) < 8 {
-					w.Add(w.Store).Syncer.Join(context.Background(), true)
+				if len(s.Order) < 8 {
+					s.Add(s.Store).Syncer.Join(context.Background(), true)
 				}
 			},
 			"cut": func(t *rapid.T) {
-				if !w.restores {
-					l := cwspread.Link{From: w.Order[w.any(t)], To: w.Order[w.any(t)]}
-					w.Cut[l] = !w.Cut[l]
+				if !s.restores {
+					l := cwspread.Link{From: s.Order[s.drawVM(t)], To: s.Order[s.drawVM(t)]}
+					s.Cut[l] = !s.Cut[l]
 				}
 			},
 		})
 
-		w.heal(t)
+		s.heal(t)
 	})
 }
 
-// TestCutOffStaysAndCatchesUp: an entry VM that reaches neither the store nor
-// a peer keeps what it has, its age grows, and it is told once the cut ends.
+// TestCutOffStaysAndCatchesUp verifies that an entry VM that reaches neither the
+// store nor a peer keeps its configuration while its age grows, and catches up
+// once the cut ends.
 func TestCutOffStaysAndCatchesUp(t *testing.T) {
 	f, clock := joined(t, 4)
 	lost := f.At(3)
@@ -230,7 +234,7 @@
 	}
 
 	if !slices.Equal(ages, []time.Duration{0, 10 * time.Second}) || lost.Holder.Revision() != 0 {
-		t.Errorf("ages %v, the lost one has revision %d", ages, lost.Holder.Revision())
+		t.Errorf("ages %v, the isolated VM has revision %d", ages, lost.Holder.Revision())
 	}
 
 	clear(f.Cut)
--- a/internal/cwconfig/naive_test.go
+++ b/internal/cwconfig/naive_test.go
@@ -6,18 +6,19 @@
 	"carobward.example/carobward/internal/lab/cwspread"
 )
 
-// TestAgainstNaive takes both systems through the same faults.
+// TestAgainstNaive runs the product and a naive implementation through the same
+// fault scenarios. The naive one must fail each, or the scenario tests nothing.
 func TestAgainstNaive(t *testing.T) {
 	for name, scenario := range cwspread.Scenarios() {
 		t.Run(name, func(t *testing.T) {
 			f, _ := joined(t, cwspread.ScenarioVMs)
 
 			if wrong := scenario(cwspread.NewProduct(f)); wrong != "" {
-				t.Errorf("ours: %s", wrong)
+				t.Errorf("product: %s", wrong)
 			}
 
 			if wrong := scenario(cwspread.NewNaive(cwspread.ScenarioVMs)); wrong == "" {
-				t.Error("the naive one holds, so the scenario proves nothing")
+				t.Error("the naive implementation passes, so the scenario tests nothing")
 			}
 		})
 	}
--- a/internal/cwconfig/reader.go
+++ b/internal/cwconfig/reader.go
@@ -8,66 +8,66 @@
 	"carobward.example/carobward"
 )
 
-// ErrParts tells that the store's head and snapshot do not fit together, as
-// after they were restored from copies of different times.
+// ErrSnapshotMismatch means that the store's head does not continue from its
+// snapshot, for instance after they were restored from different backups.
 const ErrParts = errors.ConstError("config: head and snapshot of the store do not fit together")
 
-// partsTries bounds how often the head is read again, since a snapshot may
-// be replaced in between.
-const partsTries = 3
+// maxStateReads limits the reads of head and snapshot. They are repeated on a
+// mismatch, since the snapshot may be replaced between the two reads.
+const maxStateReads = 3
 
 // Reader reads the configuration from the store.
 type Reader struct {
 	store carobward.Store
 }
 
-// NewReader returns a reader of a store.
+// NewReader returns a Reader of the store.
 func NewReader(store carobward.Store) *Reader { return &Reader{store: store} }
 
-// Found is what the store holds.
+// StoreState is the configuration as read from the store.
 type Found struct {
-	// Index is the one that the head may be swapped against.
+	// Index is the store index of the head, for a compare-and-swap of it.
 	Index carobward.StoreIndex
-	// Next is where a watch of the head starts.
+	// Next is the index from which to watch the head.
 	Next carobward.StoreIndex
 	// Head holds the last changes.
 	Head Head
-	// Config is the state after them.
+	// Config is the configuration after them; nil if only the head was read.
 	Config *Config
 }
 
-// Head reads the last changes only.
+// Head reads only the head.
 func (r *Reader) Head(ctx context.Context) (Found, error) {
 	entry, err := r.store.Get(ctx, HeadKey)
 	if err != nil {
 		return Found{}, err
 	}
 
-	return foundIn(entry)
+	return decodeState(entry)
 }
 
-// Watch waits for a head after the given index.
+// Watch waits for the head to change after the given index.
 func (r *Reader) Watch(ctx context.Context, after carobward.StoreIndex) (Found, error) {
 	entry, err := r.store.Watch(ctx, HeadKey, after)
 	if err != nil {
 		return Found{}, err
 	}
 
-	return foundIn(entry)
+	return decodeState(entry)
 }
 
-func foundIn(entry carobward.Entry) (Found, error) {
+func decodeState(entry carobward.Entry) (Found, error) {
 	head, err := DecodeHead(entry.Value)
 
 	return Found{Index: entry.Index, Next: entry.Next, Head: head}, err
 }
 
-// State reads the whole state. It starts from a configuration that is known
-// already, if the head leads on from it, and else from the snapshot. The head
-// is read first: the snapshot only rises, so that one read later can't be too
-// old for the head.
+// State reads the head and the full configuration. It starts from the known
+// configuration if the head continues from it, and otherwise from the
+// snapshot. The head is read first: the snapshot's revision only increases, so
+// a snapshot read afterwards can't be too old for the head.
 func (r *Reader) State(ctx context.Context, known *Config) (Found, error) {
-	for range partsTries {
+	for range maxStateReads {
 		found, err := r.Head(ctx)
 		if err != nil {
 			return found, err
@@ -82,11 +82,11 @@
 	return Found{}, ErrParts
 }
 
-// Complete returns the state after the changes of a head.
+// Complete returns the configuration after the changes of a head.
 func (r *Reader) Complete(ctx context.Context, head *Head, known *Config) (*Config, error) {
 	if known.Revision <= head.Revision() {
 		config, err := known.Replay(head.Changes)
-		if !errors.Is(err, ErrGap) && !diverged(err) {
+		if !errors.Is(err, ErrGap) && !isDiverged(err) {
 			return config, err
 		}
 	}
@@ -106,7 +106,7 @@
 	}
 
 	config, err = base.Replay(head.Changes)
-	if diverged(err) {
+	if isDiverged(err) {
 		return nil, errors.WithType(err, ErrParts)
 	}
 
@@ -124,7 +124,7 @@
 	return config, entry.Index, err
 }
 
-func diverged(err error) bool {
+func isDiverged(err error) bool {
 	var d *Diverged
 
 	return errors.As(err, &d)
--- a/internal/cwconfig/restore.go
+++ b/internal/cwconfig/restore.go
@@ -8,18 +8,19 @@
 	"carobward.example/carobward"
 )
 
-// ErrCurrent tells that there is nothing to restore.
+// ErrNothingToRestore means that the store has the effective configuration of
+// this entry VM or one that continues from it.
 const ErrCurrent = errors.ConstError("config: the store has the configuration in force or a later one, nothing to restore")
 
-// Restore puts the configuration in force here back into a store that has an
-// older or another one. It becomes a new revision, higher than any that the
-// store or the fleet has, so that each entry VM takes it. The change needs an
-// id and an author. Errors are as with Apply, or ErrCurrent.
+// Restore writes the effective configuration of this entry VM to a store that
+// has an older or a diverged one. It becomes a new revision, higher than any in
+// the store or in the fleet, so that each entry VM adopts it. The change needs
+// an ID and an author. The errors are those of Apply, or ErrNothingToRestore.
 func (w *Writer) Restore(ctx context.Context, change Change, fleet carobward.Revision) (carobward.Revision, error) {
-	return w.persist(ctx, func() (carobward.Revision, error) { return w.restore(ctx, change, fleet) })
+	return w.retry(ctx, func() (carobward.Revision, error) { return w.tryRestore(ctx, change, fleet) })
 }
 
-func (w *Writer) restore(ctx context.Context, change Change, fleet carobward.Revision) (carobward.Revision, error) {
+func (w *Writer) tryRestore(ctx context.Context, change Change, fleet carobward.Revision) (carobward.Revision, error) {
 	known := w.holder.Config()
 
 	found, err := w.reader.Head(ctx)
@@ -27,11 +28,11 @@
 		return 0, err
 	}
 
-	if done, ok := find(found.Head.Changes, change.ID); ok {
-		return done.Revision, w.take(&found)
+	if done, ok := findChange(found.Head.Changes, change.ID); ok {
+		return done.Revision, w.advance(&found)
 	}
 
-	if !behind(&found.Head, known) {
+	if !isBehind(&found.Head, known) {
 		return 0, ErrCurrent
 	}
 
@@ -44,11 +45,11 @@
 	highest := max(known.Revision, found.Head.Revision(), old.Revision, fleet)
 	restored := Change{ID: change.ID, Author: change.Author, Base: highest, Revision: highest + 1, Whole: &set}
 
-	if restored, err = restored.normal(); err != nil {
+	if restored, err = restored.normalized(); err != nil {
 		return 0, err
 	}
 
-	if restored.Chain, err = restored.next(""); err != nil {
+	if restored.Chain, err = restored.chainAfter(""); err != nil {
 		return 0, err
 	}
 
@@ -62,7 +63,7 @@
 	return restored.Revision, err
 }
 
-func (w *Writer) take(found *Found) error {
+func (w *Writer) advance(found *Found) error {
 	_, err := w.holder.Advance(found.Head.Changes)
 
 	return err
--- a/internal/cwconfig/schedule.go
+++ b/internal/cwconfig/schedule.go
@@ -10,52 +10,53 @@
 	"carobward.example/carobward/internal/cwrank"
 )
 
-// The pace of the syncer.
+// The intervals of the Syncer.
 const (
-	// pollsPerSecond is how often the store's head is read by the whole
-	// fleet: each entry VM's share shrinks as the fleet grows. It finds a
-	// change that no watcher has told of.
+	// pollsPerSecond is the rate at which the fleet as a whole reads the
+	// store's head: the more entry VMs, the less often each of them polls.
+	// Polls find changes that no watcher has passed on.
 	pollsPerSecond = 4
-	// exchangeEvery is the time between two exchanges with a random peer.
-	exchangeEvery = time.Second
-	// offerRounds and offerPeers are how often and to how many peers a new
-	// revision is offered, offerEvery is the time between two rounds.
-	offerRounds = 3
-	offerPeers  = 3
-	offerEvery  = 250 * time.Millisecond
-	// watchersLeast is the least number of entry VMs that watch the store.
-	watchersLeast = 3
+	// exchangeInterval is the mean time between two exchanges with a peer.
+	exchangeInterval = time.Second
+	// offerRounds is how often a new revision is offered to peers, offerPeers
+	// to how many in each round, offerInterval the time between two rounds.
+	offerRounds   = 3
+	offerPeers    = 3
+	offerInterval = 250 * time.Millisecond
+	// minWatchers is the minimum number of entry VMs that watch the store.
+	minWatchers = 3
 )
 
-// duties are what a syncer should do now.
-type duties struct {
+// tasks are the tasks of a Syncer that are due.
+type tasks struct {
 	poll, exchange, offer bool
 }
 
-// schedule decides when a syncer does what.
+// schedule determines when the tasks of a Syncer are due.
 type schedule struct {
 	poll, exchange, offer time.Time
 	rounds                int
 	revision              carobward.Revision
 }
 
-// due returns what to do at a time, in a fleet of so many entry VMs with
-// this revision in force here.
-func (s *schedule) due(now time.Time, fleet int, revision carobward.Revision) duties {
-	var d duties
+// due returns the tasks that are due at the time now. The poll interval depends
+// on the number of entry VMs in the fleet; a higher effective revision than
+// before starts the offers.
+func (s *schedule) due(now time.Time, fleet int, revision carobward.Revision) tasks {
+	var d tasks
 
 	if s.poll.IsZero() {
-		// The first one may come at once: the whole fleet may have started
-		// together.
-		s.poll = now.Add(rand.N(pollEvery(fleet)))
+		// The first poll is drawn from the whole interval, from zero on: the
+		// entry VMs may all have started at the same time.
+		s.poll = now.Add(rand.N(pollInterval(fleet)))
 	}
 
 	if d.poll = !now.Before(s.poll); d.poll {
-		s.poll = now.Add(spread(pollEvery(fleet)))
+		s.poll = now.Add(jitter(pollInterval(fleet)))
 	}
 
 	if d.exchange = !now.Before(s.exchange); d.exchange {
-		s.exchange = now.Add(spread(exchangeEvery))
+		s.exchange = now.Add(jitter(exchangeInterval))
 	}
 
 	if revision > s.revision {
@@ -66,26 +67,28 @@
 
 	if d.offer = s.rounds > 0 && !now.Before(s.offer); d.offer {
 		s.rounds--
-		s.offer = now.Add(offerEvery)
+		s.offer = now.Add(offerInterval)
 	}
 
 	return d
 }
 
-// spread draws a time around d, so that entry VMs do not act in step.
-func spread(d time.Duration) time.Duration {
+// jitter returns a random duration between d/2 and 3d/2, so that entry VMs
+// don't act in lockstep.
+func jitter(d time.Duration) time.Duration {
 	return d/2 + rand.N(d)
 }
 
-// pollEvery is the time between two polls of one entry VM.
-func pollEvery(fleet int) time.Duration {
+// pollInterval returns the mean time between two polls of one entry VM.
+func pollInterval(fleet int) time.Duration {
 	return time.Duration(max(fleet, 1)) * time.Second / pollsPerSecond
 }
 
-// Watches tells whether an entry VM is one that watches the store: the first
-// of each failure domain and at least watchersLeast in all, by rendezvous
-// hashing. Entry VMs with different views may differ; a watcher too many does
-// no harm, and the polls stand in for one too few.
+// IsWatcher reports whether an entry VM watches the store. The watchers are the
+// first entry VM of each failure domain by rendezvous hashing, and further ones
+// in that order up to minWatchers. Entry VMs with different views of the fleet
+// may disagree; an extra watcher does no harm, and polls make up for a missing
+// one.
 func Watches(self carobward.Peer, peers []carobward.Peer) bool {
 	ranked := []carobward.Peer{}
 
@@ -113,7 +116,7 @@
 		seen[p.Domain] = true
 	}
 
-	more := min(len(rest), max(0, watchersLeast-len(firsts)))
+	more := min(len(rest), max(0, minWatchers-len(firsts)))
 
 	return slices.ContainsFunc(slices.Concat(firsts, rest[:more]), func(p carobward.Peer) bool { return p.ID == self.ID })
 }
--- a/internal/cwconfig/schedule_test.go
+++ b/internal/cwconfig/schedule_test.go
@@ -8,20 +8,21 @@
 	"carobward.example/carobward"
 )
 
-// TestWatches: a few entry VMs watch, in each failure domain, and another one
-// takes over from a dead one.
+// TestIsWatcher verifies the number of watchers: at least one per failure domain,
+// and others take over from dead ones. 19 VMs are a current fleet, 200 is the
+// size expected in the long run.
 func TestWatches(t *testing.T) {
 	for name, test := range map[string]struct {
 		vms, domains, dead, want int
 	}{
-		"one alone":                     {1, 1, 0, 1},
-		"two":                           {2, 1, 0, 2},
-		"one failure domain":            {9, 1, 0, 3},
-		"two failure domains":           {9, 2, 0, 3},
-		"today":                         {19, 3, 0, 3},
-		"today, some dead":              {19, 3, 9, 3},
-		"the long run":                  {200, 16, 0, 16},
-		"the long run, a quarter's out": {200, 16, 50, 16},
+		"1 VM":                {1, 1, 0, 1},
+		"2 VMs":               {2, 1, 0, 2},
+		"9 VMs, 1 domain":     {9, 1, 0, 3},
+		"9 VMs, 2 domains":    {9, 2, 0, 3},
+		"19 VMs, 3 domains":   {19, 3, 0, 3},
+		"19 VMs, 9 dead":      {19, 3, 9, 3},
+		"200 VMs, 16 domains": {200, 16, 0, 16},
+		"200 VMs, 50 dead":    {200, 16, 50, 16},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var peers []carobward.Peer
@@ -50,8 +51,8 @@
 	}
 }
 
-// TestPollsOfTheFleet: the polls of all entry VMs together stay the same as
-// the fleet grows.
+// TestPollsOfTheFleet verifies that the poll rate of the fleet as a whole does
+// not depend on its size.
 func TestPollsOfTheFleet(t *testing.T) {
 	const span = 200 * time.Second
 
@@ -59,9 +60,9 @@
 		polls := 0
 
 		for range fleet {
-			plan := &schedule{}
-			for at := time.Duration(0); at < span; at += tickEvery {
-				if plan.due(time.Unix(0, int64(at)), fleet, 0).poll {
+			sched := &schedule{}
+			for at := time.Duration(0); at < span; at += tickInterval {
+				if sched.due(time.Unix(0, int64(at)), fleet, 0).poll {
 					polls++
 				}
 			}
@@ -73,41 +74,43 @@
 	}
 }
 
-// TestPollsBegin: a fleet that was started at once polls from the beginning,
-// not only after a share of the interval.
+// TestPollsBegin verifies that a fleet whose entry VMs start at the same time
+// polls right away, not only after part of the poll interval.
 func TestPollsBegin(t *testing.T) {
 	const fleet = 200
 
 	polls := 0
 
 	for range fleet {
-		plan := &schedule{}
-		for at := time.Duration(0); at < pollEvery(fleet)/5; at += tickEvery {
-			if plan.due(time.Unix(0, int64(at)), fleet, 0).poll {
+		sched := &schedule{}
+		for at := time.Duration(0); at < pollInterval(fleet)/5; at += tickInterval {
+			if sched.due(time.Unix(0, int64(at)), fleet, 0).poll {
 				polls++
 			}
 		}
 	}
 
 	if polls == 0 {
-		t.Error("nobody polled in the first fifth")
+		t.Error("no poll in the first fifth of the interval")
 	}
 }
 
+// TestOffers verifies that each new revision is offered in offerRounds rounds,
+// which a newer revision starts anew.
 func TestOffers(t *testing.T) {
-	plan := &schedule{}
+	sched := &schedule{}
 	now := time.Unix(1000, 0)
 	got := ""
 
 	for _, r := range []carobward.Revision{0, 1, 1, 1, 1, 2, 2} {
-		if plan.due(now, 3, r).offer {
+		if sched.due(now, 3, r).offer {
 			got += fmt.Sprint(r)
 		}
 
-		now = now.Add(offerEvery)
+		now = now.Add(offerInterval)
 	}
 
 	if got != "11122" {
-		t.Errorf("offers %s", got)
+		t.Errorf("offers at revisions %s", got)
 	}
 }
--- a/internal/cwconfig/syncer.go
+++ b/internal/cwconfig/syncer.go
@@ -15,7 +15,7 @@
 	"carobward.example/carobward/internal/cwpeer"
 )
 
-// The metrics by name.
+// The names of the metrics.
 const (
 	metricAdopted  = "adopted"
 	metricFull     = "full_copies"
@@ -26,40 +26,40 @@
 )
 
 const (
-	// tickEvery is the pace at which the schedule is looked at.
-	tickEvery = 100 * time.Millisecond
-	// newsMost is how many peers with news may wait to be asked.
-	newsMost = 8
-	// watchGap is the least time between two watches, so that a burst of
-	// changes is read together.
-	watchGap = 100 * time.Millisecond
-	// watchRetryFirst and watchRetryMost bound the pause after a failed
-	// watch.
-	watchRetryFirst = 500 * time.Millisecond
-	watchRetryMost  = 5 * time.Second
+	// tickInterval is the time between two checks of the schedule.
+	tickInterval = 100 * time.Millisecond
+	// maxAnnouncements is the length of the queue of peers that announced a
+	// higher revision.
+	maxAnnouncements = 8
+	// minWatchInterval is the minimum time between two watches, so that a
+	// burst of changes is read at once.
+	minWatchInterval = 100 * time.Millisecond
+	// minWatchRetry and maxWatchRetry limit the exponential backoff after a
+	// failed watch.
+	minWatchRetry = 500 * time.Millisecond
+	maxWatchRetry = 5 * time.Second
 )
 
-// Syncer keeps the configuration in force here up to date: a few entry VMs
-// watch the store, all others learn from peers.
+// Syncer keeps the effective configuration of this entry VM up to date. A few
+// entry VMs watch the store; the others get changes from their peers.
 type Syncer struct {
-	reader *Reader
-	holder *Holder
-	peers  carobward.Peers
-	calls  cwpeer.Calls
-	clock  carobward.Clock
-	log    logr.Logger
-	// metrics counts what the syncer did.
+	reader  *Reader
+	holder  *Holder
+	peers   carobward.Peers
+	calls   cwpeer.Calls
+	clock   carobward.Clock
+	log     logr.Logger
 	metrics *expvar.Map
 
-	vitals vitals
-	news   chan news
-	done   chan struct{}
+	state         conditionState
+	announcements chan announcement
+	done          chan struct{}
 
 	polling, exchanging atomic.Bool
 }
 
-// NewSyncer returns a syncer of a holder. Register its Service with the peers'
-// server before Run. It counts what it does in metrics.
+// NewSyncer returns a Syncer that updates holder. Its Service must be registered
+// with the peer server before Run is called. Counters go to metrics.
 func NewSyncer(store carobward.Store, holder *Holder, peers carobward.Peers, calls cwpeer.Calls, metrics *expvar.Map, clock carobward.Clock, log logr.Logger) *Syncer {
 	return &Syncer{
 		reader: NewReader(store),
@@ -71,20 +71,20 @@
 
 		metrics: metrics,
 
-		news: make(chan news, newsMost),
-		done: make(chan struct{}),
+		announcements: make(chan announcement, maxAnnouncements),
+		done:          make(chan struct{}),
 	}
 }
 
 // Done is closed once Run has returned.
 func (s *Syncer) Done() <-chan struct{} { return s.done }
 
-// Condition returns what is known of the configuration here.
+// Condition returns the state of the configuration on this entry VM.
 func (s *Syncer) Condition() Condition {
-	return s.vitals.condition(s.holder.Config(), s.clock.Now())
+	return s.state.condition(s.holder.Config(), s.clock.Now())
 }
 
-// Run joins the fleet and keeps up with it until ctx ends.
+// Run joins the fleet and keeps the configuration up to date until ctx ends.
 func (s *Syncer) Run(ctx context.Context) {
 	defer close(s.done)
 
@@ -95,35 +95,35 @@
 	var group conc.WaitGroup
 
 	group.Go(func() { s.watch(ctx) })
-	group.Go(func() { s.follow(ctx) })
+	group.Go(func() { s.followAnnouncements(ctx) })
 	group.Go(func() { s.tick(ctx, &group) })
 	group.Wait()
 }
 
-// follow asks peers that have told of a higher revision.
-func (s *Syncer) follow(ctx context.Context) {
+// followAnnouncements exchanges with peers that announced a higher revision.
+func (s *Syncer) followAnnouncements(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case n := <-s.news:
-			s.askFor(ctx, n)
+		case n := <-s.announcements:
+			s.fetchAnnounced(ctx, n)
 		}
 	}
 }
 
-// tick does what the schedule says. A poll or an exchange is not begun while
-// the one before it still waits.
+// tick starts tasks according to the schedule. A poll or an exchange is skipped
+// while the previous one is still running.
 func (s *Syncer) tick(ctx context.Context, group *conc.WaitGroup) {
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 
-	plan := &schedule{}
+	sched := &schedule{}
 
 	for {
-		d := plan.due(s.clock.Now(), len(s.others())+1, s.holder.Revision())
-		run(group, d.poll, &s.polling, func() { s.Poll(ctx) })
-		run(group, d.exchange, &s.exchanging, func() { s.exchange(ctx) })
+		d := sched.due(s.clock.Now(), len(s.others())+1, s.holder.Revision())
+		startTask(group, d.poll, &s.polling, func() { s.Poll(ctx) })
+		startTask(group, d.exchange, &s.exchanging, func() { s.exchange(ctx) })
 
 		if d.offer {
 			group.Go(func() { s.offer(ctx) })
@@ -132,14 +132,14 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.holder.raised:
+		case <-s.holder.advanced:
 		case <-t.C:
 		}
 	}
 }
 
-// run starts a duty if it is due and does not run already.
-func run(group *conc.WaitGroup, due bool, running *atomic.Bool, duty func()) {
+// startTask starts a task if it is due and not running already.
+func startTask(group *conc.WaitGroup, due bool, running *atomic.Bool, task func()) {
 	if !due || !running.CompareAndSwap(false, true) {
 		return
 	}
@@ -147,7 +147,7 @@
 	group.Go(func() {
 		defer running.Store(false)
 
-		duty()
+		task()
 	})
 }
 
@@ -156,111 +156,117 @@
 	sent, known := s.clock.Now(), s.holder.Config()
 
 	found, err := s.reader.Head(ctx)
-	s.saw(ctx, &found, err, known, sent)
+	s.handleRead(ctx, &found, err, known, sent)
 }
 
-// watch waits for changes of the store's head, while this entry VM is one
-// that does.
+// watch waits for changes of the store's head while this entry VM is one of the
+// watchers.
 func (s *Syncer) watch(ctx context.Context) {
 	var next carobward.StoreIndex
 
-	pause := watchRetryFirst
+	delay := minWatchRetry
 
 	for ctx.Err() == nil {
 		if !Watches(s.peers.Self(), s.peers.All()) {
-			sleep(ctx, watchRetryFirst)
+			sleep(ctx, minWatchRetry)
 
 			continue
 		}
 
 		known, sent := s.holder.Config(), s.clock.Now()
-		found, err := s.await(ctx, next)
+		found, err := s.readOrWatch(ctx, next)
 
-		if s.saw(ctx, &found, err, known, sent); err != nil {
+		if s.handleRead(ctx, &found, err, known, sent); err != nil {
 			next = 0
 
-			sleep(ctx, pause/2+rand.N(pause))
-			pause = min(2*pause, watchRetryMost)
+			sleep(ctx, delay/2+rand.N(delay))
+			delay = min(2*delay, maxWatchRetry)
 
 			continue
 		}
 
-		pause = watchRetryFirst
+		delay = minWatchRetry
 
 		if next = found.Next; next < found.Index {
 			next = found.Index
 		}
 
-		sleep(ctx, watchGap)
+		sleep(ctx, minWatchInterval)
 	}
 }
 
-// await reads the head at first and then waits for its changes.
-func (s *Syncer) await(ctx context.Context, next carobward.StoreIndex) (Found, error) {
+// readOrWatch reads the head if next is zero, and otherwise waits until it
+// changes.
+func (s *Syncer) readOrWatch(ctx context.Context, next carobward.StoreIndex) (Found, error) {
 	if next == 0 {
 		return s.reader.Head(ctx)
 	}
 
 	found, err := s.reader.Watch(ctx, next)
 	if err == nil && found.Next < next {
-		found.Next = 0 // The store was restored and counts from lower again.
+		found.Next = 0 // The store was restored; its index starts lower.
 	}
 
 	return found, err
 }
 
-// saw takes what the store showed: the read was sent at a time when known was
-// in force. A reply may be old, so it is compared with that only.
-func (s *Syncer) saw(ctx context.Context, found *Found, err error, known *Config, sent time.Time) {
+// handleRead processes a read of the store that was sent at the given time, when
+// known was the effective configuration. Since the reply may be old, it is
+// compared with known only, not with what took effect in the meantime.
+func (s *Syncer) handleRead(ctx context.Context, found *Found, err error, known *Config, sent time.Time) {
 	if ctx.Err() != nil {
 		return
 	}
 
 	if err == nil {
-		err = s.take(ctx, found, known)
+		err = s.advance(ctx, found, known)
 	}
 
 	switch {
 	case err == nil:
-		s.vitals.clear(fromStore)
-		s.vitals.freshen(sent)
-	case alarming(err):
+		s.state.clearAlarm(fromStore)
+		s.state.updateFresh(sent)
+	case needsOperator(err):
 		s.alarm(fromStore, err)
 	default:
-		s.log.V(1).Info("The store did not answer.", "cause", err.Error())
+		s.log.V(1).Info("Reading the configuration from the store failed.", "cause", err.Error())
 	}
 }
 
-func (s *Syncer) take(ctx context.Context, found *Found, known *Config) error {
-	if behind(&found.Head, known) {
+// advance applies the changes of the head, or the full configuration if changes
+// are missing. It returns ErrStoreOutdated if the head does not continue from
+// known.
+func (s *Syncer) advance(ctx context.Context, found *Found, known *Config) error {
+	if isBehind(&found.Head, known) {
 		return errors.Annotatef(ErrOlder, "the store has revision %d, in force was %d", found.Head.Revision(), known.Revision)
 	}
 
-	rose, err := s.holder.Advance(found.Head.Changes)
+	advanced, err := s.holder.Advance(found.Head.Changes)
 	if errors.Is(err, ErrGap) {
 		var config *Config
 
 		if config, err = s.reader.Complete(ctx, &found.Head, s.holder.Config()); err == nil {
 			s.metrics.Add(metricFull, 1)
 
-			rose = s.holder.adoptWith(config, found.Head.Changes)
+			advanced = s.holder.adoptWith(config, found.Head.Changes)
 		}
 	}
 
-	if rose {
-		s.adopted("store")
+	if advanced {
+		s.recordAdopted("store")
 	}
 
 	return err
 }
 
-func (s *Syncer) adopted(from string) {
+// recordAdopted counts and logs that a new revision has taken effect.
+func (s *Syncer) recordAdopted(from string) {
 	s.metrics.Add(metricAdopted, 1)
 	s.log.Info("New configuration in force.", "revision", s.holder.Revision(), "from", from)
 }
 
-func (s *Syncer) alarm(from source, err error) {
-	if !s.vitals.raise(from, err, s.clock.Now()) {
+func (s *Syncer) alarm(from alarmSource, err error) {
+	if !s.state.raiseAlarm(from, err, s.clock.Now()) {
 		return
 	}
 
@@ -268,7 +274,8 @@
 	s.log.Error(err, "Alarm: the configuration in force is kept.", "revision", s.holder.Revision())
 }
 
-// others returns the other entry VMs that are live or only suspected.
+// others returns the other entry VMs that are live or suspect, in random
+// order.
 func (s *Syncer) others() []carobward.Peer {
 	self := s.peers.Self()
 
--- a/internal/cwconfig/syncer_test.go
+++ b/internal/cwconfig/syncer_test.go
@@ -18,10 +18,10 @@
 	"carobward.example/carobward/internal/lab/cwstore"
 )
 
-// began is when the clocks of the fleets start.
+// began is the start time of the simulated clocks.
 var began = time.Unix(1000, 0)
 
-// joined returns a fleet that has joined, and its clock.
+// joined returns a fleet whose entry VMs are all ready, and its clock.
 func joined(t *testing.T, vms int) (*cwspread.Fleet, *cwspread.Clock) {
 	t.Helper()
 
@@ -35,6 +35,7 @@
 	return f, clock
 }
 
+// wait waits until the given VMs are ready and have at least the revision r.
 func wait(t *testing.T, f *cwspread.Fleet, what string, r carobward.Revision, vms ...int) {
 	t.Helper()
 
@@ -47,51 +48,52 @@
 	}
 }
 
-// TestFrozenWatchers: with all watchers frozen the others learn by their
-// polls, and with the store gone for all but one, from that one.
+// TestFrozenWatchers verifies that a change reaches the other entry VMs by their
+// polls while all watchers are frozen.
 func TestFrozenWatchers(t *testing.T) {
 	f := cwspread.New(7, carobward.SystemClock{})
-	well := f.Freeze()
+	running := f.Freeze()
 
 	for i := range f.Order {
-		if !slices.Contains(well, i) {
+		if !slices.Contains(running, i) {
 			f.At(i).Holder.Adopt(&cwconfig.Config{Revision: 1, Chain: "stale"})
 		}
 	}
 
-	if len(well) != 4 {
-		t.Fatalf("%d do not watch", len(well))
+	if len(running) != 4 {
+		t.Fatalf("%d VMs are not frozen", len(running))
 	}
 
 	t.Cleanup(f.Start())
-	wait(t, f, "the others are ready", 0, well...)
+	wait(t, f, "the other VMs to be ready", 0, running...)
 
-	// A writer that is gone at once tells nobody.
+	// This writer is not part of the fleet, so it announces nothing to peers.
 	if _, err := cwconfig.NewWriter(f.Store, cwconfig.NewHolder()).Apply(context.Background(), cwspread.Put("a", "ana", 0, "fee")); err != nil {
 		t.Fatal(err)
 	}
 
-	wait(t, f, "the change reaches the others", 1, well...)
+	wait(t, f, "the change to reach the other VMs", 1, running...)
 }
 
-// TestNewcomer: without the store a newcomer is ready once several peers have
-// told, and has the highest revision of them; alone it is not.
+// TestNewcomer verifies when a new entry VM is ready. Without the store it needs
+// the answers of several peers, of which it takes the highest revision; without
+// peers it needs the store's answer and storeOnly.
 func TestNewcomer(t *testing.T) {
 	for name, test := range map[string]struct {
-		peers, gone int
-		storeDown   bool
-		alone       bool
-		ready       bool
-		want        carobward.Revision
+		peers, silent int
+		storeDown     bool
+		storeOnly     bool
+		ready         bool
+		want          carobward.Revision
 	}{
-		"alone, the store down":            {0, 0, true, true, false, 0},
-		"alone, no peer known yet":         {0, 0, false, false, false, 0},
-		"alone with the store":             {0, 0, false, true, true, 2},
-		"one peer, the store down":         {1, 0, true, true, true, 2},
-		"three peers, the store down":      {3, 0, true, true, true, 2},
+		"no peers, store down":             {0, 0, true, true, false, 0},
+		"no peers, storeOnly unset":        {0, 0, false, false, false, 0},
+		"no peers, store up":               {0, 0, false, true, true, 2},
+		"one peer, store down":             {1, 0, true, true, true, 2},
+		"three peers, store down":          {3, 0, true, true, true, 2},
 		"one of three answers, store down": {3, 2, true, true, false, 0},
 		"one of three answers, store up":   {3, 2, false, true, true, 2},
-		"all peers gone, the store up":     {3, 3, false, true, true, 2},
+		"no peer answers, store up":        {3, 3, false, true, true, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f, _ := joined(t, test.peers)
@@ -110,7 +112,7 @@
 				}
 			}
 
-			for j := range test.gone {
+			for j := range test.silent {
 				f.At(test.peers - 1 - j).Deaf = true
 			}
 
@@ -119,21 +121,22 @@
 			}
 
 			v := f.Add(f.Store)
-			ready := v.Syncer.Join(context.Background(), test.alone)
+			ready := v.Syncer.Join(context.Background(), test.storeOnly)
 
 			if got := v.Holder.Revision(); ready != test.ready || got != test.want {
 				t.Errorf("ready %t with revision %d, want %t with %d", ready, got, test.ready, test.want)
 			}
 
 			if v.Syncer.Condition().Ready != test.ready {
-				t.Error("the condition tells otherwise")
+				t.Error("Condition().Ready differs from the result of Join")
 			}
 		})
 	}
 }
 
-// TestUnreadable: what a newer version wrote, or an older store has, does not
-// touch what is in force, and raises an alarm until it is gone.
+// TestUnreadable verifies that a head written by a newer version, a malformed one
+// or that of a restored store leaves the effective configuration unchanged, and
+// raises an alarm until a valid head is back.
 func TestUnreadable(t *testing.T) {
 	f, _ := joined(t, 1)
 	v := f.At(0)
@@ -154,13 +157,13 @@
 	newer, _ := json.Marshal(cwconfig.Head{Format: 1, Changes: []cwconfig.Change{change}})
 
 	for name, raw := range map[string]string{
-		"an unknown key, well linked": strings.Replace(string(newer), `"author"`, `"color":"red","author"`, 1),
-		"a newer format":              `{"format":2,"changes":[]}`,
-		"an unknown key":              `{"format":1,"changes":[{"id":"b","revision":2,"chain":"x","color":"red"}]}`,
-		"no JSON":                     `#`,
-		"an empty store":              "",
-		"no changes":                  `{"format":1,"changes":[]}`,
-		"an unlinked ring":            `{"format":1,"changes":[{"id":"b","revision":2,"chain":"x","drop":["a"]},{"id":"c","revision":4,"chain":"y","drop":["a"]}]}`,
+		"unknown key, valid chain": strings.Replace(string(newer), `"author"`, `"color":"red","author"`, 1),
+		"newer format":             `{"format":2,"changes":[]}`,
+		"unknown key":              `{"format":1,"changes":[{"id":"b","revision":2,"chain":"x","color":"red"}]}`,
+		"no JSON":                  `#`,
+		"empty store":              "",
+		"no changes":               `{"format":1,"changes":[]}`,
+		"gap between changes":      `{"format":1,"changes":[{"id":"b","revision":2,"chain":"x","drop":["a"]},{"id":"c","revision":4,"chain":"y","drop":["a"]}]}`,
 	} {
 		f.Store.Put(cwconfig.HeadKey, []byte(raw))
 		v.Syncer.Poll(context.Background())
@@ -170,20 +173,20 @@
 		}
 
 		if v.Holder.Targets().ByName("fee") == nil {
-			t.Errorf("%s: the target is gone", name)
+			t.Errorf("%s: the target is missing", name)
 		}
 
 		f.Store.Put(cwconfig.HeadKey, entry.Value)
 		v.Syncer.Poll(context.Background())
 
 		if c := v.Syncer.Condition(); c.Alarm != "" {
-			t.Errorf("%s: the alarm stays: %s", name, c.Alarm)
+			t.Errorf("%s: the alarm is not cleared: %s", name, c.Alarm)
 		}
 	}
 }
 
-// TestLateReplyIsNoAlarm: a head that was read before a change came in force
-// here is older without being a restored store's.
+// TestLateReplyIsNoAlarm verifies that a head read before a change took effect
+// here is not mistaken for that of a restored store.
 func TestLateReplyIsNoAlarm(t *testing.T) {
 	f, clock := joined(t, 1)
 	v := f.At(0)
@@ -194,24 +197,25 @@
 		t.Fatal(err)
 	}
 
-	cwconfig.Saw(v.Syncer, context.Background(), &found, err, known, sent)
+	cwconfig.HandleRead(v.Syncer, context.Background(), &found, err, known, sent)
 
 	if c := v.Syncer.Condition(); c.Alarm != "" || c.Revision != 1 {
 		t.Errorf("got %+v", c)
 	}
 }
 
-// TestFreshness: a peer's word counts from when it was asked, less its own
-// age, and only if it has nothing newer.
+// TestFreshness verifies that a peer's digest proves freshness for the time when
+// it was requested minus the peer's own age, and only if the peer has no higher
+// revision.
 func TestFreshness(t *testing.T) {
 	for name, test := range map[string]struct {
 		digest *cwwire.ConfigDigest
 		want   time.Duration
 	}{
-		"fresh peer":         {&cwwire.ConfigDigest{Revision: 0, Known: true}, 3 * time.Second},
-		"old news":           {&cwwire.ConfigDigest{Revision: 0, Known: true, AgeMillis: 5000}, 8 * time.Second},
-		"never knew":         {&cwwire.ConfigDigest{Revision: 0}, -1},
-		"has more, gives no": {&cwwire.ConfigDigest{Revision: 7, Known: true}, -1},
+		"fresh peer":                  {&cwwire.ConfigDigest{Revision: 0, Known: true}, 3 * time.Second},
+		"peer with an age":            {&cwwire.ConfigDigest{Revision: 0, Known: true, AgeMillis: 5000}, 8 * time.Second},
+		"peer that was never fresh":   {&cwwire.ConfigDigest{Revision: 0}, -1},
+		"higher revision, no changes": {&cwwire.ConfigDigest{Revision: 7, Known: true}, -1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			clock := cwspread.NewClock(began)
@@ -220,7 +224,7 @@
 			clock.Advance(3 * time.Second)
 
 			s := f.At(0).Syncer
-			if err := cwconfig.Hear(s, &cwwire.ConfigReply{Digest: test.digest}, sent); err != nil {
+			if err := cwconfig.HandleReply(s, &cwwire.ConfigReply{Digest: test.digest}, sent); err != nil {
 				t.Fatal(err)
 			}
 
@@ -236,14 +240,14 @@
 	}
 }
 
-// TestBehindPeers: no change is made by way of an entry VM that is known to
-// be behind and can't catch up, nor by a newcomer that is not ready.
+// TestBehindPeers verifies that an entry VM refuses changes while it is behind
+// its peers and can't catch up, and before it is ready.
 func TestBehindPeers(t *testing.T) {
 	f := cwspread.New(2, cwspread.NewClock(began))
 	v := f.At(1)
 
 	if _, err := v.Apply(cwspread.Put("a", "ana", 0, "fee"), false); !errors.Is(err, cwconfig.ErrNotReady) {
-		t.Errorf("newcomer: got %v", err)
+		t.Errorf("not ready: got %v", err)
 	}
 
 	if !f.Join() {
--- a/internal/cwconfig/writer.go
+++ b/internal/cwconfig/writer.go
@@ -10,53 +10,56 @@
 	"carobward.example/carobward"
 )
 
-// The pause between two tries of a write grows from the first to the most,
-// and is drawn at random from zero to that, so that writers part.
+// The bound of the delay between two attempts of a write doubles from
+// minRetryDelay to maxRetryDelay. The delay is drawn at random between zero and
+// the bound, so that concurrent writers spread out.
 const (
-	pauseFirst = 10 * time.Millisecond
-	pauseMost  = 500 * time.Millisecond
+	minRetryDelay = 10 * time.Millisecond
+	maxRetryDelay = 500 * time.Millisecond
 )
 
-// ErrOlder tells that the store has an older or another configuration than
-// the one in force here: it was restored. Nothing was changed.
+// ErrStoreOutdated means that the store has an older or a diverged
+// configuration, compared to the effective one here: it was restored from a
+// backup. Nothing was changed.
 const ErrOlder = errors.ConstError(`config: the store has an older or another configuration than the one in force; see "carobward apply --restore"`)
 
-// Writer makes changes of the configuration in the store.
+// Writer writes changes of the configuration to the store.
 type Writer struct {
 	store  carobward.Store
 	reader *Reader
 	holder *Holder
 }
 
-// NewWriter returns a writer that puts what it has accepted in force in the
-// holder.
+// NewWriter returns a Writer that also applies accepted changes to holder.
 func NewWriter(store carobward.Store, holder *Holder) *Writer {
 	return &Writer{store: store, reader: NewReader(store), holder: holder}
 }
 
-// Apply makes a change and returns the revision that it is accepted in. A
-// change that the store has already is accepted as it is, so that it may be
-// made again after a lost reply. The error is a Conflict, ErrBase, ErrOlder,
-// ErrSize or what is wrong with the targets, or ErrStoreDown: then nothing
-// was changed. Or it is ErrStoreUnknown: it may have been accepted.
+// Apply writes a change and returns the revision in which it is accepted. If the
+// store already has a change with this ID, its revision is returned, so that a
+// change can be retried after a lost reply. Nothing was changed if the error is
+// a Conflict, ErrBaseTooOld, ErrStoreOutdated, ErrTooLarge, ErrStoreDown or a
+// validation error of the targets. After ErrStoreUnknown the change may have
+// been accepted.
 func (w *Writer) Apply(ctx context.Context, change Change) (carobward.Revision, error) {
 	change.Revision, change.Chain, change.Whole = 0, "", nil
 
-	change, err := change.normal()
+	change, err := change.normalized()
 	if err != nil {
 		return 0, err
 	}
 
-	return w.persist(ctx, func() (carobward.Revision, error) { return w.once(ctx, &change) })
+	return w.retry(ctx, func() (carobward.Revision, error) { return w.tryApply(ctx, &change) })
 }
 
-// persist calls try until its outcome is known or ctx ends. Once a reply was
-// lost, only the change itself or a conflict in the store is an outcome.
-func (w *Writer) persist(ctx context.Context, try func() (carobward.Revision, error)) (carobward.Revision, error) {
+// retry calls attempt until its outcome is known or ctx ends. Once a reply was
+// lost, the write may have taken effect: then only finding the change itself or
+// a conflict in the store is an outcome, any other error is retried.
+func (w *Writer) retry(ctx context.Context, attempt func() (carobward.Revision, error)) (carobward.Revision, error) {
 	lost := false
 
-	for pause := pauseFirst; ; pause = min(2*pause, pauseMost) {
-		revision, err := try()
+	for delay := minRetryDelay; ; delay = min(2*delay, maxRetryDelay) {
+		revision, err := attempt()
 
 		switch {
 		case err == nil:
@@ -66,25 +69,25 @@
 		case errors.Is(err, carobward.ErrConflict):
 		case !lost:
 			return 0, err
-		case settled(err):
+		case provesNotWritten(err):
 			return 0, err
 		}
 
-		if !sleep(ctx, rand.N(pause)) {
-			return 0, gaveUp(err, lost)
+		if !sleep(ctx, rand.N(delay)) {
+			return 0, giveUpError(err, lost)
 		}
 	}
 }
 
-// settled tells that an error after a lost reply proves that the write did
-// not take effect: the head has moved on without the change.
-func settled(err error) bool {
+// provesNotWritten reports whether an error after a lost reply proves that the
+// write did not take effect: the head has advanced without the change.
+func provesNotWritten(err error) bool {
 	var conflict *Conflict
 
 	return errors.As(err, &conflict)
 }
 
-func gaveUp(err error, lost bool) error {
+func giveUpError(err error, lost bool) error {
 	if lost {
 		return errors.WithType(errors.Annotate(err, "config: a reply was lost"), carobward.ErrStoreUnknown)
 	}
@@ -92,7 +95,7 @@
 	return errors.Annotate(err, "config: other writers were faster")
 }
 
-// sleep waits and tells whether ctx goes on.
+// sleep waits for d and returns true, or returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if ctx.Err() != nil {
 		return false
@@ -109,22 +112,23 @@
 	}
 }
 
-// once reads, checks and swaps. After a lost reply the next call finds out.
-func (w *Writer) once(ctx context.Context, change *Change) (carobward.Revision, error) {
-	found, err := w.read(ctx)
+// tryApply reads the store, checks the change and swaps the head. If the reply
+// to the swap is lost, the next call finds out whether it took effect.
+func (w *Writer) tryApply(ctx context.Context, change *Change) (carobward.Revision, error) {
+	found, err := w.readState(ctx)
 	if err != nil {
 		return 0, err
 	}
 
-	changes := join(w.holder.Recent(), found.Head.Changes)
+	changes := joinChanges(w.holder.Recent(), found.Head.Changes)
 
-	if done, ok := find(changes, change.ID); ok {
+	if done, ok := findChange(changes, change.ID); ok {
 		w.adopt(&found)
 
 		return done.Revision, nil
 	}
 
-	if err := check(change, changes, found.Head.Revision()); err != nil {
+	if err := checkConflicts(change, changes, found.Head.Revision()); err != nil {
 		return 0, err
 	}
 
@@ -134,7 +138,7 @@
 	}
 
 	head, before := found.Head.With(accepted)
-	if err := w.secure(ctx, found.Config, before); err != nil {
+	if err := w.ensureSnapshot(ctx, found.Config, before); err != nil {
 		return 0, err
 	}
 
@@ -147,9 +151,9 @@
 	return next.Revision, nil
 }
 
-// read returns the store's state, unless it is not the one that the
-// configuration in force leads to.
-func (w *Writer) read(ctx context.Context) (Found, error) {
+// readState returns the store's state, or ErrStoreOutdated if it does not
+// continue from the effective configuration.
+func (w *Writer) readState(ctx context.Context) (Found, error) {
 	known := w.holder.Config()
 
 	found, err := w.reader.State(ctx, known)
@@ -157,28 +161,28 @@
 		return found, err
 	}
 
-	if behind(&found.Head, known) {
+	if isBehind(&found.Head, known) {
 		return found, ErrOlder
 	}
 
 	return found, nil
 }
 
-// behind tells that a head, read after a configuration was in force, does
-// not lead on from it.
-func behind(head *Head, known *Config) bool {
+// isBehind reports whether a head does not continue from known, a configuration
+// that was effective before the head was read.
+func isBehind(head *Head, known *Config) bool {
 	if head.Revision() < known.Revision {
 		return true
 	}
 
 	_, err := known.Replay(head.Changes)
 
-	return diverged(err)
+	return isDiverged(err)
 }
 
-// join returns the head's changes after the ones known here that lead to
-// them.
-func join(recent, head []Change) []Change {
+// joinChanges returns the head's changes, preceded by the recent ones that lead
+// up to them without a gap, if any.
+func joinChanges(recent, head []Change) []Change {
 	if len(head) == 0 || len(recent) == 0 || head[0].Whole != nil {
 		return head
 	}
@@ -200,10 +204,10 @@
 
 func (w *Writer) adopt(found *Found) { w.holder.adoptWith(found.Config, found.Head.Changes) }
 
-// secure makes sure that the snapshot has at least a revision, before the
-// head drops the changes up to it. A snapshot is always written from an
-// accepted state, so that it does not matter who writes it.
-func (w *Writer) secure(ctx context.Context, config *Config, before carobward.Revision) error {
+// ensureSnapshot makes sure that the snapshot has at least the revision before,
+// as the next head drops the changes up to it. Snapshots are only written from
+// accepted configurations, so any writer may write one.
+func (w *Writer) ensureSnapshot(ctx context.Context, config *Config, before carobward.Revision) error {
 	if before == 0 {
 		return nil
 	}
@@ -215,7 +219,8 @@
 
 	err = w.swap(ctx, SnapshotKey, snapshot{Format: format, Config: *config}, index)
 	if errors.Is(err, carobward.ErrStoreUnknown) {
-		// No change hangs on this write; the next try reads it again.
+		// No change depends on this write; the next attempt reads the
+		// snapshot again.
 		return carobward.ErrConflict
 	}
 
--- a/internal/cwconfig/writer_test.go
+++ b/internal/cwconfig/writer_test.go
@@ -15,23 +15,25 @@
 	"carobward.example/carobward/internal/lab/cwstore"
 )
 
-// TestApplyOutcome: what is answered is true, whatever reply was lost.
+// TestApplyOutcome verifies that the reported outcome of a change is true,
+// whichever write or reply is lost. In the fault scripts "l" loses the reply, "x"
+// loses the write, and "d" is an outage.
 func TestApplyOutcome(t *testing.T) {
 	for name, test := range map[string]struct {
 		writes, reads string
 		want          error
 		accepted      bool
 	}{
-		"all is well":                         {".", ".", nil, true},
-		"the reply is lost":                   {"l.", ".", nil, true},
-		"the write is lost":                   {"x.", ".", nil, true},
-		"lost twice, both ways":               {"xl.", ".", nil, true},
-		"the reply is lost, then an outage":   {"l", ".d", carobward.ErrStoreUnknown, true},
-		"the write is lost, then an outage":   {"x", ".d", carobward.ErrStoreUnknown, false},
-		"the reply is lost, a short outage":   {"l", ".ddd.", nil, true},
-		"an outage before the read":           {".", "d", carobward.ErrStoreDown, false},
-		"an outage between read and write":    {"d", ".", carobward.ErrStoreDown, false},
-		"the write is lost, then not reached": {"xd", ".", carobward.ErrStoreUnknown, false},
+		"no fault":                           {".", ".", nil, true},
+		"reply lost":                         {"l.", ".", nil, true},
+		"write lost":                         {"x.", ".", nil, true},
+		"write lost, then reply lost":        {"xl.", ".", nil, true},
+		"reply lost, then outage":            {"l", ".d", carobward.ErrStoreUnknown, true},
+		"write lost, then outage":            {"x", ".d", carobward.ErrStoreUnknown, false},
+		"reply lost, then short outage":      {"l", ".ddd.", nil, true},
+		"outage before the read":             {".", "d", carobward.ErrStoreDown, false},
+		"outage between read and write":      {"d", ".", carobward.ErrStoreDown, false},
+		"write lost, then outage for writes": {"xd", ".", carobward.ErrStoreUnknown, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			store := cwstore.New()
@@ -55,13 +57,14 @@
 	}
 }
 
-// TestApplyAgain: the same change made again has the revision of the first.
+// TestApplyAgain verifies that applying the same change again returns the revision
+// of the first time.
 func TestApplyAgain(t *testing.T) {
 	store := cwstore.New()
 	holder := NewHolder()
 
 	for i, want := range []carobward.Revision{1, 2, 1, 2} {
-		// Each time by another entry VM, but for the last.
+		// Each attempt is made by another entry VM, except the last one.
 		if i < 3 {
 			holder = NewHolder()
 		}
@@ -70,12 +73,13 @@
 
 		got, err := NewWriter(store, holder).Apply(context.Background(), put(id, "ana", i%2, fmt.Sprint("t", i%2)))
 		if err != nil || got != want {
-			t.Errorf("try %d: revision %d, %v", i, got, err)
+			t.Errorf("attempt %d: revision %d, %v", i, got, err)
 		}
 	}
 }
 
-// TestTwoOperators: one wins, the other learns by name what changed.
+// TestTwoOperators verifies that of two overlapping changes the second is refused
+// with an error that names the first and the target.
 func TestTwoOperators(t *testing.T) {
 	store := cwstore.New()
 
@@ -91,8 +95,9 @@
 	}
 }
 
-// TestLostThenConflict: the loser of a race whose write was lost as well is
-// refused, not left unknown: the store has moved on without it.
+// TestLostThenConflict verifies that a writer whose write was lost and that then
+// loses a race gets a Conflict and not an unknown outcome, because the store has
+// advanced without its change.
 func TestLostThenConflict(t *testing.T) {
 	store := cwstore.New()
 	first := true
@@ -117,16 +122,16 @@
 
 	found, readErr := NewReader(store).State(context.Background(), &Config{})
 	if readErr != nil || (found.Head.Changes[0].ID == "a") != (err == nil) {
-		t.Errorf("answered %v, the store has %+v", err, found.Head.Changes)
+		t.Errorf("got %v, the store has %+v", err, found.Head.Changes)
 	}
 }
 
-// TestLongHistory: a newcomer and one that was away read the same as the
-// writers, however many changes came.
+// TestLongHistory verifies that after many changes a new entry VM and one that
+// missed some of them read the same configuration as the writers.
 func TestLongHistory(t *testing.T) {
 	store := cwstore.New()
 	writers := []*Writer{NewWriter(store, NewHolder()), NewWriter(store, NewHolder())}
-	away := NewHolder()
+	lagging := NewHolder()
 
 	for i := range 100 {
 		got, err := writers[i%2].Apply(context.Background(), put(fmt.Sprint("s", i), "ana", i, fmt.Sprint("t", i%7)))
@@ -135,13 +140,13 @@
 		}
 
 		if i == 60 {
-			away.Adopt(writers[0].holder.Config())
+			lagging.Adopt(writers[0].holder.Config())
 		}
 	}
 
 	want := writers[1].holder.Config()
 
-	for name, known := range map[string]*Config{"newcomer": {}, "away": away.Config(), "up to date": want} {
+	for name, known := range map[string]*Config{"newcomer": {}, "lagging": lagging.Config(), "up to date": want} {
 		found, err := NewReader(store).State(context.Background(), known)
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
@@ -152,13 +157,13 @@
 		}
 	}
 
-	if n := len(writers[1].holder.Recent()); n > recentMost {
-		t.Errorf("%d changes are kept", n)
+	if n := len(writers[1].holder.Recent()); n > maxRecentChanges {
+		t.Errorf("%d changes are retained", n)
 	}
 }
 
-// TestSizeIsRefused: what would not fit into the store is refused by name,
-// and nothing changes.
+// TestSizeIsRefused verifies that a configuration too large for the store is
+// refused with an error that states the limit, and that nothing is changed.
 func TestSizeIsRefused(t *testing.T) {
 	store := cwstore.New()
 	writer := NewWriter(store, NewHolder())
@@ -177,12 +182,12 @@
 
 	big.ID, big.Put = "half", big.Put[:1200]
 	if got, err := writer.Apply(context.Background(), big); err != nil || got != 1 {
-		t.Errorf("half of it: revision %d, %v", got, err)
+		t.Errorf("half of the targets: revision %d, %v", got, err)
 	}
 
-	// The large change makes room for the next one.
+	// The head drops the large change when the next one is added.
 	if got, err := writer.Apply(context.Background(), put("next", "ana", 1, "fee")); err != nil || got != 2 {
-		t.Errorf("the next one: revision %d, %v", got, err)
+		t.Errorf("the next change: revision %d, %v", got, err)
 	}
 
 	if got, _ := NewReader(store).Head(context.Background()); len(got.Head.Changes) != 1 {
@@ -190,12 +195,13 @@
 	}
 }
 
-// TestRestore: the fleet's configuration comes back as a higher revision than
-// all that the store and the fleet have seen.
+// TestRestore verifies that Restore writes the fleet's configuration to a store
+// that was restored from a backup, with a higher revision than any in the store
+// or in the fleet. The others are changes written to that store before.
 func TestRestore(t *testing.T) {
 	ctx := context.Background()
 
-	for name, others := range map[string]int{"an older copy": 0, "an empty one": -1, "one that went on": 9} {
+	for name, others := range map[string]int{"older backup": 0, "empty store": -1, "older backup with new changes": 9} {
 		t.Run(name, func(t *testing.T) {
 			store := cwstore.New()
 			writer := NewWriter(store, NewHolder())
@@ -227,7 +233,7 @@
 			}
 
 			if _, err := writer.Apply(ctx, put("c", "ana", 4, "t0")); !errors.Is(err, ErrOlder) {
-				t.Errorf("apply upon it: got %v", err)
+				t.Errorf("change on the restored store: got %v", err)
 			}
 
 			store.Fault = cwstore.Script("l.", ".") // The first reply is lost.
@@ -259,8 +265,8 @@
 	}
 }
 
-// TestSnapshotOfAnotherTime: a head and a snapshot that do not fit together
-// are refused, not mixed.
+// TestSnapshotOfAnotherTime verifies that a head and a snapshot that do not match
+// give an error instead of a mixed configuration.
 func TestSnapshotOfAnotherTime(t *testing.T) {
 	ctx := context.Background()
 	store := cwstore.New()
@@ -274,29 +280,29 @@
 
 	saved := store.Save()
 
-	for name, spoil := range map[string]func(map[carobward.Key]carobward.Entry){
-		"none": func(m map[carobward.Key]carobward.Entry) { delete(m, SnapshotKey) },
-		"of another history": func(m map[carobward.Key]carobward.Entry) {
+	for name, corrupt := range map[string]func(map[carobward.Key]carobward.Entry){
+		"no snapshot": func(m map[carobward.Key]carobward.Entry) { delete(m, SnapshotKey) },
+		"snapshot of another history": func(m map[carobward.Key]carobward.Entry) {
 			found, _ := NewReader(store).Head(ctx)
 			other := Config{Revision: found.Head.Revision() - 1, Chain: "other", Set: cwtarget.Set{}}
 			raw, _ := encode(snapshot{Format: format, Config: other})
 			m[SnapshotKey] = carobward.Entry{Value: raw, Index: 1}
 		},
 	} {
-		spoilt := map[carobward.Key]carobward.Entry{}
+		corrupted := map[carobward.Key]carobward.Entry{}
 		for k, v := range saved {
-			spoilt[k] = v
+			corrupted[k] = v
 		}
 
-		spoil(spoilt)
-		store.Restore(spoilt)
+		corrupt(corrupted)
+		store.Restore(corrupted)
 
 		if found, err := NewReader(store).State(ctx, &Config{}); !errors.Is(err, ErrParts) {
 			t.Errorf("%s: got %+v, %v", name, found.Config, err)
 		}
 
 		if found, err := NewReader(store).State(ctx, writer.holder.Config()); err != nil || found.Config.Revision != 60 {
-			t.Errorf("%s: who is up to date got %v", name, err)
+			t.Errorf("%s: a reader that is up to date got %v", name, err)
 		}
 
 		store.Restore(saved)
