--- a/internal/cwnews/exchange.go
+++ b/internal/cwnews/exchange.go
@@ -9,33 +9,35 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// size sets how many peers a mark is told to by the size of the fleet.
-func (t *Table) size(peers int) {
+// setFleetSize sets how many peers a new mark is sent to, from the number of
+// peers.
+func (t *Table) setFleetSize(peers int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
-	t.spread = spreadLeast + 2*bits.Len(uint(peers))
+	t.fanout = minFanout + 2*bits.Len(uint(peers))
 }
 
-// hot returns the marks that are to be told, or nil.
-func (t *Table) hot() *cwwire.News {
+// takePending returns marks that are still to be sent, up to the limit of one
+// message, and counts them as sent once. It returns nil if there are none.
+func (t *Table) takePending() *cwwire.News {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
 	var news *cwwire.News
 
-	for _, l := range t.lines {
-		if l.left == 0 {
+	for _, e := range t.entries {
+		if e.sendsLeft == 0 {
 			continue
 		}
 
-		l.left--
+		e.sendsLeft--
 
 		if news == nil {
 			news = &cwwire.News{}
 		}
 
-		if news.Marks = append(news.Marks, l.wire()); len(news.Marks) == marksSent {
+		if news.Marks = append(news.Marks, e.wire()); len(news.Marks) == maxMessageMarks {
 			break
 		}
 	}
@@ -43,30 +45,31 @@
 	return news
 }
 
-// again has marks told once more that did not get through.
-func (t *Table) again(marks []*cwwire.Mark) {
+// requeue counts marks as to be sent once more after a failed message. Marks
+// that have been replaced since are skipped.
+func (t *Table) requeue(marks []*cwwire.Mark) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
 	for _, w := range marks {
 		m := fromWire(w)
-		if l := t.lines[key{m.Address, m.Source}]; l != nil && l.Mark == m {
-			l.left++
+		if e := t.entries[key{m.Address, m.Source}]; e != nil && e.Mark == m {
+			e.sendsLeft++
 		}
 	}
 }
 
-// compare returns our digests.
-func (t *Table) compare() *cwwire.News {
+// digestMessage returns a message with the digests of the table.
+func (t *Table) digestMessage() *cwwire.News {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
 	return &cwwire.News{Digests: t.digests()}
 }
 
-// differing returns the marks of the parts whose digests differ from ours.
+// differing returns the marks of the buckets whose digests differ from a peer's.
 func (t *Table) differing(digests []uint32) []*cwwire.Mark {
-	if len(digests) != parts {
+	if len(digests) != buckets {
 		return nil
 	}
 
@@ -76,17 +79,17 @@
 	var marks []*cwwire.Mark
 
 	own := t.digests()
-	for k, l := range t.lines {
-		if part := k.hash() % parts; own[part] != digests[part] {
-			marks = append(marks, l.wire())
+	for k, e := range t.entries {
+		if bucket := k.hash() % buckets; own[bucket] != digests[bucket] {
+			marks = append(marks, e.wire())
 		}
 	}
 
 	return marks
 }
 
-// take takes the marks of a peer that override ours.
-func (t *Table) take(now time.Time, marks []*cwwire.Mark) {
+// merge adopts the valid marks of a peer that override those in the table.
+func (t *Table) merge(now time.Time, marks []*cwwire.Mark) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
@@ -96,14 +99,14 @@
 			continue
 		}
 
-		if l := t.lines[key{m.Address, m.Source}]; l == nil || m.later(l.Mark) {
+		if e := t.entries[key{m.Address, m.Source}]; e == nil || m.overrides(e.Mark) {
 			t.put(m)
 		}
 	}
 }
 
-// parts is the number of parts that the table is compared by.
-const parts = 16
+// buckets is the number of hash buckets by which tables are compared.
+const buckets = 16
 
 func (k key) hash() uint32 {
 	h := fnv.New32a()
@@ -112,24 +115,24 @@
 	return h.Sum32()
 }
 
-// digests returns a digest of each part, which must not be changed; the mutex
-// is held.
+// digests returns the digest of each bucket. The result must not be modified.
+// The caller must hold the mutex.
 func (t *Table) digests() []uint32 {
-	if t.digest != nil {
-		return t.digest
+	if t.cachedDigests != nil {
+		return t.cachedDigests
 	}
 
-	all := make([]uint32, parts)
+	all := make([]uint32, buckets)
 
-	for k, l := range t.lines {
+	for k, e := range t.entries {
 		h := fnv.New32a()
 		_, _ = h.Write([]byte(k.address))
-		_, _ = h.Write(strconv.AppendUint([]byte{byte(k.source), bit(l.On)}, l.Time, 16))
-		_, _ = h.Write(strconv.AppendUint([]byte{'-'}, l.Run, 16))
-		all[k.hash()%parts] ^= h.Sum32()
+		_, _ = h.Write(strconv.AppendUint([]byte{byte(k.source), bit(e.On)}, e.Time, 16))
+		_, _ = h.Write(strconv.AppendUint([]byte{'-'}, e.Run, 16))
+		all[k.hash()%buckets] ^= h.Sum32()
 	}
 
-	t.digest = all
+	t.cachedDigests = all
 
 	return all
 }
--- a/internal/cwnews/fleet_test.go
+++ b/internal/cwnews/fleet_test.go
@@ -10,31 +10,34 @@
 const (
 	fleetVMs = 19
 	seeds    = 6
-	// bound is the most time from the first sign to the last new work.
-	bound = 3 * time.Second
+	// maxLastWork is the longest allowed time from the first sign that a
+	// server is leaving to the last request sent to it.
+	maxLastWork = 3 * time.Second
 )
 
-// TestLastNewWork has a sign of each kind reach one VM only, while others are
-// frozen, cut, or not there yet, and no VM list ever shows the truth again.
+// TestLastNewWork verifies that all entry VMs soon stop sending requests to a
+// leaving server after a sign of any kind reached only one of them, while others
+// are frozen, partitioned or not started yet. The VM list does not show the server
+// as leaving, except in the one read that is the sign.
 func TestLastNewWork(t *testing.T) {
 	for _, sign := range cwleave.Signs() {
 		t.Run(sign.Name, func(t *testing.T) {
 			for seed := range uint64(seeds) {
-				if took := sign.LastWork(cwleave.New(seed, fleetVMs, true)); took > bound {
-					t.Errorf("seed %d: new work %s after the first sign", seed, took)
+				if took := sign.LastWork(cwleave.New(seed, fleetVMs, true)); took > maxLastWork {
+					t.Errorf("seed %d: last request %s after the first sign", seed, took)
 				}
 			}
 		})
 	}
 }
 
-// TestListOnlyMisses has the same fleets without news, as a balancer by the VM
-// list alone: one that lags ten seconds.
+// TestListOnlyMisses verifies that the same fleets miss the limit without gossip,
+// as a load balancer would that relies on a VM list with a lag of ten seconds.
 func TestListOnlyMisses(t *testing.T) {
 	for seed := range uint64(seeds) {
 		f := cwleave.New(seed, fleetVMs, true)
-		if took := cwleave.NaiveLastWork(f, 10*time.Second); took <= bound {
-			t.Errorf("seed %d: the last new work came %s after the drain began", seed, took)
+		if took := cwleave.NaiveLastWork(f, 10*time.Second); took <= maxLastWork {
+			t.Errorf("seed %d: last request %s after the start of the drain, expected a later one", seed, took)
 		}
 	}
 }
--- a/internal/cwnews/health.go
+++ b/internal/cwnews/health.go
@@ -6,24 +6,25 @@
 	"carobward.example/carobward"
 )
 
-// Check is what came of one health check.
+// CheckResult is the result of one health check.
 type Check uint8
 
-// The outcomes of a health check.
+// The results of a health check.
 const (
-	// Fine: the health endpoint said that the server serves.
+	// Healthy: the health endpoint reported that the server serves requests.
 	Fine Check = iota
-	// Draining: it said that the server takes no new work.
+	// Draining: it reported that the server takes no new requests.
 	Draining
-	// Refused: nothing listens at the address.
+	// Refused: the connection was refused, so nothing listens at the address.
 	Refused
-	// Silent: no answer, which says nothing about leaving.
+	// NoResult: there was no answer or an unusable one, which says nothing
+	// about leaving.
 	Silent
 )
 
 var checkNames = [...]string{Fine: "fine", Draining: "draining", Refused: "refused", Silent: "silent"}
 
-// String returns the outcome's name.
+// String returns the name of the result.
 func (c Check) String() string {
 	if int(c) < len(checkNames) {
 		return checkNames[c]
@@ -32,43 +33,44 @@
 	return "unknown"
 }
 
-// fineLeast is how many healthy answers in a row end a health mark, and, once
-// the address was seen refusing, the mark of the server's word: the one that
-// listens there now is another run.
-const fineLeast = 3
+// minHealthy is how many healthy answers in a row end a mark from health checks.
+// They also end a mark announced by the server if a connection was refused in
+// between, since another run of the server then listens at the address.
+const minHealthy = 3
 
-// Checked takes the outcome of a health check that was sent at some time. One
-// sent before the mark came does not speak against it.
+// ApplyCheck processes the result of a health check that was sent at the given
+// time. A check sent before a mark was set is no evidence against that mark.
 func (t *Table) Checked(sent, now time.Time, a carobward.Address, c Check) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
-	if c == Draining && t.on(key{a, Health}) == nil {
+	if c == Draining && t.active(key{a, Health}) == nil {
 		t.set(now, key{a, Health}, true, 0)
 	}
 
-	for _, s := range []Source{Health, Word} {
-		l := t.on(key{a, s})
-		if l == nil || t.age-l.since < now.Sub(sent) {
+	for _, s := range []Source{Health, Announced} {
+		e := t.active(key{a, s})
+		if e == nil || t.uptime-e.setAt < now.Sub(sent) {
 			continue
 		}
 
-		l.check(c)
+		e.observe(c)
 
-		if l.fine >= fineLeast && (s == Health || l.refused) {
-			t.set(now, key{a, s}, false, l.Run)
+		if e.healthy >= minHealthy && (s == Health || e.refused) {
+			t.set(now, key{a, s}, false, e.Run)
 		}
 	}
 }
 
-func (l *line) check(c Check) {
+// observe updates the counters of an entry after a health check.
+func (e *entry) observe(c Check) {
 	switch c {
 	case Fine:
-		l.fine++
+		e.healthy++
 	case Refused:
-		l.refused = true
-		l.fine = 0
+		e.refused = true
+		e.healthy = 0
 	case Draining, Silent:
-		l.fine = 0
+		e.healthy = 0
 	}
 }
--- a/internal/cwnews/mark.go
+++ b/internal/cwnews/mark.go
@@ -1,5 +1,6 @@
-// Package cwnews keeps what is known of leaving servers and spreads it between
-// the entry VMs. See docs/design/leave.md.
+// Package cwnews tracks which backend servers are leaving, and gossips this
+// between the entry VMs, so that all of them stop sending new requests to such a
+// server. See docs/design/leave.md.
 package cwnews
 
 import (
@@ -10,26 +11,26 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// Source is the kind of a sign that a server leaves.
+// Source is the origin of the information that a server is leaving.
 type Source uint8
 
-// The sources.
+// The sources of marks.
 const (
-	// Word: the server said so with a reply.
-	Word Source = iota
-	// Health: its health endpoint said so.
+	// Announced: the server announced it with a reply.
+	Announced Source = iota
+	// Health: its health endpoint reported it.
 	Health
-	// List: the VM list showed it as leaving.
+	// List: the VM list shows it as leaving.
 	List
-	// Operator: an operator drained it.
+	// Operator: an operator drains it.
 	Operator
 
-	sources
+	numSources
 )
 
-var sourceNames = [...]string{Word: "server", Health: "health", List: "vm-list", Operator: "operator"}
+var sourceNames = [...]string{Announced: "server", Health: "health", List: "vm-list", Operator: "operator"}
 
-// String returns the source's name.
+// String returns the name of the source.
 func (s Source) String() string {
 	if int(s) < len(sourceNames) {
 		return sourceNames[s]
@@ -38,22 +39,23 @@
 	return "unknown"
 }
 
-// Mark is what one kind of sign says of one server.
+// Mark records whether a server is leaving, according to one source.
 type Mark struct {
 	Address carobward.Address
 	Source  Source
-	// On tells that the server leaves.
+	// On reports whether the server is leaving; a mark that has ended is off.
 	On bool
-	// Run is the run that the mark is of, 0 if not known.
+	// Run identifies the run of the server process that the mark is about; 0
+	// if unknown.
 	Run uint64
-	// Time orders the marks of one server and source: seconds since the Unix
-	// epoch, or one above the mark before.
+	// Time orders the marks of one server and source. It is in seconds since
+	// the Unix epoch, but at least one above the previous mark's.
 	Time uint64
 }
 
-// later tells whether the mark overrides the other one. Of two at the same
-// time, the one that keeps work away does.
-func (m Mark) later(o Mark) bool {
+// overrides reports whether the mark overrides the other one. Of two marks with
+// the same time, the one that keeps requests away wins.
+func (m Mark) overrides(o Mark) bool {
 	if m.Time != o.Time {
 		return m.Time > o.Time
 	}
@@ -65,28 +67,30 @@
 	return m.Run > o.Run
 }
 
-// timeStep rounds the time of a first mark, so that entry VMs which see the
-// same sign make the same mark, and none has to tell the other.
-const timeStep = 10
+// timeGranularity is the number of seconds to which the time of a mark is rounded
+// down, so that entry VMs which see the same sign create the same mark and don't
+// need to exchange it.
+const timeGranularity = 10
 
-// next returns the time of a mark that overrides the one at hand.
-func next(now time.Time, before uint64) uint64 {
+// nextTime returns the time for a mark that overrides one with the time before.
+func nextTime(now time.Time, before uint64) uint64 {
 	seconds := uint64(now.Unix())
 
-	return max(before+1, seconds-seconds%timeStep)
+	return max(before+1, seconds-seconds%timeGranularity)
 }
 
-// aheadMost bounds how far ahead of our clock a peer's mark may be.
-const aheadMost = 24 * time.Hour
+// maxClockSkew limits how far a peer's mark may be ahead of the local clock.
+const maxClockSkew = 24 * time.Hour
 
-// valid tells whether a peer's mark makes sense.
+// valid reports whether a mark received from a peer is plausible.
 func (m Mark) valid(now time.Time) bool {
-	const addressMost = 64
+	const maxAddress = 64
 
-	return m.Source < sources && m.Address != "" && len(m.Address) <= addressMost &&
-		m.Time <= uint64(now.Add(aheadMost).Unix())
+	return m.Source < numSources && m.Address != "" && len(m.Address) <= maxAddress &&
+		m.Time <= uint64(now.Add(maxClockSkew).Unix())
 }
 
+// level returns how far the mark keeps requests away from the server.
 func (m Mark) level() cwserver.Level {
 	switch {
 	case !m.On:
@@ -105,7 +109,7 @@
 func fromWire(w *cwwire.Mark) Mark {
 	return Mark{
 		Address: carobward.Address(w.GetAddress()),
-		Source:  Source(min(w.GetSource(), uint32(sources))),
+		Source:  Source(min(w.GetSource(), uint32(numSources))),
 		On:      w.GetOn(),
 		Run:     w.GetRun(),
 		Time:    w.GetTime(),
--- a/internal/cwnews/mark_test.go
+++ b/internal/cwnews/mark_test.go
@@ -12,132 +12,136 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-const leaver = carobward.Address("10.1.0.1:80")
+const server = carobward.Address("10.1.0.1:80")
 
-// life drives one table through time.
-type life struct {
+// sim drives one table through simulated time.
+type sim struct {
 	table *Table
 	now   time.Time
 }
 
-// wait ticks for some time, in which the list is read each second.
-func (l *life) wait(d time.Duration, list []carobward.VM) {
-	for end := l.now.Add(d); l.now.Before(end); l.now = l.now.Add(stepMost) {
-		l.table.Tick(l.now)
+// wait advances the time by d, with ticks and with a read of the VM list each
+// second.
+func (s *sim) wait(d time.Duration, list []carobward.VM) {
+	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(maxTimeStep) {
+		s.table.Tick(s.now)
 
-		if l.now.UnixNano()%int64(time.Second) == 0 {
-			l.table.Listed(l.now, list)
+		if s.now.UnixNano()%int64(time.Second) == 0 {
+			s.table.Listed(s.now, list)
 		}
 	}
 
-	l.table.Tick(l.now)
+	s.table.Tick(s.now)
 }
 
-func (l *life) word(run uint64, draining bool) {
-	l.table.Words(l.now, []cwserver.Word{{Address: leaver, Run: run, Draining: draining}})
+// reply makes the server announce with a reply whether it is draining.
+func (s *sim) reply(run uint64, draining bool) {
+	s.table.Words(s.now, []cwserver.Word{{Address: server, Run: run, Draining: draining}})
 }
 
-func (l *life) check(c Check, times int) {
+// check reports the result of a health check a number of times, one second apart.
+func (s *sim) check(c Check, times int) {
 	for range times {
-		l.wait(time.Second, shown)
-		l.table.Checked(l.now.Add(-time.Millisecond), l.now, leaver, c)
+		s.wait(time.Second, listed)
+		s.table.Checked(s.now.Add(-time.Millisecond), s.now, server, c)
 	}
 }
 
 var (
-	shown   = []carobward.VM{{Address: leaver, Service: "records"}, {Address: "10.1.0.2:80", Service: "records"}}
-	dropped = shown[1:]
-	leaving = []carobward.VM{{Address: leaver, Service: "records", State: carobward.Leaving}, shown[1]}
+	listed        = []carobward.VM{{Address: server, Service: "records"}, {Address: "10.1.0.2:80", Service: "records"}}
+	unlisted      = listed[1:]
+	listedLeaving = []carobward.VM{{Address: server, Service: "records", State: carobward.Leaving}, listed[1]}
 )
 
-// TestMarkLife has the beginnings and ends of marks: none ends by a late or
-// misleading sign, and none stays for ever.
+// TestMarkLife verifies when marks begin and end: a late or misleading sign does
+// not end a mark, and no mark stays forever.
 func TestMarkLife(t *testing.T) {
 	for name, test := range map[string]struct {
-		run  func(l *life)
+		run  func(s *sim)
 		want cwserver.Level
 	}{
-		"word":                        {func(l *life) { l.word(0, true) }, cwserver.Leaves},
-		"a late word from before":     {func(l *life) { l.word(7, true); l.word(7, false) }, cwserver.Leaves},
-		"a late word without a run":   {func(l *life) { l.word(0, true); l.word(0, false) }, cwserver.Leaves},
-		"a new run's word":            {func(l *life) { l.word(7, true); l.word(8, false) }, cwserver.Stays},
-		"an old run's late drain":     {func(l *life) { l.word(7, true); l.word(8, false); l.word(7, true) }, cwserver.Stays},
-		"the new run drains too":      {func(l *life) { l.word(7, true); l.word(8, true); l.word(8, false) }, cwserver.Leaves},
-		"word, health says fine":      {func(l *life) { l.word(0, true); l.check(Fine, 20) }, cwserver.Leaves},
-		"word, refused, then fine":    {func(l *life) { l.word(0, true); l.check(Refused, 1); l.check(Fine, 3) }, cwserver.Stays},
-		"word, refused, then twice":   {func(l *life) { l.word(0, true); l.check(Refused, 1); l.check(Fine, 2) }, cwserver.Leaves},
-		"word, on the list for a day": {func(l *life) { l.word(0, true); l.wait(time.Hour, shown) }, cwserver.Leaves},
-		"word, gone for a moment":     {func(l *life) { l.word(0, true); l.wait(20*time.Second, dropped); l.wait(time.Minute, shown) }, cwserver.Leaves},
-		"word, gone, a new one there": {func(l *life) { l.word(0, true); l.wait(32*time.Second, dropped); l.wait(time.Second, shown) }, cwserver.Stays},
-		"word, the list is empty":     {func(l *life) { l.word(0, true); l.wait(time.Hour, nil) }, cwserver.Leaves},
-		"health":                      {func(l *life) { l.check(Draining, 1) }, cwserver.MayLeave},
-		"health, fine twice":          {func(l *life) { l.check(Draining, 1); l.check(Fine, 2) }, cwserver.MayLeave},
-		"health, fine again":          {func(l *life) { l.check(Draining, 1); l.check(Fine, 3) }, cwserver.Stays},
-		"health, fine with gaps":      {func(l *life) { l.check(Draining, 1); l.check(Fine, 2); l.check(Silent, 1); l.check(Fine, 2) }, cwserver.MayLeave},
-		"silence":                     {func(l *life) { l.check(Silent, 5); l.check(Refused, 5) }, cwserver.Stays},
-		"list":                        {func(l *life) { l.table.Listed(l.now, leaving) }, cwserver.Leaves},
-		"list flaps":                  {func(l *life) { l.wait(time.Second, leaving); l.wait(4*time.Minute, shown) }, cwserver.Leaves},
-		"list takes it back":          {func(l *life) { l.wait(time.Second, leaving); l.wait(5*time.Minute+time.Second, shown) }, cwserver.Stays},
-		"list, seen by others still":  {func(l *life) { l.wait(10*time.Minute, leaving); l.wait(3*time.Minute, shown) }, cwserver.Leaves},
-		"operator":                    {func(l *life) { l.table.Operator(l.now, leaver, true); l.wait(time.Hour, shown) }, cwserver.Leaves},
-		"operator, gone for a minute": {func(l *life) { l.table.Operator(l.now, leaver, true); l.wait(time.Minute, dropped) }, cwserver.Leaves},
-		"operator, gone for long":     {func(l *life) { l.table.Operator(l.now, leaver, true); l.wait(6*time.Minute, dropped) }, cwserver.Stays},
-		"operator undoes":             {func(l *life) { l.table.Operator(l.now, leaver, true); l.table.Operator(l.now, leaver, false) }, cwserver.Stays},
-		"operator undoes all":         {func(l *life) { l.word(7, true); l.check(Draining, 1); l.table.Operator(l.now, leaver, false) }, cwserver.Stays},
-		"undone, then it drains":      {func(l *life) { l.word(0, true); l.table.Operator(l.now, leaver, false); l.word(0, true) }, cwserver.Leaves},
-		"gone while we were paused": {func(l *life) {
-			l.word(0, true)
-			l.table.Listed(l.now, dropped)
-			l.now = l.now.Add(time.Hour)
-			l.table.Tick(l.now)
+		"announced":                           {func(s *sim) { s.reply(0, true) }, cwserver.Leaves},
+		"late reply, same run":                {func(s *sim) { s.reply(7, true); s.reply(7, false) }, cwserver.Leaves},
+		"late reply, unknown run":             {func(s *sim) { s.reply(0, true); s.reply(0, false) }, cwserver.Leaves},
+		"reply of a new run":                  {func(s *sim) { s.reply(7, true); s.reply(8, false) }, cwserver.Stays},
+		"late drain of the old run":           {func(s *sim) { s.reply(7, true); s.reply(8, false); s.reply(7, true) }, cwserver.Stays},
+		"new run drains too":                  {func(s *sim) { s.reply(7, true); s.reply(8, true); s.reply(8, false) }, cwserver.Leaves},
+		"announced, always healthy":           {func(s *sim) { s.reply(0, true); s.check(Fine, 20) }, cwserver.Leaves},
+		"announced, refused, healthy 3 times": {func(s *sim) { s.reply(0, true); s.check(Refused, 1); s.check(Fine, 3) }, cwserver.Stays},
+		"announced, refused, healthy twice":   {func(s *sim) { s.reply(0, true); s.check(Refused, 1); s.check(Fine, 2) }, cwserver.Leaves},
+		"announced, listed for 1h":            {func(s *sim) { s.reply(0, true); s.wait(time.Hour, listed) }, cwserver.Leaves},
+		"announced, unlisted for 20s":         {func(s *sim) { s.reply(0, true); s.wait(20*time.Second, unlisted); s.wait(time.Minute, listed) }, cwserver.Leaves},
+		"announced, unlisted for 32s":         {func(s *sim) { s.reply(0, true); s.wait(32*time.Second, unlisted); s.wait(time.Second, listed) }, cwserver.Stays},
+		"announced, list is empty":            {func(s *sim) { s.reply(0, true); s.wait(time.Hour, nil) }, cwserver.Leaves},
+		"health check":                        {func(s *sim) { s.check(Draining, 1) }, cwserver.MayLeave},
+		"health check, healthy twice":         {func(s *sim) { s.check(Draining, 1); s.check(Fine, 2) }, cwserver.MayLeave},
+		"health check, healthy 3 times":       {func(s *sim) { s.check(Draining, 1); s.check(Fine, 3) }, cwserver.Stays},
+		"health check, healthy with gaps":     {func(s *sim) { s.check(Draining, 1); s.check(Fine, 2); s.check(Silent, 1); s.check(Fine, 2) }, cwserver.MayLeave},
+		"no answer or refused":                {func(s *sim) { s.check(Silent, 5); s.check(Refused, 5) }, cwserver.Stays},
+		"list":                                {func(s *sim) { s.table.Listed(s.now, listedLeaving) }, cwserver.Leaves},
+		"list, live for 4m":                   {func(s *sim) { s.wait(time.Second, listedLeaving); s.wait(4*time.Minute, listed) }, cwserver.Leaves},
+		"list, live for 5m":                   {func(s *sim) { s.wait(time.Second, listedLeaving); s.wait(5*time.Minute+time.Second, listed) }, cwserver.Stays},
+		"list, renewed, live for 3m":          {func(s *sim) { s.wait(10*time.Minute, listedLeaving); s.wait(3*time.Minute, listed) }, cwserver.Leaves},
+		"operator":                            {func(s *sim) { s.table.Operator(s.now, server, true); s.wait(time.Hour, listed) }, cwserver.Leaves},
+		"operator, unlisted for 1m":           {func(s *sim) { s.table.Operator(s.now, server, true); s.wait(time.Minute, unlisted) }, cwserver.Leaves},
+		"operator, unlisted for 6m":           {func(s *sim) { s.table.Operator(s.now, server, true); s.wait(6*time.Minute, unlisted) }, cwserver.Stays},
+		"operator reverts the drain":          {func(s *sim) { s.table.Operator(s.now, server, true); s.table.Operator(s.now, server, false) }, cwserver.Stays},
+		"operator reverts all":                {func(s *sim) { s.reply(7, true); s.check(Draining, 1); s.table.Operator(s.now, server, false) }, cwserver.Stays},
+		"reverted, announced again":           {func(s *sim) { s.reply(0, true); s.table.Operator(s.now, server, false); s.reply(0, true) }, cwserver.Leaves},
+		"unlisted during a pause": {func(s *sim) {
+			s.reply(0, true)
+			s.table.Listed(s.now, unlisted)
+			s.now = s.now.Add(time.Hour)
+			s.table.Tick(s.now)
 		}, cwserver.Leaves},
-		"an end is not forgotten soon": {func(l *life) { l.word(7, true); l.word(8, false); l.wait(time.Minute, shown); l.word(7, true) }, cwserver.Stays},
+		"late drain after a minute": {func(s *sim) { s.reply(7, true); s.reply(8, false); s.wait(time.Minute, listed); s.reply(7, true) }, cwserver.Stays},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := &life{table: NewTable(), now: time.Unix(1_700_000_000, 0)}
-			l.table.Tick(l.now)
-			test.run(l)
+			s := &sim{table: NewTable(), now: time.Unix(1_700_000_000, 0)}
+			s.table.Tick(s.now)
+			test.run(s)
 
-			levels := l.table.Levels()
-			if diff := cmp.Diff(test.want, levels[leaver]); diff != "" {
-				t.Errorf("marks %+v\n%s", l.table.Marks(), diff)
+			levels := s.table.Levels()
+			if diff := cmp.Diff(test.want, levels[server]); diff != "" {
+				t.Errorf("marks %+v\n%s", s.table.Marks(), diff)
 			}
 		})
 	}
 }
 
-// TestForget shows that the table does not grow for ever, and takes no
-// nonsense from a peer.
+// TestForget verifies that ended marks are deleted in the end, and that invalid
+// marks of a peer are ignored.
 func TestForget(t *testing.T) {
-	l := &life{table: NewTable(), now: time.Unix(1_700_000_000, 0)}
-	l.word(0, true)
-	l.wait(time.Minute, dropped)
-	l.wait(endedKeep+time.Second, dropped)
-
-	bad := []Mark{{Source: Word, On: true}, {Address: leaver, Source: sources}, {Address: leaver, On: true, Time: 1 << 63}}
-	for _, m := range bad {
-		l.table.take(l.now, []*cwwire.Mark{m.wire()})
+	s := &sim{table: NewTable(), now: time.Unix(1_700_000_000, 0)}
+	s.reply(0, true)
+	s.wait(time.Minute, unlisted)
+	s.wait(endedMarkTTL+time.Second, unlisted)
+
+	invalid := []Mark{{Source: Announced, On: true}, {Address: server, Source: numSources}, {Address: server, On: true, Time: 1 << 63}}
+	for _, m := range invalid {
+		s.table.merge(s.now, []*cwwire.Mark{m.wire()})
 	}
 
-	if diff := cmp.Diff([]Mark(nil), l.table.Marks()); diff != "" {
+	if diff := cmp.Diff([]Mark(nil), s.table.Marks()); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// TestAfterPause shows which answers end the wait for the news.
+// TestAfterPause verifies which answers of peers end the time after a pause in
+// which no requests are sent to servers.
 func TestAfterPause(t *testing.T) {
-	compare := (&Table{}).compare()
+	compare := (&Table{}).digestMessage()
 
 	for name, test := range map[string]struct {
 		sent, answer *cwwire.News
 		after        time.Duration
 		want         bool
 	}{
-		"no answer yet":           {nil, nil, 0, false},
-		"no answer for long":      {nil, nil, deafMost, true},
-		"a fresh peer's":          {compare, &cwwire.News{Fresh: true}, 0, true},
-		"one of a paused peer":    {compare, &cwwire.News{}, 0, false},
-		"to marks we told, fresh": {&cwwire.News{}, &cwwire.News{Fresh: true}, 0, false},
+		"no answer yet":         {nil, nil, 0, false},
+		"no answer for long":    {nil, nil, maxWithheld, true},
+		"fresh peer":            {compare, &cwwire.News{Fresh: true}, 0, true},
+		"paused peer":           {compare, &cwwire.News{}, 0, false},
+		"fresh, but no digests": {&cwwire.News{}, &cwwire.News{Fresh: true}, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(4_000_000_000, 0)
@@ -155,23 +159,24 @@
 	}
 }
 
-// TestToldAgain shows that a mark is told to so many peers that answered.
+// TestResend verifies that messages without an answer don't count towards the
+// number of peers that a mark is sent to.
 func TestToldAgain(t *testing.T) {
 	now := time.Unix(4_000_000_000, 0)
 	table := NewTable()
-	table.Operator(now, leaver, true)
+	table.Operator(now, server, true)
 
-	told := 0
+	sent := 0
 
-	for news := table.hot(); news != nil && told < 2*spreadLeast; news = table.hot() {
-		told++
+	for news := table.takePending(); news != nil && sent < 2*minFanout; news = table.takePending() {
+		sent++
 
-		if told <= 3 {
-			table.again(news.GetMarks())
+		if sent <= 3 {
+			table.requeue(news.GetMarks())
 		}
 	}
 
-	if diff := cmp.Diff(spreadLeast+3, told); diff != "" {
+	if diff := cmp.Diff(minFanout+3, sent); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/cwnews/spread.go
+++ b/internal/cwnews/spread.go
@@ -14,88 +14,94 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// The pace of the spread.
+// The parameters of the gossip.
 const (
-	// pushPeers is the number of peers that get the news at each tick.
+	// pushPeers is the number of peers that new marks are sent to at each
+	// tick.
 	pushPeers = 3
-	// spreadLeast is the number of peers that a mark is told to, but for two
-	// more each time the fleet doubles.
-	spreadLeast = 4
-	// pullEvery is the time between two comparisons with a peer.
-	pullEvery = 500 * time.Millisecond
-	// marksSent bounds the marks of one message.
-	marksSent = 1 << 10
-	// callMost bounds one call to a peer.
-	callMost = 400 * time.Millisecond
-	// pauseMost is the longest pause between two ticks. After a longer one no
-	// work is given out until the news have been heard.
-	pauseMost = 1500 * time.Millisecond
-	// deafMost is how long that lasts at most, when no peer answers.
-	deafMost = time.Second
+	// minFanout is the base of the number of peers that a mark is sent to. Two
+	// are added for each doubling of the fleet.
+	minFanout = 4
+	// pullInterval is the time between two comparisons of digests with a
+	// peer.
+	pullInterval = 500 * time.Millisecond
+	// maxMessageMarks limits the marks in one message.
+	maxMessageMarks = 1 << 10
+	// callTimeout limits one call to a peer.
+	callTimeout = 400 * time.Millisecond
+	// maxTickGap is the longest normal time between two ticks. After a longer
+	// one, no requests are sent to servers until the table has been compared
+	// with a peer's.
+	maxTickGap = 1500 * time.Millisecond
+	// maxWithheld limits how long requests are withheld if no peer answers.
+	maxWithheld = time.Second
 )
 
-// Send is one message to a peer.
+// Message is one message to a peer.
 type Send struct {
 	To   carobward.Address
 	News *cwwire.News
 }
 
-// Spread tells peers the news and hears theirs.
+// Gossip exchanges marks with peers. It pushes new marks, and pulls those that
+// it lacks by comparing digests.
 type Spread struct {
 	table *Table
 	rng   *rand.Rand
 
-	ticked time.Time
-	pulled time.Time
-	// answered is the tick of the last comparison that a peer answered.
-	answered time.Time
-	// missed is when the last pause ended; zero when its news were heard.
-	missed time.Time
+	lastTick time.Time
+	lastPull time.Time
+	// lastAnswered is the time of the tick of the last comparison that a peer
+	// answered.
+	lastAnswered time.Time
+	// resumedAt is the end of the last pause; zero once the table has been
+	// compared with a fresh peer's since.
+	resumedAt time.Time
 
 	calls, bytes atomic.Int64
 }
 
-// NewSpread returns the spread of a table.
+// NewGossip returns the Gossip of a table.
 func NewSpread(table *Table, rng *rand.Rand) *Spread { return &Spread{table: table, rng: rng} }
 
-// Plan returns what is to be told to whom now. It counts each message as told;
-// Failed takes that back.
-func (s *Spread) Plan(now time.Time, peers []carobward.Address) []Send {
-	if s.ticked.IsZero() || now.Sub(s.ticked) > pauseMost {
-		s.missed = now
+// Plan returns the messages to send now. Their marks are counted as sent; Failed
+// reverts that for one message.
+func (g *Spread) Plan(now time.Time, peers []carobward.Address) []Send {
+	if g.lastTick.IsZero() || now.Sub(g.lastTick) > maxTickGap {
+		g.resumedAt = now
 	}
 
-	s.ticked = now
-	peers = s.draw(peers)
-	sends := s.push(peers)
+	g.lastTick = now
+	peers = g.drawPeers(peers)
+	messages := g.push(peers)
 
-	if now.Sub(s.pulled) < pullEvery && s.missed.IsZero() {
-		return sends
+	if now.Sub(g.lastPull) < pullInterval && g.resumedAt.IsZero() {
+		return messages
 	}
 
 	switch {
 	case len(peers) == 0:
-	case !s.missed.IsZero() || s.pulled.IsZero():
-		// After a pause or a failure from all of the few drawn, since any may
-		// not answer, or have been paused too.
+	case !g.resumedAt.IsZero() || g.lastPull.IsZero():
+		// After a pause or a failure, compare with all of the drawn peers,
+		// since any of them may not answer or may have been paused too.
 		for _, p := range peers {
-			sends = append(sends, Send{p, s.table.compare()})
+			messages = append(messages, Send{p, g.table.digestMessage()})
 		}
 	default:
-		sends = append(sends, Send{peers[0], s.table.compare()})
+		messages = append(messages, Send{peers[0], g.table.digestMessage()})
 	}
 
-	s.pulled = now
+	g.lastPull = now
 
-	return sends
+	return messages
 }
 
-// draw returns a few peers at random.
-func (s *Spread) draw(peers []carobward.Address) []carobward.Address {
-	s.table.size(len(peers))
+// drawPeers returns up to pushPeers random peers.
+func (g *Spread) drawPeers(peers []carobward.Address) []carobward.Address {
+	g.table.setFleetSize(len(peers))
 
 	drawn := make([]carobward.Address, 0, pushPeers)
-	for _, i := range s.rng.Perm(len(peers)) {
+	for _, i := range g.rng.Perm(len(peers)) {
 		if len(drawn) == pushPeers {
 			break
 		}
@@ -106,78 +112,81 @@
 	return drawn
 }
 
-func (s *Spread) push(peers []carobward.Address) []Send {
-	var sends []Send
+// push returns the messages with new marks.
+func (g *Spread) push(peers []carobward.Address) []Send {
+	var messages []Send
 
 	for _, p := range peers {
-		if news := s.table.hot(); news != nil {
-			sends = append(sends, Send{p, news})
+		if news := g.table.takePending(); news != nil {
+			messages = append(messages, Send{p, news})
 		}
 	}
 
-	return sends
+	return messages
 }
 
-// Answered takes a peer's answer.
-func (s *Spread) Answered(now time.Time, sent, answer *cwwire.News) {
-	s.table.take(now, answer.GetMarks())
+// Answered processes a peer's answer to a message.
+func (g *Spread) Answered(now time.Time, sent, answer *cwwire.News) {
+	g.table.merge(now, answer.GetMarks())
 
 	if len(sent.GetDigests()) > 0 {
-		s.answered, s.pulled = s.ticked, s.ticked
+		g.lastAnswered, g.lastPull = g.lastTick, g.lastTick
 	}
 
 	if len(sent.GetDigests()) > 0 && answer.GetFresh() {
-		s.missed = time.Time{}
+		g.resumedAt = time.Time{}
 	}
 }
 
-// Failed takes back a message that had no answer.
-func (s *Spread) Failed(sent *cwwire.News) {
-	s.table.again(sent.GetMarks())
+// Failed processes a message without an answer: its marks are sent again. If no
+// comparison of the tick was answered, the next tick compares with all of the
+// drawn peers.
+func (g *Spread) Failed(sent *cwwire.News) {
+	g.table.requeue(sent.GetMarks())
 
-	if len(sent.GetDigests()) > 0 && !s.answered.Equal(s.ticked) {
-		s.pulled = time.Time{}
+	if len(sent.GetDigests()) > 0 && !g.lastAnswered.Equal(g.lastTick) {
+		g.lastPull = time.Time{}
 	}
 }
 
-// Fresh tells whether work may be given out by what the table says.
-func (s *Spread) Fresh(now time.Time) bool {
-	return s.missed.IsZero() || now.Sub(s.missed) >= deafMost
+// Fresh reports whether the table is current enough to send requests by it.
+func (g *Spread) Fresh(now time.Time) bool {
+	return g.resumedAt.IsZero() || now.Sub(g.resumedAt) >= maxWithheld
 }
 
-// Tick does the calls of one Plan and waits for their ends.
-func (s *Spread) Tick(ctx context.Context, clock carobward.Clock, peers []carobward.Address, calls cwpeer.Calls) {
-	ctx, cancel := context.WithTimeout(ctx, callMost)
+// Tick makes the calls of one Plan and waits until they end.
+func (g *Spread) Tick(ctx context.Context, clock carobward.Clock, peers []carobward.Address, calls cwpeer.Calls) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 
 	var group conc.WaitGroup
 
-	sends := s.Plan(clock.Now(), peers)
-	answers := make([]*cwwire.News, len(sends))
+	messages := g.Plan(clock.Now(), peers)
+	answers := make([]*cwwire.News, len(messages))
 
-	for i, one := range sends {
+	for i, one := range messages {
 		group.Go(func() {
 			answer := &cwwire.News{}
 			if calls.Call(ctx, one.To, "News.Exchange", one.News, answer) == nil {
 				answers[i] = answer
 			}
 
-			s.calls.Add(1)
-			s.bytes.Add(int64(proto.Size(one.News) + proto.Size(answer)))
+			g.calls.Add(1)
+			g.bytes.Add(int64(proto.Size(one.News) + proto.Size(answer)))
 		})
 	}
 
 	group.Wait()
 
-	for i, one := range sends {
+	for i, one := range messages {
 		if answers[i] == nil {
-			s.Failed(one.News)
+			g.Failed(one.News)
 		} else {
-			s.Answered(clock.Now(), one.News, answers[i])
+			g.Answered(clock.Now(), one.News, answers[i])
 		}
 	}
 }
 
-// Spent returns the calls made and the bytes of their messages since the
-// start.
-func (s *Spread) Spent() (calls, bytes int64) { return s.calls.Load(), s.bytes.Load() }
+// Traffic returns the number of calls to peers and the bytes of their messages
+// since the start.
+func (g *Spread) Spent() (calls, bytes int64) { return g.calls.Load(), g.bytes.Load() }
--- a/internal/cwnews/spread_test.go
+++ b/internal/cwnews/spread_test.go
@@ -11,8 +11,8 @@
 	"carobward.example/carobward/internal/cwserver"
 )
 
-// BenchmarkTick gives the time of one tick of one VM against the marks at
-// hand, where nothing changes and all peers have been told.
+// BenchmarkTick measures a tick of one entry VM by the number of marks, when
+// nothing changes and no marks are left to send.
 func BenchmarkTick(b *testing.B) {
 	for _, marks := range []int{0, 30, 300, 3000} {
 		b.Run(fmt.Sprint(marks, "marks"), func(b *testing.B) {
@@ -24,15 +24,15 @@
 				table.Operator(now, carobward.Address(fmt.Sprintf("10.2.%d.%d:80", i/200, i%200)), true)
 			}
 
-			for table.hot() != nil {
+			for table.takePending() != nil {
 			}
 
 			b.ReportAllocs()
 
 			for b.Loop() {
 				s.Apply()
-				s.spread.Plan(now, nil)
-				table.compare()
+				s.gossip.Plan(now, nil)
+				table.digestMessage()
 			}
 		})
 	}
--- a/internal/cwnews/system.go
+++ b/internal/cwnews/system.go
@@ -14,32 +14,33 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// TickEvery is the pace of the spread.
+// TickInterval is the time between two ticks of a System.
 const TickEvery = 100 * time.Millisecond
 
-// Options are what a System works with.
+// Options configures a System.
 type Options struct {
 	Table   *Table
 	Servers *cwserver.Table
-	// Peers returns where the other entry VMs take peers' calls.
+	// Peers returns the addresses where the other entry VMs accept calls.
 	Peers func() []carobward.Address
 	Calls cwpeer.Calls
 	Clock carobward.Clock
-	// Rand draws the peers that are told; nil is one with a random seed.
+	// Rand selects the peers to send to; nil means a random seed.
 	Rand *rand.Rand
 	Log  logr.Logger
 }
 
-// System keeps the server table by the marks, and spreads them.
+// System keeps the server table in line with the marks, and gossips them.
 type System struct {
 	options Options
-	spread  *Spread
+	gossip  *Spread
 	log     logr.Logger
 	done    chan struct{}
 
-	// mutex orders the levels that the server table gets.
+	// mutex serializes updates of the server table.
 	mutex sync.Mutex
-	known map[carobward.Address]cwserver.Level
+	// appliedLevels holds the levels last applied to the server table.
+	appliedLevels map[carobward.Address]cwserver.Level
 }
 
 // New returns a System.
@@ -48,13 +49,13 @@
 		o.Rand = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	}
 
-	return &System{options: o, spread: NewSpread(o.Table, o.Rand), log: o.Log.WithName("leave"), done: make(chan struct{})}
+	return &System{options: o, gossip: NewSpread(o.Table, o.Rand), log: o.Log.WithName("leave"), done: make(chan struct{})}
 }
 
 // Done is closed once Run has returned.
 func (s *System) Done() <-chan struct{} { return s.done }
 
-// Run spreads the news until ctx ends.
+// Run ticks until ctx ends.
 func (s *System) Run(ctx context.Context) {
 	defer close(s.done)
 
@@ -62,8 +63,8 @@
 	defer t.Stop()
 
 	for ctx.Err() == nil {
-		s.Tick(func(spread *Spread) {
-			spread.Tick(ctx, s.options.Clock, s.options.Peers(), s.options.Calls)
+		s.Tick(func(g *Spread) {
+			g.Tick(ctx, s.options.Clock, s.options.Peers(), s.options.Calls)
 		})
 
 		select {
@@ -73,95 +74,98 @@
 	}
 }
 
-// Tick has the server table follow what is known before and after tell, which
-// tells peers the news and hears theirs.
-func (s *System) Tick(tell func(*Spread)) {
+// Tick updates the server table before and after calling exchange, which
+// exchanges marks with peers.
+func (s *System) Tick(exchange func(*Spread)) {
 	s.Apply()
-	tell(s.spread)
+	exchange(s.gossip)
 	s.Apply()
-	s.open()
+	s.extendFresh()
 }
 
-// Apply takes what the servers said and has the server table follow the
-// marks.
+// Apply processes the announcements of servers and updates the server table by
+// the marks.
 func (s *System) Apply() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
 	o, now := &s.options, s.options.Clock.Now()
-	words := o.Servers.Words()
+	announcements := o.Servers.Words()
 
-	o.Table.Words(now, words)
+	o.Table.Words(now, announcements)
 	o.Table.Tick(now)
 
-	if o.Table.Changed() || len(words) > 0 {
+	if o.Table.Changed() || len(announcements) > 0 {
 		levels := o.Table.Levels()
-		o.Servers.SetLevels(levels, words)
-		s.tell(levels)
+		o.Servers.SetLevels(levels, announcements)
+		s.logChanges(levels)
 	}
 }
 
-// open lets work be given out for as long as a tick may take to come.
-func (s *System) open() {
-	if now := s.options.Clock.Now(); s.spread.Fresh(now) {
-		s.options.Servers.SetFresh(now.Add(pauseMost))
+// extendFresh lets requests be sent to servers until the next tick is overdue, if
+// the marks are fresh.
+func (s *System) extendFresh() {
+	if now := s.options.Clock.Now(); s.gossip.Fresh(now) {
+		s.options.Servers.SetFresh(now.Add(maxTickGap))
 	}
 }
 
-// Drain takes an operator's word, or its undoing, and has it known here at
-// once.
+// Drain starts or reverts a drain of a server by an operator. It takes effect on
+// this entry VM at once.
 func (s *System) Drain(a carobward.Address, drain bool) {
 	s.options.Table.Operator(s.options.Clock.Now(), a, drain)
 	s.Apply()
 }
 
-// Checked takes the outcome of a health check that was sent at some time.
+// Checked processes the result of a health check that was sent at the given
+// time.
 func (s *System) Checked(sent time.Time, a carobward.Address, c Check) {
 	s.options.Table.Checked(sent, s.options.Clock.Now(), a, c)
 	s.Apply()
 }
 
-// Listed takes a VM list that was read whole, before the server table does.
+// Listed processes a completely read VM list. It must be called before the server
+// table gets the list.
 func (s *System) Listed(list []carobward.VM) { s.options.Table.Listed(s.options.Clock.Now(), list) }
 
-// Marks returns all marks in order, those that have ended too.
+// Marks returns all marks in order, including those that have ended.
 func (s *System) Marks() []Mark { return s.options.Table.Marks() }
 
-// tell logs what has changed.
-func (s *System) tell(levels map[carobward.Address]cwserver.Level) {
+// logChanges logs the servers whose level has changed.
+func (s *System) logChanges(levels map[carobward.Address]cwserver.Level) {
 	for a, l := range levels {
-		if before := s.known[a]; l != before && l != cwserver.Stays {
-			s.log.Info("A server leaves.", "server", a, "surely", l == cwserver.Leaves)
+		if before := s.appliedLevels[a]; l != before && l != cwserver.Stays {
+			s.log.Info("A server is leaving.", "server", a, "surely", l == cwserver.Leaves)
 		}
 	}
 
-	for a, before := range s.known {
+	for a, before := range s.appliedLevels {
 		if before != cwserver.Stays && levels[a] == cwserver.Stays {
-			s.log.Info("A server gets work again.", "server", a)
+			s.log.Info("A server gets new requests again.", "server", a)
 		}
 	}
 
-	s.known = levels
+	s.appliedLevels = levels
 }
 
-// Spent returns the calls to peers and their bytes since the start.
-func (s *System) Spent() (calls, bytes int64) { return s.spread.Spent() }
+// Traffic returns the number of calls to peers and their bytes since the start.
+func (s *System) Spent() (calls, bytes int64) { return s.gossip.Spent() }
 
-// Service returns what peers may call, to be registered as News.
+// Service returns the handler for calls from peers, to be registered as "News".
 func (s *System) Service() *Service { return &Service{system: s} }
 
-// Service is what peers may call.
+// Service handles calls from peers.
 type Service struct {
 	system *System
 }
 
-// Exchange takes a peer's marks and answers with ours where its digests
-// differ.
+// Exchange merges a peer's marks and replies with our marks of the buckets whose
+// digests differ.
 func (s *Service) Exchange(in *cwwire.News, out *cwwire.News) error {
 	o := &s.system.options
 
 	if len(in.GetMarks()) > 0 {
-		o.Table.take(o.Clock.Now(), in.GetMarks())
+		o.Table.merge(o.Clock.Now(), in.GetMarks())
 		s.system.Apply()
 	}
 
--- a/internal/cwnews/table.go
+++ b/internal/cwnews/table.go
@@ -10,26 +10,27 @@
 	"carobward.example/carobward/internal/cwserver"
 )
 
-// The times of a mark.
+// The lifetimes of marks and the limits of the table.
 const (
-	// goneAfter is how long the VM list must have dropped a server until its
-	// marks end, so that a new one on its address gets work; operatorGone is
-	// that of an operator's mark.
-	goneAfter    = 30 * time.Second
-	operatorGone = 5 * time.Minute
-	// listKeep is how long the VM list must show a server as live, to all
-	// entry VMs, until the list's own mark ends. Those that see it leaving
-	// say so again at listRenew.
-	listKeep  = 5 * time.Minute
-	listRenew = time.Minute
-	// endedKeep is how long an ended mark is remembered, so that a peer which
-	// was cut off does not bring it back.
-	endedKeep = time.Hour
-	// stepMost is the longest step of our own time. What is longer was a
-	// pause, in which nothing could be seen.
-	stepMost = 500 * time.Millisecond
-	// marksMost bounds the table.
-	marksMost = 1 << 14
+	// missingExpiry is how long a server must be missing from the VM list
+	// until its marks end, so that a new server at its address gets requests.
+	// operatorMissingExpiry is the same for an operator's mark.
+	missingExpiry         = 30 * time.Second
+	operatorMissingExpiry = 5 * time.Minute
+	// listMarkTTL is how long the VM list must show a server as live to all
+	// entry VMs until the mark from the list ends. An entry VM that still
+	// sees it as leaving renews the mark after listMarkRenewal.
+	listMarkTTL     = 5 * time.Minute
+	listMarkRenewal = time.Minute
+	// endedMarkTTL is how long an ended mark is retained, so that a peer that
+	// was partitioned off does not bring back the mark it replaced.
+	endedMarkTTL = time.Hour
+	// maxTimeStep limits how far one tick advances the uptime. A longer time
+	// between ticks was a pause of this entry VM, in which it observed
+	// nothing.
+	maxTimeStep = 500 * time.Millisecond
+	// maxMarks limits the size of the table.
+	maxMarks = 1 << 14
 )
 
 type key struct {
@@ -37,94 +38,99 @@
 	source  Source
 }
 
-// line is a mark and what this entry VM has seen since.
-type line struct {
+// entry is a mark with what this entry VM has observed since it was set.
+type entry struct {
 	Mark
 
-	// since is when the mark came, in our own time.
-	since time.Duration
-	// gone is when the VM list dropped the server, in our own time; 0 if it
-	// shows it.
-	gone time.Duration
-	// left is the number of peers that the mark is still to be told to.
-	left int
-	// refused tells that nothing listened there since the mark; fine counts
-	// healthy answers since then.
+	// setAt is the uptime when the mark was set.
+	setAt time.Duration
+	// missingSince is the uptime when the server disappeared from the VM list;
+	// 0 if it is listed.
+	missingSince time.Duration
+	// sendsLeft is the number of peers that the mark is still to be sent to.
+	sendsLeft int
+	// refused reports whether a health check was refused since the mark was
+	// set; healthy is the number of healthy answers in a row.
 	refused bool
-	fine    int
+	healthy int
 }
 
 // Table holds the marks of all servers.
 type Table struct {
-	mutex  sync.Mutex
-	lines  map[key]*line
-	spread int
-	// age is the time that this entry VM has run, pauses left out.
-	age    time.Duration
-	ticked time.Time
-	// changed tells that the levels are to be made anew.
+	mutex   sync.Mutex
+	entries map[key]*entry
+	fanout  int
+	// uptime is how long this entry VM has been running, without pauses.
+	uptime   time.Duration
+	lastTick time.Time
+	// changed reports whether marks have changed since the last call of
+	// Changed.
 	changed bool
-	// digest has the digests of the parts; nil: they are to be made anew.
-	digest []uint32
+	// cachedDigests holds the digests of the buckets; nil if they must be
+	// recomputed.
+	cachedDigests []uint32
 }
 
 // NewTable returns a table without marks.
-func NewTable() *Table { return &Table{lines: map[key]*line{}, spread: spreadLeast} }
+func NewTable() *Table { return &Table{entries: map[key]*entry{}, fanout: minFanout} }
 
-// set makes a mark that overrides the one at hand; the mutex is held.
+// set stores a new mark that overrides the existing one. The caller must hold the
+// mutex.
 func (t *Table) set(now time.Time, k key, on bool, run uint64) {
 	before := uint64(0)
-	if l := t.lines[k]; l != nil {
-		before = l.Time
+	if e := t.entries[k]; e != nil {
+		before = e.Time
 	}
 
-	t.put(Mark{Address: k.address, Source: k.source, On: on, Run: run, Time: next(now, before)})
+	t.put(Mark{Address: k.address, Source: k.source, On: on, Run: run, Time: nextTime(now, before)})
 }
 
-// put takes a mark that is news; the mutex is held.
+// put stores a mark that overrides the existing one, and schedules it to be sent
+// to peers. The caller must hold the mutex.
 func (t *Table) put(m Mark) {
 	k := key{m.Address, m.Source}
-	old := t.lines[k]
+	old := t.entries[k]
 
-	if old == nil && len(t.lines) >= marksMost {
+	if old == nil && len(t.entries) >= maxMarks {
 		return
 	}
 
-	l := &line{Mark: m, since: t.age, left: t.spread}
+	e := &entry{Mark: m, setAt: t.uptime, sendsLeft: t.fanout}
 
 	if old != nil {
-		l.gone = old.gone
+		e.missingSince = old.missingSince
 	}
 
-	t.lines[k] = l
+	t.entries[k] = e
 	t.changed = true
-	t.digest = nil
+	t.cachedDigests = nil
 }
 
-// on returns the mark if it is on; the mutex is held.
-func (t *Table) on(k key) *line {
-	if l := t.lines[k]; l != nil && l.On {
-		return l
+// active returns the entry of a key if its mark is on, else nil. The caller must
+// hold the mutex.
+func (t *Table) active(k key) *entry {
+	if e := t.entries[k]; e != nil && e.On {
+		return e
 	}
 
 	return nil
 }
 
-// Words takes what servers said with replies.
-func (t *Table) Words(now time.Time, words []cwserver.Word) {
+// ApplyAnnouncements processes what servers announced with replies.
+func (t *Table) Words(now time.Time, announcements []cwserver.Word) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
-	for _, w := range words {
-		t.word(now, w)
+	for _, w := range announcements {
+		t.applyAnnouncement(now, w)
 	}
 }
 
-func (t *Table) word(now time.Time, w cwserver.Word) {
-	k := key{w.Address, Word}
-	l := t.lines[k]
+func (t *Table) applyAnnouncement(now time.Time, w cwserver.Word) {
+	k := key{w.Address, Announced}
+	e := t.entries[k]
 
-	if l == nil {
+	if e == nil {
 		if w.Draining {
 			t.set(now, k, true, w.Run)
 		}
@@ -132,20 +138,20 @@
 		return
 	}
 
-	if w.Run > 0 && w.Run < l.Run {
-		return // A late word of an earlier run.
+	if w.Run > 0 && w.Run < e.Run {
+		return // A late announcement of an earlier run.
 	}
 
-	begins := w.Draining && (!l.On || w.Run > l.Run)
-	ends := !w.Draining && l.On && l.Run > 0 && w.Run > l.Run
+	begins := w.Draining && (!e.On || w.Run > e.Run)
+	ends := !w.Draining && e.On && e.Run > 0 && w.Run > e.Run
 
 	if begins || ends {
 		t.set(now, k, w.Draining, w.Run)
 	}
 }
 
-// Operator takes an operator's word. Undoing ends the marks of each source; a
-// sign that comes later counts again.
+// SetDrain starts or reverts a drain by an operator. Reverting ends the marks of
+// all sources; later signs set new ones.
 func (t *Table) Operator(now time.Time, a carobward.Address, drain bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -156,14 +162,14 @@
 		return
 	}
 
-	for s := range sources {
-		if l := t.on(key{a, s}); l != nil {
-			t.set(now, key{a, s}, false, l.Run)
+	for s := range numSources {
+		if e := t.active(key{a, s}); e != nil {
+			t.set(now, key{a, s}, false, e.Run)
 		}
 	}
 }
 
-// Listed takes a VM list that was read whole. An empty one is passed over.
+// ApplyList processes a completely read VM list. An empty list is ignored.
 func (t *Table) Listed(now time.Time, list []carobward.VM) {
 	if len(list) == 0 {
 		return
@@ -182,70 +188,73 @@
 		}
 	}
 
-	for k, l := range t.lines {
-		_, shown := states[k.address]
+	for k, e := range t.entries {
+		_, isListed := states[k.address]
 
 		switch {
-		case shown:
-			l.gone = 0
-		case l.gone == 0:
-			l.gone = max(1, t.age)
+		case isListed:
+			e.missingSince = 0
+		case e.missingSince == 0:
+			e.missingSince = max(1, t.uptime)
 		}
 	}
 }
 
 func (t *Table) listedLeaving(now time.Time, a carobward.Address) {
 	k := key{a, List}
-	if l := t.on(k); l == nil || t.age-l.since >= listRenew {
+	if e := t.active(k); e == nil || t.uptime-e.setAt >= listMarkRenewal {
 		t.set(now, k, true, 0)
 	}
 }
 
-// Tick ends marks whose server is gone and forgets old ends.
+// Tick advances the uptime, ends marks that have expired and deletes ended marks
+// after endedMarkTTL.
 func (t *Table) Tick(now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
-	if !t.ticked.IsZero() {
-		t.age += min(max(0, now.Sub(t.ticked)), stepMost)
+	if !t.lastTick.IsZero() {
+		t.uptime += min(max(0, now.Sub(t.lastTick)), maxTimeStep)
 	}
 
-	t.ticked = now
+	t.lastTick = now
 
-	for k, l := range t.lines {
+	for k, e := range t.entries {
 		switch {
-		case l.On && t.over(l):
-			// Each entry VM that sees it makes the same mark.
-			t.put(Mark{Address: l.Address, Source: l.Source, Run: l.Run, Time: l.Time + 1})
-		case !l.On && t.age-l.since >= endedKeep:
-			delete(t.lines, k)
-			t.digest = nil
+		case e.On && t.expired(e):
+			// The time is deterministic, so that all entry VMs that end
+			// the mark create the same one.
+			t.put(Mark{Address: e.Address, Source: e.Source, Run: e.Run, Time: e.Time + 1})
+		case !e.On && t.uptime-e.setAt >= endedMarkTTL:
+			delete(t.entries, k)
+			t.cachedDigests = nil
 		}
 	}
 }
 
-// over tells whether the mark has ended by itself.
-func (t *Table) over(l *line) bool {
-	least := goneAfter
-	if l.Source == Operator {
-		least = operatorGone
+// expired reports whether the mark ends without a further sign.
+func (t *Table) expired(e *entry) bool {
+	expiry := missingExpiry
+	if e.Source == Operator {
+		expiry = operatorMissingExpiry
 	}
 
-	if l.gone != 0 && t.age-max(l.gone, l.since) >= least {
+	if e.missingSince != 0 && t.uptime-max(e.missingSince, e.setAt) >= expiry {
 		return true
 	}
 
-	return l.Source == List && l.gone == 0 && t.age-l.since >= listKeep
+	return e.Source == List && e.missingSince == 0 && t.uptime-e.setAt >= listMarkTTL
 }
 
-// Marks returns all marks in order, those that have ended too.
+// Marks returns all marks, including those that have ended, sorted by address
+// and source.
 func (t *Table) Marks() []Mark {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
 	var all []Mark
-	for _, l := range t.lines {
-		all = append(all, l.Mark)
+	for _, e := range t.entries {
+		all = append(all, e.Mark)
 	}
 
 	slices.SortFunc(all, func(a, b Mark) int {
@@ -255,7 +264,7 @@
 	return all
 }
 
-// Changed tells whether a mark has changed since it was last asked.
+// Changed reports whether a mark has changed since the previous call.
 func (t *Table) Changed() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -266,16 +275,16 @@
 	return changed
 }
 
-// Levels returns what the marks come to for each server.
+// Levels returns the highest level among the marks of each server.
 func (t *Table) Levels() map[carobward.Address]cwserver.Level {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
 	levels := map[carobward.Address]cwserver.Level{}
 
-	for _, l := range t.lines {
-		if level := l.level(); level > levels[l.Address] {
-			levels[l.Address] = level
+	for _, e := range t.entries {
+		if level := e.level(); level > levels[e.Address] {
+			levels[e.Address] = level
 		}
 	}
 
