--- a/internal/cwkv/client.go
+++ b/internal/cwkv/client.go
@@ -1,6 +1,6 @@
-// Package cwkv is the Store over the Consul KV HTTP API, see
-// https://developer.hashicorp.com/consul/api-docs/kv: reads and
-// check-and-set writes of single keys, and blocking queries as watches.
+// Package cwkv implements carobward.Store with the Consul KV HTTP API, see
+// https://developer.hashicorp.com/consul/api-docs/kv. It uses reads and
+// check-and-set writes of single keys, and blocking queries for watches.
 package cwkv
 
 import (
@@ -21,17 +21,18 @@
 )
 
 const (
-	// maxReply bounds a reply in bytes: a megabyte in base64 and its frame.
+	// maxReply limits the body of a reply, in bytes. It has room for a value
+	// of one megabyte in base64 and the JSON around it.
 	maxReply = 2 << 20
-	// watchWait is how long a blocking query may wait. The service sends the
-	// value again at its end, so a short wait costs bytes.
+	// watchWait is how long a blocking query may wait. When it ends, the
+	// service sends the value again, so a shorter wait costs bandwidth.
 	watchWait = 20 * time.Second
-	// watchSlack is what the service may add to that.
+	// watchSlack is how much longer the service may take.
 	watchSlack  = 5 * time.Second
 	indexHeader = "X-Consul-Index"
 )
 
-// The kinds of calls as the metric names them.
+// The kinds of calls, by their names in the metric.
 const (
 	callRead   = "reads"
 	callWatch  = "watches"
@@ -39,25 +40,25 @@
 	callFailed = "failed"
 )
 
-// Client reaches the key-value service. Each call has a connection of its
-// own: calls are rare, the end of a context closes it at once, and nothing
-// sends a call twice.
+// Client is a client of the key-value service. Each call uses its own
+// connection: calls are rare, cancelling the context closes the connection at
+// once, and no call is ever retried on another connection.
 type Client struct {
 	dialer  dialer
 	prefix  string
 	timeout time.Duration
-	// calls counts the calls by kind, and those that failed.
+	// calls counts the calls by kind, and the failed ones.
 	calls *expvar.Map
 }
 
 // New returns a client of the service at base, such as http://10.0.0.2:8500.
-// Every key starts with prefix. The timeout bounds each call but a watch.
-// Calls are counted in calls.
+// The prefix is prepended to every key. The timeout applies to each call except
+// watches. Calls are counted in calls.
 func New(base, prefix string, timeout time.Duration, calls *expvar.Map) *Client {
 	return &Client{dialer: newDialer(base), prefix: prefix, timeout: timeout, calls: calls}
 }
 
-// Get returns the entry of a key.
+// Get returns the entry of a key. Its index is zero if the key does not exist.
 func (c *Client) Get(ctx context.Context, key carobward.Key) (carobward.Entry, error) {
 	c.calls.Add(callRead, 1)
 
@@ -73,7 +74,7 @@
 	return c.read(ctx, key, query, watchWait+watchSlack)
 }
 
-// pair is one value as the service writes it.
+// pair is a value in the JSON of the service.
 type pair struct {
 	Value       string
 	ModifyIndex uint64
@@ -101,7 +102,7 @@
 	return entry, decode(r.body, &entry)
 }
 
-// decode reads the one pair of a reply.
+// decode decodes a reply, which must hold exactly one pair, into entry.
 func decode(body []byte, entry *carobward.Entry) error {
 	var pairs []pair
 	if err := json.Unmarshal(body, &pairs); err != nil || len(pairs) != 1 {
@@ -119,7 +120,9 @@
 	return nil
 }
 
-// Swap writes a value by check-and-set.
+// Swap writes a value with check-and-set against the index base. The error is
+// ErrConflict if the key has changed since, ErrStoreDown if the value was not
+// written, and ErrStoreUnknown if it may have been written.
 func (c *Client) Swap(ctx context.Context, key carobward.Key, value []byte, base carobward.StoreIndex) error {
 	c.calls.Add(callWrite, 1)
 
--- a/internal/cwkv/client_test.go
+++ b/internal/cwkv/client_test.go
@@ -16,14 +16,15 @@
 	"carobward.example/carobward/internal/cwtest"
 )
 
-// counter is a server that counts requests and open connections, and does
-// with each connection what serve says.
-type counter struct {
+// countingServer is a server that counts requests and open connections.
+type countingServer struct {
 	requests, open atomic.Int64
 	url            string
 }
 
-func newCounter(t *testing.T, serve func(net.Conn)) *counter {
+// newCountingServer starts a server that calls serve on each connection after a
+// request was read from it.
+func newCountingServer(t *testing.T, serve func(net.Conn)) *countingServer {
 	t.Helper()
 
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -33,7 +34,7 @@
 
 	t.Cleanup(func() { _ = ln.Close() })
 
-	c := &counter{url: "http://" + ln.Addr().String()}
+	c := &countingServer{url: "http://" + ln.Addr().String()}
 
 	go func() {
 		for {
@@ -60,7 +61,8 @@
 	return c
 }
 
-// TestSwapOnce: no lost reply makes the client send a write again.
+// TestSwapOnce verifies that the client sends a write only once, whatever the
+// reply.
 func TestSwapOnce(t *testing.T) {
 	for name, test := range map[string]struct {
 		reply string
@@ -69,20 +71,20 @@
 		"closed without a reply": {"", carobward.ErrStoreUnknown},
 		"cut within the header":  {"HTTP/1.1 200 OK\r\nContent-Le", carobward.ErrStoreUnknown},
 		"cut within the body":    {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ntr", carobward.ErrStoreUnknown},
-		"an error of the server": {"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", carobward.ErrStoreUnknown},
+		"server error":           {"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", carobward.ErrStoreUnknown},
 		"malformed":              {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nmaybe", carobward.ErrStoreUnknown},
-		"another was first":      {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfalse", carobward.ErrConflict},
+		"conflict":               {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfalse", carobward.ErrConflict},
 		"accepted":               {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ntrue", nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newCounter(t, func(c net.Conn) { _, _ = c.Write([]byte(test.reply)) })
+			s := newCountingServer(t, func(c net.Conn) { _, _ = c.Write([]byte(test.reply)) })
 
 			err := New(s.url, "t/", time.Second, &expvar.Map{}).Swap(context.Background(), "head", []byte("x"), 1)
 			if !errors.Is(err, test.want) {
 				t.Errorf("got %v, want %v", err, test.want)
 			}
 
-			cwtest.Wait(t, "the connection's end", func() bool { return s.open.Load() == 0 })
+			cwtest.Wait(t, "the connection to close", func() bool { return s.open.Load() == 0 })
 
 			if n := s.requests.Load(); n != 1 {
 				t.Errorf("sent %d times", n)
@@ -91,7 +93,7 @@
 	}
 }
 
-// TestSwapNotSent: without a connection nothing was written.
+// TestSwapNotSent verifies that a failure to connect is reported as not written.
 func TestSwapNotSent(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -106,9 +108,10 @@
 	}
 }
 
-// TestWatchEnds: cancelled watches hold neither a connection nor a goroutine.
+// TestWatchEnds verifies that a cancelled watch releases its goroutine and its
+// connection.
 func TestWatchEnds(t *testing.T) {
-	s := newCounter(t, func(c net.Conn) {
+	s := newCountingServer(t, func(c net.Conn) {
 		_, _ = c.Read(make([]byte, 1)) // Waits until the client closes.
 	})
 	client := New(s.url, "", time.Second, &expvar.Map{})
@@ -122,7 +125,7 @@
 			ended <- err
 		}()
 
-		cwtest.Wait(t, "a watch that waits", func() bool { return s.requests.Load() == i+1 })
+		cwtest.Wait(t, "the watch to be received", func() bool { return s.requests.Load() == i+1 })
 		cancel()
 
 		if err := <-ended; !errors.Is(err, carobward.ErrStoreDown) {
@@ -130,10 +133,10 @@
 		}
 	}
 
-	cwtest.Wait(t, "the end of all connections", func() bool { return s.open.Load() == 0 })
+	cwtest.Wait(t, "all connections to close", func() bool { return s.open.Load() == 0 })
 }
 
-// FuzzDecode: no reply makes the client panic.
+// FuzzDecode verifies that any reply is either decoded or gives ErrStoreDown.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`[{"Value":"eA==","ModifyIndex":7}]`))
 	f.Add([]byte(`[{"Value":"%"}]`))
--- a/internal/cwkv/exchange.go
+++ b/internal/cwkv/exchange.go
@@ -11,10 +11,10 @@
 	"github.com/valyala/fasthttp"
 )
 
-// errNotSent tells that no byte of the call was sent.
+// errNotSent means that no part of the request was sent.
 const errNotSent = errors.ConstError("store: not reached")
 
-// The ports that the URL schemes stand for.
+// The default ports of the URL schemes.
 const (
 	portHTTP  = "80"
 	portHTTPS = "443"
@@ -32,7 +32,7 @@
 
 	u, err := url.Parse(base)
 	if err != nil {
-		return d // The settings have been validated; the first call fails.
+		return d // Unreachable with validated settings; else calls fail.
 	}
 
 	d.secure = u.Scheme == "https"
@@ -66,8 +66,8 @@
 	body   []byte
 }
 
-// exchange sends a request once and reads the reply. The end of ctx closes
-// the connection.
+// exchange sends a request once and reads the reply. The connection is closed
+// when ctx ends.
 func (d *dialer) exchange(ctx context.Context, req *fasthttp.Request) (result, error) {
 	c, err := d.dial(ctx)
 	if err != nil {
