--- a/internal/cwvm/client.go
+++ b/internal/cwvm/client.go
@@ -1,6 +1,6 @@
-// Package cwvm is the VMList over the HTTP service discovery format of
-// Prometheus, see https://prometheus.io/docs/prometheus/latest/http_sd/: a
-// JSON list of target groups with labels.
+// Package cwvm reads the platform's list of VMs over HTTP, in the HTTP service
+// discovery format of Prometheus: a JSON list of target groups with labels. See
+// https://prometheus.io/docs/prometheus/latest/http_sd/.
 package cwvm
 
 import (
@@ -15,15 +15,14 @@
 	"carobward.example/carobward"
 )
 
-// Group is one target group of the format.
+// Group is a target group of the format.
 type Group struct {
-	// Targets are addresses that share the labels.
+	// Targets are the addresses to which the labels apply.
 	Targets []carobward.Address `json:"targets"`
-	// Labels describe them.
-	Labels Labels `json:"labels"`
+	Labels  Labels              `json:"labels"`
 }
 
-// Labels are the labels that are read; others are passed over.
+// Labels holds the labels that are used; others are ignored.
 type Labels struct {
 	Service carobward.Service `json:"service"`
 	Domain  carobward.Domain  `json:"domain"`
@@ -32,8 +31,8 @@
 }
 
 const (
-	maxList = 16 << 20
-	timeout = 2 * time.Second
+	maxListBytes = 16 << 20
+	timeout      = 2 * time.Second
 )
 
 // Client reads the list over HTTP.
@@ -45,7 +44,7 @@
 // New returns a client that reads the list at url.
 func New(url string) *Client {
 	return &Client{url: url, http: &fasthttp.Client{
-		Name: "carobward", MaxResponseBodySize: maxList, ReadTimeout: timeout, WriteTimeout: timeout,
+		Name: "carobward", MaxResponseBodySize: maxListBytes, ReadTimeout: timeout, WriteTimeout: timeout,
 	}}
 }
 
@@ -67,18 +66,19 @@
 	return Parse(body)
 }
 
-// The errors of a list.
+// The errors of an invalid list.
 const (
-	// ErrEmpty tells that no VM is on the list. A platform that lost its
-	// memory must not take all servers away from us.
+	// ErrEmpty means that the list has no VMs. It is an error so that a
+	// platform that lost its data does not remove all servers.
 	ErrEmpty = errors.ConstError("list: it is empty")
-	// ErrAddress tells that a line has no IP number and port.
+	// ErrAddress means that a target is not an IP address with a port.
 	ErrAddress = errors.ConstError("list: want an IP number and a port")
 )
 
-// Parse reads the format. Lines without a proper address are left out and
-// named in the error, beside which the others are returned. An address that
-// comes twice counts once, as leaving if either line says so.
+// Parse parses a list. Targets with an invalid address are skipped: the error
+// names the last of them, and the other VMs are returned along with it. An
+// address that is listed more than once gives one VM, which is leaving if any of
+// its entries is.
 func Parse(raw []byte) ([]carobward.VM, error) {
 	var groups []Group
 	if err := json.Unmarshal(raw, &groups); err != nil {
@@ -86,44 +86,44 @@
 	}
 
 	var (
-		all []carobward.VM
-		bad error
+		all     []carobward.VM
+		invalid error
 	)
 
-	at := map[carobward.Address]int{}
+	index := map[carobward.Address]int{}
 
 	for _, g := range groups {
 		for _, a := range g.Targets {
 			if _, err := netip.ParseAddrPort(string(a)); err != nil {
-				bad = errors.Annotatef(ErrAddress, "list: %q", a)
+				invalid = errors.Annotatef(ErrAddress, "list: %q", a)
 
 				continue
 			}
 
-			v := vm(a, &g.Labels)
-			if i, twice := at[a]; twice {
+			v := newVM(a, &g.Labels)
+			if i, found := index[a]; found {
 				all[i].State = max(all[i].State, v.State)
 
 				continue
 			}
 
-			at[a] = len(all)
+			index[a] = len(all)
 			all = append(all, v)
 		}
 	}
 
-	if len(all) == 0 && bad == nil {
-		bad = ErrEmpty
+	if len(all) == 0 && invalid == nil {
+		invalid = ErrEmpty
 	}
 
-	return all, bad
+	return all, invalid
 }
 
-func vm(a carobward.Address, l *Labels) carobward.VM {
-	return carobward.VM{Address: a, ID: l.VM, Service: l.Service, Domain: l.Domain, State: state(l.State)}
+func newVM(a carobward.Address, l *Labels) carobward.VM {
+	return carobward.VM{Address: a, ID: l.VM, Service: l.Service, Domain: l.Domain, State: parseState(l.State)}
 }
 
-func state(name string) carobward.VMState {
+func parseState(name string) carobward.VMState {
 	if name == carobward.Leaving.String() {
 		return carobward.Leaving
 	}
--- a/internal/cwvm/client_test.go
+++ b/internal/cwvm/client_test.go
@@ -21,17 +21,17 @@
 		want []carobward.VM
 		err  error
 	}{
-		"one":                    {`[` + server + `}}]`, []carobward.VM{one}, nil},
-		"leaving":                {`[` + server + `,"state":"leaving"}}]`, []carobward.VM{leaving}, nil},
-		"unknown state":          {`[` + server + `,"state":"new"}}]`, []carobward.VM{one}, nil},
-		"unknown label":          {`[` + server + `,"rack":"7"}}]`, []carobward.VM{one}, nil},
-		"twice":                  {`[` + server + `}},` + server + `}}]`, []carobward.VM{one}, nil},
-		"twice, leaving first":   {`[` + server + `,"state":"leaving"}},` + server + `}}]`, []carobward.VM{leaving}, nil},
-		"twice, leaving last":    {`[` + server + `}},` + server + `,"state":"leaving"}}]`, []carobward.VM{leaving}, nil},
-		"a name, and a good one": {`[{"targets":["host:80"],"labels":{}},` + server + `}}]`, []carobward.VM{one}, ErrAddress},
-		"no port":                {`[{"targets":["10.0.0.1"],"labels":{}}]`, nil, ErrAddress},
-		"empty":                  {`[]`, nil, ErrEmpty},
-		"null":                   {`null`, nil, ErrEmpty},
+		"one":                     {`[` + server + `}}]`, []carobward.VM{one}, nil},
+		"leaving":                 {`[` + server + `,"state":"leaving"}}]`, []carobward.VM{leaving}, nil},
+		"unknown state":           {`[` + server + `,"state":"new"}}]`, []carobward.VM{one}, nil},
+		"unknown label":           {`[` + server + `,"rack":"7"}}]`, []carobward.VM{one}, nil},
+		"duplicate":               {`[` + server + `}},` + server + `}}]`, []carobward.VM{one}, nil},
+		"duplicate, first leaves": {`[` + server + `,"state":"leaving"}},` + server + `}}]`, []carobward.VM{leaving}, nil},
+		"duplicate, last leaves":  {`[` + server + `}},` + server + `,"state":"leaving"}}]`, []carobward.VM{leaving}, nil},
+		"host name, and valid":    {`[{"targets":["host:80"],"labels":{}},` + server + `}}]`, []carobward.VM{one}, ErrAddress},
+		"no port":                 {`[{"targets":["10.0.0.1"],"labels":{}}]`, nil, ErrAddress},
+		"empty":                   {`[]`, nil, ErrEmpty},
+		"null":                    {`null`, nil, ErrEmpty},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, err := Parse([]byte(tt.raw))
@@ -46,7 +46,8 @@
 	}
 }
 
-// FuzzParse reads any bytes into addresses that each come once, or an error.
+// FuzzParse verifies that any input gives VMs with distinct addresses, or an
+// error.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`[{"targets":["10.0.0.1:80","[::1]:1"],"labels":{"service":"s","state":"leaving"}}]`))
 	f.Add([]byte(`[{"targets":["a"]}]`))
@@ -54,13 +55,13 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		all, err := Parse(raw)
 		if len(all) == 0 && err == nil {
-			t.Error("nothing, and no error")
+			t.Error("no VMs and no error")
 		}
 
 		seen := map[carobward.Address]bool{}
 		for _, v := range all {
 			if seen[v.Address] {
-				t.Errorf("%s comes twice", v.Address)
+				t.Errorf("duplicate address %s", v.Address)
 			}
 
 			seen[v.Address] = true
