--- a/cmd/carobward/diff.go
+++ b/cmd/carobward/diff.go
@@ -97,8 +97,8 @@
 		fmt.Printf("measure: %d calls and %d bytes a second\n", c.Measure.Calls, c.Measure.Bytes)
 	}
 
-	if c.Whole != nil {
-		fmt.Printf("everything was put back: %d targets\n", len(c.Whole.Targets))
+	if c.FullSet != nil {
+		fmt.Printf("everything was put back: %d targets\n", len(c.FullSet.Targets))
 	}
 }
 
--- a/internal/cwconfig/change.go
+++ b/internal/cwconfig/change.go
@@ -45,12 +45,12 @@
 	// FullSet replaces the whole configuration and starts a new history. It
 	// is used to write the fleet's configuration back to a store that was
 	// restored from a backup.
-	Whole *cwtarget.Set `json:"whole,omitempty"`
+	FullSet *cwtarget.Set `json:"whole,omitempty"`
 }
 
 // Empty reports whether the change has no effect.
 func (c *Change) Empty() bool {
-	return len(c.Put) == 0 && len(c.Drop) == 0 && c.Measure == nil && c.Whole == nil
+	return len(c.Put) == 0 && len(c.Drop) == 0 && c.Measure == nil && c.FullSet == nil
 }
 
 // chainAfter returns the chain after c is appended to a history whose chain is
@@ -59,7 +59,7 @@
 	plain := *c
 	plain.Chain = ""
 
-	if c.Whole != nil {
+	if c.FullSet != nil {
 		before = ""
 	}
 
--- a/internal/cwconfig/config.go
+++ b/internal/cwconfig/config.go
@@ -72,8 +72,8 @@
 func (c *Config) apply(change *Change) *Config {
 	next := &Config{Revision: change.Revision, Chain: change.Chain}
 
-	if change.Whole != nil {
-		next.Set = *change.Whole
+	if change.FullSet != nil {
+		next.Set = *change.FullSet
 	} else {
 		next.Set = merge(&c.Set, change)
 	}
@@ -99,7 +99,7 @@
 			}
 
 			continue
-		case change.Revision != result.Revision+1 && change.Whole == nil:
+		case change.Revision != result.Revision+1 && change.FullSet == nil:
 			return nil, ErrGap
 		}
 
@@ -126,7 +126,7 @@
 // replaces the whole configuration, or zero if there is none.
 func lastFull(changes []Change, beyond carobward.Revision) int {
 	for i := len(changes) - 1; i >= 0; i-- {
-		if changes[i].Whole != nil && changes[i].Revision > beyond {
+		if changes[i].FullSet != nil && changes[i].Revision > beyond {
 			return i
 		}
 	}
--- a/internal/cwconfig/config_test.go
+++ b/internal/cwconfig/config_test.go
@@ -56,7 +56,7 @@
 	configs, changes := history(t, 6, "a")
 	_, diverging := history(t, 6, "b")
 
-	replacement := Change{ID: "whole", Base: 8, Revision: 9, Whole: &configs[2].Set}
+	replacement := Change{ID: "whole", Base: 8, Revision: 9, FullSet: &configs[2].Set}
 	replacement.Chain, _ = replacement.chainAfter("")
 
 	broken := changes[3]
--- a/internal/cwconfig/conflict.go
+++ b/internal/cwconfig/conflict.go
@@ -25,7 +25,7 @@
 	switch {
 	case c.Target != "":
 		what = fmt.Sprintf("target %q", c.Target)
-	case c.Other.Whole != nil:
+	case c.Other.FullSet != nil:
 		what = "everything"
 	}
 
@@ -84,7 +84,7 @@
 // overlap returns a Conflict if two changes touch the same target, both set the
 // measuring budget, or either replaces the whole configuration.
 func overlap(change, other *Change) error {
-	if other.Whole != nil || change.Whole != nil {
+	if other.FullSet != nil || change.FullSet != nil {
 		return &Conflict{Other: *other}
 	}
 
--- a/internal/cwconfig/head.go
+++ b/internal/cwconfig/head.go
@@ -93,7 +93,7 @@
 	}
 
 	head := Head{Format: format, Changes: all[first:]}
-	if head.Changes[0].Whole != nil {
+	if head.Changes[0].FullSet != nil {
 		return head, 0
 	}
 
--- a/internal/cwconfig/restore.go
+++ b/internal/cwconfig/restore.go
@@ -43,7 +43,7 @@
 
 	set := known.Set
 	highest := max(known.Revision, found.Head.Revision(), old.Revision, fleet)
-	restored := Change{ID: change.ID, Author: change.Author, Base: highest, Revision: highest + 1, Whole: &set}
+	restored := Change{ID: change.ID, Author: change.Author, Base: highest, Revision: highest + 1, FullSet: &set}
 
 	if restored, err = restored.normalized(); err != nil {
 		return 0, err
--- a/internal/cwconfig/writer.go
+++ b/internal/cwconfig/writer.go
@@ -42,7 +42,7 @@
 // validation error of the targets. After ErrStoreUnknown the change may have
 // been accepted.
 func (w *Writer) Apply(ctx context.Context, change Change) (carobward.Revision, error) {
-	change.Revision, change.Chain, change.Whole = 0, "", nil
+	change.Revision, change.Chain, change.FullSet = 0, "", nil
 
 	change, err := change.normalized()
 	if err != nil {
@@ -183,7 +183,7 @@
 // joinChanges returns the head's changes, preceded by the recent ones that lead
 // up to them without a gap, if any.
 func joinChanges(recent, head []Change) []Change {
-	if len(head) == 0 || len(recent) == 0 || head[0].Whole != nil {
+	if len(head) == 0 || len(recent) == 0 || head[0].FullSet != nil {
 		return head
 	}
 
