--- a/internal/cwconfig/config.go
+++ b/internal/cwconfig/config.go
@@ -33,7 +33,7 @@
 	ErrGap = errors.ConstError("config: changes are missing in between")
 	// ErrTooLarge means that a value exceeds the size limit of the store.
 	// The targets of a valid Set never do.
-	ErrSize = errors.ConstError("config: too large for the store")
+	ErrTooLarge = errors.ConstError("config: too large for the store")
 )
 
 // Diverged is the error for two different histories with the same revision.
--- a/internal/cwconfig/head.go
+++ b/internal/cwconfig/head.go
@@ -118,7 +118,7 @@
 	}
 
 	if len(raw) > maxValueBytes {
-		return nil, errors.Annotatef(ErrSize, "config: %d bytes, %d are allowed", len(raw), maxValueBytes)
+		return nil, errors.Annotatef(ErrTooLarge, "config: %d bytes, %d are allowed", len(raw), maxValueBytes)
 	}
 
 	return raw, nil
