--- a/internal/cwconfig/config_test.go
+++ b/internal/cwconfig/config_test.go
@@ -123,7 +123,7 @@
 		"same target":      {put("x", "me", 4, "sheet"), `config: target "sheet" was changed in revision 5 by bo (change b) after your base`},
 		"dropped target":   {Change{ID: "x", Base: 3, Drop: []carobward.TargetName{"fee"}}, `config: target "fee" was changed in revision 4 by ana (change a) after your base`},
 		"measuring budget": {measure, "config: the measuring budget was changed in revision 6 by cy (change c) after your base"},
-		"base too old":     {put("x", "me", 2, "gate"), ErrBase.Error()},
+		"base too old":     {put("x", "me", 2, "gate"), ErrBaseTooOld.Error()},
 		"future base":      {put("x", "me", 7, "gate"), "config: base 7 is not accepted yet, the last revision is 6"},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/cwconfig/conflict.go
+++ b/internal/cwconfig/conflict.go
@@ -39,7 +39,7 @@
 
 // ErrBaseTooOld means that the changes since the base are not all retained, so
 // that conflicts with them can't be ruled out.
-const ErrBase = errors.ConstError("config: the base is too old, read the configuration again")
+const ErrBaseTooOld = errors.ConstError("config: the base is too old, read the configuration again")
 
 // findChange returns the change with the given ID, if it is among changes.
 func findChange(changes []Change, id carobward.ChangeID) (Change, bool) {
@@ -65,7 +65,7 @@
 	}
 
 	if len(changes) == 0 || changes[0].Revision > change.Base+1 {
-		return ErrBase
+		return ErrBaseTooOld
 	}
 
 	for i := range changes {
--- a/internal/cwoperator/config.go
+++ b/internal/cwoperator/config.go
@@ -161,7 +161,7 @@
 	{carobward.ErrConflict, CodeBusy, fiber.StatusServiceUnavailable, unchanged},
 	{cwconfig.ErrNotReady, CodeNotReady, fiber.StatusServiceUnavailable, unchanged},
 	{cwconfig.ErrBehind, CodeNotReady, fiber.StatusServiceUnavailable, unchanged},
-	{cwconfig.ErrBase, CodeBase, fiber.StatusConflict, unchanged},
+	{cwconfig.ErrBaseTooOld, CodeBase, fiber.StatusConflict, unchanged},
 	{cwconfig.ErrOlder, CodeOlder, fiber.StatusConflict, unchanged},
 	{cwconfig.ErrParts, CodeOlder, fiber.StatusConflict, unchanged},
 	{cwconfig.ErrCurrent, CodeCurrent, fiber.StatusConflict, unchanged},
