--- a/internal/cwconfig/reader.go
+++ b/internal/cwconfig/reader.go
@@ -10,7 +10,7 @@
 
 // ErrSnapshotMismatch means that the store's head does not continue from its
 // snapshot, for instance after they were restored from different backups.
-const ErrParts = errors.ConstError("config: head and snapshot of the store do not fit together")
+const ErrSnapshotMismatch = errors.ConstError("config: head and snapshot of the store do not fit together")
 
 // maxStateReads limits the reads of head and snapshot. They are repeated on a
 // mismatch, since the snapshot may be replaced between the two reads.
@@ -74,12 +74,12 @@
 		}
 
 		found.Config, err = r.Complete(ctx, &found.Head, known)
-		if !errors.Is(err, ErrParts) {
+		if !errors.Is(err, ErrSnapshotMismatch) {
 			return found, err
 		}
 	}
 
-	return Found{}, ErrParts
+	return Found{}, ErrSnapshotMismatch
 }
 
 // Complete returns the configuration after the changes of a head.
@@ -102,12 +102,12 @@
 	}
 
 	if base.Revision < head.Base() || base.Revision > head.Revision() {
-		return nil, ErrParts
+		return nil, ErrSnapshotMismatch
 	}
 
 	config, err = base.Replay(head.Changes)
 	if isDiverged(err) {
-		return nil, errors.WithType(err, ErrParts)
+		return nil, errors.WithType(err, ErrSnapshotMismatch)
 	}
 
 	return config, err
--- a/internal/cwconfig/writer_test.go
+++ b/internal/cwconfig/writer_test.go
@@ -297,7 +297,7 @@
 		corrupt(corrupted)
 		store.Restore(corrupted)
 
-		if found, err := NewReader(store).State(ctx, &Config{}); !errors.Is(err, ErrParts) {
+		if found, err := NewReader(store).State(ctx, &Config{}); !errors.Is(err, ErrSnapshotMismatch) {
 			t.Errorf("%s: got %+v, %v", name, found.Config, err)
 		}
 
--- a/internal/cwoperator/config.go
+++ b/internal/cwoperator/config.go
@@ -163,7 +163,7 @@
 	{cwconfig.ErrBehind, CodeNotReady, fiber.StatusServiceUnavailable, unchanged},
 	{cwconfig.ErrBaseTooOld, CodeBase, fiber.StatusConflict, unchanged},
 	{cwconfig.ErrOlder, CodeOlder, fiber.StatusConflict, unchanged},
-	{cwconfig.ErrParts, CodeOlder, fiber.StatusConflict, unchanged},
+	{cwconfig.ErrSnapshotMismatch, CodeOlder, fiber.StatusConflict, unchanged},
 	{cwconfig.ErrCurrent, CodeCurrent, fiber.StatusConflict, unchanged},
 }
 
