--- a/internal/cwconfig/condition.go
+++ b/internal/cwconfig/condition.go
@@ -105,5 +105,5 @@
 
 // needsOperator reports whether an error needs the attention of an operator.
 func needsOperator(err error) bool {
-	return isDiverged(err) || errors.Is(err, ErrOlder) || errors.Is(err, ErrUnreadable) || errors.Is(err, ErrSnapshotMismatch)
+	return isDiverged(err) || errors.Is(err, ErrStoreOutdated) || errors.Is(err, ErrUnreadable) || errors.Is(err, ErrSnapshotMismatch)
 }
--- a/internal/cwconfig/syncer.go
+++ b/internal/cwconfig/syncer.go
@@ -238,7 +238,7 @@
 // known.
 func (s *Syncer) advance(ctx context.Context, found *Found, known *Config) error {
 	if isBehind(&found.Head, known) {
-		return errors.Annotatef(ErrOlder, "the store has revision %d, in force was %d", found.Head.Revision(), known.Revision)
+		return errors.Annotatef(ErrStoreOutdated, "the store has revision %d, in force was %d", found.Head.Revision(), known.Revision)
 	}
 
 	advanced, err := s.holder.Advance(found.Head.Changes)
--- a/internal/cwconfig/writer.go
+++ b/internal/cwconfig/writer.go
@@ -21,7 +21,7 @@
 // ErrStoreOutdated means that the store has an older or a diverged
 // configuration, compared to the effective one here: it was restored from a
 // backup. Nothing was changed.
-const ErrOlder = errors.ConstError(`config: the store has an older or another configuration than the one in force; see "carobward apply --restore"`)
+const ErrStoreOutdated = errors.ConstError(`config: the store has an older or another configuration than the one in force; see "carobward apply --restore"`)
 
 // Writer writes changes of the configuration to the store.
 type Writer struct {
@@ -162,7 +162,7 @@
 	}
 
 	if isBehind(&found.Head, known) {
-		return found, ErrOlder
+		return found, ErrStoreOutdated
 	}
 
 	return found, nil
--- a/internal/cwconfig/writer_test.go
+++ b/internal/cwconfig/writer_test.go
@@ -232,7 +232,7 @@
 				}
 			}
 
-			if _, err := writer.Apply(ctx, put("c", "ana", 4, "t0")); !errors.Is(err, ErrOlder) {
+			if _, err := writer.Apply(ctx, put("c", "ana", 4, "t0")); !errors.Is(err, ErrStoreOutdated) {
 				t.Errorf("change on the restored store: got %v", err)
 			}
 
--- a/internal/cwoperator/config.go
+++ b/internal/cwoperator/config.go
@@ -162,7 +162,7 @@
 	{cwconfig.ErrNotReady, CodeNotReady, fiber.StatusServiceUnavailable, unchanged},
 	{cwconfig.ErrBehind, CodeNotReady, fiber.StatusServiceUnavailable, unchanged},
 	{cwconfig.ErrBaseTooOld, CodeBase, fiber.StatusConflict, unchanged},
-	{cwconfig.ErrOlder, CodeOlder, fiber.StatusConflict, unchanged},
+	{cwconfig.ErrStoreOutdated, CodeOlder, fiber.StatusConflict, unchanged},
 	{cwconfig.ErrSnapshotMismatch, CodeOlder, fiber.StatusConflict, unchanged},
 	{cwconfig.ErrCurrent, CodeCurrent, fiber.StatusConflict, unchanged},
 }
