--- a/internal/cwconfig/restore.go
+++ b/internal/cwconfig/restore.go
@@ -10,7 +10,7 @@
 
 // ErrNothingToRestore means that the store has the effective configuration of
 // this entry VM or one that continues from it.
-const ErrCurrent = errors.ConstError("config: the store has the configuration in force or a later one, nothing to restore")
+const ErrNothingToRestore = errors.ConstError("config: the store has the configuration in force or a later one, nothing to restore")
 
 // Restore writes the effective configuration of this entry VM to a store that
 // has an older or a diverged one. It becomes a new revision, higher than any in
@@ -33,7 +33,7 @@
 	}
 
 	if !isBehind(&found.Head, known) {
-		return 0, ErrCurrent
+		return 0, ErrNothingToRestore
 	}
 
 	old, _, err := w.reader.snapshot(ctx)
--- a/internal/cwconfig/writer_test.go
+++ b/internal/cwconfig/writer_test.go
@@ -219,7 +219,7 @@
 
 			before := writer.holder.Config()
 
-			if _, err := writer.Restore(ctx, Change{ID: "r0"}, 4); !errors.Is(err, ErrCurrent) {
+			if _, err := writer.Restore(ctx, Change{ID: "r0"}, 4); !errors.Is(err, ErrNothingToRestore) {
 				t.Errorf("nothing to restore: got %v", err)
 			}
 
--- a/internal/cwoperator/config.go
+++ b/internal/cwoperator/config.go
@@ -164,7 +164,7 @@
 	{cwconfig.ErrBaseTooOld, CodeBase, fiber.StatusConflict, unchanged},
 	{cwconfig.ErrStoreOutdated, CodeOlder, fiber.StatusConflict, unchanged},
 	{cwconfig.ErrSnapshotMismatch, CodeOlder, fiber.StatusConflict, unchanged},
-	{cwconfig.ErrCurrent, CodeCurrent, fiber.StatusConflict, unchanged},
+	{cwconfig.ErrNothingToRestore, CodeCurrent, fiber.StatusConflict, unchanged},
 }
 
 func refuse(c *fiber.Ctx, err error) error {
