--- a/cmd/carobward/apply.go
+++ b/cmd/carobward/apply.go
@@ -85,7 +85,7 @@
 	change.Author = c.Author
 
 	if c.Base == 0 {
-		if err := cwconfig.Repeated(change, v.Recent); err != nil {
+		if err := cwconfig.CheckRevert(change, v.Recent); err != nil {
 			return errors.WithType(errors.Annotatef(err, `the same change was accepted before; to make it once more upon the other, add "--base %d"`, v.Revision), errRefused)
 		}
 	} else {
--- a/internal/cwconfig/config_test.go
+++ b/internal/cwconfig/config_test.go
@@ -158,7 +158,7 @@
 		"another author, other target": {[]Change{accepted, put("q", "bo", 2, "gate")}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if err := Repeated(&mine, test.changes); (err != nil) != test.refused {
+			if err := CheckRevert(&mine, test.changes); (err != nil) != test.refused {
 				t.Errorf("got %v", err)
 			}
 		})
--- a/internal/cwconfig/conflict.go
+++ b/internal/cwconfig/conflict.go
@@ -107,7 +107,7 @@
 // before and another author has made an overlapping change since: applying it
 // again would revert that author's change. An operator who wants this gives
 // the base explicitly.
-func Repeated(change *Change, changes []Change) error {
+func CheckRevert(change *Change, changes []Change) error {
 	seen := false
 
 	for i := range changes {
