--- a/internal/cwconfig/join.go
+++ b/internal/cwconfig/join.go
@@ -54,7 +54,7 @@
 
 	var (
 		group    conc.WaitGroup
-		found    Found
+		found    StoreState
 		storeErr error
 	)
 
@@ -121,7 +121,7 @@
 // fetch makes the highest revision among the answers and the store's state
 // effective. It returns false if that revision is a peer's and could not be
 // fetched from it.
-func (s *Syncer) fetch(ctx context.Context, answers []answer, found *Found) bool {
+func (s *Syncer) fetch(ctx context.Context, answers []answer, found *StoreState) bool {
 	best := answer{}
 
 	for _, a := range answers {
--- a/internal/cwconfig/reader.go
+++ b/internal/cwconfig/reader.go
@@ -25,7 +25,7 @@
 func NewReader(store carobward.Store) *Reader { return &Reader{store: store} }
 
 // StoreState is the configuration as read from the store.
-type Found struct {
+type StoreState struct {
 	// Index is the store index of the head, for a compare-and-swap of it.
 	Index carobward.StoreIndex
 	// Next is the index from which to watch the head.
@@ -37,36 +37,36 @@
 }
 
 // Head reads only the head.
-func (r *Reader) Head(ctx context.Context) (Found, error) {
+func (r *Reader) Head(ctx context.Context) (StoreState, error) {
 	entry, err := r.store.Get(ctx, HeadKey)
 	if err != nil {
-		return Found{}, err
+		return StoreState{}, err
 	}
 
 	return decodeState(entry)
 }
 
 // Watch waits for the head to change after the given index.
-func (r *Reader) Watch(ctx context.Context, after carobward.StoreIndex) (Found, error) {
+func (r *Reader) Watch(ctx context.Context, after carobward.StoreIndex) (StoreState, error) {
 	entry, err := r.store.Watch(ctx, HeadKey, after)
 	if err != nil {
-		return Found{}, err
+		return StoreState{}, err
 	}
 
 	return decodeState(entry)
 }
 
-func decodeState(entry carobward.Entry) (Found, error) {
+func decodeState(entry carobward.Entry) (StoreState, error) {
 	head, err := DecodeHead(entry.Value)
 
-	return Found{Index: entry.Index, Next: entry.Next, Head: head}, err
+	return StoreState{Index: entry.Index, Next: entry.Next, Head: head}, err
 }
 
 // State reads the head and the full configuration. It starts from the known
 // configuration if the head continues from it, and otherwise from the
 // snapshot. The head is read first: the snapshot's revision only increases, so
 // a snapshot read afterwards can't be too old for the head.
-func (r *Reader) State(ctx context.Context, known *Config) (Found, error) {
+func (r *Reader) State(ctx context.Context, known *Config) (StoreState, error) {
 	for range maxStateReads {
 		found, err := r.Head(ctx)
 		if err != nil {
@@ -79,7 +79,7 @@
 		}
 	}
 
-	return Found{}, ErrSnapshotMismatch
+	return StoreState{}, ErrSnapshotMismatch
 }
 
 // Complete returns the configuration after the changes of a head.
--- a/internal/cwconfig/restore.go
+++ b/internal/cwconfig/restore.go
@@ -63,7 +63,7 @@
 	return restored.Revision, err
 }
 
-func (w *Writer) advance(found *Found) error {
+func (w *Writer) advance(found *StoreState) error {
 	_, err := w.holder.Advance(found.Head.Changes)
 
 	return err
--- a/internal/cwconfig/syncer.go
+++ b/internal/cwconfig/syncer.go
@@ -197,7 +197,7 @@
 
 // readOrWatch reads the head if next is zero, and otherwise waits until it
 // changes.
-func (s *Syncer) readOrWatch(ctx context.Context, next carobward.StoreIndex) (Found, error) {
+func (s *Syncer) readOrWatch(ctx context.Context, next carobward.StoreIndex) (StoreState, error) {
 	if next == 0 {
 		return s.reader.Head(ctx)
 	}
@@ -213,7 +213,7 @@
 // handleRead processes a read of the store that was sent at the given time, when
 // known was the effective configuration. Since the reply may be old, it is
 // compared with known only, not with what took effect in the meantime.
-func (s *Syncer) handleRead(ctx context.Context, found *Found, err error, known *Config, sent time.Time) {
+func (s *Syncer) handleRead(ctx context.Context, found *StoreState, err error, known *Config, sent time.Time) {
 	if ctx.Err() != nil {
 		return
 	}
@@ -236,7 +236,7 @@
 // advance applies the changes of the head, or the full configuration if changes
 // are missing. It returns ErrStoreOutdated if the head does not continue from
 // known.
-func (s *Syncer) advance(ctx context.Context, found *Found, known *Config) error {
+func (s *Syncer) advance(ctx context.Context, found *StoreState, known *Config) error {
 	if isBehind(&found.Head, known) {
 		return errors.Annotatef(ErrStoreOutdated, "the store has revision %d, in force was %d", found.Head.Revision(), known.Revision)
 	}
--- a/internal/cwconfig/writer.go
+++ b/internal/cwconfig/writer.go
@@ -153,7 +153,7 @@
 
 // readState returns the store's state, or ErrStoreOutdated if it does not
 // continue from the effective configuration.
-func (w *Writer) readState(ctx context.Context) (Found, error) {
+func (w *Writer) readState(ctx context.Context) (StoreState, error) {
 	known := w.holder.Config()
 
 	found, err := w.reader.State(ctx, known)
@@ -202,7 +202,7 @@
 	return append(before, head...)
 }
 
-func (w *Writer) adopt(found *Found) { w.holder.adoptWith(found.Config, found.Head.Changes) }
+func (w *Writer) adopt(found *StoreState) { w.holder.adoptWith(found.Config, found.Head.Changes) }
 
 // ensureSnapshot makes sure that the snapshot has at least the revision before,
 // as the next head drops the changes up to it. Snapshots are only written from
