--- a/internal/cwconfig/schedule.go
+++ b/internal/cwconfig/schedule.go
@@ -89,7 +89,7 @@
 // in that order up to minWatchers. Entry VMs with different views of the fleet
 // may disagree; an extra watcher does no harm, and polls make up for a missing
 // one.
-func Watches(self carobward.Peer, peers []carobward.Peer) bool {
+func IsWatcher(self carobward.Peer, peers []carobward.Peer) bool {
 	ranked := []carobward.Peer{}
 
 	for _, p := range peers {
--- a/internal/cwconfig/schedule_test.go
+++ b/internal/cwconfig/schedule_test.go
@@ -39,7 +39,7 @@
 			got := 0
 
 			for _, p := range peers[test.dead:] {
-				if Watches(p, peers) {
+				if IsWatcher(p, peers) {
 					got++
 				}
 			}
--- a/internal/cwconfig/syncer.go
+++ b/internal/cwconfig/syncer.go
@@ -167,7 +167,7 @@
 	delay := minWatchRetry
 
 	for ctx.Err() == nil {
-		if !Watches(s.peers.Self(), s.peers.All()) {
+		if !IsWatcher(s.peers.Self(), s.peers.All()) {
 			sleep(ctx, minWatchRetry)
 
 			continue
--- a/internal/lab/cwspread/fleet.go
+++ b/internal/lab/cwspread/fleet.go
@@ -109,7 +109,7 @@
 
 	for i := range f.Order {
 		v := f.At(i)
-		if !cwconfig.Watches(v.self, v.All()) {
+		if !cwconfig.IsWatcher(v.self, v.All()) {
 			well = append(well, i)
 
 			continue
