--- a/internal/cwconfig/fleet.go
+++ b/internal/cwconfig/fleet.go
@@ -23,7 +23,7 @@
 const ErrNotReady = errors.ConstError("config: this entry VM has neither reached the store nor enough peers yet")
 
 // PeerStatus is the condition that an entry VM reports of itself.
-type Standing struct {
+type PeerStatus struct {
 	Peer carobward.Peer
 	// Answered reports whether the entry VM answered; if not, only Peer is
 	// set.
@@ -39,9 +39,9 @@
 
 // FleetStatus asks all entry VMs for their condition, except dead ones. Those
 // that are on the VM list but have never sent a heartbeat are asked as well.
-func (s *Syncer) Standings(ctx context.Context) []Standing {
+func (s *Syncer) Standings(ctx context.Context) []PeerStatus {
 	self, all := s.peers.Self(), s.peers.All()
-	statuses := make([]Standing, len(all))
+	statuses := make([]PeerStatus, len(all))
 	group := pool.New().WithMaxGoroutines(maxStatusCalls)
 
 	for i, p := range all {
@@ -70,7 +70,7 @@
 	return statuses
 }
 
-func (s *Standing) setDigest(d *cwwire.ConfigDigest) {
+func (s *PeerStatus) setDigest(d *cwwire.ConfigDigest) {
 	s.Answered = true
 	s.Ready = d.GetReady()
 	s.Revision = carobward.Revision(d.GetRevision())
--- a/internal/cwoperator/status.go
+++ b/internal/cwoperator/status.go
@@ -86,7 +86,7 @@
 	return c.JSON(s)
 }
 
-func vmStatus(s *cwconfig.Standing) VMStatus {
+func vmStatus(s *cwconfig.PeerStatus) VMStatus {
 	v := VMStatus{
 		VM:        s.Peer.ID,
 		Domain:    s.Peer.Domain,
