--- a/internal/cwconfig/fleet.go
+++ b/internal/cwconfig/fleet.go
@@ -39,7 +39,7 @@
 
 // FleetStatus asks all entry VMs for their condition, except dead ones. Those
 // that are on the VM list but have never sent a heartbeat are asked as well.
-func (s *Syncer) Standings(ctx context.Context) []PeerStatus {
+func (s *Syncer) FleetStatus(ctx context.Context) []PeerStatus {
 	self, all := s.peers.Self(), s.peers.All()
 	statuses := make([]PeerStatus, len(all))
 	group := pool.New().WithMaxGoroutines(maxStatusCalls)
--- a/internal/cwoperator/status.go
+++ b/internal/cwoperator/status.go
@@ -77,7 +77,7 @@
 
 	s := Status{VMs: []VMStatus{}}
 
-	for _, st := range a.syncer.Standings(ctx) {
+	for _, st := range a.syncer.FleetStatus(ctx) {
 		v := vmStatus(&st)
 		s.Revision = max(s.Revision, v.Revision)
 		s.VMs = append(s.VMs, v)
