--- a/internal/cwconfig/exchange.go
+++ b/internal/cwconfig/exchange.go
@@ -116,7 +116,7 @@
 // revision, else a random one.
 func (s *Syncer) exchange(ctx context.Context) {
 	for _, p := range s.preferNewer(s.others()) {
-		s.Ask(ctx, p.Peers)
+		s.ExchangeWith(ctx, p.Peers)
 
 		return
 	}
@@ -149,7 +149,7 @@
 
 	for _, p := range s.others() {
 		if p.ID == n.from {
-			s.Ask(ctx, p.Peers)
+			s.ExchangeWith(ctx, p.Peers)
 		}
 	}
 }
@@ -161,7 +161,7 @@
 
 	peers := s.others()
 	for _, p := range peers[:min(len(peers), offerPeers)] {
-		group.Go(func() { s.Ask(ctx, p.Peers) })
+		group.Go(func() { s.ExchangeWith(ctx, p.Peers) })
 	}
 
 	group.Wait()
@@ -169,7 +169,7 @@
 
 // ExchangeWith exchanges digests with the peer at an address and applies the
 // changes that the peer has and this entry VM lacks.
-func (s *Syncer) Ask(ctx context.Context, to carobward.Address) {
+func (s *Syncer) ExchangeWith(ctx context.Context, to carobward.Address) {
 	err := s.exchangeOnce(ctx, to, cwwire.ConfigWant_CONFIG_WANT_NEWER)
 	if errors.Is(err, ErrGap) {
 		err = s.exchangeOnce(ctx, to, cwwire.ConfigWant_CONFIG_WANT_FULL)
--- a/internal/cwconfig/fleet.go
+++ b/internal/cwconfig/fleet.go
@@ -103,7 +103,7 @@
 
 	for _, p := range s.others() {
 		if p.Revision > s.holder.Revision() {
-			s.Ask(ctx, p.Peers)
+			s.ExchangeWith(ctx, p.Peers)
 		}
 	}
 
--- a/internal/cwconfig/join.go
+++ b/internal/cwconfig/join.go
@@ -140,7 +140,7 @@
 		return true
 	}
 
-	s.Ask(ctx, best.from)
+	s.ExchangeWith(ctx, best.from)
 
 	return s.holder.Revision() >= best.revision
 }
--- a/internal/cwconfig/model_test.go
+++ b/internal/cwconfig/model_test.go
@@ -176,7 +176,7 @@
 				s.At(s.drawVM(t)).Syncer.Poll(context.Background())
 				s.Store.Fault = nil
 			},
-			"exchange": func(t *rapid.T) { s.At(s.drawVM(t)).Syncer.Ask(context.Background(), s.Order[s.drawVM(t)]) },
+			"exchange": func(t *rapid.T) { s.At(s.drawVM(t)).Syncer.ExchangeWith(context.Background(), s.Order[s.drawVM(t)]) },
 			"older": func(*rapid.T) {
 				if s.restores {
 					s.Store.Restore(s.saved)
@@ -238,7 +238,7 @@
 	}
 
 	clear(f.Cut)
-	lost.Syncer.Ask(context.Background(), f.Order[0])
+	lost.Syncer.ExchangeWith(context.Background(), f.Order[0])
 
 	if c := lost.Syncer.Condition(); c.Revision != 1 || clock.Now().Sub(c.Fresh) > time.Second {
 		t.Errorf("after the cut: %+v", c)
--- a/internal/lab/cwspread/fleet.go
+++ b/internal/lab/cwspread/fleet.go
@@ -96,7 +96,7 @@
 	for i := range f.Order {
 		for _, to := range f.Order {
 			if v := f.At(i); v.self.Peers != to {
-				v.Syncer.Ask(context.Background(), to)
+				v.Syncer.ExchangeWith(context.Background(), to)
 			}
 		}
 	}
