--- a/internal/cwconfig/config_test.go
+++ b/internal/cwconfig/config_test.go
@@ -105,7 +105,7 @@
 	}
 }
 
-func TestCheck(t *testing.T) {
+func TestCheckConflicts(t *testing.T) {
 	changes := []Change{put("a", "ana", 3, "fee"), put("b", "bo", 4, "sheet"), {ID: "c", Author: "cy", Base: 5, Measure: &cwtarget.Measure{}}}
 	for i := range changes {
 		changes[i].Revision = carobward.Revision(4 + i)
