--- a/internal/cwconfig/config_test.go
+++ b/internal/cwconfig/config_test.go
@@ -167,7 +167,7 @@
 
 // TestHeadLimits verifies that a head stays within its limits and drops
 // no changes that the snapshot doesn't include.
-func TestHeadKeepsItsBounds(t *testing.T) {
+func TestHeadLimits(t *testing.T) {
 	large := put("large", "ana", 20)
 	for i := range 200 {
 		large.Put = append(large.Put, target(fmt.Sprintf("l%d", i), "large"))
