--- a/internal/cwconfig/config_test.go
+++ b/internal/cwconfig/config_test.go
@@ -141,7 +141,7 @@
 
 // TestCheckRevert verifies that applying the same content again does not revert
 // another author's later change.
-func TestRepeated(t *testing.T) {
+func TestCheckRevert(t *testing.T) {
 	mine := put("x", "me", 9, "fee")
 	mine.Source = "files"
 	accepted, other, own := mine, put("o", "bo", 2, "fee"), put("p", "me", 2, "fee")
