--- a/internal/cwconfig/schedule_test.go
+++ b/internal/cwconfig/schedule_test.go
@@ -11,7 +11,7 @@
 // TestIsWatcher verifies the number of watchers: at least one per failure domain,
 // and others take over from dead ones. 19 VMs are a current fleet, 200 is the
 // size expected in the long run.
-func TestWatches(t *testing.T) {
+func TestIsWatcher(t *testing.T) {
 	for name, test := range map[string]struct {
 		vms, domains, dead, want int
 	}{
