--- a/internal/cwconfig/config_test.go
+++ b/internal/cwconfig/config_test.go
@@ -267,9 +267,9 @@
 	})
 }
 
-// TestHolderOnlyRises verifies that neither a full configuration nor changes can
+// TestHolderNeverDecreases verifies that neither a full configuration nor changes can
 // lower the revision of a Holder.
-func TestHolderOnlyRises(t *testing.T) {
+func TestHolderNeverDecreases(t *testing.T) {
 	configs, changes := history(t, 4, "a")
 	h := NewHolder()
 
