--- a/internal/cwconfig/writer_test.go
+++ b/internal/cwconfig/writer_test.go
@@ -265,9 +265,9 @@
 	}
 }
 
-// TestSnapshotOfAnotherTime verifies that a head and a snapshot that do not match
+// TestSnapshotMismatch verifies that a head and a snapshot that do not match
 // give an error instead of a mixed configuration.
-func TestSnapshotOfAnotherTime(t *testing.T) {
+func TestSnapshotMismatch(t *testing.T) {
 	ctx := context.Background()
 	store := cwstore.New()
 	writer := NewWriter(store, NewHolder())
