--- a/internal/cwconfig/history_test.go
+++ b/internal/cwconfig/history_test.go
@@ -70,11 +70,11 @@
 	return []any{state}
 }
 
-// TestHistoryOfOperators verifies that the outcomes reported to concurrent
+// TestLinearizable verifies that the outcomes reported to concurrent
 // operators during lost replies, lost writes and outages are consistent with a
 // single chain of accepted changes. A change with an unknown outcome may or may
 // not be in it, a refused one never is.
-func TestHistoryOfOperators(t *testing.T) {
+func TestLinearizable(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			attempts, store := cwspread.Operators(seed)
