--- a/internal/cwnews/health.go
+++ b/internal/cwnews/health.go
@@ -7,12 +7,12 @@
 )
 
 // CheckResult is the result of one health check.
-type Check uint8
+type CheckResult uint8
 
 // The results of a health check.
 const (
 	// Healthy: the health endpoint reported that the server serves requests.
-	Fine Check = iota
+	Fine CheckResult = iota
 	// Draining: it reported that the server takes no new requests.
 	Draining
 	// Refused: the connection was refused, so nothing listens at the address.
@@ -25,7 +25,7 @@
 var checkNames = [...]string{Fine: "fine", Draining: "draining", Refused: "refused", Silent: "silent"}
 
 // String returns the name of the result.
-func (c Check) String() string {
+func (c CheckResult) String() string {
 	if int(c) < len(checkNames) {
 		return checkNames[c]
 	}
@@ -40,7 +40,7 @@
 
 // ApplyCheck processes the result of a health check that was sent at the given
 // time. A check sent before a mark was set is no evidence against that mark.
-func (t *Table) Checked(sent, now time.Time, a carobward.Address, c Check) {
+func (t *Table) Checked(sent, now time.Time, a carobward.Address, c CheckResult) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
@@ -63,7 +63,7 @@
 }
 
 // observe updates the counters of an entry after a health check.
-func (e *entry) observe(c Check) {
+func (e *entry) observe(c CheckResult) {
 	switch c {
 	case Fine:
 		e.healthy++
--- a/internal/cwnews/mark_test.go
+++ b/internal/cwnews/mark_test.go
@@ -40,7 +40,7 @@
 }
 
 // check reports the result of a health check a number of times, one second apart.
-func (s *sim) check(c Check, times int) {
+func (s *sim) check(c CheckResult, times int) {
 	for range times {
 		s.wait(time.Second, listed)
 		s.table.Checked(s.now.Add(-time.Millisecond), s.now, server, c)
--- a/internal/cwprobe/check.go
+++ b/internal/cwprobe/check.go
@@ -19,7 +19,7 @@
 
 // result is what came of one probe.
 type result struct {
-	check  cwnews.Check
+	check  cwnews.CheckResult
 	report carobward.Report
 	// bytes counts those sent and received.
 	bytes int64
--- a/internal/cwprobe/prober_test.go
+++ b/internal/cwprobe/prober_test.go
@@ -24,7 +24,7 @@
 	for name, test := range map[string]struct {
 		status int
 		report *string
-		want   cwnews.Check
+		want   cwnews.CheckResult
 		run    uint64
 	}{
 		"serves":               {200, text("TEXT named_metrics.run=7"), cwnews.Fine, 7},
