--- a/internal/cwnews/health.go
+++ b/internal/cwnews/health.go
@@ -12,7 +12,7 @@
 // The results of a health check.
 const (
 	// Healthy: the health endpoint reported that the server serves requests.
-	Fine CheckResult = iota
+	Healthy CheckResult = iota
 	// Draining: it reported that the server takes no new requests.
 	Draining
 	// Refused: the connection was refused, so nothing listens at the address.
@@ -22,7 +22,7 @@
 	Silent
 )
 
-var checkNames = [...]string{Fine: "fine", Draining: "draining", Refused: "refused", Silent: "silent"}
+var checkNames = [...]string{Healthy: "fine", Draining: "draining", Refused: "refused", Silent: "silent"}
 
 // String returns the name of the result.
 func (c CheckResult) String() string {
@@ -65,7 +65,7 @@
 // observe updates the counters of an entry after a health check.
 func (e *entry) observe(c CheckResult) {
 	switch c {
-	case Fine:
+	case Healthy:
 		e.healthy++
 	case Refused:
 		e.refused = true
--- a/internal/cwprobe/check.go
+++ b/internal/cwprobe/check.go
@@ -92,7 +92,7 @@
 	case r.report.Draining, resp.StatusCode() == fasthttp.StatusServiceUnavailable:
 		r.check = cwnews.Draining
 	case resp.StatusCode() == fasthttp.StatusOK:
-		r.check = cwnews.Fine
+		r.check = cwnews.Healthy
 	}
 
 	return r
--- a/internal/cwprobe/prober_test.go
+++ b/internal/cwprobe/prober_test.go
@@ -27,8 +27,8 @@
 		want   cwnews.CheckResult
 		run    uint64
 	}{
-		"serves":               {200, text("TEXT named_metrics.run=7"), cwnews.Fine, 7},
-		"serves, no report":    {200, nil, cwnews.Fine, 0},
+		"serves":               {200, text("TEXT named_metrics.run=7"), cwnews.Healthy, 7},
+		"serves, no report":    {200, nil, cwnews.Healthy, 0},
 		"drains":               {503, nil, cwnews.Draining, 0},
 		"drains by its report": {200, text("TEXT named_metrics.draining=1"), cwnews.Draining, 0},
 		"fails":                {500, nil, cwnews.Silent, 0},
