--- a/internal/cwnews/health.go
+++ b/internal/cwnews/health.go
@@ -19,10 +19,10 @@
 	Refused
 	// NoResult: there was no answer or an unusable one, which says nothing
 	// about leaving.
-	Silent
+	NoResult
 )
 
-var checkNames = [...]string{Healthy: "fine", Draining: "draining", Refused: "refused", Silent: "silent"}
+var checkNames = [...]string{Healthy: "fine", Draining: "draining", Refused: "refused", NoResult: "silent"}
 
 // String returns the name of the result.
 func (c CheckResult) String() string {
@@ -70,7 +70,7 @@
 	case Refused:
 		e.refused = true
 		e.healthy = 0
-	case Draining, Silent:
+	case Draining, NoResult:
 		e.healthy = 0
 	}
 }
--- a/internal/cwprobe/check.go
+++ b/internal/cwprobe/check.go
@@ -36,7 +36,7 @@
 			return result{check: cwnews.Refused}
 		}
 
-		return result{check: cwnews.Silent}
+		return result{check: cwnews.NoResult}
 	}
 
 	defer func() { _ = c.Close() }()
@@ -48,7 +48,7 @@
 
 	n, err := c.Write(head)
 	if err != nil {
-		return result{check: cwnews.Silent, bytes: int64(n)}
+		return result{check: cwnews.NoResult, bytes: int64(n)}
 	}
 
 	r := read(&io.LimitedReader{R: c, N: cwbudget.Unit - int64(n)})
@@ -80,7 +80,7 @@
 	)
 
 	err := resp.ReadLimitBody(bufio.NewReaderSize(from, cwbudget.Unit), cwbudget.Unit)
-	r := result{check: cwnews.Silent, bytes: most - from.N}
+	r := result{check: cwnews.NoResult, bytes: most - from.N}
 
 	if err != nil {
 		return r
--- a/internal/cwprobe/prober_test.go
+++ b/internal/cwprobe/prober_test.go
@@ -31,8 +31,8 @@
 		"serves, no report":    {200, nil, cwnews.Healthy, 0},
 		"drains":               {503, nil, cwnews.Draining, 0},
 		"drains by its report": {200, text("TEXT named_metrics.draining=1"), cwnews.Draining, 0},
-		"fails":                {500, nil, cwnews.Silent, 0},
-		"too large":            {200, text("TEXT " + fmt.Sprintf("%02000d", 0)), cwnews.Silent, 0},
+		"fails":                {500, nil, cwnews.NoResult, 0},
+		"too large":            {200, text("TEXT " + fmt.Sprintf("%02000d", 0)), cwnews.NoResult, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := cwcounter.New(test.status, test.report)
