--- a/internal/cwnews/spread.go
+++ b/internal/cwnews/spread.go
@@ -38,7 +38,7 @@
 )
 
 // Message is one message to a peer.
-type Send struct {
+type Message struct {
 	To   carobward.Address
 	News *cwwire.News
 }
@@ -66,7 +66,7 @@
 
 // Plan returns the messages to send now. Their marks are counted as sent; Failed
 // reverts that for one message.
-func (g *Spread) Plan(now time.Time, peers []carobward.Address) []Send {
+func (g *Spread) Plan(now time.Time, peers []carobward.Address) []Message {
 	if g.lastTick.IsZero() || now.Sub(g.lastTick) > maxTickGap {
 		g.resumedAt = now
 	}
@@ -85,10 +85,10 @@
 		// After a pause or a failure, compare with all of the drawn peers,
 		// since any of them may not answer or may have been paused too.
 		for _, p := range peers {
-			messages = append(messages, Send{p, g.table.digestMessage()})
+			messages = append(messages, Message{p, g.table.digestMessage()})
 		}
 	default:
-		messages = append(messages, Send{peers[0], g.table.digestMessage()})
+		messages = append(messages, Message{peers[0], g.table.digestMessage()})
 	}
 
 	g.lastPull = now
@@ -113,12 +113,12 @@
 }
 
 // push returns the messages with new marks.
-func (g *Spread) push(peers []carobward.Address) []Send {
-	var messages []Send
+func (g *Spread) push(peers []carobward.Address) []Message {
+	var messages []Message
 
 	for _, p := range peers {
 		if news := g.table.takePending(); news != nil {
-			messages = append(messages, Send{p, news})
+			messages = append(messages, Message{p, news})
 		}
 	}
 
--- a/internal/lab/cwleave/fleet.go
+++ b/internal/lab/cwleave/fleet.go
@@ -167,7 +167,7 @@
 }
 
 // send returns the answer to one message, or nil if either was lost.
-func (f *Fleet) send(v *vm, s cwnews.Send) *cwwire.News {
+func (f *Fleet) send(v *vm, s cwnews.Message) *cwwire.News {
 	to := f.address[s.To]
 	answer := &cwwire.News{}
 	lost := !to.runs(f.now) || to.deaf || f.cut[way{v.address, s.To}] || f.rng.Float64() < f.loss
