--- a/internal/cwnews/spread.go
+++ b/internal/cwnews/spread.go
@@ -45,7 +45,7 @@
 
 // Gossip exchanges marks with peers. It pushes new marks, and pulls those that
 // it lacks by comparing digests.
-type Spread struct {
+type Gossip struct {
 	table *Table
 	rng   *rand.Rand
 
@@ -62,11 +62,11 @@
 }
 
 // NewGossip returns the Gossip of a table.
-func NewSpread(table *Table, rng *rand.Rand) *Spread { return &Spread{table: table, rng: rng} }
+func NewSpread(table *Table, rng *rand.Rand) *Gossip { return &Gossip{table: table, rng: rng} }
 
 // Plan returns the messages to send now. Their marks are counted as sent; Failed
 // reverts that for one message.
-func (g *Spread) Plan(now time.Time, peers []carobward.Address) []Message {
+func (g *Gossip) Plan(now time.Time, peers []carobward.Address) []Message {
 	if g.lastTick.IsZero() || now.Sub(g.lastTick) > maxTickGap {
 		g.resumedAt = now
 	}
@@ -97,7 +97,7 @@
 }
 
 // drawPeers returns up to pushPeers random peers.
-func (g *Spread) drawPeers(peers []carobward.Address) []carobward.Address {
+func (g *Gossip) drawPeers(peers []carobward.Address) []carobward.Address {
 	g.table.setFleetSize(len(peers))
 
 	drawn := make([]carobward.Address, 0, pushPeers)
@@ -113,7 +113,7 @@
 }
 
 // push returns the messages with new marks.
-func (g *Spread) push(peers []carobward.Address) []Message {
+func (g *Gossip) push(peers []carobward.Address) []Message {
 	var messages []Message
 
 	for _, p := range peers {
@@ -126,7 +126,7 @@
 }
 
 // Answered processes a peer's answer to a message.
-func (g *Spread) Answered(now time.Time, sent, answer *cwwire.News) {
+func (g *Gossip) Answered(now time.Time, sent, answer *cwwire.News) {
 	g.table.merge(now, answer.GetMarks())
 
 	if len(sent.GetDigests()) > 0 {
@@ -141,7 +141,7 @@
 // Failed processes a message without an answer: its marks are sent again. If no
 // comparison of the tick was answered, the next tick compares with all of the
 // drawn peers.
-func (g *Spread) Failed(sent *cwwire.News) {
+func (g *Gossip) Failed(sent *cwwire.News) {
 	g.table.requeue(sent.GetMarks())
 
 	if len(sent.GetDigests()) > 0 && !g.lastAnswered.Equal(g.lastTick) {
@@ -150,12 +150,12 @@
 }
 
 // Fresh reports whether the table is current enough to send requests by it.
-func (g *Spread) Fresh(now time.Time) bool {
+func (g *Gossip) Fresh(now time.Time) bool {
 	return g.resumedAt.IsZero() || now.Sub(g.resumedAt) >= maxWithheld
 }
 
 // Tick makes the calls of one Plan and waits until they end.
-func (g *Spread) Tick(ctx context.Context, clock carobward.Clock, peers []carobward.Address, calls cwpeer.Calls) {
+func (g *Gossip) Tick(ctx context.Context, clock carobward.Clock, peers []carobward.Address, calls cwpeer.Calls) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 
@@ -189,4 +189,4 @@
 
 // Traffic returns the number of calls to peers and the bytes of their messages
 // since the start.
-func (g *Spread) Spent() (calls, bytes int64) { return g.calls.Load(), g.bytes.Load() }
+func (g *Gossip) Spent() (calls, bytes int64) { return g.calls.Load(), g.bytes.Load() }
--- a/internal/cwnews/system.go
+++ b/internal/cwnews/system.go
@@ -33,7 +33,7 @@
 // System keeps the server table in line with the marks, and gossips them.
 type System struct {
 	options Options
-	gossip  *Spread
+	gossip  *Gossip
 	log     logr.Logger
 	done    chan struct{}
 
@@ -63,7 +63,7 @@
 	defer t.Stop()
 
 	for ctx.Err() == nil {
-		s.Tick(func(g *Spread) {
+		s.Tick(func(g *Gossip) {
 			g.Tick(ctx, s.options.Clock, s.options.Peers(), s.options.Calls)
 		})
 
@@ -76,7 +76,7 @@
 
 // Tick updates the server table before and after calling exchange, which
 // exchanges marks with peers.
-func (s *System) Tick(exchange func(*Spread)) {
+func (s *System) Tick(exchange func(*Gossip)) {
 	s.Apply()
 	exchange(s.gossip)
 	s.Apply()
--- a/internal/lab/cwleave/fleet.go
+++ b/internal/lab/cwleave/fleet.go
@@ -136,7 +136,7 @@
 			v.servers.Update(l)
 		}
 
-		v.Tick(func(s *cwnews.Spread) { f.tell(v, s) })
+		v.Tick(func(s *cwnews.Gossip) { f.tell(v, s) })
 		f.dispatch(v)
 	}
 }
@@ -148,7 +148,7 @@
 }
 
 // tell sends what one entry VM has to tell to others.
-func (f *Fleet) tell(v *vm, s *cwnews.Spread) {
+func (f *Fleet) tell(v *vm, s *cwnews.Gossip) {
 	var peers []carobward.Address
 
 	for _, p := range f.vms {
