--- a/internal/cwnews/mark_test.go
+++ b/internal/cwnews/mark_test.go
@@ -145,7 +145,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(4_000_000_000, 0)
-			s := NewSpread(NewTable(), rand.New(rand.NewPCG(1, 1)))
+			s := NewGossip(NewTable(), rand.New(rand.NewPCG(1, 1)))
 			s.Plan(now, []carobward.Address{"a"})
 
 			if test.sent != nil {
--- a/internal/cwnews/spread.go
+++ b/internal/cwnews/spread.go
@@ -62,7 +62,7 @@
 }
 
 // NewGossip returns the Gossip of a table.
-func NewSpread(table *Table, rng *rand.Rand) *Gossip { return &Gossip{table: table, rng: rng} }
+func NewGossip(table *Table, rng *rand.Rand) *Gossip { return &Gossip{table: table, rng: rng} }
 
 // Plan returns the messages to send now. Their marks are counted as sent; Failed
 // reverts that for one message.
--- a/internal/cwnews/system.go
+++ b/internal/cwnews/system.go
@@ -49,7 +49,7 @@
 		o.Rand = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	}
 
-	return &System{options: o, gossip: NewSpread(o.Table, o.Rand), log: o.Log.WithName("leave"), done: make(chan struct{})}
+	return &System{options: o, gossip: NewGossip(o.Table, o.Rand), log: o.Log.WithName("leave"), done: make(chan struct{})}
 }
 
 // Done is closed once Run has returned.
