--- a/internal/cwnews/spread.go
+++ b/internal/cwnews/spread.go
@@ -189,4 +189,4 @@
 
 // Traffic returns the number of calls to peers and the bytes of their messages
 // since the start.
-func (g *Gossip) Spent() (calls, bytes int64) { return g.calls.Load(), g.bytes.Load() }
+func (g *Gossip) Traffic() (calls, bytes int64) { return g.calls.Load(), g.bytes.Load() }
