--- a/internal/cwnews/system.go
+++ b/internal/cwnews/system.go
@@ -149,7 +149,7 @@
 }
 
 // Traffic returns the number of calls to peers and their bytes since the start.
-func (s *System) Spent() (calls, bytes int64) { return s.gossip.Traffic() }
+func (s *System) Traffic() (calls, bytes int64) { return s.gossip.Traffic() }
 
 // Service returns the handler for calls from peers, to be registered as "News".
 func (s *System) Service() *Service { return &Service{system: s} }
--- a/internal/cwnode/measure.go
+++ b/internal/cwnode/measure.go
@@ -60,12 +60,12 @@
 	n.metrics.Gauge(part, "bytes", func() int64 { return m.account.Total().Bytes })
 	n.metrics.Gauge(part, "unasked", m.reports.Unasked)
 	n.metrics.Gauge(part, "newscalls", func() int64 {
-		calls, _ := n.news.Spent()
+		calls, _ := n.news.Traffic()
 
 		return calls
 	})
 	n.metrics.Gauge(part, "newsbytes", func() int64 {
-		_, bytes := n.news.Spent()
+		_, bytes := n.news.Traffic()
 
 		return bytes
 	})
