--- a/internal/cwnews/system.go
+++ b/internal/cwnews/system.go
@@ -15,7 +15,7 @@
 )
 
 // TickInterval is the time between two ticks of a System.
-const TickEvery = 100 * time.Millisecond
+const TickInterval = 100 * time.Millisecond
 
 // Options configures a System.
 type Options struct {
@@ -59,7 +59,7 @@
 func (s *System) Run(ctx context.Context) {
 	defer close(s.done)
 
-	t := time.NewTicker(TickEvery)
+	t := time.NewTicker(TickInterval)
 	defer t.Stop()
 
 	for ctx.Err() == nil {
--- a/internal/lab/cwleave/fleet.go
+++ b/internal/lab/cwleave/fleet.go
@@ -23,7 +23,7 @@
 	service = "records"
 	servers = 30
 	// stepEvery is the model's step.
-	stepEvery = cwnews.TickEvery
+	stepEvery = cwnews.TickInterval
 	// listEvery is the time between two reads of the VM list.
 	listEvery = time.Second
 	// signAt is when the first sign that the server leaves is seen.
