--- a/internal/cwnews/system.go
+++ b/internal/cwnews/system.go
@@ -92,7 +92,7 @@
 	o, now := &s.options, s.options.Clock.Now()
 	announcements := o.Servers.Words()
 
-	o.Table.Words(now, announcements)
+	o.Table.ApplyAnnouncements(now, announcements)
 	o.Table.Tick(now)
 
 	if o.Table.Changed() || len(announcements) > 0 {
--- a/internal/cwnews/table.go
+++ b/internal/cwnews/table.go
@@ -117,7 +117,7 @@
 }
 
 // ApplyAnnouncements processes what servers announced with replies.
-func (t *Table) Words(now time.Time, announcements []cwserver.Word) {
+func (t *Table) ApplyAnnouncements(now time.Time, announcements []cwserver.Word) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
