--- a/internal/cwnews/mark_test.go
+++ b/internal/cwnews/mark_test.go
@@ -82,12 +82,12 @@
 		"list, live for 4m":                   {func(s *sim) { s.wait(time.Second, listedLeaving); s.wait(4*time.Minute, listed) }, cwserver.Leaves},
 		"list, live for 5m":                   {func(s *sim) { s.wait(time.Second, listedLeaving); s.wait(5*time.Minute+time.Second, listed) }, cwserver.Stays},
 		"list, renewed, live for 3m":          {func(s *sim) { s.wait(10*time.Minute, listedLeaving); s.wait(3*time.Minute, listed) }, cwserver.Leaves},
-		"operator":                            {func(s *sim) { s.table.Operator(s.now, server, true); s.wait(time.Hour, listed) }, cwserver.Leaves},
-		"operator, unlisted for 1m":           {func(s *sim) { s.table.Operator(s.now, server, true); s.wait(time.Minute, unlisted) }, cwserver.Leaves},
-		"operator, unlisted for 6m":           {func(s *sim) { s.table.Operator(s.now, server, true); s.wait(6*time.Minute, unlisted) }, cwserver.Stays},
-		"operator reverts the drain":          {func(s *sim) { s.table.Operator(s.now, server, true); s.table.Operator(s.now, server, false) }, cwserver.Stays},
-		"operator reverts all":                {func(s *sim) { s.reply(7, true); s.check(Draining, 1); s.table.Operator(s.now, server, false) }, cwserver.Stays},
-		"reverted, announced again":           {func(s *sim) { s.reply(0, true); s.table.Operator(s.now, server, false); s.reply(0, true) }, cwserver.Leaves},
+		"operator":                            {func(s *sim) { s.table.SetDrain(s.now, server, true); s.wait(time.Hour, listed) }, cwserver.Leaves},
+		"operator, unlisted for 1m":           {func(s *sim) { s.table.SetDrain(s.now, server, true); s.wait(time.Minute, unlisted) }, cwserver.Leaves},
+		"operator, unlisted for 6m":           {func(s *sim) { s.table.SetDrain(s.now, server, true); s.wait(6*time.Minute, unlisted) }, cwserver.Stays},
+		"operator reverts the drain":          {func(s *sim) { s.table.SetDrain(s.now, server, true); s.table.SetDrain(s.now, server, false) }, cwserver.Stays},
+		"operator reverts all":                {func(s *sim) { s.reply(7, true); s.check(Draining, 1); s.table.SetDrain(s.now, server, false) }, cwserver.Stays},
+		"reverted, announced again":           {func(s *sim) { s.reply(0, true); s.table.SetDrain(s.now, server, false); s.reply(0, true) }, cwserver.Leaves},
 		"unlisted during a pause": {func(s *sim) {
 			s.reply(0, true)
 			s.table.Listed(s.now, unlisted)
@@ -164,7 +164,7 @@
 func TestToldAgain(t *testing.T) {
 	now := time.Unix(4_000_000_000, 0)
 	table := NewTable()
-	table.Operator(now, server, true)
+	table.SetDrain(now, server, true)
 
 	sent := 0
 
--- a/internal/cwnews/spread_test.go
+++ b/internal/cwnews/spread_test.go
@@ -21,7 +21,7 @@
 			s := New(Options{Table: table, Servers: cwserver.NewTable(), Clock: carobward.SystemClock{}, Log: logr.Discard()})
 
 			for i := range marks {
-				table.Operator(now, carobward.Address(fmt.Sprintf("10.2.%d.%d:80", i/200, i%200)), true)
+				table.SetDrain(now, carobward.Address(fmt.Sprintf("10.2.%d.%d:80", i/200, i%200)), true)
 			}
 
 			for table.takePending() != nil {
--- a/internal/cwnews/system.go
+++ b/internal/cwnews/system.go
@@ -113,7 +113,7 @@
 // Drain starts or reverts a drain of a server by an operator. It takes effect on
 // this entry VM at once.
 func (s *System) Drain(a carobward.Address, drain bool) {
-	s.options.Table.Operator(s.options.Clock.Now(), a, drain)
+	s.options.Table.SetDrain(s.options.Clock.Now(), a, drain)
 	s.Apply()
 }
 
--- a/internal/cwnews/table.go
+++ b/internal/cwnews/table.go
@@ -152,7 +152,7 @@
 
 // SetDrain starts or reverts a drain by an operator. Reverting ends the marks of
 // all sources; later signs set new ones.
-func (t *Table) Operator(now time.Time, a carobward.Address, drain bool) {
+func (t *Table) SetDrain(now time.Time, a carobward.Address, drain bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
--- a/internal/lab/cwleave/sign.go
+++ b/internal/lab/cwleave/sign.go
@@ -55,7 +55,7 @@
 	f.vms[0].news.Checked(f.clock.now, f.clock.now, Leaver, cwnews.Draining)
 }
 
-func operator(f *Fleet) { f.vms[0].news.Operator(f.clock.now, Leaver, true) }
+func operator(f *Fleet) { f.vms[0].news.SetDrain(f.clock.now, Leaver, true) }
 
 // stale is a list that never shows the server as leaving.
 func stale(f *Fleet) List {
