--- a/internal/cwnews/mark_test.go
+++ b/internal/cwnews/mark_test.go
@@ -27,7 +27,7 @@
 		s.table.Tick(s.now)
 
 		if s.now.UnixNano()%int64(time.Second) == 0 {
-			s.table.Listed(s.now, list)
+			s.table.ApplyList(s.now, list)
 		}
 	}
 
@@ -78,7 +78,7 @@
 		"health check, healthy 3 times":       {func(s *sim) { s.check(Draining, 1); s.check(Healthy, 3) }, cwserver.Stays},
 		"health check, healthy with gaps":     {func(s *sim) { s.check(Draining, 1); s.check(Healthy, 2); s.check(NoResult, 1); s.check(Healthy, 2) }, cwserver.MayLeave},
 		"no answer or refused":                {func(s *sim) { s.check(NoResult, 5); s.check(Refused, 5) }, cwserver.Stays},
-		"list":                                {func(s *sim) { s.table.Listed(s.now, listedLeaving) }, cwserver.Leaves},
+		"list":                                {func(s *sim) { s.table.ApplyList(s.now, listedLeaving) }, cwserver.Leaves},
 		"list, live for 4m":                   {func(s *sim) { s.wait(time.Second, listedLeaving); s.wait(4*time.Minute, listed) }, cwserver.Leaves},
 		"list, live for 5m":                   {func(s *sim) { s.wait(time.Second, listedLeaving); s.wait(5*time.Minute+time.Second, listed) }, cwserver.Stays},
 		"list, renewed, live for 3m":          {func(s *sim) { s.wait(10*time.Minute, listedLeaving); s.wait(3*time.Minute, listed) }, cwserver.Leaves},
@@ -90,7 +90,7 @@
 		"reverted, announced again":           {func(s *sim) { s.reply(0, true); s.table.SetDrain(s.now, server, false); s.reply(0, true) }, cwserver.Leaves},
 		"unlisted during a pause": {func(s *sim) {
 			s.reply(0, true)
-			s.table.Listed(s.now, unlisted)
+			s.table.ApplyList(s.now, unlisted)
 			s.now = s.now.Add(time.Hour)
 			s.table.Tick(s.now)
 		}, cwserver.Leaves},
--- a/internal/cwnews/system.go
+++ b/internal/cwnews/system.go
@@ -126,7 +126,7 @@
 
 // Listed processes a completely read VM list. It must be called before the server
 // table gets the list.
-func (s *System) Listed(list []carobward.VM) { s.options.Table.Listed(s.options.Clock.Now(), list) }
+func (s *System) Listed(list []carobward.VM) { s.options.Table.ApplyList(s.options.Clock.Now(), list) }
 
 // Marks returns all marks in order, including those that have ended.
 func (s *System) Marks() []Mark { return s.options.Table.Marks() }
--- a/internal/cwnews/table.go
+++ b/internal/cwnews/table.go
@@ -170,7 +170,7 @@
 }
 
 // ApplyList processes a completely read VM list. An empty list is ignored.
-func (t *Table) Listed(now time.Time, list []carobward.VM) {
+func (t *Table) ApplyList(now time.Time, list []carobward.VM) {
 	if len(list) == 0 {
 		return
 	}
