--- a/internal/cwnews/health.go
+++ b/internal/cwnews/health.go
@@ -40,7 +40,7 @@
 
 // ApplyCheck processes the result of a health check that was sent at the given
 // time. A check sent before a mark was set is no evidence against that mark.
-func (t *Table) Checked(sent, now time.Time, a carobward.Address, c CheckResult) {
+func (t *Table) ApplyCheck(sent, now time.Time, a carobward.Address, c CheckResult) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
--- a/internal/cwnews/mark_test.go
+++ b/internal/cwnews/mark_test.go
@@ -43,7 +43,7 @@
 func (s *sim) check(c CheckResult, times int) {
 	for range times {
 		s.wait(time.Second, listed)
-		s.table.Checked(s.now.Add(-time.Millisecond), s.now, server, c)
+		s.table.ApplyCheck(s.now.Add(-time.Millisecond), s.now, server, c)
 	}
 }
 
--- a/internal/cwnews/system.go
+++ b/internal/cwnews/system.go
@@ -120,7 +120,7 @@
 // Checked processes the result of a health check that was sent at the given
 // time.
 func (s *System) Checked(sent time.Time, a carobward.Address, c CheckResult) {
-	s.options.Table.Checked(sent, s.options.Clock.Now(), a, c)
+	s.options.Table.ApplyCheck(sent, s.options.Clock.Now(), a, c)
 	s.Apply()
 }
 
--- a/internal/lab/cwleave/sign.go
+++ b/internal/lab/cwleave/sign.go
@@ -52,7 +52,7 @@
 }
 
 func health(f *Fleet) {
-	f.vms[0].news.Checked(f.clock.now, f.clock.now, Leaver, cwnews.Draining)
+	f.vms[0].news.ApplyCheck(f.clock.now, f.clock.now, Leaver, cwnews.Draining)
 }
 
 func operator(f *Fleet) { f.vms[0].news.SetDrain(f.clock.now, Leaver, true) }
