--- a/internal/cwnews/mark_test.go
+++ b/internal/cwnews/mark_test.go
@@ -161,7 +161,7 @@
 
 // TestResend verifies that messages without an answer don't count towards the
 // number of peers that a mark is sent to.
-func TestToldAgain(t *testing.T) {
+func TestResend(t *testing.T) {
 	now := time.Unix(4_000_000_000, 0)
 	table := NewTable()
 	table.SetDrain(now, server, true)
