--- a/internal/cwnews/fleet_test.go
+++ b/internal/cwdrain/fleet_test.go
@@ -1,4 +1,4 @@
-package cwnews_test
+package cwdrain_test
 
 import (
 	"testing"
--- a/internal/cwnews/health.go
+++ b/internal/cwdrain/health.go
@@ -1,4 +1,4 @@
-package cwnews
+package cwdrain
 
 import (
 	"time"
--- a/internal/cwnews/mark.go
+++ b/internal/cwdrain/mark.go
@@ -1,7 +1,7 @@
-// Package cwnews tracks which backend servers are leaving, and gossips this
+// Package cwdrain tracks which backend servers are leaving, and gossips this
 // between the entry VMs, so that all of them stop sending new requests to such a
 // server. See docs/design/leave.md.
-package cwnews
+package cwdrain
 
 import (
 	"time"
--- a/internal/cwnode/leave.go
+++ b/internal/cwnode/leave.go
@@ -6,14 +6,14 @@
 	"github.com/go-logr/logr"
 
 	"carobward.example/carobward"
-	"carobward.example/carobward/internal/cwnews"
+	"carobward.example/carobward/internal/cwdrain"
 )
 
 // openNews sets up what is known of leaving servers. No work is given out
 // before the news were heard, or the wait for them is over.
 func (n *Node) openNews(log logr.Logger) error {
-	n.news = cwnews.New(cwnews.Options{
-		Table:   cwnews.NewTable(),
+	n.news = cwdrain.New(cwdrain.Options{
+		Table:   cwdrain.NewTable(),
 		Servers: n.servers,
 		Peers:   n.livePeers,
 		Calls:   n.clients,
--- a/internal/cwnode/node.go
+++ b/internal/cwnode/node.go
@@ -14,13 +14,13 @@
 
 	"carobward.example/carobward"
 	"carobward.example/carobward/internal/cwconfig"
+	"carobward.example/carobward/internal/cwdrain"
 	"carobward.example/carobward/internal/cwentry"
 	"carobward.example/carobward/internal/cwkv"
 	"carobward.example/carobward/internal/cwlink"
 	"carobward.example/carobward/internal/cwlookup"
 	"carobward.example/carobward/internal/cwmember"
 	"carobward.example/carobward/internal/cwmetric"
-	"carobward.example/carobward/internal/cwnews"
 	"carobward.example/carobward/internal/cwoperator"
 	"carobward.example/carobward/internal/cwowner"
 	"carobward.example/carobward/internal/cwpeer"
@@ -43,7 +43,7 @@
 	clients *cwpeer.Clients
 	server  *cwpeer.Server
 	member  *cwmember.Service
-	news    *cwnews.System
+	news    *cwdrain.System
 	measure measure
 	holder  *cwconfig.Holder
 	syncer  *cwconfig.Syncer
--- a/internal/cwoperator/drain.go
+++ b/internal/cwoperator/drain.go
@@ -7,7 +7,7 @@
 	"github.com/gofiber/fiber/v2"
 
 	"carobward.example/carobward"
-	"carobward.example/carobward/internal/cwnews"
+	"carobward.example/carobward/internal/cwdrain"
 	"carobward.example/carobward/internal/cwserver"
 )
 
@@ -31,12 +31,12 @@
 
 // drains has what the drain handlers need.
 type drains struct {
-	news    *cwnews.System
+	news    *cwdrain.System
 	servers *cwserver.Table
 }
 
 // WithDrains adds the draining of servers and returns the same API.
-func (a *API) WithDrains(news *cwnews.System, servers *cwserver.Table) *API {
+func (a *API) WithDrains(news *cwdrain.System, servers *cwserver.Table) *API {
 	a.drains = drains{news: news, servers: servers}
 
 	return a
--- a/internal/cwprobe/check.go
+++ b/internal/cwprobe/check.go
@@ -13,13 +13,13 @@
 
 	"carobward.example/carobward"
 	"carobward.example/carobward/internal/cwbudget"
+	"carobward.example/carobward/internal/cwdrain"
 	"carobward.example/carobward/internal/cwlink"
-	"carobward.example/carobward/internal/cwnews"
 )
 
 // result is what came of one probe.
 type result struct {
-	check  cwnews.CheckResult
+	check  cwdrain.CheckResult
 	report carobward.Report
 	// bytes counts those sent and received.
 	bytes int64
@@ -33,10 +33,10 @@
 	c, err := d.DialContext(ctx, "tcp", string(to))
 	if err != nil {
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			return result{check: cwnews.Refused}
+			return result{check: cwdrain.Refused}
 		}
 
-		return result{check: cwnews.NoResult}
+		return result{check: cwdrain.NoResult}
 	}
 
 	defer func() { _ = c.Close() }()
@@ -48,7 +48,7 @@
 
 	n, err := c.Write(head)
 	if err != nil {
-		return result{check: cwnews.NoResult, bytes: int64(n)}
+		return result{check: cwdrain.NoResult, bytes: int64(n)}
 	}
 
 	r := read(&io.LimitedReader{R: c, N: cwbudget.Unit - int64(n)})
@@ -80,7 +80,7 @@
 	)
 
 	err := resp.ReadLimitBody(bufio.NewReaderSize(from, cwbudget.Unit), cwbudget.Unit)
-	r := result{check: cwnews.NoResult, bytes: most - from.N}
+	r := result{check: cwdrain.NoResult, bytes: most - from.N}
 
 	if err != nil {
 		return r
@@ -90,9 +90,9 @@
 
 	switch {
 	case r.report.Draining, resp.StatusCode() == fasthttp.StatusServiceUnavailable:
-		r.check = cwnews.Draining
+		r.check = cwdrain.Draining
 	case resp.StatusCode() == fasthttp.StatusOK:
-		r.check = cwnews.Healthy
+		r.check = cwdrain.Healthy
 	}
 
 	return r
--- a/internal/cwprobe/prober.go
+++ b/internal/cwprobe/prober.go
@@ -10,7 +10,7 @@
 
 	"carobward.example/carobward"
 	"carobward.example/carobward/internal/cwbudget"
-	"carobward.example/carobward/internal/cwnews"
+	"carobward.example/carobward/internal/cwdrain"
 	"carobward.example/carobward/internal/cwserver"
 )
 
@@ -30,7 +30,7 @@
 	VMs  func() []carobward.VMID
 	// Servers are probed for the news of their leaving.
 	Servers *cwserver.Table
-	News    *cwnews.System
+	News    *cwdrain.System
 	Account *cwbudget.Account
 	// Path is the health endpoint.
 	Path string
--- a/internal/cwprobe/prober_test.go
+++ b/internal/cwprobe/prober_test.go
@@ -12,7 +12,7 @@
 
 	"carobward.example/carobward"
 	"carobward.example/carobward/internal/cwbudget"
-	"carobward.example/carobward/internal/cwnews"
+	"carobward.example/carobward/internal/cwdrain"
 	"carobward.example/carobward/internal/cwserver"
 	"carobward.example/carobward/internal/lab/cwcounter"
 )
@@ -24,15 +24,15 @@
 	for name, test := range map[string]struct {
 		status int
 		report *string
-		want   cwnews.CheckResult
+		want   cwdrain.CheckResult
 		run    uint64
 	}{
-		"serves":               {200, text("TEXT named_metrics.run=7"), cwnews.Healthy, 7},
-		"serves, no report":    {200, nil, cwnews.Healthy, 0},
-		"drains":               {503, nil, cwnews.Draining, 0},
-		"drains by its report": {200, text("TEXT named_metrics.draining=1"), cwnews.Draining, 0},
-		"fails":                {500, nil, cwnews.NoResult, 0},
-		"too large":            {200, text("TEXT " + fmt.Sprintf("%02000d", 0)), cwnews.NoResult, 0},
+		"serves":               {200, text("TEXT named_metrics.run=7"), cwdrain.Healthy, 7},
+		"serves, no report":    {200, nil, cwdrain.Healthy, 0},
+		"drains":               {503, nil, cwdrain.Draining, 0},
+		"drains by its report": {200, text("TEXT named_metrics.draining=1"), cwdrain.Draining, 0},
+		"fails":                {500, nil, cwdrain.NoResult, 0},
+		"too large":            {200, text("TEXT " + fmt.Sprintf("%02000d", 0)), cwdrain.NoResult, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := cwcounter.New(test.status, test.report)
@@ -54,7 +54,7 @@
 		})
 	}
 
-	if got := check(context.Background(), closed(t), "/healthz"); got.check != cwnews.Refused {
+	if got := check(context.Background(), closed(t), "/healthz"); got.check != cwdrain.Refused {
 		t.Errorf("nothing listens: %s", got.check)
 	}
 }
--- a/internal/lab/cwleave/fleet.go
+++ b/internal/lab/cwleave/fleet.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"carobward.example/carobward"
-	"carobward.example/carobward/internal/cwnews"
+	"carobward.example/carobward/internal/cwdrain"
 	"carobward.example/carobward/internal/cwwire"
 )
 
@@ -23,7 +23,7 @@
 	service = "records"
 	servers = 30
 	// stepEvery is the model's step.
-	stepEvery = cwnews.TickInterval
+	stepEvery = cwdrain.TickInterval
 	// listEvery is the time between two reads of the VM list.
 	listEvery = time.Second
 	// signAt is when the first sign that the server leaves is seen.
@@ -136,7 +136,7 @@
 			v.servers.Update(l)
 		}
 
-		v.Tick(func(s *cwnews.Gossip) { f.tell(v, s) })
+		v.Tick(func(s *cwdrain.Gossip) { f.tell(v, s) })
 		f.dispatch(v)
 	}
 }
@@ -148,7 +148,7 @@
 }
 
 // tell sends what one entry VM has to tell to others.
-func (f *Fleet) tell(v *vm, s *cwnews.Gossip) {
+func (f *Fleet) tell(v *vm, s *cwdrain.Gossip) {
 	var peers []carobward.Address
 
 	for _, p := range f.vms {
@@ -167,7 +167,7 @@
 }
 
 // send returns the answer to one message, or nil if either was lost.
-func (f *Fleet) send(v *vm, s cwnews.Message) *cwwire.News {
+func (f *Fleet) send(v *vm, s cwdrain.Message) *cwwire.News {
 	to := f.address[s.To]
 	answer := &cwwire.News{}
 	lost := !to.runs(f.now) || to.deaf || f.cut[way{v.address, s.To}] || f.rng.Float64() < f.loss
--- a/internal/lab/cwleave/sign.go
+++ b/internal/lab/cwleave/sign.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"carobward.example/carobward"
-	"carobward.example/carobward/internal/cwnews"
+	"carobward.example/carobward/internal/cwdrain"
 )
 
 // Sign is one way in which the first entry VM, and it only, learns that the
@@ -52,7 +52,7 @@
 }
 
 func health(f *Fleet) {
-	f.vms[0].news.ApplyCheck(f.clock.now, f.clock.now, Leaver, cwnews.Draining)
+	f.vms[0].news.ApplyCheck(f.clock.now, f.clock.now, Leaver, cwdrain.Draining)
 }
 
 func operator(f *Fleet) { f.vms[0].news.SetDrain(f.clock.now, Leaver, true) }
--- a/internal/lab/cwleave/vm.go
+++ b/internal/lab/cwleave/vm.go
@@ -8,7 +8,7 @@
 	"github.com/go-logr/logr"
 
 	"carobward.example/carobward"
-	"carobward.example/carobward/internal/cwnews"
+	"carobward.example/carobward/internal/cwdrain"
 	"carobward.example/carobward/internal/cwserver"
 )
 
@@ -20,9 +20,9 @@
 
 // vm is one entry VM.
 type vm struct {
-	*cwnews.System
+	*cwdrain.System
 
-	news    *cwnews.Table
+	news    *cwdrain.Table
 	servers *cwserver.Table
 	address carobward.Address
 	// deaf tells that no peer can call it, though it can call them.
@@ -32,8 +32,8 @@
 }
 
 func newVM(i int, c *clock, rng *rand.Rand) *vm {
-	v := &vm{address: vmAddress(i), news: cwnews.NewTable(), servers: cwserver.NewTable()}
-	v.System = cwnews.New(cwnews.Options{Table: v.news, Servers: v.servers, Clock: c, Rand: rng, Log: logr.Discard()})
+	v := &vm{address: vmAddress(i), news: cwdrain.NewTable(), servers: cwserver.NewTable()}
+	v.System = cwdrain.New(cwdrain.Options{Table: v.news, Servers: v.servers, Clock: c, Rand: rng, Log: logr.Discard()})
 	v.servers.SetFresh(c.now.Add(-1))
 
 	return v
--- a/internal/lab/cwspend/live.go
+++ b/internal/lab/cwspend/live.go
@@ -11,7 +11,7 @@
 
 	"carobward.example/carobward"
 	"carobward.example/carobward/internal/cwbudget"
-	"carobward.example/carobward/internal/cwnews"
+	"carobward.example/carobward/internal/cwdrain"
 	"carobward.example/carobward/internal/cwprobe"
 	"carobward.example/carobward/internal/cwserver"
 	"carobward.example/carobward/internal/lab/cwcounter"
@@ -70,7 +70,7 @@
 	v.prober = cwprobe.New(cwprobe.Options{
 		Self: self, VMs: func() []carobward.VMID { return []carobward.VMID{self} },
 		Servers: table, Account: v.account, Path: "/healthz", Fresh: 1, Timeout: timeout, Clock: clock, Log: log,
-		News: cwnews.New(cwnews.Options{Table: cwnews.NewTable(), Servers: table, Clock: clock, Log: log}),
+		News: cwdrain.New(cwdrain.Options{Table: cwdrain.NewTable(), Servers: table, Clock: clock, Log: log}),
 	})
 
 	return v
