--- a/internal/cwnode/node.go
+++ b/internal/cwnode/node.go
@@ -27,7 +27,7 @@
 	"carobward.example/carobward/internal/cwserver"
 	"carobward.example/carobward/internal/cwsettings"
 	"carobward.example/carobward/internal/cwtrace"
-	"carobward.example/carobward/internal/cwvm"
+	"carobward.example/carobward/internal/cwvmlist"
 )
 
 // Node is one entry VM.
@@ -76,7 +76,7 @@
 		settings: s,
 		clock:    clock,
 		log:      log.WithName("node"),
-		list:     cwvm.New(s.List.URL),
+		list:     cwvmlist.New(s.List.URL),
 		servers:  cwserver.NewTable(),
 		holder:   cwconfig.NewHolder(),
 		metrics:  cwmetric.New(),
--- a/internal/cwstand/platform.go
+++ b/internal/cwstand/platform.go
@@ -13,7 +13,7 @@
 	"github.com/valyala/fasthttp"
 
 	"carobward.example/carobward"
-	"carobward.example/carobward/internal/cwvm"
+	"carobward.example/carobward/internal/cwvmlist"
 )
 
 // The paths of the platform, except for those of the key-value service.
@@ -121,11 +121,11 @@
 		vms = p.lagging
 	}
 
-	groups := []cwvm.Group{}
+	groups := []cwvmlist.Group{}
 	for _, v := range vms {
-		groups = append(groups, cwvm.Group{
+		groups = append(groups, cwvmlist.Group{
 			Targets: []carobward.Address{v.Address},
-			Labels:  cwvm.Labels{Service: v.Service, Domain: v.Domain, VM: v.ID, State: v.State.String()},
+			Labels:  cwvmlist.Labels{Service: v.Service, Domain: v.Domain, VM: v.ID, State: v.State.String()},
 		})
 	}
 
@@ -133,7 +133,7 @@
 }
 
 func (p *Platform) setList(ctx *fasthttp.RequestCtx) {
-	vms, err := cwvm.Parse(ctx.PostBody())
+	vms, err := cwvmlist.Parse(ctx.PostBody())
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 
--- a/internal/cwvm/client.go
+++ b/internal/cwvmlist/client.go
@@ -1,7 +1,7 @@
-// Package cwvm reads the platform's list of VMs over HTTP, in the HTTP service
+// Package cwvmlist reads the platform's list of VMs over HTTP, in the HTTP service
 // discovery format of Prometheus: a JSON list of target groups with labels. See
 // https://prometheus.io/docs/prometheus/latest/http_sd/.
-package cwvm
+package cwvmlist
 
 import (
 	"context"
--- a/internal/cwvm/client_test.go
+++ b/internal/cwvmlist/client_test.go
@@ -1,4 +1,4 @@
-package cwvm
+package cwvmlist
 
 import (
 	"testing"
--- a/internal/lab/cwbench/capacity_test.go
+++ b/internal/lab/cwbench/capacity_test.go
@@ -8,7 +8,7 @@
 
 	"carobward.example/carobward"
 	"carobward.example/carobward/internal/cwserver"
-	"carobward.example/carobward/internal/cwvm"
+	"carobward.example/carobward/internal/cwvmlist"
 )
 
 // The sizes for docs/CAPACITY.md: servers in services of thirty.
@@ -94,11 +94,11 @@
 func BenchmarkListParse(b *testing.B) {
 	for _, n := range serverCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			var groups []cwvm.Group
+			var groups []cwvmlist.Group
 			for _, v := range servers(n) {
-				groups = append(groups, cwvm.Group{
+				groups = append(groups, cwvmlist.Group{
 					Targets: []carobward.Address{v.Address},
-					Labels:  cwvm.Labels{Service: v.Service, Domain: v.Domain, State: v.State.String()},
+					Labels:  cwvmlist.Labels{Service: v.Service, Domain: v.Domain, State: v.State.String()},
 				})
 			}
 
@@ -110,7 +110,7 @@
 			b.ReportAllocs()
 
 			for b.Loop() {
-				if _, err := cwvm.Parse(raw); err != nil {
+				if _, err := cwvmlist.Parse(raw); err != nil {
 					b.Fatal(err)
 				}
 			}
