--- a/internal/cwmember/digest.go
+++ b/internal/cwmember/digest.go
@@ -9,8 +9,8 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// digestOf hashes what of a member must be the same in equal views: which
-// run it is and what it said of it.
+// digestOf hashes the fields of a member that must agree between equal views:
+// its id, its incarnation and its rank.
 func digestOf(e *member) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(e.id))
@@ -20,11 +20,11 @@
 	return h.Sum64()
 }
 
-// digest sums up whom this VM takes for members, without regard to their
-// order. Equal views have equal digests.
+// digest returns a hash of this VM's view of the membership, independent of
+// the order of the members. Dead members don't count.
 func (m *Machine) digest() uint64 {
-	if !m.stale {
-		return m.sum
+	if !m.digestStale {
+		return m.cachedDigest
 	}
 
 	sum := digestOf(&m.self)
@@ -35,38 +35,40 @@
 		}
 	}
 
-	m.sum, m.stale = sum, false
+	m.cachedDigest, m.digestStale = sum, false
 
 	return sum
 }
 
-// compareDigest asks for a pull if a peer has another view and ours has not
-// changed for a while, or if we have just come.
+// compareDigest schedules a pull if a peer's view differs and our own view has
+// not changed for Options.Settle. A VM that knows at most one member pulls
+// sooner, every Options.Period.
 func (m *Machine) compareDigest(now time.Time, theirs uint64, from carobward.Address) {
 	if theirs == m.digest() {
 		return
 	}
 
-	fresh := len(m.members) <= 1
-	settled := now.Sub(m.changed) >= m.options.Settle && now.Sub(m.asked) >= m.options.Settle
+	alone := len(m.members) <= 1
+	settled := now.Sub(m.lastChange) >= m.options.Settle && now.Sub(m.lastPull) >= m.options.Settle
 
-	if fresh && now.Sub(m.asked) >= m.options.Period || settled {
-		m.asked = now
-		m.pull = from
+	if alone && now.Sub(m.lastPull) >= m.options.Period || settled {
+		m.lastPull = now
+		m.pullFrom = from
 	}
 }
 
-// Pull returns the address of a peer to ask for all its members, if that is
-// wanted now.
+// Pull returns the address of the peer to fetch all members from, if a pull
+// is due, and clears it.
 func (m *Machine) Pull() (carobward.Address, bool) {
-	to := m.pull
-	m.pull = ""
+	to := m.pullFrom
+	m.pullFrom = ""
 
 	return to, to != ""
 }
 
-// Answer returns all members that are not dead, and the highest incarnation
-// known of the asker.
+// Answer returns all members that are not dead, and the incarnation that is
+// known here of the VM that asks, so that a restarted VM learns of its
+// earlier runs.
 func (m *Machine) Answer(in *cwwire.Ask) *cwwire.Members {
 	out := &cwwire.Members{Members: []*cwwire.Member{m.self.wire(true)}}
 
--- a/internal/cwmember/machine.go
+++ b/internal/cwmember/machine.go
@@ -9,33 +9,37 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// Options are the times and sizes of the protocol.
+// Options are the parameters of the membership protocol.
 type Options struct {
-	// Period is the time between two pings of a member of our choice.
+	// Period is the protocol period: one member is pinged in each.
 	Period time.Duration
-	// Reply is how long an answer is waited for before others are asked to
-	// ping, too.
+	// Reply is how long to wait for an ACK before asking other members
+	// to ping the target.
 	Reply time.Duration
-	// Spread is the time between two rounds of news, while there are any.
+	// Spread is the time between two rounds of gossip. There are none
+	// without updates to send.
 	Spread time.Duration
-	// Relays is how many others are asked to ping.
+	// Relays is the number of members asked to ping a target that did not
+	// reply.
 	Relays int
-	// Fanout is how many members get news in a round.
+	// Fanout is the number of members that receive updates in a round of
+	// gossip.
 	Fanout int
-	// Suspicion is how many periods a suspicion stands before it is taken
-	// for a death, times the decimal logarithm of the fleet's size.
+	// Suspicion sets the suspicion timeout, after which a suspected
+	// member is considered dead: so many periods, times the decimal logarithm
+	// of the fleet's size, which counts as at least 1.
 	Suspicion float64
-	// Retry is the time between two pings of VMs that are no members: dead
-	// ones and those that only the VM list knows.
+	// Retry is the time between two pings of VMs outside the membership: dead
+	// members and VMs known only from the VM list.
 	Retry time.Duration
-	// Settle is the time without a change after which a peer with another
-	// view is asked for all that it knows.
+	// Settle is how long the local view must be unchanged before all members
+	// are fetched from a peer whose view differs.
 	Settle time.Duration
-	// Forget is how long a dead member is remembered.
+	// Forget is how long dead members are kept.
 	Forget time.Duration
 }
 
-// Defaults returns the options that entry VMs use.
+// Defaults returns the options of entry VMs in production.
 func Defaults() Options {
 	return Options{
 		Period:    time.Second,
@@ -50,43 +54,45 @@
 	}
 }
 
-// The bounds of memory and of one datagram.
+// Limits on memory and on the size of a datagram.
 const (
-	membersMost = 4096
-	relaysMost  = 1024
-	// newsBytes bounds what one VM sends while there is much news, after a
-	// cut has healed: Fanout datagrams in each round of Spread.
-	newsBytes = 250
+	maxMembers = 4096
+	maxRelays  = 1024
+	// maxUpdateBytes limits the updates in one datagram. It bounds the traffic
+	// after a network partition heals, when there are many updates: each VM
+	// sends Fanout datagrams per GossipInterval.
+	maxUpdateBytes = 250
 )
 
-// youngMost is how long the news of a run have all that is known of it.
-const youngMost = 30 * time.Second
+// fullUpdateAge is for how long after its first sighting the updates about a
+// run include its failure domain and addresses.
+const fullUpdateAge = 30 * time.Second
 
-// Message is a datagram and where it goes.
+// Message is a datagram and its destination.
 type Message struct {
 	To       carobward.Address
 	Datagram *cwwire.Datagram
 }
 
-// probe is the ping that an answer is waited for.
+// probe is the outstanding ping of the current protocol period.
 type probe struct {
 	number  uint64
 	target  carobward.VMID
-	at      time.Time
+	sent    time.Time
 	relayed bool
 }
 
-// relay is a ping on behalf of another member.
+// relay is a ping sent on behalf of another member.
 type relay struct {
-	to     carobward.Address
-	asker  carobward.VMID
-	number uint64
-	until  time.Time
+	to        carobward.Address
+	requester carobward.VMID
+	number    uint64
+	expires   time.Time
 }
 
-// Machine decides everything about membership. It is driven by Tick and
-// Receive, does no input or output, and is not safe for concurrent use. With
-// the same calls and the same seed it does the same.
+// Machine is the state machine of the membership protocol. It is driven by
+// Tick and Receive, does no I/O, and is not safe for concurrent use. It is
+// deterministic: the same calls and the same seed give the same results.
 type Machine struct {
 	options Options
 	rng     *rand.Rand
@@ -97,80 +103,85 @@
 	ring  []carobward.VMID
 	next  int
 	probe *probe
-	// greeting is the number of the last ping to a VM that is no member.
-	greeting uint64
-	// relays are the pings on behalf of others, by number.
+	// retryNumber is the number of the last ping to a VM outside the
+	// membership.
+	retryNumber uint64
+	// relays are the pings sent on behalf of other members, by number.
 	relays map[uint64]relay
-	// news counts how often the news of a member has been sent.
-	news map[carobward.VMID]int
-	// hot is the number of rounds for which our own revision is news.
-	hot int
-	// farewell are the members that have not confirmed yet that we leave,
-	// with the number of the ping that tells them.
-	farewell map[carobward.VMID]uint64
-
-	ticked, probed, spread, retried time.Time
-	// heard is when any member was last heard.
-	heard time.Time
-	// changed is when the view last changed, asked when a pull was last
-	// wanted.
-	changed, asked time.Time
-	pull           carobward.Address
-	// joined tells that some peer holds no later run of this VM than ours.
+	// updates counts how often the update about each member has been sent. An
+	// entry is removed after maxTransmissions.
+	updates map[carobward.VMID]int
+	// revisionRounds is the number of gossip rounds that are still to announce
+	// our configuration revision.
+	revisionRounds int
+	// unconfirmed are the members that have not confirmed yet that this VM is
+	// leaving, with the number of the ping that announces it.
+	unconfirmed map[carobward.VMID]uint64
+
+	lastTick, lastProbe, lastGossip, lastRetry time.Time
+	// lastReceived is when a datagram from any other VM last arrived.
+	lastReceived time.Time
+	// lastChange is when the view last changed, lastPull when a pull was last
+	// scheduled.
+	lastChange, lastPull time.Time
+	pullFrom             carobward.Address
+	// joined reports whether a peer has confirmed that it knows no later run of
+	// this VM.
 	joined   bool
 	replaced bool
 	counts   Counts
-	// sum is the digest, unless stale.
-	sum   uint64
-	stale bool
-	dirty bool
+	// cachedDigest is the digest, unless digestStale is set.
+	cachedDigest uint64
+	digestStale  bool
+	dirty        bool
 }
 
-// Counts tell what has happened, for metrics and tests.
+// Counts are event counters, for metrics and tests.
 type Counts struct {
-	// Suspicions are those that we raised ourselves.
+	// Suspicions is the number of members that this VM began to suspect itself.
 	Suspicions int
-	// Deaths are those that we concluded.
+	// Deaths is the number of members that this VM declared dead.
 	Deaths int
-	// Refutations are suspicions about ourselves that we refuted.
+	// Refutations is the number of suspicions of this VM that it refuted.
 	Refutations int
-	// Pauses are gaps between ticks in which we must have been frozen.
+	// Pauses is the number of gaps of at least one period between two ticks, in
+	// which this process must have been paused.
 	Pauses int
 }
 
-// Seed is an entry VM that the VM list has.
+// Seed is an entry VM in the VM list.
 type Seed struct {
 	ID      carobward.VMID
 	Address carobward.Address
 }
 
-// New returns a machine that knows only this entry VM.
+// New returns a machine whose only member is this entry VM.
 func New(self carobward.Peer, o Options, rng *rand.Rand) *Machine {
 	return &Machine{
-		options: o,
-		rng:     rng,
-		self:    fromPeer(&self),
-		members: map[carobward.VMID]*member{},
-		relays:  map[uint64]relay{},
-		news:    map[carobward.VMID]int{self.ID: 0},
-		stale:   true,
-		dirty:   true,
+		options:     o,
+		rng:         rng,
+		self:        fromPeer(&self),
+		members:     map[carobward.VMID]*member{},
+		relays:      map[uint64]relay{},
+		updates:     map[carobward.VMID]int{self.ID: 0},
+		digestStale: true,
+		dirty:       true,
 	}
 }
 
-// Counts returns what has happened so far.
+// Counts returns the event counters since the start.
 func (m *Machine) Counts() Counts { return m.counts }
 
-// Join notes that peers were asked and know no later run of this VM. A later
-// one that is heard of from now on is its successor.
+// Join records that peers were asked and know no later run of this VM. A later
+// run that is reported from now on has replaced this one.
 func (m *Machine) Join() { m.joined = true }
 
-// Replaced tells that a later run of this VM has been heard of, so that this
-// one must end.
+// Replaced reports whether a later run of this VM exists, in which case this
+// one must stop.
 func (m *Machine) Replaced() bool { return m.replaced }
 
-// Dirty tells whether anything that Self or Peers return may have changed
-// since it was last asked.
+// Dirty reports whether the results of Self or Peers may have changed since the
+// previous call of Dirty.
 func (m *Machine) Dirty() bool {
 	d := m.dirty
 	m.dirty = false
@@ -181,7 +192,7 @@
 // Self returns this entry VM.
 func (m *Machine) Self() carobward.Peer { return m.self.peer() }
 
-// Peers returns the others.
+// Peers returns all other members, including dead ones.
 func (m *Machine) Peers() []carobward.Peer {
 	all := make([]carobward.Peer, 0, len(m.members))
 	for _, e := range m.members {
@@ -191,76 +202,80 @@
 	return all
 }
 
-// SetSeeds replaces the entry VMs that the VM list has.
+// SetSeeds replaces the entry VMs known from the VM list.
 func (m *Machine) SetSeeds(all []Seed) { m.seeds = all }
 
-// SetRevision notes the configuration in force here. A new one is told to
-// some members at once.
+// SetRevision sets the revision of the configuration that is in effect here. A
+// newer one is gossiped even if there are no other updates.
 func (m *Machine) SetRevision(r carobward.Revision) {
 	if r > m.self.revision {
 		m.self.revision = r
-		m.hot = m.rounds()
+		m.revisionRounds = m.gossipRounds()
 	}
 }
 
-// rounds is the number of rounds in which news reach all.
-func (m *Machine) rounds() int { return 1 + int(math.Ceil(math.Log(float64(len(m.members)+1)))) }
+// gossipRounds returns the number of rounds in which an update reaches all
+// members.
+func (m *Machine) gossipRounds() int { return 1 + int(math.Ceil(math.Log(float64(len(m.members)+1)))) }
 
-// copies is how often one VM sends the same news.
-func (m *Machine) copies() int { return m.options.Fanout * m.rounds() }
+// maxTransmissions returns how often this VM sends the same update.
+func (m *Machine) maxTransmissions() int { return m.options.Fanout * m.gossipRounds() }
 
-// suspicion is how long a suspicion stands.
-func (m *Machine) suspicion(now time.Time) time.Duration {
-	const deafFactor = 3
+// suspicionTimeout returns how long a member is suspected before it is declared
+// dead. It is three times as long if this VM itself has received nothing for
+// that time, since the fault may then be on this side.
+func (m *Machine) suspicionTimeout(now time.Time) time.Duration {
+	const isolationFactor = 3
 
 	periods := m.options.Suspicion * max(1, math.Log10(float64(len(m.members)+1)))
 	d := time.Duration(periods * float64(m.options.Period))
 
-	if now.Sub(m.heard) > d {
-		d *= deafFactor // It may well be us who hear nobody.
+	if now.Sub(m.lastReceived) > d {
+		d *= isolationFactor
 	}
 
 	return d
 }
 
-// Tick does what is due by now.
+// Tick does the work that is due and returns the messages to send.
 func (m *Machine) Tick(now time.Time) []Message {
-	if m.ticked.IsZero() {
-		m.heard, m.self.since = now, now
+	if m.lastTick.IsZero() {
+		m.lastReceived, m.self.firstSeen = now, now
 	}
 
-	m.resume(now)
-	m.ticked = now
+	m.detectPause(now)
+	m.lastTick = now
 
 	var out []Message
 
-	out = append(out, m.relayProbe(now)...)
+	out = append(out, m.requestRelays(now)...)
 	m.endProbe(now)
 	out = append(out, m.startProbe(now)...)
 	out = append(out, m.retry(now)...)
 
-	if now.Sub(m.spread) >= m.options.Spread {
-		m.spread = now
-		m.bury(now)
-		out = append(out, m.farewells()...)
-		out = append(out, m.confirm()...)
-		out = append(out, m.spreadNews()...)
+	if now.Sub(m.lastGossip) >= m.options.Spread {
+		m.lastGossip = now
+		m.expire(now)
+		out = append(out, m.pingUnconfirmed()...)
+		out = append(out, m.pingSuspect()...)
+		out = append(out, m.gossip()...)
 	}
 
 	return out
 }
 
-// resume notices that this process was frozen: the answers that were due
-// meanwhile say nothing about the others.
-func (m *Machine) resume(now time.Time) {
-	gap := now.Sub(m.ticked)
-	if m.ticked.IsZero() || gap < m.options.Period {
+// detectPause handles a gap between ticks during which this process was paused.
+// Replies that were due in the gap say nothing about other members, so the
+// probe is dropped and suspicions are extended by the gap.
+func (m *Machine) detectPause(now time.Time) {
+	gap := now.Sub(m.lastTick)
+	if m.lastTick.IsZero() || gap < m.options.Period {
 		return
 	}
 
 	m.counts.Pauses++
 	m.probe = nil
-	m.heard = now
+	m.lastReceived = now
 
 	for _, e := range m.members {
 		if !e.suspected.IsZero() {
@@ -269,36 +284,37 @@
 	}
 }
 
-// bury takes long suspected members for dead and forgets those long dead.
-func (m *Machine) bury(now time.Time) {
-	stands := m.suspicion(now)
+// expire declares members dead whose suspicion timed out, and removes expired
+// dead members and relays.
+func (m *Machine) expire(now time.Time) {
+	timeout := m.suspicionTimeout(now)
 
 	for id, e := range m.members {
 		switch {
 		case e.dead && now.Sub(e.died) > m.options.Forget:
 			delete(m.members, id)
-			delete(m.news, id)
+			delete(m.updates, id)
 
 			m.dirty = true
-		case !e.dead && !e.suspected.IsZero() && now.Sub(e.suspected) >= stands:
-			m.die(e, now)
+		case !e.dead && !e.suspected.IsZero() && now.Sub(e.suspected) >= timeout:
+			m.markDead(e, now)
 			m.counts.Deaths++
 		}
 	}
 
 	for n, r := range m.relays {
-		if now.After(r.until) {
+		if now.After(r.expires) {
 			delete(m.relays, n)
 		}
 	}
 }
 
-func (m *Machine) die(e *member, now time.Time) {
+func (m *Machine) markDead(e *member, now time.Time) {
 	e.dead, e.died, e.suspected = true, now, time.Time{}
-	m.changedAt(now)
+	m.viewChanged(now)
 }
 
-// changedAt notes that the set of members is another one.
-func (m *Machine) changedAt(now time.Time) {
-	m.changed, m.stale, m.dirty = now, true, true
+// viewChanged records a change of the membership view.
+func (m *Machine) viewChanged(now time.Time) {
+	m.lastChange, m.digestStale, m.dirty = now, true, true
 }
--- a/internal/cwmember/machine_test.go
+++ b/internal/cwmember/machine_test.go
@@ -11,7 +11,7 @@
 	"carobward.example/carobward/internal/lab/cwnetwork"
 )
 
-// settled returns a fleet that has met.
+// settled returns a fleet in which all VMs see each other as live.
 func settled(t testing.TB, size int) *cwnetwork.Network {
 	t.Helper()
 
@@ -23,17 +23,17 @@
 	return n
 }
 
-// until runs the network until ok, or fails the test.
-func until(t testing.TB, n *cwnetwork.Network, most time.Duration, what string, ok func() bool) {
+// until runs the network until ok returns true, or fails the test after timeout.
+func until(t testing.TB, n *cwnetwork.Network, timeout time.Duration, what string, ok func() bool) {
 	t.Helper()
 
-	if _, err := n.Until(most, what, ok); err != nil {
+	if _, err := n.Until(timeout, what, ok); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// TestFalseDeaths compares with all-to-all heartbeats and a fixed timeout,
-// under the same faults and seeds.
+// TestFalseDeaths compares the number of live members declared dead with that of
+// all-to-all heartbeats with a fixed timeout, under the same faults and seeds.
 func TestFalseDeaths(t *testing.T) {
 	for _, f := range cwnetwork.Faults() {
 		t.Run(f.Name, func(t *testing.T) {
@@ -47,14 +47,14 @@
 			t.Logf("false deaths: %d, naive %d", ours, naive)
 
 			if ours > 0 || naive == 0 {
-				t.Errorf("%d false deaths, the naive version has %d", ours, naive)
+				t.Errorf("%d false deaths, want 0; the naive version has %d, want some", ours, naive)
 			}
 		})
 	}
 }
 
-// TestFrozenAccusesNobody resumes a VM whose pings were not answered because
-// it was frozen itself.
+// TestFrozenAccusesNobody resumes a VM that was paused while replies to its
+// pings were due: it must not suspect the others.
 func TestFrozenAccusesNobody(t *testing.T) {
 	n := settled(t, 19)
 	v := n.VMs[3]
@@ -65,18 +65,19 @@
 	n.Run(time.Second, nil)
 
 	if c := v.Machine().Counts(); c.Suspicions > 0 || c.Deaths > 0 || c.Pauses != 1 {
-		t.Errorf("after the freeze: %+v", c)
+		t.Errorf("after the pause: %+v", c)
 	}
 
-	until(t, n, 30*time.Second, "it is a member again", n.Whole)
+	until(t, n, 30*time.Second, "the resumed VM is live again", n.Whole)
 }
 
-// TestDeafAccusesNobody has one VM hear nobody: the others must not come to
-// suspect each other by its word.
+// TestDeafAccusesNobody has one VM receive nothing: what it sends
+// must not make the others suspect each other.
 func TestDeafAccusesNobody(t *testing.T) {
 	n := settled(t, 19)
 	n.Cut = func(_, to int) bool { return to == 5 }
-	// What was on its way at the cut may still be heard during a probe.
+	// Datagrams in flight at the start of the fault may still arrive during a
+	// probe, which then is not taken for isolation.
 	n.Run(4*time.Second, nil)
 
 	n.Run(10*time.Second, func() {
@@ -90,8 +91,8 @@
 	})
 }
 
-// TestRelays has others ping where two cannot reach each other, so that
-// nobody is suspected at all.
+// TestRelays cuts one link in one direction: indirect pings must prevent any
+// suspicion.
 func TestRelays(t *testing.T) {
 	n := settled(t, 19)
 	before := n.Suspicions()
@@ -104,8 +105,8 @@
 	}
 }
 
-// TestStaleAnswer answers a ping that was sent before the leaving began: the
-// answer does not confirm that it is known.
+// TestStaleAnswer delivers the ACK of a ping that was sent before the VM began to
+// leave: it must not count as a confirmation.
 func TestStaleAnswer(t *testing.T) {
 	n := settled(t, 2)
 	m, other := n.VMs[0].Machine(), n.VMs[1].Machine()
@@ -127,11 +128,11 @@
 	}
 
 	if m.Unaware() != 1 {
-		t.Errorf("%d are unaware, want 1", m.Unaware())
+		t.Errorf("%d members have not confirmed, want 1", m.Unaware())
 	}
 }
 
-// TestCrash has every VM learn of a crash, and of the return on the same
+// TestCrash checks that every VM notices a crash, and a restart on the same
 // address.
 func TestCrash(t *testing.T) {
 	for _, size := range []int{2, 3, 19} {
@@ -142,19 +143,19 @@
 
 			n.VMs[1].Down = false
 			n.VMs[1].Actor = cwnetwork.Machine(1, n)
-			until(t, n, time.Minute, "all see the return", n.Whole)
+			until(t, n, time.Minute, "all see the restarted VM", n.Whole)
 
 			for i := range n.VMs {
 				if p, ok := n.State(i, 1); i != 1 && (!ok || p.Incarnation < carobward.Incarnation(n.Now.Add(-time.Minute).UnixNano())) {
-					t.Errorf("vm %d holds an earlier run: %+v", i, p)
+					t.Errorf("vm %d has an earlier run: %+v", i, p)
 				}
 			}
 		})
 	}
 }
 
-// TestCutHeals parts a fleet for long enough that each side takes the other
-// for dead, without the VM list.
+// TestCutHeals partitions a fleet for long enough that each side declares
+// the other dead. Both must merge again without the VM list.
 func TestCutHeals(t *testing.T) {
 	n := settled(t, 8)
 	for _, v := range n.VMs {
@@ -165,15 +166,15 @@
 	n.Run(30*time.Second, nil)
 
 	if p, _ := n.State(0, 7); p.State != carobward.PeerDead {
-		t.Fatalf("across the cut: %v", p.State)
+		t.Fatalf("across the partition: %v", p.State)
 	}
 
 	n.Cut = func(int, int) bool { return false }
-	until(t, n, time.Minute, "both sides have met again", n.Whole)
+	until(t, n, time.Minute, "both sides see each other as live", n.Whole)
 }
 
-// TestLeave has everyone know that a VM leaves before it counts them as
-// aware, and nobody suspect it once it has gone.
+// TestLeave checks that a member counts as having confirmed only once it sees
+// the VM as leaving, and that nobody has to detect the stopped VM as dead.
 func TestLeave(t *testing.T) {
 	n := settled(t, 19)
 	m := n.VMs[4].Machine()
@@ -190,7 +191,7 @@
 
 	n.Send(4, m.Gone())
 	n.VMs[4].Down = true
-	until(t, n, 10*time.Second, "all know that it has gone", n.Whole)
+	until(t, n, 10*time.Second, "all see that it has stopped", n.Whole)
 
 	for i, v := range n.VMs {
 		if c := v.Machine().Counts(); i != 4 && c.Deaths > 0 {
@@ -199,7 +200,8 @@
 	}
 }
 
-// TestClockBack replaces a VM by one whose clock is behind.
+// TestClockBack replaces a VM by a run whose clock is behind: it must still get
+// a higher incarnation.
 func TestClockBack(t *testing.T) {
 	n := settled(t, 5)
 	before, _ := n.State(0, 1)
@@ -208,14 +210,15 @@
 
 	m := cwnetwork.NewMachine(n, 1, 7)
 	n.VMs[1].Actor, n.VMs[1].Down = m, false
-	until(t, n, time.Minute, "all see the newcomer", n.Whole)
+	until(t, n, time.Minute, "all see the new run", n.Whole)
 
 	if m.Self().Incarnation <= before.Incarnation || m.Replaced() {
-		t.Errorf("the newcomer has incarnation %d after %d, replaced: %v", m.Self().Incarnation, before.Incarnation, m.Replaced())
+		t.Errorf("the new run has incarnation %d after %d, replaced: %v", m.Self().Incarnation, before.Incarnation, m.Replaced())
 	}
 }
 
-// TestReplacedWhileFrozen resumes a VM whose place was taken meanwhile.
+// TestReplacedWhileFrozen resumes a VM that was replaced by a new run while it
+// was paused: the old run must notice and the others must keep to the new one.
 func TestReplacedWhileFrozen(t *testing.T) {
 	n := settled(t, 5)
 	old := n.VMs[1].Machine()
@@ -223,21 +226,22 @@
 	n.Run(30*time.Second, nil)
 
 	n.VMs[1].Actor, n.VMs[1].Down = cwnetwork.Machine(1, n), false
-	until(t, n, time.Minute, "all see the newcomer", n.Whole)
+	until(t, n, time.Minute, "all see the new run", n.Whole)
 
 	now, _ := n.State(0, 1)
 	n.VMs[1].Actor = old
-	until(t, n, time.Minute, "the old run knows that it was replaced", old.Replaced)
+	until(t, n, time.Minute, "the old run notices that it was replaced", old.Replaced)
 
 	for i := range n.VMs {
 		if p, _ := n.State(i, 1); i != 1 && p.Incarnation != now.Incarnation {
-			t.Errorf("vm %d went to incarnation %d", i, p.Incarnation)
+			t.Errorf("vm %d sees incarnation %d", i, p.Incarnation)
 		}
 	}
 }
 
-// TestSuccessorSoon tells a VM of a later run right after the first answer to
-// it, which came before any member was pinged.
+// TestSuccessorSoon reports a later run to a VM right after the first
+// reply to it, before it has pinged any member: it must count as replaced and
+// keep its incarnation.
 func TestSuccessorSoon(t *testing.T) {
 	n := cwnetwork.New(2, 1, cwnetwork.Machine)
 	n.Run(4*cwnetwork.Step, nil)
@@ -251,15 +255,16 @@
 	}
 }
 
-// TestRevision has a new revision known by many within the bound, and a
-// replay of the old one change nothing.
+// TestRevision checks that a new revision reaches some members within a second
+// and all within half a minute, and that a replayed datagram with the old one
+// has no effect.
 func TestRevision(t *testing.T) {
 	n := settled(t, 19)
 
 	old := &cwwire.Datagram{From: &cwwire.Member{Id: string(cwnetwork.ID(2)), Incarnation: uint64(n.VMs[2].Machine().Self().Incarnation)}}
 	n.VMs[2].Machine().SetRevision(9)
 
-	aware := func() int {
+	updated := func() int {
 		count := 0
 
 		for i := range n.VMs {
@@ -271,8 +276,8 @@
 		return count
 	}
 
-	until(t, n, time.Second, "some know", func() bool { return aware() >= 3 })
-	until(t, n, 30*time.Second, "all know", func() bool { return aware() == len(n.VMs)-1 })
+	until(t, n, time.Second, "some have the revision", func() bool { return updated() >= 3 })
+	until(t, n, 30*time.Second, "all have the revision", func() bool { return updated() == len(n.VMs)-1 })
 
 	for i := range n.VMs {
 		if i != 2 {
@@ -280,20 +285,20 @@
 		}
 	}
 
-	if aware() != len(n.VMs)-1 {
-		t.Error("a replayed datagram took a revision back")
+	if updated() != len(n.VMs)-1 {
+		t.Error("a replayed datagram decreased a revision")
 	}
 }
 
-// TestDetection bounds the time until a crash is known, which a quiet network
-// must not stretch.
+// TestDetection limits the time until a crash is detected when there are no
+// other updates to gossip.
 func TestDetection(t *testing.T) {
 	n := settled(t, 50)
-	n.Run(30*time.Second, nil) // All news of the newcomers have been sent.
+	n.Run(30*time.Second, nil) // All updates about the new members have been sent.
 	n.VMs[1].Down = true
 
 	until(t, n, 6*time.Second, "all suspect", func() bool { return n.Doubt(1, carobward.PeerSuspect) == 49 })
-	until(t, n, 13*time.Second, "all know", func() bool { return n.Doubt(1, carobward.PeerDead) == 49 })
+	until(t, n, 13*time.Second, "all see it as dead", func() bool { return n.Doubt(1, carobward.PeerDead) == 49 })
 }
 
 // BenchmarkTick measures one tick in a settled fleet.
@@ -314,38 +319,38 @@
 	}
 }
 
-// TestAcknowledge has the answer to a ping tell the sender what is held of it,
-// unless that is its own word.
+// TestAcknowledge checks that the ACK of a ping includes the receiver's
+// state of the sender if that differs from what the sender announced.
 func TestAcknowledge(t *testing.T) {
 	for name, tt := range map[string]struct {
-		held, said uint64
-		suspect    bool
-		want       bool
+		known, sent uint64
+		suspect     bool
+		want        bool
 	}{
-		"its own word":         {held: 5, said: 5},
-		"an earlier run":       {held: 5, said: 4, want: true},
-		"suspected":            {held: 5, said: 5, suspect: true, want: true},
-		"a run not known here": {held: 5, said: 6, want: true},
+		"same state":  {known: 5, sent: 5},
+		"earlier run": {known: 5, sent: 4, want: true},
+		"suspected":   {known: 5, sent: 5, suspect: true, want: true},
+		"unknown run": {known: 5, sent: 6, want: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			n := cwnetwork.New(2, 1, cwnetwork.Machine)
 			m := n.VMs[0].Machine()
-			word := n.VMs[1].Machine().Answer(&cwwire.Ask{}).GetMembers()[0]
-			word.Incarnation, word.Suspect = tt.held, tt.suspect
-			m.Merge(n.Now, &cwwire.Members{Members: []*cwwire.Member{word}})
+			member := n.VMs[1].Machine().Answer(&cwwire.Ask{}).GetMembers()[0]
+			member.Incarnation, member.Suspect = tt.known, tt.suspect
+			m.Merge(n.Now, &cwwire.Members{Members: []*cwwire.Member{member}})
 
-			ping := &cwwire.Datagram{Kind: cwwire.Datagram_PING, From: &cwwire.Member{Id: string(cwnetwork.ID(1)), Incarnation: tt.said}}
+			ping := &cwwire.Datagram{Kind: cwwire.Datagram_PING, From: &cwwire.Member{Id: string(cwnetwork.ID(1)), Incarnation: tt.sent}}
 
-			told := false
+			included := false
 
 			for _, a := range m.Receive(n.Now, "10.0.0.9:1", ping) {
 				for _, w := range a.Datagram.GetNews() {
-					told = told || w.GetId() == string(cwnetwork.ID(1)) && w.GetIncarnation() == tt.held && w.GetSuspect() == tt.suspect
+					included = included || w.GetId() == string(cwnetwork.ID(1)) && w.GetIncarnation() == tt.known && w.GetSuspect() == tt.suspect
 				}
 			}
 
-			if told != tt.want {
-				t.Errorf("told: %v, want %v", told, tt.want)
+			if included != tt.want {
+				t.Errorf("state of the sender included: %v, want %v", included, tt.want)
 			}
 		})
 	}
--- a/internal/cwmember/member.go
+++ b/internal/cwmember/member.go
@@ -1,12 +1,12 @@
-// Package cwmember keeps the membership between entry VMs: who is live, who
-// is suspected, who leaves and who is gone. Machine is the pure state machine
-// and Service its sockets.
+// Package cwmember implements the membership protocol of the entry VMs, which
+// tracks whether each of them is live, suspected, leaving or dead. Machine is
+// the state machine without I/O, Service runs it over a socket.
 //
-// The protocol follows SWIM (Das, Gupta, Motivala 2002): each period one
-// member is pinged, by way of others if it does not answer, and suspected
-// before it is taken for dead; changes ride on the messages. Unlike there,
-// death is never told to others: each VM concludes it for itself once a
-// suspicion has stood for long enough.
+// The protocol follows SWIM (Das, Gupta, Motivala 2002): in each period one
+// member is pinged, indirectly through others if it does not reply, and is
+// suspected before it is considered dead; updates are piggybacked on the
+// messages. Unlike in SWIM, a death is not gossiped: each VM declares a member
+// dead itself once its suspicion has timed out.
 package cwmember
 
 import (
@@ -19,17 +19,18 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// rank is a VM's own word about its run. It only rises.
+// rank is the lifecycle stage that a VM announces for its own run. It only
+// increases.
 type rank uint32
 
 const (
 	serving rank = iota
 	leaving
-	gone
+	stopped
 )
 
-// version orders what is said of one VM: the greater one holds. So the order
-// in which messages arrive does not matter, nor does it if they come twice.
+// version orders updates about one VM: the greatest one wins. Updates may
+// therefore arrive in any order and more than once.
 type version struct {
 	incarnation carobward.Incarnation
 	rank        rank
@@ -46,21 +47,21 @@
 	)
 }
 
-// member is what is known of one VM.
+// member is the local state of one VM.
 type member struct {
 	version
 
 	id       carobward.VMID
 	about    *cwwire.About
 	revision carobward.Revision
-	// since is when this run became known to us.
-	since time.Time
-	// heard is when it last answered us itself.
-	heard time.Time
-	// suspected is when its suspicion reached us.
+	// firstSeen is when this run became known here.
+	firstSeen time.Time
+	// lastSeen is when it last replied to a probe of ours directly.
+	lastSeen time.Time
+	// suspected is when the suspicion began here, or zero.
 	suspected time.Time
-	// dead tells that a suspicion has stood for too long, or that the VM
-	// said it is gone, since died.
+	// dead reports whether the suspicion timed out or the VM announced that it
+	// stopped; died is when.
 	dead bool
 	died time.Time
 }
@@ -69,7 +70,7 @@
 
 func (m *member) state() carobward.PeerState {
 	switch {
-	case m.dead || m.rank == gone:
+	case m.dead || m.rank == stopped:
 		return carobward.PeerDead
 	case m.rank == leaving:
 		return carobward.PeerLeaving
@@ -91,13 +92,14 @@
 		Operators:   carobward.Address(m.about.GetOperators()),
 		State:       m.state(),
 		Revision:    m.revision,
-		LastSeen:    m.heard,
+		LastSeen:    m.lastSeen,
 	}
 }
 
-// wire returns the member as a message. What never changes is left out of
-// the many short ones.
-func (m *member) wire(whole bool) *cwwire.Member {
+// wire encodes the member. The failure domain and the addresses, which do not
+// change during a run, are included only if full is set, to keep the frequent
+// messages short.
+func (m *member) wire(full bool) *cwwire.Member {
 	w := &cwwire.Member{
 		Id:          string(m.id),
 		Incarnation: uint64(m.incarnation),
@@ -107,7 +109,7 @@
 		Revision:    uint64(m.revision),
 	}
 
-	if whole {
+	if full {
 		w.About = m.about
 	}
 
@@ -138,12 +140,12 @@
 	}
 }
 
-// nameMost bounds an id and a failure domain in bytes.
-const nameMost = 128
+// maxNameBytes is the maximum length of an id and of a failure domain.
+const maxNameBytes = 128
 
-// valid tells whether a message about a member can be taken.
+// valid reports whether a received member is well-formed.
 func valid(w *cwwire.Member) bool {
-	if w.GetId() == "" || len(w.GetId()) > nameMost || rank(w.GetRank()) > gone {
+	if w.GetId() == "" || len(w.GetId()) > maxNameBytes || rank(w.GetRank()) > stopped {
 		return false
 	}
 
@@ -152,11 +154,11 @@
 		return true
 	}
 
-	for _, one := range []string{a.GetCallers(), a.GetLookup(), a.GetPeers(), a.GetOperators()} {
-		if _, err := netip.ParseAddrPort(one); err != nil {
+	for _, s := range []string{a.GetCallers(), a.GetLookup(), a.GetPeers(), a.GetOperators()} {
+		if _, err := netip.ParseAddrPort(s); err != nil {
 			return false
 		}
 	}
 
-	return len(a.GetDomain()) <= nameMost
+	return len(a.GetDomain()) <= maxNameBytes
 }
--- a/internal/cwmember/news.go
+++ b/internal/cwmember/news.go
@@ -10,27 +10,28 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// takeNews returns the news that were sent least often and counts them as
-// sent. What concerns the receiver comes on top, see ping.
-func (m *Machine) takeNews(to carobward.VMID) []*cwwire.Member {
-	ids := make([]carobward.VMID, 0, len(m.news))
-	for id := range m.news {
+// takeUpdates returns the updates that were sent least often, up to
+// maxUpdateBytes, and counts them as sent. Updates about the receiver itself
+// are added by ping and acknowledge.
+func (m *Machine) takeUpdates(to carobward.VMID) []*cwwire.Member {
+	ids := make([]carobward.VMID, 0, len(m.updates))
+	for id := range m.updates {
 		ids = append(ids, id)
 	}
 
 	slices.SortFunc(ids, func(a, b carobward.VMID) int {
-		return cmp.Or(cmp.Compare(m.news[a], m.news[b]), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(m.updates[a], m.updates[b]), cmp.Compare(a, b))
 	})
 
 	var out []*cwwire.Member
 
-	for left, most := newsBytes, m.copies(); len(ids) > 0; ids = ids[1:] {
+	for left, limit := maxUpdateBytes, m.maxTransmissions(); len(ids) > 0; ids = ids[1:] {
 		id := ids[0]
 		if id == to {
 			continue
 		}
 
-		w := m.newsOf(id)
+		w := m.updateOf(id)
 
 		left -= proto.Size(w)
 		if left < 0 {
@@ -39,31 +40,31 @@
 
 		out = append(out, w)
 
-		if m.news[id]++; m.news[id] >= most {
-			delete(m.news, id)
+		if m.updates[id]++; m.updates[id] >= limit {
+			delete(m.updates, id)
 		}
 	}
 
 	return out
 }
 
-func (m *Machine) newsOf(id carobward.VMID) *cwwire.Member {
+func (m *Machine) updateOf(id carobward.VMID) *cwwire.Member {
 	e := m.members[id]
 	if id == m.self.id {
 		e = &m.self
 	}
 
-	// Later on all know the rest, and whoever does not asks for it.
-	young := m.ticked.Sub(e.since) < youngMost
+	// Afterwards all members have the rest, or fetch it with a pull.
+	recent := m.lastTick.Sub(e.firstSeen) < fullUpdateAge
 
-	return e.wire(young && !e.suspect && e.rank != gone)
+	return e.wire(recent && !e.suspect && e.rank != stopped)
 }
 
-// spreadNews sends what is new to some members.
-func (m *Machine) spreadNews() []Message {
-	if m.hot > 0 {
-		m.hot--
-	} else if len(m.news) == 0 {
+// gossip returns messages with updates to random members.
+func (m *Machine) gossip() []Message {
+	if m.revisionRounds > 0 {
+		m.revisionRounds--
+	} else if len(m.updates) == 0 {
 		return nil
 	}
 
@@ -76,61 +77,64 @@
 	return out
 }
 
-// Leave starts to tell everyone that this VM stops. It is final.
+// Leave starts announcing to all members that this VM is leaving. It cannot be
+// undone.
 func (m *Machine) Leave() {
 	if m.self.rank >= leaving {
 		return
 	}
 
 	m.self.rank = leaving
-	m.news[m.self.id] = 0
-	m.stale, m.dirty = true, true
-	m.farewell = map[carobward.VMID]uint64{}
+	m.updates[m.self.id] = 0
+	m.digestStale, m.dirty = true, true
+	m.unconfirmed = map[carobward.VMID]uint64{}
 
 	for _, id := range sortedIDs(m.members) {
 		if !m.members[id].dead {
-			m.farewell[id] = m.rng.Uint64()
+			m.unconfirmed[id] = m.rng.Uint64()
 		}
 	}
 }
 
-// Unaware returns how many members have not confirmed that they know that
-// this VM leaves.
-func (m *Machine) Unaware() int { return len(m.farewell) }
+// Unaware returns the number of members that have not confirmed yet that
+// this VM is leaving.
+func (m *Machine) Unaware() int { return len(m.unconfirmed) }
 
-// farewells pings those that have not confirmed, some at a time.
-func (m *Machine) farewells() []Message {
-	const most = 50
+// pingUnconfirmed pings members that have not confirmed yet that this VM is
+// leaving, a limited number per call.
+func (m *Machine) pingUnconfirmed() []Message {
+	const maxPings = 50
 
 	var out []Message
 
-	for _, id := range sortedIDs(m.farewell) {
+	for _, id := range sortedIDs(m.unconfirmed) {
 		e := m.members[id]
 		if e == nil || e.dead {
-			delete(m.farewell, id)
+			delete(m.unconfirmed, id)
 
 			continue
 		}
 
-		if len(out) < most {
-			out = append(out, m.ping(e, m.farewell[id]))
+		if len(out) < maxPings {
+			out = append(out, m.ping(e, m.unconfirmed[id]))
 		}
 	}
 
 	return out
 }
 
-// Gone says that this VM has stopped. The machine is of no use thereafter.
+// Gone announces to some members that this VM has stopped. The machine must not
+// be used afterwards.
 func (m *Machine) Gone() []Message {
-	const tell = 8
+	const receivers = 8
 
-	m.self.rank = gone
-	m.stale = true
-	m.news = map[carobward.VMID]int{m.self.id: 0}
+	m.self.rank = stopped
+	m.digestStale = true
+	m.updates = map[carobward.VMID]int{m.self.id: 0}
 
 	var out []Message
 
-	for _, e := range m.sample(tell, "") {
+	for _, e := range m.sample(receivers, "") {
 		out = append(out, Message{To: e.address(), Datagram: m.datagram(cwwire.Datagram_NEWS, 0, e.id)})
 	}
 
--- a/internal/cwmember/probe.go
+++ b/internal/cwmember/probe.go
@@ -7,7 +7,7 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// datagram returns a message with our own word and as much news as fits.
+// datagram returns a datagram with our own state and as many updates as fit.
 func (m *Machine) datagram(kind cwwire.Datagram_Kind, number uint64, to carobward.VMID) *cwwire.Datagram {
 	d := &cwwire.Datagram{
 		Kind:   kind,
@@ -16,14 +16,14 @@
 		From:   m.self.wire(false),
 		Digest: m.digest(),
 	}
-	d.News = m.takeNews(to)
+	d.News = m.takeUpdates(to)
 
 	return d
 }
 
-// startProbe pings the next member once a period has passed.
+// startProbe pings the next member once per period.
 func (m *Machine) startProbe(now time.Time) []Message {
-	if m.probe != nil || now.Sub(m.probed) < m.options.Period {
+	if m.probe != nil || now.Sub(m.lastProbe) < m.options.Period {
 		return nil
 	}
 
@@ -32,13 +32,14 @@
 		return nil
 	}
 
-	m.probed = now
-	m.probe = &probe{number: m.rng.Uint64(), target: e.id, at: now}
+	m.lastProbe = now
+	m.probe = &probe{number: m.rng.Uint64(), target: e.id, sent: now}
 
 	return []Message{m.ping(e, m.probe.number)}
 }
 
-// ping returns a ping, which also tells a suspected member that it is.
+// ping returns a ping. It tells a suspected member of the suspicion, so that
+// the member can refute it.
 func (m *Machine) ping(e *member, number uint64) Message {
 	d := m.datagram(cwwire.Datagram_PING, number, e.id)
 	if e.suspect {
@@ -48,7 +49,8 @@
 	return Message{To: e.address(), Datagram: d}
 }
 
-// nextTarget goes round the members, in a new order each time round.
+// nextTarget returns the next member to ping: round-robin, in a new random
+// order in each round.
 func (m *Machine) nextTarget() *member {
 	for range len(m.ring) + 1 {
 		if m.next >= len(m.ring) {
@@ -84,8 +86,8 @@
 	m.rng.Shuffle(len(kept), func(i, j int) { kept[i], kept[j] = kept[j], kept[i] })
 }
 
-// insert puts a member at a random place of the round that is left, so that
-// newcomers are not all pinged at once.
+// insert adds a member at a random position in the rest of the current round,
+// so that new members are not all pinged at once.
 func (m *Machine) insert(id carobward.VMID) {
 	at := m.next + m.rng.IntN(len(m.ring)-m.next+1)
 	m.ring = append(m.ring, id)
@@ -93,10 +95,10 @@
 	m.ring[at] = id
 }
 
-// relayProbe asks others to ping a member that has not answered us.
-func (m *Machine) relayProbe(now time.Time) []Message {
+// requestRelays asks other members to ping a target that has not replied to us.
+func (m *Machine) requestRelays(now time.Time) []Message {
 	p := m.probe
-	if p == nil || p.relayed || now.Sub(p.at) < m.options.Reply {
+	if p == nil || p.relayed || now.Sub(p.sent) < m.options.Reply {
 		return nil
 	}
 
@@ -113,11 +115,12 @@
 	return out
 }
 
-// endProbe suspects a member that has not answered by any way. If nobody at
-// all was heard meanwhile, the fault may be ours and the others are not told.
+// endProbe starts to suspect a member that replied neither directly nor through
+// a relay. The suspicion is not gossiped if nothing at all was received since
+// the ping, because the fault may then be on this side.
 func (m *Machine) endProbe(now time.Time) {
 	p := m.probe
-	if p == nil || now.Sub(p.at) < m.options.Period {
+	if p == nil || now.Sub(p.sent) < m.options.Period {
 		return
 	}
 
@@ -131,39 +134,40 @@
 	m.counts.Suspicions++
 	e.suspect, e.suspected, m.dirty = true, now, true
 
-	if m.heard.After(p.at) {
-		m.news[e.id] = 0
+	if m.lastReceived.After(p.sent) {
+		m.updates[e.id] = 0
 	} else {
-		delete(m.news, e.id)
+		delete(m.updates, e.id)
 	}
 }
 
-// confirm pings one of the suspected members, whoever suspected it, so that a
-// lost refutation does not cost a live one its membership.
-func (m *Machine) confirm() []Message {
-	var some []*member
+// pingSuspect pings a random suspected member, no matter who suspected it
+// first, so that a live member is not declared dead because its refutation was
+// lost.
+func (m *Machine) pingSuspect() []Message {
+	var suspects []*member
 
 	for _, id := range m.ring {
 		if e := m.members[id]; e != nil && !e.dead && e.suspect {
-			some = append(some, e)
+			suspects = append(suspects, e)
 		}
 	}
 
-	if len(some) == 0 {
+	if len(suspects) == 0 {
 		return nil
 	}
 
-	return []Message{m.ping(some[m.rng.IntN(len(some))], m.rng.Uint64())}
+	return []Message{m.ping(suspects[m.rng.IntN(len(suspects))], m.rng.Uint64())}
 }
 
-// retry pings one VM that is no member, so that a healed cut is noticed on
-// both sides.
+// retry pings a random VM outside the membership, so that both sides notice
+// when a network partition heals.
 func (m *Machine) retry(now time.Time) []Message {
-	if now.Sub(m.retried) < m.options.Retry {
+	if now.Sub(m.lastRetry) < m.options.Retry {
 		return nil
 	}
 
-	m.retried = now
+	m.lastRetry = now
 
 	var others []Seed
 
@@ -174,7 +178,7 @@
 	}
 
 	for _, e := range m.members {
-		if e.dead && e.rank != gone {
+		if e.dead && e.rank != stopped {
 			others = append(others, Seed{ID: e.id, Address: e.address()})
 		}
 	}
@@ -186,8 +190,8 @@
 	sortSeeds(others)
 
 	s := others[m.rng.IntN(len(others))]
-	m.greeting = m.rng.Uint64()
-	d := m.datagram(cwwire.Datagram_PING, m.greeting, s.ID)
+	m.retryNumber = m.rng.Uint64()
+	d := m.datagram(cwwire.Datagram_PING, m.retryNumber, s.ID)
 	d.From = m.self.wire(true)
 
 	if e := m.members[s.ID]; e != nil {
@@ -197,19 +201,20 @@
 	return []Message{{To: s.Address, Datagram: d}}
 }
 
-// sample returns up to n members that are not dead, other than one.
-func (m *Machine) sample(n int, but carobward.VMID) []*member {
-	var some []*member
+// sample returns up to n random members that are not dead, without the excluded
+// one.
+func (m *Machine) sample(n int, exclude carobward.VMID) []*member {
+	var chosen []*member
 
 	for _, i := range m.rng.Perm(len(m.ring)) {
-		if len(some) == n {
+		if len(chosen) == n {
 			break
 		}
 
-		if e := m.members[m.ring[i]]; e != nil && !e.dead && e.id != but {
-			some = append(some, e)
+		if e := m.members[m.ring[i]]; e != nil && !e.dead && e.id != exclude {
+			chosen = append(chosen, e)
 		}
 	}
 
-	return some
+	return chosen
 }
--- a/internal/cwmember/receive.go
+++ b/internal/cwmember/receive.go
@@ -7,10 +7,10 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// Receive takes a datagram that came from an address. Its tag has been
-// checked. A datagram that comes twice or late does no harm: what it says is
-// taken only if it is greater than what is known, and an answer only if its
-// number is waited for.
+// Receive handles an authenticated datagram from an address and returns the
+// messages to send. Duplicate and late datagrams are harmless: updates are
+// applied only if their version is greater than the known one, and ACKs only if
+// their number is expected.
 func (m *Machine) Receive(now time.Time, from carobward.Address, d *cwwire.Datagram) []Message {
 	sender := d.GetFrom()
 	if !valid(sender) || (d.GetTo() != "" && d.GetTo() != string(m.self.id)) {
@@ -18,12 +18,12 @@
 	}
 
 	if sender.GetId() == string(m.self.id) {
-		m.aboutSelf(sender)
+		m.applySelf(sender)
 
 		return nil
 	}
 
-	m.heard = now
+	m.lastReceived = now
 	m.apply(now, sender)
 
 	for _, w := range d.GetNews() {
@@ -39,16 +39,17 @@
 	case cwwire.Datagram_PING:
 		return []Message{m.acknowledge(from, d)}
 	case cwwire.Datagram_ACK:
-		return m.answered(now, d)
+		return m.handleAck(now, d)
 	case cwwire.Datagram_RELAY:
-		return m.pingFor(now, from, d)
+		return m.relayPing(now, from, d)
 	default:
 		return nil
 	}
 }
 
-// replyTo returns the address of a member that sent something from an address.
-// Another run than the one that we know may be at another address.
+// replyTo returns the address to reply to. It is the sender's announced address,
+// or the source address if the sender is another run than the known one, which
+// may have another address.
 func (m *Machine) replyTo(sender *cwwire.Member, from carobward.Address) carobward.Address {
 	e := m.members[carobward.VMID(sender.GetId())]
 	if e == nil || e.incarnation != versionOf(sender).incarnation {
@@ -58,8 +59,9 @@
 	return e.address()
 }
 
-// acknowledge answers a ping. It tells the sender what we hold of it if that
-// is greater than its own word, so that it can refute it.
+// acknowledge replies to a ping. The reply includes our version of the sender if
+// that is greater than the sender's own, so that the sender can refute it, or
+// if we know only an earlier run, so that the sender announces itself.
 func (m *Machine) acknowledge(to carobward.Address, d *cwwire.Datagram) Message {
 	a := m.datagram(cwwire.Datagram_ACK, d.GetNumber(), carobward.VMID(d.GetFrom().GetId()))
 
@@ -67,7 +69,8 @@
 
 	switch {
 	case e == nil:
-		// We know nothing of it: it should tell us, and may not know us.
+		// The sender is not known here, and may not know this VM: introduce
+		// this VM and have the sender announce itself.
 		a.From = m.self.wire(true)
 		a.News = append(a.News, &cwwire.Member{Id: a.GetTo()})
 	case uint64(e.incarnation) < d.GetFrom().GetIncarnation():
@@ -79,9 +82,10 @@
 	return Message{To: to, Datagram: a}
 }
 
-// answered takes an acknowledgement: of our own probe, of a farewell, or of
-// a ping for another member.
-func (m *Machine) answered(now time.Time, d *cwwire.Datagram) []Message {
+// handleAck handles the ACK of a probe, of the announcement that this VM is
+// leaving, of a ping outside the membership, or of a ping that was relayed for
+// another member.
+func (m *Machine) handleAck(now time.Time, d *cwwire.Datagram) []Message {
 	id := carobward.VMID(d.GetFrom().GetId())
 	target := id
 
@@ -89,7 +93,7 @@
 		target = carobward.VMID(d.GetTarget())
 	}
 
-	if m.greeting != 0 && d.GetNumber() == m.greeting {
+	if m.retryNumber != 0 && d.GetNumber() == m.retryNumber {
 		m.joined = true
 	}
 
@@ -98,12 +102,12 @@
 		m.joined = true
 
 		if e := m.members[target]; e != nil && target == id {
-			e.heard, m.dirty = now, true
+			e.lastSeen, m.dirty = now, true
 		}
 	}
 
-	if n, ok := m.farewell[id]; ok && n == d.GetNumber() {
-		delete(m.farewell, id)
+	if n, ok := m.unconfirmed[id]; ok && n == d.GetNumber() {
+		delete(m.unconfirmed, id)
 	}
 
 	r, ok := m.relays[d.GetNumber()]
@@ -113,24 +117,24 @@
 
 	delete(m.relays, d.GetNumber())
 
-	a := m.datagram(cwwire.Datagram_ACK, r.number, r.asker)
+	a := m.datagram(cwwire.Datagram_ACK, r.number, r.requester)
 	a.Target = string(id)
 	a.News = append(a.News, d.GetFrom())
 
 	return []Message{{To: r.to, Datagram: a}}
 }
 
-// pingFor pings a member for another one, and lets that one know at once
-// that it was heard.
-func (m *Machine) pingFor(now time.Time, from carobward.Address, d *cwwire.Datagram) []Message {
+// relayPing pings a member for the requester. The requester gets a message at
+// once, which shows it that its own datagrams arrive.
+func (m *Machine) relayPing(now time.Time, from carobward.Address, d *cwwire.Datagram) []Message {
 	e := m.members[carobward.VMID(d.GetTarget())]
-	if e == nil || len(m.relays) >= relaysMost {
+	if e == nil || len(m.relays) >= maxRelays {
 		return nil
 	}
 
 	asker := carobward.VMID(d.GetFrom().GetId())
 	number := m.rng.Uint64()
-	m.relays[number] = relay{to: from, asker: asker, number: d.GetNumber(), until: now.Add(m.options.Period)}
+	m.relays[number] = relay{to: from, requester: asker, number: d.GetNumber(), expires: now.Add(m.options.Period)}
 
 	return []Message{
 		m.ping(e, number),
@@ -138,7 +142,7 @@
 	}
 }
 
-// Merge takes the members that a peer knows.
+// Merge applies the members that a peer returned.
 func (m *Machine) Merge(now time.Time, in *cwwire.Members) {
 	for _, w := range in.GetMembers() {
 		if valid(w) {
@@ -146,13 +150,14 @@
 		}
 	}
 
-	m.aboutSelf(&cwwire.Member{Id: string(m.self.id), Incarnation: in.GetIncarnation()})
+	m.applySelf(&cwwire.Member{Id: string(m.self.id), Incarnation: in.GetIncarnation()})
 }
 
-// apply takes what is said of a VM if it is greater than what is known.
+// apply applies an update about a VM if its version is greater than the known
+// one.
 func (m *Machine) apply(now time.Time, w *cwwire.Member) {
 	if w.GetId() == string(m.self.id) {
-		m.aboutSelf(w)
+		m.applySelf(w)
 
 		return
 	}
@@ -175,39 +180,40 @@
 
 	if v.incarnation > e.incarnation {
 		if w.GetAbout() == nil {
-			return // Its addresses are not known yet; they come as news.
+			return // The addresses of the new run are not known yet; a later update has them.
 		}
 
-		e.about, e.revision, e.since = w.GetAbout(), carobward.Revision(w.GetRevision()), now
+		e.about, e.revision, e.firstSeen = w.GetAbout(), carobward.Revision(w.GetRevision()), now
 	}
 
-	m.take(now, e, v)
+	m.setVersion(now, e, v)
 }
 
-// setRevision never goes back within an incarnation.
+// setRevision sets the revision of a member's configuration. It never
+// decreases within an incarnation.
 func (m *Machine) setRevision(e *member, r carobward.Revision) {
 	if r > e.revision {
 		e.revision, m.dirty = r, true
 	}
 }
 
-// take notes a greater version of a known member and passes it on.
-func (m *Machine) take(now time.Time, e *member, v version) {
+// setVersion stores a greater version of a known member and gossips it.
+func (m *Machine) setVersion(now time.Time, e *member, v version) {
 	if v.incarnation != e.incarnation || v.rank != e.rank || e.dead {
-		m.changedAt(now)
+		m.viewChanged(now)
 	}
 
-	if e.dead && v.rank != gone {
+	if e.dead && v.rank != stopped {
 		m.insert(e.id)
 	}
 
 	e.version, e.dead, e.suspected = v, false, time.Time{}
 	m.dirty = true
-	m.news[e.id] = 0
+	m.updates[e.id] = 0
 
 	switch {
-	case v.rank == gone:
-		m.die(e, now)
+	case v.rank == stopped:
+		m.markDead(e, now)
 	case v.suspect:
 		e.suspected = now
 	}
@@ -215,16 +221,16 @@
 
 func (m *Machine) add(now time.Time, w *cwwire.Member) {
 	v := versionOf(w)
-	if w.GetAbout() == nil || v.rank == gone || len(m.members) >= membersMost {
+	if w.GetAbout() == nil || v.rank == stopped || len(m.members) >= maxMembers {
 		return
 	}
 
 	e := &member{
-		version:  v,
-		id:       carobward.VMID(w.GetId()),
-		about:    w.GetAbout(),
-		revision: carobward.Revision(w.GetRevision()),
-		since:    now,
+		version:   v,
+		id:        carobward.VMID(w.GetId()),
+		about:     w.GetAbout(),
+		revision:  carobward.Revision(w.GetRevision()),
+		firstSeen: now,
 	}
 
 	if v.suspect {
@@ -232,38 +238,40 @@
 	}
 
 	m.members[e.id] = e
-	m.news[e.id] = 0
-	m.changedAt(now)
+	m.updates[e.id] = 0
+	m.viewChanged(now)
 	m.insert(e.id)
 }
 
-// aboutSelf answers what others say of this VM.
-func (m *Machine) aboutSelf(w *cwwire.Member) {
+// applySelf handles an update about this VM: it refutes a suspicion, moves
+// above the incarnation of an earlier run, or detects a later run.
+func (m *Machine) applySelf(w *cwwire.Member) {
 	v := versionOf(w)
 
 	switch {
 	case v.incarnation < m.self.incarnation:
-		// They know an earlier run, or nothing.
-		m.self.since = m.ticked
-		m.news[m.self.id] = 0
+		// The peer knows an earlier run, or none.
+		m.self.firstSeen = m.lastTick
+		m.updates[m.self.id] = 0
 	case v.incarnation > m.self.incarnation && m.joined:
 		m.replaced, m.dirty = true, true
 	case v.incarnation > m.self.incarnation:
-		m.raise(v.incarnation)
+		m.raiseIncarnation(v.incarnation)
 	case v.suspect && v.sequence >= m.self.sequence:
 		m.self.sequence = v.sequence + 1
-		m.news[m.self.id] = 0
+		m.updates[m.self.id] = 0
 		m.counts.Refutations++
 	}
 }
 
-// raise takes an incarnation above an earlier run's, whose clock was ahead of
-// ours. Chance keeps two that do so at once apart.
-func (m *Machine) raise(above carobward.Incarnation) {
+// raiseIncarnation moves this run's incarnation above that of an earlier run,
+// whose clock was ahead. The random part keeps two runs that do so at the same
+// time apart.
+func (m *Machine) raiseIncarnation(above carobward.Incarnation) {
 	const spread = 1_000_000_000
 
 	m.self.incarnation = above + 1 + carobward.Incarnation(m.rng.Uint64N(spread))
-	m.self.sequence, m.self.since = 0, m.ticked
-	m.news[m.self.id] = 0
-	m.stale, m.dirty = true, true
+	m.self.sequence, m.self.firstSeen = 0, m.lastTick
+	m.updates[m.self.id] = 0
+	m.digestStale, m.dirty = true, true
 }
--- a/internal/cwmember/schedule_test.go
+++ b/internal/cwmember/schedule_test.go
@@ -14,7 +14,7 @@
 	"carobward.example/carobward/internal/lab/cwnetwork"
 )
 
-// TestMain bounds the generated cases; -rapid.checks asks for more.
+// TestMain limits the number of generated cases; -rapid.checks overrides it.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.checks", "10"); err != nil {
 		panic(err)
@@ -24,20 +24,21 @@
 	m.Run()
 }
 
-// seen is what a viewer has seen of a VM, which must not go back.
-type seen struct {
+// observation is the newest state of a VM that a viewer has seen. It must not go
+// back.
+type observation struct {
 	incarnation carobward.Incarnation
-	left        bool
+	leaving     bool
 }
 
-// history checks views while a schedule runs.
+// history checks the views of all VMs while a schedule of faults runs.
 type history struct {
 	n    *cwnetwork.Network
-	last map[[2]carobward.VMID]seen
+	last map[[2]carobward.VMID]observation
 	bad  string
 }
 
-func (h *history) look() {
+func (h *history) observe() {
 	for i, v := range h.n.VMs {
 		if v.Down {
 			continue
@@ -51,54 +52,55 @@
 
 func (h *history) check(viewer carobward.VMID, _ carobward.Incarnation, p carobward.Peer) {
 	k := [2]carobward.VMID{viewer, p.ID}
-	before, now := h.last[k], seen{incarnation: p.Incarnation}
+	before, now := h.last[k], observation{incarnation: p.Incarnation}
 
 	if p.Incarnation < before.incarnation {
 		h.bad = "an incarnation went back"
 	}
 
-	left := before.left && p.Incarnation == before.incarnation
-	if left && (p.State == carobward.PeerLive || p.State == carobward.PeerSuspect) {
-		h.bad = "a leaving word was undone"
+	leaving := before.leaving && p.Incarnation == before.incarnation
+	if leaving && (p.State == carobward.PeerLive || p.State == carobward.PeerSuspect) {
+		h.bad = "a leaving VM was seen as live or suspected again"
 	}
 
-	now.left = left || p.State == carobward.PeerLeaving
+	now.leaving = leaving || p.State == carobward.PeerLeaving
 	h.last[k] = now
 }
 
-// restart replaces the VM at a place by a new run.
+// restart replaces VM i by a new run.
 func (h *history) restart(i int) {
 	for k := range h.last {
 		if k[0] == cwnetwork.ID(i) {
-			delete(h.last, k) // The new run starts to look afresh.
+			delete(h.last, k) // The new run has seen nothing yet.
 		}
 	}
 
 	h.n.VMs[i] = &cwnetwork.VM{Actor: cwnetwork.Machine(i, h.n)}
 }
 
-// TestSchedules drives fleets through generated faults and checks what must
-// always hold, and that a calm network mends everything.
+// TestSchedules runs fleets through generated faults. It checks the invariants of
+// history throughout, and that all views are correct some time after the last
+// fault.
 func TestSchedules(t *testing.T) {
 	const size, settle, calm = 6, 10 * time.Second, 40 * time.Second
 
 	rapid.Check(t, func(r *rapid.T) {
 		n := cwnetwork.New(size, rapid.Uint64().Draw(r, "seed"), cwnetwork.Machine)
-		h := &history{n: n, last: map[[2]carobward.VMID]seen{}}
+		h := &history{n: n, last: map[[2]carobward.VMID]observation{}}
 		n.Run(settle, nil)
 
 		for range rapid.IntRange(1, 8).Draw(r, "events") {
 			i := rapid.IntRange(0, size-1).Draw(r, "vm")
 			v := n.VMs[i]
 
-			switch rapid.SampledFrom([]string{"kill", "restart", "leave", "freeze", "cut", "loss", "rest"}).Draw(r, "event") {
-			case "kill":
+			switch rapid.SampledFrom([]string{"crash", "restart", "leave", "pause", "cut", "loss", "none"}).Draw(r, "event") {
+			case "crash":
 				v.Down = true
 			case "restart":
 				h.restart(i)
 			case "leave":
 				v.Machine().Leave()
-			case "freeze":
+			case "pause":
 				v.Frozen = !v.Frozen
 			case "cut":
 				j := rapid.IntRange(0, size-1).Draw(r, "from")
@@ -107,7 +109,7 @@
 				n.Loss = rapid.Float64Range(0, 0.5).Draw(r, "loss")
 			}
 
-			n.Run(time.Duration(rapid.IntRange(0, 15).Draw(r, "seconds"))*time.Second, h.look)
+			n.Run(time.Duration(rapid.IntRange(0, 15).Draw(r, "seconds"))*time.Second, h.observe)
 		}
 
 		n.Loss, n.Cut = 0, func(int, int) bool { return false }
@@ -115,18 +117,18 @@
 			v.Frozen = false
 		}
 
-		n.Run(calm, h.look)
+		n.Run(calm, h.observe)
 
 		if h.bad != "" {
 			r.Fatal(h.bad)
 		}
 
-		mended(r, n)
+		converged(r, n)
 	})
 }
 
-// mended checks that each VM that runs sees the others as they are.
-func mended(r *rapid.T, n *cwnetwork.Network) {
+// converged checks that each running VM sees the actual state of the others.
+func converged(r *rapid.T, n *cwnetwork.Network) {
 	for i, v := range n.VMs {
 		for j, w := range n.VMs {
 			if i == j || v.Down || w.Down {
@@ -143,11 +145,11 @@
 	}
 }
 
-// TestOrder gives the same words to two VMs, to one of them in another order
-// and some twice: both must end with the same view.
+// TestOrder gives the same updates to two VMs, to one of them in another
+// order and some twice: both must end with the same view.
 func TestOrder(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		words := rapid.SliceOfN(rapid.Custom(func(r *rapid.T) *cwwire.Member {
+		updates := rapid.SliceOfN(rapid.Custom(func(r *rapid.T) *cwwire.Member {
 			i := rapid.IntRange(1, 3).Draw(r, "vm")
 			p := cwnetwork.Self(i, 1)
 
@@ -159,20 +161,20 @@
 				Suspect:     rapid.Bool().Draw(r, "suspect"),
 				About:       &cwwire.About{Callers: string(p.Callers), Lookup: string(p.Lookup), Peers: string(p.Peers), Operators: string(p.Operators)},
 			}
-		}), 1, 20).Draw(r, "words")
-		again := rapid.Permutation(append(words, words[:len(words)/2]...)).Draw(r, "again")
+		}), 1, 20).Draw(r, "updates")
+		again := rapid.Permutation(append(updates, updates[:len(updates)/2]...)).Draw(r, "again")
 
-		if diff := cmp.Diff(viewOf(words), viewOf(again)); diff != "" {
+		if diff := cmp.Diff(viewOf(updates), viewOf(again)); diff != "" {
 			r.Fatal(diff)
 		}
 	})
 }
 
-func viewOf(words []*cwwire.Member) map[carobward.VMID]carobward.Peer {
+func viewOf(updates []*cwwire.Member) map[carobward.VMID]carobward.Peer {
 	n := cwnetwork.New(1, 1, cwnetwork.Machine)
 	m := n.VMs[0].Machine()
 
-	for _, w := range words {
+	for _, w := range updates {
 		m.Merge(n.Now, &cwwire.Members{Members: []*cwwire.Member{w}})
 	}
 
@@ -184,7 +186,8 @@
 	return view
 }
 
-// FuzzReceive feeds a machine with any datagram that parses.
+// FuzzReceive passes arbitrary valid protobuf datagrams to a machine. It must not
+// panic, nor add itself or a member without an address.
 func FuzzReceive(f *testing.F) {
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, raw []byte) {
@@ -200,7 +203,7 @@
 
 		for _, p := range m.Peers() {
 			if p.ID == cwnetwork.ID(0) || p.Peers == "" {
-				t.Errorf("took in %+v", p)
+				t.Errorf("added %+v", p)
 			}
 		}
 	})
--- a/internal/cwmember/service.go
+++ b/internal/cwmember/service.go
@@ -20,18 +20,18 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// The pace of the service.
+// Times and limits of the service.
 const (
-	tickEvery = 50 * time.Millisecond
-	// askMost is how many seeds a newcomer asks.
-	askMost = 3
-	// askTimeout bounds the asking.
-	askTimeout = time.Second
-	// datagramMost is more than any datagram has.
-	datagramMost = 4096
+	tickInterval = 50 * time.Millisecond
+	// maxJoinPeers is the number of entry VMs that a starting one queries.
+	maxJoinPeers = 3
+	// joinTimeout limits these queries.
+	joinTimeout = time.Second
+	// maxDatagramBytes is larger than any datagram of the protocol.
+	maxDatagramBytes = 4096
 )
 
-// Service runs a Machine over a socket and keeps the table of peers.
+// Service runs a Machine over a socket and keeps the table of peers up to date.
 type Service struct {
 	key     cwpeer.Key
 	conn    net.PacketConn
@@ -40,7 +40,7 @@
 	clock   carobward.Clock
 	log     logr.Logger
 
-	// metrics counts, in bytes without the headers of UDP and IP.
+	// metrics has the counters; bytes are without UDP and IP headers.
 	metrics *expvar.Map
 
 	mutex    sync.Mutex
@@ -51,8 +51,8 @@
 	done     chan struct{}
 }
 
-// NewService returns a service for the VM that the table has as its own. The
-// socket is closed by who opened it.
+// NewService returns a service for the entry VM that is the table's self. The
+// caller closes conn after Run has returned.
 func NewService(key cwpeer.Key, conn net.PacketConn, table *cwpeer.Table, clients *cwpeer.Clients, metrics *expvar.Map, clock carobward.Clock, log logr.Logger) *Service {
 	return &Service{
 		key: key, conn: conn, table: table, clients: clients, metrics: metrics, clock: clock, log: log.WithName("member"),
@@ -65,10 +65,10 @@
 // Done is closed once Run has returned.
 func (s *Service) Done() <-chan struct{} { return s.done }
 
-// Replaced is closed once a later run of this VM has been heard of.
+// Replaced is closed once a later run of this VM is known.
 func (s *Service) Replaced() <-chan struct{} { return s.replaced }
 
-// Seeds takes the entry VMs of the VM list.
+// Seeds sets the entry VMs of a VM list as seeds.
 func (s *Service) Seeds(list []carobward.VM) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -76,11 +76,11 @@
 	s.machine.SetSeeds(seeds(list, s.table.Self().ID))
 }
 
-func seeds(list []carobward.VM, but carobward.VMID) []Seed {
+func seeds(list []carobward.VM, exclude carobward.VMID) []Seed {
 	var all []Seed
 
 	for _, v := range list {
-		if v.Service == carobward.EntryService && v.ID != "" && v.ID != but {
+		if v.Service == carobward.EntryService && v.ID != "" && v.ID != exclude {
 			all = append(all, Seed{ID: v.ID, Address: v.Address})
 		}
 	}
@@ -88,11 +88,11 @@
 	return all
 }
 
-// Join asks some entry VMs of the list for all members, before this one is
-// known to anyone. If they know a higher incarnation of this VM, it takes one
-// above.
+// Join fetches all members from some entry VMs of the list, before this VM is
+// known to any of them. If they know a higher incarnation of this VM, it moves
+// above that one.
 func (s *Service) Join(ctx context.Context, list []carobward.VM) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 
 	all := seeds(list, s.table.Self().ID)
@@ -103,9 +103,9 @@
 		answered atomic.Bool
 	)
 
-	for _, d := range all[:min(len(all), askMost)] {
+	for _, p := range all[:min(len(all), maxJoinPeers)] {
 		group.Go(func() {
-			if s.ask(ctx, d.Address) {
+			if s.fetchMembers(ctx, p.Address) {
 				answered.Store(true)
 			}
 		})
@@ -121,11 +121,12 @@
 	}
 }
 
-// ask takes the members that a peer knows. It returns whether it answered.
-func (s *Service) ask(ctx context.Context, to carobward.Address) bool {
+// fetchMembers fetches the members from a peer and merges them. It reports
+// whether the peer replied.
+func (s *Service) fetchMembers(ctx context.Context, to carobward.Address) bool {
 	out := &cwwire.Members{}
 	if err := s.clients.Call(ctx, to, "Member.Ask", &cwwire.Ask{Id: string(s.table.Self().ID)}, out); err != nil {
-		s.log.Info("A peer did not tell its members.", "peer", to, "cause", err.Error())
+		s.log.Info("The members could not be fetched from a peer.", "peer", to, "cause", err.Error())
 
 		return false
 	}
@@ -139,13 +140,13 @@
 	return true
 }
 
-// Asked is what peers may call.
+// Asked has the methods that peers call.
 type Asked struct{ service *Service }
 
 // Asked returns the methods to register as "Member".
 func (s *Service) Asked() *Asked { return &Asked{s} }
 
-// Ask answers all members.
+// Ask returns all members that are not dead.
 func (a *Asked) Ask(in *cwwire.Ask, out *cwwire.Members) error {
 	a.service.mutex.Lock()
 	defer a.service.mutex.Unlock()
@@ -156,7 +157,8 @@
 	return nil
 }
 
-// Run takes part until ctx ends, and says at last that this VM has gone.
+// Run takes part in the protocol until ctx is done, then announces that this VM
+// has stopped.
 func (s *Service) Run(ctx context.Context) {
 	defer close(s.done)
 
@@ -170,13 +172,13 @@
 	s.mutex.Unlock()
 	s.send(last)
 
-	_ = s.conn.SetReadDeadline(time.Unix(1, 0)) // It ends receive.
+	_ = s.conn.SetReadDeadline(time.Unix(1, 0)) // It makes receive return.
 
 	group.Wait()
 }
 
 func (s *Service) tick(ctx context.Context, group *conc.WaitGroup) {
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 
 	for {
@@ -205,7 +207,7 @@
 
 func (s *Service) pull(ctx context.Context, to carobward.Address) {
 	s.metrics.Add("pulls", 1)
-	_ = s.ask(ctx, to)
+	_ = s.fetchMembers(ctx, to)
 
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -214,7 +216,7 @@
 }
 
 func (s *Service) receive() {
-	buffer := make([]byte, datagramMost)
+	buffer := make([]byte, maxDatagramBytes)
 
 	for {
 		n, from, err := s.conn.ReadFrom(buffer)
@@ -225,7 +227,7 @@
 			}
 
 			s.log.Error(err, "A datagram could not be read.")
-			<-time.After(tickEvery)
+			<-time.After(tickInterval)
 
 			continue
 		}
@@ -248,7 +250,8 @@
 
 		s.mutex.Lock()
 		out := s.machine.Receive(s.clock.Now(), carobward.Address(from.String()), d)
-		// Others are told that we know only once our own answers show it.
+		// The table is updated before the ACK is sent: a leaving VM relies on an
+		// ACK to mean that our lookup replies leave it out already.
 		s.publish()
 		s.mutex.Unlock()
 
@@ -260,7 +263,7 @@
 	for _, m := range all {
 		raw, err := proto.Marshal(m.Datagram)
 		if err != nil {
-			s.log.Error(err, "A datagram could not be written.")
+			s.log.Error(err, "A datagram could not be encoded.")
 
 			continue
 		}
@@ -273,13 +276,13 @@
 		sealed := s.key.Seal(raw)
 		s.metrics.Add("bytes_out", int64(len(sealed)))
 
-		// A datagram that is lost here is like one that is lost on the way.
+		// The protocol tolerates lost datagrams, so an error is ignored.
 		_, _ = s.conn.WriteTo(sealed, net.UDPAddrFromAddrPort(to))
 	}
 }
 
-// publish brings the table up to date and counts what has happened. The
-// mutex is held.
+// publish updates the table of peers and the metrics. The caller holds the
+// mutex.
 func (s *Service) publish() {
 	if !s.machine.Dirty() {
 		return
@@ -301,11 +304,11 @@
 	}
 
 	if s.machine.Replaced() {
-		s.replace()
+		s.signalReplaced()
 	}
 }
 
-func (s *Service) replace() {
+func (s *Service) signalReplaced() {
 	select {
 	case <-s.replaced:
 	default:
@@ -314,29 +317,29 @@
 	}
 }
 
-// Leave tells all members that this VM stops, and returns once each has
-// confirmed it or ctx has ended, with the number of those that have not.
+// Leave announces to all members that this VM is leaving. It returns once each
+// has confirmed it or ctx is done, with the number of members that have not.
 func (s *Service) Leave(ctx context.Context) int {
 	s.mutex.Lock()
 	s.machine.Leave()
 	s.publish()
 	s.mutex.Unlock()
 
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 
 	for {
 		s.mutex.Lock()
-		left := s.machine.Unaware()
+		missing := s.machine.Unaware()
 		s.mutex.Unlock()
 
-		if left == 0 {
+		if missing == 0 {
 			return 0
 		}
 
 		select {
 		case <-ctx.Done():
-			return left
+			return missing
 		case <-t.C:
 		}
 	}
--- a/internal/cwmember/service_test.go
+++ b/internal/cwmember/service_test.go
@@ -18,19 +18,19 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// place is a service with its sockets.
-type place struct {
+// instance is a service with its sockets.
+type instance struct {
 	service *cwmember.Service
 	table   *cwpeer.Table
 	conn    net.PacketConn
 	stop    func()
 }
 
-const placeKey = testKey("a key of the test")
+const sharedKey = testKey("a key of the test")
 
 type testKey string
 
-func open(t *testing.T, id carobward.VMID, key testKey, list []carobward.VM) *place {
+func open(t *testing.T, id carobward.VMID, key testKey, list []carobward.VM) *instance {
 	t.Helper()
 
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -43,11 +43,11 @@
 		t.Fatal(err)
 	}
 
-	at := carobward.Address(ln.Addr().String())
+	addr := carobward.Address(ln.Addr().String())
 	clock := carobward.SystemClock{}
-	p := &place{conn: conn, table: cwpeer.NewTable(carobward.Peer{
+	p := &instance{conn: conn, table: cwpeer.NewTable(carobward.Peer{
 		ID: id, Incarnation: carobward.Incarnation(clock.Now().UnixNano()),
-		Callers: at, Lookup: at, Peers: at, Operators: at,
+		Callers: addr, Lookup: addr, Peers: addr, Operators: addr,
 	})}
 
 	clients, server := cwpeer.NewClients(cwpeer.Key(key)), cwpeer.NewServer(cwpeer.Key(key), logr.Discard())
@@ -83,14 +83,14 @@
 	return p
 }
 
-func (p *place) vm() carobward.VM {
+func (p *instance) vm() carobward.VM {
 	s := p.table.Self()
 
 	return carobward.VM{ID: s.ID, Address: s.Peers, Service: carobward.EntryService}
 }
 
-// states returns how the others are seen.
-func (p *place) states() map[carobward.VMID]string {
+// states returns the states of the other VMs as seen here.
+func (p *instance) states() map[carobward.VMID]string {
 	all := map[carobward.VMID]string{}
 
 	for _, o := range p.table.All() {
@@ -102,49 +102,49 @@
 	return all
 }
 
-// TestService has services meet over sockets, leave and go, while a stranger
-// without the key sends what would bury one.
+// TestService runs services over sockets: they join, one leaves and stops, and a
+// VM with another key neither joins nor can forge that a member has stopped.
 func TestService(t *testing.T) {
-	a := open(t, "a", placeKey, nil)
-	b := open(t, "b", placeKey, []carobward.VM{a.vm()})
-	c := open(t, "c", placeKey, []carobward.VM{a.vm()})
-	stranger := open(t, "d", "another key", []carobward.VM{a.vm()})
+	a := open(t, "a", sharedKey, nil)
+	b := open(t, "b", sharedKey, []carobward.VM{a.vm()})
+	c := open(t, "c", sharedKey, []carobward.VM{a.vm()})
+	outsider := open(t, "d", "another key", []carobward.VM{a.vm()})
 
-	for _, p := range []*place{a, b, c} {
-		cwtest.Wait(t, "three have met", func() bool { return len(p.states()) == 2 })
+	for _, p := range []*instance{a, b, c} {
+		cwtest.Wait(t, "three see each other", func() bool { return len(p.states()) == 2 })
 	}
 
 	forge(t, a, b, "another key")
 	forge(t, a, b, "")
 
 	if left := b.service.Leave(context.Background()); left != 0 {
-		t.Fatalf("%d have not confirmed", left)
+		t.Fatalf("%d members have not confirmed", left)
 	}
 
-	// The tables show it as soon as all have confirmed.
+	// A member updates its table before it confirms.
 	want := map[carobward.VMID]string{"b": "leaving", "c": "live"}
 	if diff := cmp.Diff(want, a.states()); diff != "" {
 		t.Error(diff)
 	}
 
 	b.stop()
-	cwtest.Wait(t, "all know that it has gone", func() bool {
+	cwtest.Wait(t, "all see that it has stopped", func() bool {
 		return a.states()["b"] == "dead" && c.states()["b"] == "dead"
 	})
 
-	if got := stranger.states(); len(got) > 0 {
-		t.Errorf("the stranger knows %v", got)
+	if got := outsider.states(); len(got) > 0 {
+		t.Errorf("the VM with another key sees %v", got)
 	}
 }
 
-// forge sends a word that a VM has gone, under another key.
-func forge(t *testing.T, to, about *place, key testKey) {
+// forge sends an update that a VM has stopped, under another key.
+func forge(t *testing.T, to, about *instance, key testKey) {
 	t.Helper()
 
 	self := about.table.Self()
-	word := &cwwire.Member{Id: string(self.ID), Incarnation: uint64(self.Incarnation), Rank: 2}
+	member := &cwwire.Member{Id: string(self.ID), Incarnation: uint64(self.Incarnation), Rank: 2}
 
-	raw, err := proto.Marshal(&cwwire.Datagram{From: word, News: []*cwwire.Member{word}})
+	raw, err := proto.Marshal(&cwwire.Datagram{From: member, News: []*cwwire.Member{member}})
 	if err != nil {
 		t.Fatal(err)
 	}
