--- a/internal/cwowner/bench_test.go
+++ b/internal/cwowner/bench_test.go
@@ -11,8 +11,8 @@
 	"carobward.example/carobward/internal/lab/cwfee"
 )
 
-// BenchmarkDo gives the cost of a ticket on the way of a request: issued on
-// arrival, brought along, replayed, and passed on without a network.
+// BenchmarkDo measures what a ticket adds to a request: issued on arrival, sent by
+// the caller, replayed, and forwarded to the owner without a network.
 func BenchmarkDo(b *testing.B) {
 	f := newFleet(b, 2, cwfee.Roomy())
 	o, other := f.owner(0), f.owner(1)
@@ -29,17 +29,17 @@
 		return fmt.Sprintf("%s.%d", prefix, number)
 	}
 
-	for name, one := range map[string]func() (*cwticket.Outcome, string, error){
+	for name, do := range map[string]func() (*cwticket.Outcome, string, error){
 		"issued on arrival": func() (*cwticket.Outcome, string, error) { return o.Do(context.Background(), "", "", c, work) },
-		"brought along":     func() (*cwticket.Outcome, string, error) { return o.Do(context.Background(), next(), "", c, work) },
+		"sent by caller":    func() (*cwticket.Outcome, string, error) { return o.Do(context.Background(), next(), "", c, work) },
 		"replayed":          func() (*cwticket.Outcome, string, error) { return o.Do(context.Background(), prefix+".1", "", c, work) },
-		"passed on":         func() (*cwticket.Outcome, string, error) { return other.Do(context.Background(), next(), "", c, work) },
+		"forwarded":         func() (*cwticket.Outcome, string, error) { return other.Do(context.Background(), next(), "", c, work) },
 	} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 
 			for b.Loop() {
-				if _, _, err := one(); err != nil {
+				if _, _, err := do(); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/cwowner/export_test.go
+++ b/internal/cwowner/export_test.go
@@ -2,7 +2,7 @@
 
 import "carobward.example/carobward"
 
-// Knows tells whether an owner knows who stands in for a VM.
+// Knows reports whether the owner knows the successor of a VM.
 func (o *Owner) Knows(of carobward.VMID) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -13,7 +13,7 @@
 		}
 	}
 
-	for e := range o.moved {
+	for e := range o.successors {
 		if e.VM == of {
 			return true
 		}
--- a/internal/cwowner/handover.go
+++ b/internal/cwowner/handover.go
@@ -12,41 +12,43 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// ErrSuccessor tells that no other entry VM took what became of the tickets.
+// ErrSuccessor means that no other entry VM accepted the outcomes.
 const ErrSuccessor = errors.ConstError("owner: no entry VM took the outcomes")
 
-// The bounds of handing over: the largest answer that goes along, in bytes,
-// and the number of entry VMs that are asked.
+// Limits of a handover: the largest answer that is included, in bytes, and the
+// number of entry VMs to try.
 const (
-	answerMost     = 3 << 20
-	successorsMost = 3
+	maxAnswerBytes    = 3 << 20
+	maxSuccessorTries = 3
 )
 
-// Close ends the starting of new work on this entry VM's tickets, for good.
+// Close permanently stops new work from being started with this entry VM's
+// tickets.
 func (o *Owner) Close() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 
-	if o.closedAt == 0 {
+	if o.closedAge == 0 {
 		o.own.Close()
-		o.closedAt = o.own.Issuer().Age(o.clock.Now())
+		o.closedAge = o.own.Issuer().Age(o.clock.Now())
 	}
 }
 
-// HandOver closes, waits for the work that runs, and hands what became of all
-// tickets to another entry VM. Work that still runs when ctx ends is handed
-// over as unknown, for which a part of ctx's time is kept.
+// HandOver closes the owner, waits for running work, and sends the outcomes of
+// all tickets to another entry VM. The wait uses three quarters of ctx's time,
+// which leaves the rest for sending; work still running then is handed over
+// with the verdict unknown.
 func (o *Owner) HandOver(ctx context.Context) error {
 	o.Close()
 
-	if err := o.own.Drain(drainTime(ctx, o.clock.Now())); err != nil {
-		o.log.Info("Handing over with work still running.", "cause", err.Error())
+	if err := o.own.Drain(drainContext(ctx, o.clock.Now())); err != nil {
+		o.log.Info("Handing over outcomes while work is still running.", "cause", err.Error())
 	}
 
 	var failed error
 
-	for of, e := range o.all() {
-		if err := o.handTo(ctx, of, e); err != nil {
+	for of, e := range o.allHandovers() {
+		if err := o.sendHandover(ctx, of, e); err != nil {
 			failed = err
 		}
 	}
@@ -54,31 +56,33 @@
 	return failed
 }
 
-// drainShare of the time goes to waiting for running work.
+// The fraction of the time that is spent waiting for running work.
 const (
-	drainShare = 3
-	drainOf    = 4
+	drainNumerator   = 3
+	drainDenominator = 4
 )
 
-// drainTime returns a context that ends at a share of ctx's time.
-func drainTime(ctx context.Context, now time.Time) context.Context {
+// drainContext returns a context that ends when that fraction of the time until
+// ctx's deadline has passed.
+func drainContext(ctx context.Context, now time.Time) context.Context {
 	end, ok := ctx.Deadline()
 	if !ok {
 		return ctx
 	}
 
-	short, cancel := context.WithDeadline(ctx, now.Add(end.Sub(now)/drainOf*drainShare))
+	drain, cancel := context.WithDeadline(ctx, now.Add(end.Sub(now)/drainDenominator*drainNumerator))
 	context.AfterFunc(ctx, cancel)
 
-	return short
+	return drain
 }
 
-// all returns our own table as a handover, and those that we stand in for.
-func (o *Owner) all() map[cwticket.Owner]*handover {
+// allHandovers returns the own table as a handover, and the complete ones
+// received from other owners.
+func (o *Owner) allHandovers() map[cwticket.Owner]*handover {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 
-	all := map[cwticket.Owner]*handover{o.self: {table: o.own, secret: o.secret, closedAt: o.closedAt}}
+	all := map[cwticket.Owner]*handover{o.self: {table: o.own, secret: o.secret, closedAge: o.closedAge}}
 
 	for of, e := range o.handovers {
 		if e.table.Whole() {
@@ -89,18 +93,18 @@
 	return all
 }
 
-// handTo gives one handover to the first entry VM that takes it.
-func (o *Owner) handTo(ctx context.Context, of cwticket.Owner, e *handover) error {
-	parts := split(e.table.Export(), o.pace.Part)
+// sendHandover sends one handover to the first entry VM that accepts it.
+func (o *Owner) sendHandover(ctx context.Context, of cwticket.Owner, e *handover) error {
+	parts := split(e.table.Export(), o.params.Part)
 
-	for _, p := range o.successors(of) {
-		if err := o.give(ctx, p.Peers, of, e, parts); err != nil {
-			o.log.Info("An entry VM did not take the outcomes.", "peer", p.ID, "cause", err.Error())
+	for _, p := range o.candidates(of) {
+		if err := o.sendParts(ctx, p.Peers, of, e, parts); err != nil {
+			o.log.Info("An entry VM did not accept the handover of outcomes.", "peer", p.ID, "cause", err.Error())
 
 			continue
 		}
 
-		o.log.Info("Handed the outcomes over.", "of", of.VM, "to", p.ID, "parts", len(parts))
+		o.log.Info("Handed the outcomes over to another entry VM.", "of", of.VM, "to", p.ID, "parts", len(parts))
 
 		return nil
 	}
@@ -108,7 +112,7 @@
 	return ErrSuccessor
 }
 
-func (o *Owner) give(ctx context.Context, to carobward.Address, of cwticket.Owner, e *handover, parts [][]cwticket.Entry) error {
+func (o *Owner) sendParts(ctx context.Context, to carobward.Address, of cwticket.Owner, e *handover, parts [][]cwticket.Entry) error {
 	for i, part := range parts {
 		out := &cwwire.Taken{}
 		in := &cwwire.Handover{
@@ -116,7 +120,7 @@
 			Incarnation: uint64(of.Incarnation),
 			Secret:      e.secret[:],
 			Age:         int64(e.table.Issuer().Age(o.clock.Now())),
-			Closed:      int64(e.closedAt),
+			Closed:      int64(e.closedAge),
 			Part:        uint32(i),
 			Last:        i == len(parts)-1,
 			Tickets:     ticketsToWire(part),
@@ -134,18 +138,18 @@
 	return nil
 }
 
-// split cuts the tickets into parts that fit into a message. An answer that
-// does not is left out. There is one part at least.
-func split(all []cwticket.Entry, most int) [][]cwticket.Entry {
+// split divides the tickets into parts that fit into a message each. An answer
+// that is too large for any message is left out. There is at least one part.
+func split(all []cwticket.Entry, maxBytes int) [][]cwticket.Entry {
 	parts := [][]cwticket.Entry{nil}
 	size := 0
 
 	for _, e := range all {
-		if e.Size() > answerMost {
+		if e.Size() > maxAnswerBytes {
 			e.Outcome = nil
 		}
 
-		if size > 0 && size+e.Size() > most {
+		if size > 0 && size+e.Size() > maxBytes {
 			parts = append(parts, nil)
 			size = 0
 		}
@@ -158,18 +162,18 @@
 	return parts
 }
 
-// successors returns the live entry VMs that are asked, in random order, so that
-// the handovers of many are spread.
-func (o *Owner) successors(of cwticket.Owner) []carobward.Peer {
-	var fit []carobward.Peer
+// candidates returns the live entry VMs to offer a handover to, in random order,
+// so that the handovers of many VMs are spread over the fleet.
+func (o *Owner) candidates(of cwticket.Owner) []carobward.Peer {
+	var live []carobward.Peer
 
 	for _, p := range o.peers.All() {
 		if p.State == carobward.PeerLive && p.ID != o.self.VM && p.ID != of.VM && p.Peers != "" {
-			fit = append(fit, p)
+			live = append(live, p)
 		}
 	}
 
-	rand.Shuffle(len(fit), func(i, j int) { fit[i], fit[j] = fit[j], fit[i] })
+	rand.Shuffle(len(live), func(i, j int) { live[i], live[j] = live[j], live[i] })
 
-	return fit[:min(len(fit), successorsMost)]
+	return live[:min(len(live), maxSuccessorTries)]
 }
--- a/internal/cwowner/history_test.go
+++ b/internal/cwowner/history_test.go
@@ -11,17 +11,17 @@
 	"carobward.example/carobward/internal/lab/cwfee"
 )
 
-// work is the state of one fee: the run that happened, and the tickets that
-// were answered not-run.
-type work struct {
+// feeState is the state of one fee: the run that was executed and its ticket,
+// and the tickets that were answered not-run.
+type feeState struct {
 	serial int
-	by     string
+	ticket string
 	closed string
 }
 
-// atMostOnce is the promise: a fee runs once at most, whoever retries it; a
-// ticket that was answered not-run has not run before and does not run after;
-// every answer is that of the one run.
+// atMostOnce is the guarantee as a model: a fee runs at most once, however often
+// and wherever it is retried; a ticket that was answered not-run neither ran
+// before nor runs afterwards; every answer is that of the one run.
 var atMostOnce = porcupine.Model{
 	Partition: func(history []porcupine.Operation) (all [][]porcupine.Operation) {
 		byFee := map[string][]porcupine.Operation{}
@@ -36,34 +36,34 @@
 
 		return all
 	},
-	Init: func() any { return work{} },
+	Init: func() any { return feeState{} },
 	Step: func(state, input, _ any) (bool, any) {
-		w, o := state.(work), input.(cwfee.Operation)
-		shut := strings.Contains(w.closed, o.Ticket+" ")
+		s, o := state.(feeState), input.(cwfee.Operation)
+		isClosed := strings.Contains(s.closed, o.Ticket+" ")
 
 		switch {
 		case o.Run:
-			ok := w.serial == 0 && !shut
-			w.serial, w.by = o.Serial, o.Ticket
+			ok := s.serial == 0 && !isClosed
+			s.serial, s.ticket = o.Serial, o.Ticket
 
-			return ok, w
+			return ok, s
 		case o.Verdict == carobward.Ran:
-			return w.serial == o.Serial, w
+			return s.serial == o.Serial, s
 		case o.Verdict == carobward.NotRun:
-			if !shut {
-				w.closed += o.Ticket + " "
+			if !isClosed {
+				s.closed += o.Ticket + " "
 			}
 
-			return w.by != o.Ticket, w
+			return s.ticket != o.Ticket, s
 		default:
-			return true, w
+			return true, s
 		}
 	},
 }
 
-// TestHistories checks what concurrent callers were told against what ran,
-// through lost and late messages and replies, sheds, kills, freezes and
-// hand-overs.
+// TestHistories checks the verdicts that concurrent callers receive against what
+// ran, with lost and late messages and replies, shed requests, crashes, pauses
+// and handovers.
 func TestHistories(t *testing.T) {
 	total := map[carobward.Verdict]int{}
 
@@ -85,7 +85,7 @@
 		}
 
 		if !porcupine.CheckOperations(atMostOnce, all) {
-			t.Fatalf("not at most once: %+v", script)
+			t.Fatalf("the history is not at-most-once: %+v", script)
 		}
 
 		for v, n := range cwfee.Tally(played).Told {
@@ -94,6 +94,6 @@
 	})
 
 	if total[carobward.Ran] == 0 || total[carobward.NotRun] == 0 || total[carobward.Unknown] == 0 {
-		t.Errorf("the histories lack a verdict: %v", total)
+		t.Errorf("the histories do not have every verdict: %v", total)
 	}
 }
--- a/internal/cwowner/owner.go
+++ b/internal/cwowner/owner.go
@@ -1,7 +1,8 @@
-// Package cwowner runs work at most once. This entry VM owns the tickets that
-// it issued; a request with another's ticket is passed to its owner over
-// net/rpc, and a leaving owner hands what became of its tickets over to
-// another entry VM.
+// Package cwowner executes requests at most once. A request carries a ticket, an
+// idempotency key that is issued and owned by one entry VM, which records the
+// outcome. A request that arrives at another entry VM is forwarded to the
+// ticket's owner over net/rpc. An owner that is leaving hands its outcomes over
+// to another entry VM, its successor.
 package cwowner
 
 import (
@@ -20,17 +21,17 @@
 	"carobward.example/carobward/internal/cwticket"
 )
 
-// Work does the work of one request. Its error is a Failure.
+// Work executes one request. Its error is a carobward.Failure.
 type Work func(ctx context.Context) (*cwticket.Outcome, error)
 
-// Runner does the work of requests that other entry VMs pass on.
+// Runner executes requests that other entry VMs forward.
 type Runner interface {
-	// RunOnce matches a call to its target and carries it to a server. It
-	// sends it again only after it has been proved not run.
+	// RunOnce matches a call to its target and forwards it to a backend
+	// server. It retries only when the call is proved not to have run.
 	RunOnce(ctx context.Context, id carobward.RequestID, c *carobward.Call) (*cwticket.Outcome, error)
 }
 
-// The reasons of a failure.
+// The causes of a failure.
 const (
 	ErrOwner  = errors.ConstError("owner: the entry VM that owns the ticket is gone or not known")
 	ErrSilent = errors.ConstError("owner: the entry VM that owns the ticket does not answer")
@@ -38,17 +39,17 @@
 	ErrEarly  = errors.ConstError("owner: an earlier request with this ticket may have run")
 )
 
-// retryAfter is when to come back if nothing better is known.
+// retryAfter is the default delay after which callers should retry.
 const retryAfter = 500 * time.Millisecond
 
-// Owner keeps the tickets of this entry VM, and those of the owners that it
-// stands in for.
+// Owner keeps the outcomes of this entry VM's tickets, and those of the owners
+// that it is the successor of.
 type Owner struct {
-	peers carobward.Peers
-	calls cwpeer.Calls
-	clock carobward.Clock
-	log   logr.Logger
-	pace  Pace
+	peers  carobward.Peers
+	calls  cwpeer.Calls
+	clock  carobward.Clock
+	log    logr.Logger
+	params Pace
 
 	self   cwticket.Owner
 	secret cwticket.Secret
@@ -56,43 +57,43 @@
 	limits cwticket.Options
 	own    *cwticket.Table
 
-	mutex     sync.Mutex
-	closedAt  time.Duration
-	handovers map[cwticket.Owner]*handover
-	moved     map[cwticket.Owner]*successor
-	silent    map[carobward.Address]time.Time
-	telling   bool
-	told      time.Time
-
-	stop  context.CancelFunc
-	work  context.Context //nolint:containedctx // It ends what runs in the background.
-	group conc.WaitGroup
-	done  chan struct{}
+	mutex         sync.Mutex
+	closedAge     time.Duration
+	handovers     map[cwticket.Owner]*handover
+	successors    map[cwticket.Owner]*successor
+	unresponsive  map[carobward.Address]time.Time
+	announcing    bool
+	lastAnnounced time.Time
+
+	cancel   context.CancelFunc
+	lifetime context.Context //nolint:containedctx // Its end stops background work.
+	group    conc.WaitGroup
+	done     chan struct{}
 }
 
-// New returns the owner of this entry VM's tickets, under a key of its own.
+// New returns the owner of this entry VM's tickets, with a new random key.
 func New(limits cwticket.Options, peers carobward.Peers, calls cwpeer.Calls, clock carobward.Clock, log logr.Logger) (*Owner, error) {
 	self := peers.Self()
 	o := &Owner{
-		peers:     peers,
-		calls:     calls,
-		clock:     clock,
-		log:       log.WithName("owner"),
-		pace:      UsualPace(),
-		self:      cwticket.Owner{VM: self.ID, Incarnation: self.Incarnation},
-		budget:    cwticket.NewBudget(limits),
-		limits:    limits,
-		handovers: map[cwticket.Owner]*handover{},
-		moved:     map[cwticket.Owner]*successor{},
-		silent:    map[carobward.Address]time.Time{},
-		done:      make(chan struct{}),
+		peers:        peers,
+		calls:        calls,
+		clock:        clock,
+		log:          log.WithName("owner"),
+		params:       UsualPace(),
+		self:         cwticket.Owner{VM: self.ID, Incarnation: self.Incarnation},
+		budget:       cwticket.NewBudget(limits),
+		limits:       limits,
+		handovers:    map[cwticket.Owner]*handover{},
+		successors:   map[cwticket.Owner]*successor{},
+		unresponsive: map[carobward.Address]time.Time{},
+		done:         make(chan struct{}),
 	}
 
 	if _, err := rand.Read(o.secret[:]); err != nil {
 		return nil, errors.Annotate(err, "owner")
 	}
 
-	o.work, o.stop = context.WithCancel(context.Background())
+	o.lifetime, o.cancel = context.WithCancel(context.Background())
 	o.own = cwticket.NewTable(cwticket.NewIssuer(o.self, o.secret, 0, clock.Now()), o.budget)
 
 	return o, nil
@@ -104,47 +105,49 @@
 // Prefix returns a new ticket prefix for a caller.
 func (o *Owner) Prefix() string { return o.own.Issuer().Prefix(o.clock.Now()) }
 
-// Used returns how many tickets are kept, and the bytes of their answers.
+// Used returns the number of recorded and of closed tickets, and the bytes that
+// the answers take.
 func (o *Owner) Used() (records, closed int, bytes carobward.ByteCount) { return o.budget.Used() }
 
-// Do does the work of a request at most once. text is the ticket that came
-// with it, or empty. It returns the answer or a Failure, and the ticket for
-// the caller's next try.
+// Do executes a request at most once. text is the ticket sent with the request, or
+// empty. Do returns the answer or a Failure, and the ticket for the caller's
+// next attempt.
 func (o *Owner) Do(ctx context.Context, text string, id carobward.RequestID, c *carobward.Call, work Work) (*cwticket.Outcome, string, error) {
 	if text == "" {
 		t := o.own.Issuer().Ticket(o.clock.Now())
-		answer, err := o.claim(ctx, o.own, t, c, true, work)
+		answer, err := o.runOnce(ctx, o.own, t, c, true, work)
 
 		return answer, t.String(), err
 	}
 
 	t, err := cwticket.Parse(text)
 	if err != nil {
-		return nil, text, malformed(err)
+		return nil, text, malformedTicket(err)
 	}
 
 	var answer *cwticket.Outcome
 
 	if table := o.table(t.Owner); table != nil {
-		answer, err = o.claim(ctx, table, t, c, false, work)
+		answer, err = o.runOnce(ctx, table, t, c, false, work)
 	} else {
-		answer, err = o.pass(ctx, t, id, c)
+		answer, err = o.forward(ctx, t, id, c)
 	}
 
-	return answer, o.next(text, err), err
+	return answer, o.nextTicket(text, err), err
 }
 
-// malformed is unknown: the caller may have had the ticket whole before.
-func malformed(err error) error {
+// malformedTicket returns the failure for a malformed ticket. The verdict is
+// unknown, since the caller may have sent the intact ticket before.
+func malformedTicket(err error) error {
 	f := carobward.NewFailure(carobward.Unknown, fasthttp.StatusBadRequest, 0, err)
 	f.Attempt = carobward.NotRun
 
 	return f
 }
 
-// next returns the ticket for the next try: the same one, or after a not-run
-// a new one, since the old one is closed.
-func (o *Owner) next(text string, err error) string {
+// nextTicket returns the ticket for the caller's next attempt: the same one, or a
+// new one after the verdict not-run, which closes the old one.
+func (o *Owner) nextTicket(text string, err error) string {
 	if err != nil && carobward.VerdictOf(err) == carobward.NotRun {
 		return o.own.Issuer().Ticket(o.clock.Now()).String()
 	}
@@ -152,10 +155,11 @@
 	return text
 }
 
-// Refuse gives a request up before its work, for a reason that has nothing to
-// do with its ticket. Without a ticket the failure stands. With one it stands
-// only if the ticket can be closed here; else an earlier request with it may
-// have run elsewhere, and the verdict is unknown.
+// Refuse rejects a request before its work is started, for a reason unrelated to
+// its ticket, and returns the ticket for the next attempt and the failure to
+// report. Without a ticket that is f. With one, the verdict not-run is kept only
+// if the ticket can be closed here; otherwise it becomes unknown, since an
+// earlier request with the ticket may have run elsewhere.
 func (o *Owner) Refuse(text string, f *carobward.Failure) (string, error) {
 	if text == "" || f.Verdict != carobward.NotRun {
 		return text, f
@@ -176,10 +180,10 @@
 
 	err = table.Refuse(o.clock.Now(), t, f)
 
-	return o.next(text, err), err
+	return o.nextTicket(text, err), err
 }
 
-// table returns the table of an owner's tickets, if they are kept here.
+// table returns the table of an owner's tickets, or nil if it is not kept here.
 func (o *Owner) table(of cwticket.Owner) *cwticket.Table {
 	if of == o.self {
 		return o.own
@@ -195,19 +199,20 @@
 	return nil
 }
 
-// claim does the work unless an outcome is recorded already.
-func (o *Owner) claim(ctx context.Context, table *cwticket.Table, t cwticket.Ticket, c *carobward.Call, only bool, work Work) (*cwticket.Outcome, error) {
+// runOnce executes the work unless the ticket has been used already. exclusive
+// means that no other request can have the ticket.
+func (o *Owner) runOnce(ctx context.Context, table *cwticket.Table, t cwticket.Ticket, c *carobward.Call, exclusive bool, work Work) (*cwticket.Outcome, error) {
 	claim, answer, err := table.Start(o.clock.Now(), t, cwticket.DigestOf(c), c.Deadline)
 	if claim == nil {
 		return answer, err
 	}
 
-	return o.run(ctx, claim, only, work)
+	return o.run(ctx, claim, exclusive, work)
 }
 
-// run does claimed work and records its outcome. The work goes on when the
-// caller has left, since its outcome must not be lost.
-func (o *Owner) run(ctx context.Context, claim *cwticket.Claim, only bool, work Work) (*cwticket.Outcome, error) {
+// run executes claimed work and records its outcome. The work continues when the
+// caller disconnects, so that its outcome is not lost.
+func (o *Owner) run(ctx context.Context, claim *cwticket.Claim, exclusive bool, work Work) (*cwticket.Outcome, error) {
 	defer func() { claim.Close(o.clock.Now()) }()
 
 	answer, err := work(context.WithoutCancel(ctx))
@@ -223,7 +228,7 @@
 
 	switch f.Verdict {
 	case carobward.NotRun:
-		f.Verdict, f.Attempt = claim.NotRun(now, only), carobward.NotRun
+		f.Verdict, f.Attempt = claim.NotRun(now, exclusive), carobward.NotRun
 	case carobward.Ran:
 		claim.Ran(now, nil)
 	default:
@@ -233,45 +238,47 @@
 	return nil, f
 }
 
-// failureOf returns a copy of the failure that an error is.
+// failureOf returns a copy of the Failure in err. Any other error becomes a
+// failure with the verdict unknown.
 func failureOf(err error) *carobward.Failure {
 	f := &carobward.Failure{}
 	if !errors.As(err, &f) {
 		return carobward.NewFailure(carobward.Unknown, fasthttp.StatusBadGateway, retryAfter, err)
 	}
 
-	one := *f
+	c := *f
 
-	return &one
+	return &c
 }
 
-// Tick forgets what is no longer honoured, and tells peers for whom this
-// entry VM stands in.
+// Tick removes expired tickets and handovers, and announces to peers which
+// owners this entry VM is the successor of.
 func (o *Owner) Tick(now time.Time) {
 	o.own.Tick(now)
 	o.tickHandovers(now)
-	o.tell(now)
+	o.announce(now)
 }
 
-// Stop closes, ends what runs in the background and waits for it.
+// Stop closes the owner, cancels background work and waits for it.
 func (o *Owner) Stop() {
 	defer close(o.done)
 
 	o.Close()
 
 	o.mutex.Lock()
-	o.stop()
+	o.cancel()
 	o.mutex.Unlock()
 
 	o.group.Wait()
 }
 
-// background runs something that Stop waits for, but no more after Stop.
+// background runs f in a goroutine that Stop waits for. It returns false, without
+// a call of f, after Stop.
 func (o *Owner) background(f func()) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 
-	if o.work.Err() != nil {
+	if o.lifetime.Err() != nil {
 		return false
 	}
 
--- a/internal/cwowner/owner_test.go
+++ b/internal/cwowner/owner_test.go
@@ -17,19 +17,19 @@
 )
 
 const (
-	patience = cwtest.MaxWait
-	errTest  = errors.ConstError("test")
+	requestTimeout = cwtest.MaxWait
+	errTest        = errors.ConstError("test")
 )
 
-// said is what a caller is told, as a test compares it.
-type said struct {
-	Verdict carobward.Verdict
-	Status  int
-	Retry   bool
-	Same    bool
+// response is what a caller receives, in a form that tests compare.
+type response struct {
+	Verdict       carobward.Verdict
+	Status        int
+	HasRetryAfter bool
+	SameTicket    bool
 }
 
-// fleet is a fleet that stops when its test ends.
+// fleet is a cwfee.Fleet that is stopped at the end of the test.
 type fleet struct{ *cwfee.Fleet }
 
 func newFleet(t testing.TB, size int, o cwfee.Options) fleet {
@@ -49,32 +49,32 @@
 
 func (f fleet) owner(i int) *cwowner.Owner { return f.At(i).Owner }
 
-// failureOf returns the failure that an error is.
+// failureOf returns the Failure in err, or fails the test.
 func failureOf(t testing.TB, err error) *carobward.Failure {
 	f := &carobward.Failure{}
 	if !errors.As(err, &f) {
-		t.Fatalf("no failure: %v", err)
+		t.Fatalf("not a Failure: %v", err)
 	}
 
 	return f
 }
 
-func (f fleet) ask(t testing.TB, i int, body, ticket string) (said, string) {
-	o, next, err := f.Send(i, body, ticket, patience)
+func (f fleet) send(t testing.TB, i int, body, ticket string) (response, string) {
+	o, next, err := f.Send(i, body, ticket, requestTimeout)
 	if err == nil {
-		return said{Verdict: carobward.Ran, Status: o.Reply.Status, Same: next == ticket}, next
+		return response{Verdict: carobward.Ran, Status: o.Reply.Status, SameTicket: next == ticket}, next
 	}
 
 	x := failureOf(t, err)
 
-	return said{Verdict: x.Verdict, Status: x.Status, Retry: x.RetryAfter > 0, Same: next == ticket}, next
+	return response{Verdict: x.Verdict, Status: x.Status, HasRetryAfter: x.RetryAfter > 0, SameTicket: next == ticket}, next
 }
 
-// TestRetryElsewhere charges a fee at its owner, the first entry VM, lets
-// something happen, and asks the second one.
+// TestRetryElsewhere sends a request to the owner of its ticket, the first entry
+// VM, causes an event, and retries at the second entry VM.
 func TestRetryElsewhere(t *testing.T) {
-	ran := said{Verdict: carobward.Ran, Status: 1, Same: true}
-	gone := said{Verdict: carobward.Unknown, Status: 503, Retry: true, Same: true}
+	ran := response{Verdict: carobward.Ran, Status: 1, SameTicket: true}
+	unavailable := response{Verdict: carobward.Unknown, Status: 503, HasRetryAfter: true, SameTicket: true}
 
 	leave := func(t *testing.T, f fleet) {
 		if err := f.owner(0).HandOver(context.Background()); err != nil {
@@ -82,7 +82,7 @@
 		}
 
 		f.Replace(0)
-		cwtest.Wait(t, "an entry VM that knows who stands in", func() bool {
+		cwtest.Wait(t, "the other entry VM to know the successor", func() bool {
 			f.TickAll()
 
 			return f.owner(1).Knows("vm-0")
@@ -90,35 +90,35 @@
 	}
 
 	for name, test := range map[string]struct {
-		then   func(t *testing.T, f fleet)
+		event  func(t *testing.T, f fleet)
 		body   string
 		unused bool
-		want   said
+		want   response
 	}{
-		"nothing":       {want: ran},
-		"other content": {body: "another fee", want: said{Status: 422, Same: true}},
-		"owner killed and replaced": {
-			then: func(_ *testing.T, f fleet) { f.Replace(0) }, want: gone,
+		"no event":      {want: ran},
+		"other content": {body: "another fee", want: response{Status: 422, SameTicket: true}},
+		"owner crashed and replaced": {
+			event: func(_ *testing.T, f fleet) { f.Replace(0) }, want: unavailable,
 		},
-		"owner frozen": {
-			then: func(t *testing.T, f fleet) { t.Cleanup(f.At(0).Freeze()) }, want: gone,
+		"owner paused": {
+			event: func(t *testing.T, f fleet) { t.Cleanup(f.At(0).Freeze()) }, want: unavailable,
 		},
-		"owner frozen and resumed": {
-			then: func(_ *testing.T, f fleet) { f.At(0).Freeze()() }, want: ran,
+		"owner paused and resumed": {
+			event: func(_ *testing.T, f fleet) { f.At(0).Freeze()() }, want: ran,
 		},
 		"message lost": {
-			then: func(_ *testing.T, f fleet) { f.Message = func() cwfee.Fault { return cwfee.LostCall } }, want: gone,
+			event: func(_ *testing.T, f fleet) { f.Message = func() cwfee.Fault { return cwfee.LostCall } }, want: unavailable,
 		},
 		"owner left": {
-			then: leave, want: ran,
+			event: leave, want: ran,
 		},
 		"owner left, ticket not used": {
-			then:   leave,
-			unused: true, want: said{Verdict: carobward.NotRun, Status: 503, Retry: true},
+			event:  leave,
+			unused: true, want: response{Verdict: carobward.NotRun, Status: 503, HasRetryAfter: true},
 		},
 		"owner closed, ticket not used": {
-			then:   func(_ *testing.T, f fleet) { f.owner(0).Close() },
-			unused: true, want: said{Verdict: carobward.NotRun, Status: 503, Retry: true},
+			event:  func(_ *testing.T, f fleet) { f.owner(0).Close() },
+			unused: true, want: response{Verdict: carobward.NotRun, Status: 503, HasRetryAfter: true},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -127,13 +127,13 @@
 			ticket := f.owner(0).Prefix() + ".1"
 
 			if !test.unused {
-				if diff := cmp.Diff(ran, first(f.ask(t, 0, "fee", ticket))); diff != "" {
+				if diff := cmp.Diff(ran, responseOf(f.send(t, 0, "fee", ticket))); diff != "" {
 					t.Fatal(diff)
 				}
 			}
 
-			if test.then != nil {
-				test.then(t, f)
+			if test.event != nil {
+				test.event(t, f)
 			}
 
 			body := "fee"
@@ -141,7 +141,7 @@
 				body = test.body
 			}
 
-			got, next := f.ask(t, 1, body, ticket)
+			got, next := f.send(t, 1, body, ticket)
 			if diff := cmp.Diff(test.want, got); diff != "" {
 				t.Error(diff)
 			}
@@ -150,20 +150,20 @@
 				return
 			}
 
-			if got, _ := f.ask(t, 1, body, next); got.Verdict != carobward.Ran {
-				t.Errorf("the new ticket: %+v", got)
+			if got, _ := f.send(t, 1, body, next); got.Verdict != carobward.Ran {
+				t.Errorf("with the new ticket: %+v", got)
 			}
 		})
 	}
 }
 
-func first(s said, _ string) said { return s }
+func responseOf(r response, _ string) response { return r }
 
-// TestRunningWork asks again while the work runs: the answer comes at once
-// and says when to come back, and then the outcome is there, though the
-// caller who started it has left.
+// TestRunningWork retries while the work runs: the reply comes at once, with a
+// time to retry after. Later the outcome is available, although the caller who
+// started the work has timed out.
 func TestRunningWork(t *testing.T) {
-	for name, at := range map[string]int{"at the owner": 0, "elsewhere": 1} {
+	for name, at := range map[string]int{"at the owner": 0, "at another VM": 1} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 2, cwfee.Quick())
 
@@ -171,35 +171,35 @@
 			f.Ran = func(string, string, int) { close(started); <-release }
 
 			ticket := f.owner(0).Prefix() + ".1"
-			left := make(chan said)
+			timedOut := make(chan response)
 
 			go func() {
 				_, _, err := f.Send(at, "fee", ticket, time.Millisecond)
-				left <- said{Verdict: carobward.VerdictOf(err)}
+				timedOut <- response{Verdict: carobward.VerdictOf(err)}
 			}()
 
 			<-started
-			<-left
+			<-timedOut
 
-			want := said{Verdict: carobward.Unknown, Status: 409, Retry: true, Same: true}
+			want := response{Verdict: carobward.Unknown, Status: 409, HasRetryAfter: true, SameTicket: true}
 			for i := range 2 {
-				if diff := cmp.Diff(want, first(f.ask(t, i, "fee", ticket))); diff != "" {
-					t.Errorf("asked at %d: %s", i, diff)
+				if diff := cmp.Diff(want, responseOf(f.send(t, i, "fee", ticket))); diff != "" {
+					t.Errorf("sent to VM %d: %s", i, diff)
 				}
 			}
 
 			close(release)
-			cwtest.Wait(t, "the outcome", func() bool { return first(f.ask(t, 1, "fee", ticket)).Verdict == carobward.Ran })
+			cwtest.Wait(t, "the outcome", func() bool { return responseOf(f.send(t, 1, "fee", ticket)).Verdict == carobward.Ran })
 
 			if n := f.Runs("fee"); n != 1 {
-				t.Errorf("%d runs", n)
+				t.Errorf("ran %d times, want 1", n)
 			}
 		})
 	}
 }
 
-// TestPanicLeavesUnknown: the work panics between its start and the record of
-// its outcome.
+// TestPanicLeavesUnknown checks the verdict after the work panicked before its
+// outcome was recorded.
 func TestPanicLeavesUnknown(t *testing.T) {
 	f := newFleet(t, 1, cwfee.Quick())
 
@@ -223,13 +223,13 @@
 	}
 }
 
-// TestNoTicket: a request without one gets one with every reply, with which
-// it may be sent again.
+// TestNoTicket checks that a request without a ticket gets one with every reply,
+// which makes it safe to retry.
 func TestNoTicket(t *testing.T) {
 	for name, test := range map[string]struct {
 		fault cwfee.Fault
 		want  carobward.Verdict
-		again carobward.Verdict
+		retry carobward.Verdict
 	}{
 		"ran":     {cwfee.Fine, carobward.Ran, carobward.Ran},
 		"not run": {cwfee.Shed, carobward.NotRun, carobward.Ran},
@@ -240,42 +240,42 @@
 
 			f.Request = func(string, int) cwfee.Fault { return test.fault }
 
-			got, next := f.ask(t, 0, "fee", "")
+			got, next := f.send(t, 0, "fee", "")
 			if got.Verdict != test.want || next == "" {
 				t.Errorf("got %+v, ticket %q", got, next)
 			}
 
 			f.Request = func(string, int) cwfee.Fault { return cwfee.Fine }
 
-			if got, _ := f.ask(t, 1, "fee", next); got.Verdict != test.again {
-				t.Errorf("again: %+v", got)
+			if got, _ := f.send(t, 1, "fee", next); got.Verdict != test.retry {
+				t.Errorf("retry: %+v", got)
 			}
 
 			if n := f.Runs("fee"); n != 1 {
-				t.Errorf("%d runs", n)
+				t.Errorf("ran %d times, want 1", n)
 			}
 		})
 	}
 }
 
-// TestRefuse: an entry VM that is too busy may say not-run of a ticket only if
-// it owns it and nothing was started.
+// TestRefuse checks that an entry VM that rejects a request because of overload
+// reports not-run only if it owns the ticket and started no work with it.
 func TestRefuse(t *testing.T) {
 	f := newFleet(t, 2, cwfee.Quick())
 
 	used, unused := f.owner(0).Prefix()+".1", f.owner(0).Prefix()+".1"
-	f.ask(t, 0, "fee", used)
+	f.send(t, 0, "fee", used)
 
 	for name, test := range map[string]struct {
 		at     int
 		ticket string
 		want   carobward.Verdict
 	}{
-		"no ticket":          {1, "", carobward.NotRun},
-		"another's ticket":   {1, unused, carobward.Unknown},
-		"a malformed ticket": {1, "x", carobward.Unknown},
-		"its own, ran":       {0, used, carobward.Unknown},
-		"its own, unused":    {0, unused, carobward.NotRun},
+		"no ticket":            {1, "", carobward.NotRun},
+		"ticket of another VM": {1, unused, carobward.Unknown},
+		"malformed ticket":     {1, "x", carobward.Unknown},
+		"own ticket, ran":      {0, used, carobward.Unknown},
+		"own ticket, unused":   {0, unused, carobward.NotRun},
 	} {
 		busy := carobward.NewFailure(carobward.NotRun, 503, time.Second, errTest)
 		if _, err := f.owner(test.at).Refuse(test.ticket, busy); carobward.VerdictOf(err) != test.want {
@@ -283,13 +283,14 @@
 		}
 	}
 
-	if got, _ := f.ask(t, 0, "other", unused); got.Verdict != carobward.NotRun {
-		t.Errorf("a ticket that was refused as not-run: %+v", got)
+	if got, _ := f.send(t, 0, "other", unused); got.Verdict != carobward.NotRun {
+		t.Errorf("with a ticket that was refused as not-run: %+v", got)
 	}
 }
 
-// TestOutcomesOutliveManyLeaves passes outcomes from one leaving entry VM to
-// the next, and to newcomers that have heard nothing.
+// TestOutcomesOutliveManyLeaves hands outcomes over from one leaving entry VM to
+// the next. New entry VMs, which no announcement has reached yet, must find
+// them too.
 func TestOutcomesOutliveManyLeaves(t *testing.T) {
 	f := newFleet(t, 3, cwfee.Quick())
 
@@ -297,7 +298,7 @@
 
 	for n := range 40 {
 		ticket := f.owner(0).Prefix() + ".1"
-		if got, _ := f.ask(t, 0, fmt.Sprint(n), ticket); got.Verdict != carobward.Ran {
+		if got, _ := f.send(t, 0, fmt.Sprint(n), ticket); got.Verdict != carobward.Ran {
 			t.Fatalf("%+v", got)
 		}
 
@@ -317,7 +318,7 @@
 			cwtest.Wait(t, "the outcome", func() bool {
 				f.TickAll()
 
-				got, _ := f.ask(t, i, fmt.Sprint(n), ticket)
+				got, _ := f.send(t, i, fmt.Sprint(n), ticket)
 
 				return got.Verdict == carobward.Ran && got.Status == n+1
 			})
@@ -325,8 +326,9 @@
 	}
 }
 
-// TestOwnerReplacedInMidWork: the replacement knows nothing of a request that
-// was passed to the earlier run, and must not speak for it.
+// TestOwnerReplacedInMidWork replaces an owner while it runs a forwarded request.
+// The new run knows nothing of that request, so its reply must not set the
+// verdict.
 func TestOwnerReplacedInMidWork(t *testing.T) {
 	f := newFleet(t, 2, cwfee.Quick())
 
@@ -337,7 +339,7 @@
 	failed := make(chan error, 1)
 
 	go func() {
-		_, _, err := f.Send(1, "fee", ticket, patience)
+		_, _, err := f.Send(1, "fee", ticket, requestTimeout)
 		failed <- err
 	}()
 
@@ -351,13 +353,13 @@
 	close(release)
 }
 
-// TestCallerGoneIsNotSilence: a request that ends before its time says nothing
-// of the owner that it was passed to.
+// TestCallerGoneIsNotSilence checks that a request that is canceled early does
+// not mark the owner that it was forwarded to as unresponsive.
 func TestCallerGoneIsNotSilence(t *testing.T) {
 	f := newFleet(t, 2, cwfee.Quick())
 
 	ticket := f.owner(0).Prefix() + ".1"
-	thaw := f.At(0).Freeze()
+	resume := f.At(0).Freeze()
 
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -370,9 +372,9 @@
 	pace := cwfee.Quick().Pace
 	pace.Quiet = time.Hour
 	f.owner(1).SetPace(pace)
-	thaw()
+	resume()
 
-	if got, _ := f.ask(t, 1, "fee", ticket); got.Status == 503 {
-		t.Errorf("the owner is taken for silent: %+v", got)
+	if got, _ := f.send(t, 1, "fee", ticket); got.Status == 503 {
+		t.Errorf("the owner counts as unresponsive: %+v", got)
 	}
 }
--- a/internal/cwowner/pass.go
+++ b/internal/cwowner/pass.go
@@ -12,24 +12,25 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// Pace is how fast entry VMs talk about tickets.
+// Pace has the parameters of the exchange of tickets between entry VMs.
 type Pace struct {
-	// Hold is how long an owner keeps a call waiting while the work runs,
-	// before it says so.
+	// Hold is how long an owner delays its reply to a peer while the work
+	// runs, before it replies that the outcome is pending.
 	Hold time.Duration
-	// Grace is how much longer an answer may take. So an owner that has not
-	// answered after Hold and Grace is silent, however long the work takes.
+	// Grace is the additional time that a reply may take. An owner that has not
+	// replied after LongPoll and Grace is unresponsive, however long the work
+	// takes.
 	Grace time.Duration
-	// Quiet is how long a silent owner is not asked again.
+	// Quiet is how long an unresponsive owner is not called again.
 	Quiet time.Duration
-	// Tell is the pause between two rounds of telling peers for whom this
-	// entry VM stands in.
+	// Tell is the time between two rounds of announcing to peers
+	// which owners this entry VM is the successor of.
 	Tell time.Duration
-	// Part is the size of a part of what is handed over, in bytes.
+	// Part is the size of one part of a handover.
 	Part int
 }
 
-// UsualPace returns the pace of entry VMs in service.
+// UsualPace returns the parameters of entry VMs in production.
 func UsualPace() Pace {
 	return Pace{
 		Hold:  150 * time.Millisecond,
@@ -40,28 +41,30 @@
 	}
 }
 
-// SetPace replaces the usual pace, before the owner is used.
-func (o *Owner) SetPace(p Pace) { o.pace = p }
+// SetPace replaces the default parameters. It must be called before the owner is
+// used.
+func (o *Owner) SetPace(p Pace) { o.params = p }
 
-// unknown is the failure of a request that cannot be answered for here, with
-// the verdict on this one request.
-func unknown(cause error, attempt carobward.Verdict) *carobward.Failure {
+// unknownFailure returns a failure with the verdict unknown for a ticket whose
+// outcome is not available here. attempt is the verdict on this one request.
+func unknownFailure(cause error, attempt carobward.Verdict) *carobward.Failure {
 	f := carobward.NewFailure(carobward.Unknown, fasthttp.StatusServiceUnavailable, retryAfter, cause)
 	f.Attempt = attempt
 
 	return f
 }
 
-// pass passes a request to the owner of its ticket. Whatever goes wrong, the
-// verdict is unknown: if not this request, an earlier one may have run.
-func (o *Owner) pass(ctx context.Context, t cwticket.Ticket, id carobward.RequestID, c *carobward.Call) (*cwticket.Outcome, error) {
-	to, err := o.find(t.Owner)
+// forward sends a request to the owner of its ticket and waits for the outcome.
+// The verdict of every error is unknown: even if this request did not run, an
+// earlier one with the ticket may have.
+func (o *Owner) forward(ctx context.Context, t cwticket.Ticket, id carobward.RequestID, c *carobward.Call) (*cwticket.Outcome, error) {
+	to, err := o.locate(t.Owner)
 	if err != nil {
 		return nil, err
 	}
 
 	out := &cwwire.OnceAnswer{}
-	if err := o.ask(ctx, to, "Owner.Carry", callToWire(t, id, c, o.clock.Now()), out, true); err != nil {
+	if err := o.callOwner(ctx, to, "Owner.Carry", callToWire(t, id, c, o.clock.Now()), out, true); err != nil {
 		return nil, err
 	}
 
@@ -71,12 +74,13 @@
 		}
 
 		out = &cwwire.OnceAnswer{}
-		if err := o.ask(ctx, to, "Owner.Result", &cwwire.OnceQuery{Ticket: t.String()}, out, false); err != nil {
+		if err := o.callOwner(ctx, to, "Owner.Result", &cwwire.OnceQuery{Ticket: t.String()}, out, false); err != nil {
 			return nil, err
 		}
 
-		// The request has been taken, whatever a replacement of its owner
-		// says of it.
+		// The owner accepted the request in the first call. A replacement of
+		// the owner does not know that, so its verdict on this attempt is
+		// dropped.
 		if out.Failure != nil {
 			out.Failure.Attempt = ""
 		}
@@ -85,23 +89,23 @@
 	return answerFromWire(out)
 }
 
-// ask calls an owner and notes when it is silent. The first call for a request
-// is the one that may start its work.
-func (o *Owner) ask(ctx context.Context, to carobward.Address, method string, in, out proto.Message, first bool) error {
-	short, cancel := context.WithTimeout(ctx, o.pace.Hold+o.pace.Grace)
+// callOwner calls an owner and records if it is unresponsive. Only the first call
+// for a request can start its work.
+func (o *Owner) callOwner(ctx context.Context, to carobward.Address, method string, in, out proto.Message, first bool) error {
+	callCtx, cancel := context.WithTimeout(ctx, o.params.Hold+o.params.Grace)
 	defer cancel()
 
-	err := o.calls.Call(short, to, method, in, out)
+	err := o.calls.Call(callCtx, to, method, in, out)
 	if err == nil {
 		return nil
 	}
 
-	o.log.V(1).Info("An owner did not answer.", "peer", to, "cause", err.Error())
+	o.log.V(1).Info("A ticket owner did not reply.", "peer", to, "cause", err.Error())
 
-	// A request that ended before its time says nothing of the owner.
-	if short.Err() != nil && ctx.Err() == nil {
+	// The owner is not to blame if the request itself was canceled.
+	if callCtx.Err() != nil && ctx.Err() == nil {
 		o.mutex.Lock()
-		o.silent[to] = o.clock.Now()
+		o.unresponsive[to] = o.clock.Now()
 		o.mutex.Unlock()
 	}
 
@@ -110,12 +114,13 @@
 		attempt = carobward.VerdictOf(err)
 	}
 
-	return unknown(ErrSilent, attempt)
+	return unknownFailure(ErrSilent, attempt)
 }
 
-// find returns where the tickets of an owner are kept: at its successor, or
-// at the owner itself while it lives.
-func (o *Owner) find(of cwticket.Owner) (carobward.Address, error) {
+// locate returns the address to call for an owner's tickets: that of its
+// successor, or of the owner itself while it is not dead. It fails while that
+// address is unresponsive.
+func (o *Owner) locate(of cwticket.Owner) (carobward.Address, error) {
 	to, err := o.address(of)
 	if err != nil {
 		return "", err
@@ -124,12 +129,12 @@
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 
-	if at, ok := o.silent[to]; ok {
-		if o.clock.Now().Sub(at) < o.pace.Quiet {
-			return "", unknown(ErrSilent, carobward.NotRun)
+	if at, ok := o.unresponsive[to]; ok {
+		if o.clock.Now().Sub(at) < o.params.Quiet {
+			return "", unknownFailure(ErrSilent, carobward.NotRun)
 		}
 
-		delete(o.silent, to)
+		delete(o.unresponsive, to)
 	}
 
 	return to, nil
@@ -137,11 +142,11 @@
 
 func (o *Owner) address(of cwticket.Owner) (carobward.Address, error) {
 	o.mutex.Lock()
-	h := o.moved[of]
+	s := o.successors[of]
 	o.mutex.Unlock()
 
-	if h != nil {
-		return h.peers, nil
+	if s != nil {
+		return s.peers, nil
 	}
 
 	for _, p := range o.peers.All() {
@@ -153,10 +158,10 @@
 			break
 		}
 
-		// It may be a replacement, which answers at once that it has not got
-		// the ticket.
+		// This may be a later run of the VM. It replies at once that it does
+		// not have the ticket.
 		return p.Peers, nil
 	}
 
-	return "", unknown(ErrOwner, carobward.NotRun)
+	return "", unknownFailure(ErrOwner, carobward.NotRun)
 }
--- a/internal/cwowner/service.go
+++ b/internal/cwowner/service.go
@@ -10,28 +10,28 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// Service is what peers may call.
+// Service has the methods that peers call.
 type Service struct {
 	owner  *Owner
 	runner Runner
 }
 
-// NewService returns what peers may call on the owner. The runner does the
-// work of the requests that they pass on.
+// NewService returns the RPC methods of an owner. The runner executes the requests
+// that peers forward.
 func NewService(o *Owner, r Runner) *Service { return &Service{owner: o, runner: r} }
 
-// Register lets peers call the owner, see NewService.
+// Register registers the owner's RPC methods at a server, see NewService.
 func (o *Owner) Register(s *cwpeer.Server, r Runner) error {
 	return s.Register("Owner", NewService(o, r))
 }
 
-// Carry takes a request that another entry VM passes on. It answers after
-// Hold at the latest; the work goes on meanwhile.
+// Carry starts a request that another entry VM forwards. It replies after
+// Params.LongPoll at the latest; the work continues in the background.
 func (s *Service) Carry(in *cwwire.OnceCall, out *cwwire.OnceAnswer) error {
 	o := s.owner
 	now := o.clock.Now()
 
-	t, table, err := o.kept(in.GetTicket())
+	t, table, err := o.ticketTable(in.GetTicket())
 	if err != nil {
 		answerToWire(out, nil, err)
 
@@ -60,18 +60,18 @@
 	return nil
 }
 
-// Result answers what became of a ticket. It waits for Hold at the most while
-// its work runs.
+// Result returns the outcome of a ticket. It waits for up to Params.LongPoll while
+// the work runs.
 func (s *Service) Result(in *cwwire.OnceQuery, out *cwwire.OnceAnswer) error {
-	t, table, err := s.owner.kept(in.GetTicket())
+	t, table, err := s.owner.ticketTable(in.GetTicket())
 	if err != nil {
 		answerToWire(out, nil, err)
 
 		return nil
 	}
 
-	if wait, _, _ := table.Look(s.owner.clock.Now(), t); wait != nil {
-		s.await(wait)
+	if done, _, _ := table.Look(s.owner.clock.Now(), t); done != nil {
+		s.await(done)
 	}
 
 	s.result(table, t, out)
@@ -79,18 +79,18 @@
 	return nil
 }
 
-// await waits until work has ended, for Hold at the most.
+// await waits until the work is done, for up to Params.LongPoll.
 func (s *Service) await(done <-chan struct{}) {
 	select {
 	case <-done:
-	case <-time.After(s.owner.pace.Hold):
+	case <-time.After(s.owner.params.Hold):
 	}
 }
 
-// result fills in what is recorded of a ticket.
+// result sets the reply to the recorded outcome of a ticket.
 func (s *Service) result(table *cwticket.Table, t cwticket.Ticket, out *cwwire.OnceAnswer) {
-	wait, answer, err := table.Look(s.owner.clock.Now(), t)
-	if wait != nil {
+	done, answer, err := table.Look(s.owner.clock.Now(), t)
+	if done != nil {
 		out.Pending = true
 
 		return
@@ -98,23 +98,23 @@
 
 	answerToWire(out, answer, err)
 
-	// The request has been taken: only the ticket's verdict speaks for it.
+	// The request was accepted, so only the verdict on its ticket applies.
 	if out.Failure != nil {
 		out.Failure.Attempt = ""
 	}
 }
 
-// kept returns the table that a passed ticket belongs to. A replacement of
-// the owner on its address does not have it.
-func (o *Owner) kept(text string) (cwticket.Ticket, *cwticket.Table, error) {
+// ticketTable parses a forwarded ticket and returns the table that it belongs to.
+// A later run of the owner's VM, at the same address, does not have the table.
+func (o *Owner) ticketTable(text string) (cwticket.Ticket, *cwticket.Table, error) {
 	t, err := cwticket.Parse(text)
 	if err != nil {
-		return t, nil, malformed(err)
+		return t, nil, malformedTicket(err)
 	}
 
 	table := o.table(t.Owner)
 	if table == nil {
-		return t, nil, unknown(ErrOwner, carobward.NotRun)
+		return t, nil, unknownFailure(ErrOwner, carobward.NotRun)
 	}
 
 	return t, table, nil
--- a/internal/cwowner/successor.go
+++ b/internal/cwowner/successor.go
@@ -9,29 +9,29 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// handover is what became of the tickets of an owner that left.
+// handover has the outcomes of the tickets of an owner that has left.
 type handover struct {
 	table  *cwticket.Table
 	secret cwticket.Secret
-	// closedAt is how old the owner was when it closed.
-	closedAt time.Duration
-	// parts is how many parts have come.
+	// closedAge is the age of the owner when it closed.
+	closedAge time.Duration
+	// parts is the number of parts received so far.
 	parts uint32
-	// told has the runs of peers that know that the handover is here.
-	told map[cwticket.Owner]bool
+	// notified has the runs of peers that know this entry VM as the successor.
+	notified map[cwticket.Owner]bool
 }
 
-// successor is where the tickets of an owner that left are kept.
+// successor is the entry VM that keeps the tickets of an owner that has left.
 type successor struct {
-	peers carobward.Address
-	until time.Time
+	peers   carobward.Address
+	expires time.Time
 }
 
-// handoversMost bounds how many owners this entry VM stands in for, and for how
-// many it knows who does.
-const handoversMost = 4096
+// maxHandovers limits the number of owners that this entry VM is the successor of,
+// and the number of other owners whose successors it knows.
+const maxHandovers = 4096
 
-// Take takes one part of what a leaving owner hands over.
+// Take receives one part of the handover of a leaving owner.
 func (s *Service) Take(in *cwwire.Handover, out *cwwire.Taken) error {
 	o := s.owner
 	of := cwticket.Owner{VM: carobward.VMID(in.GetVm()), Incarnation: carobward.Incarnation(in.GetIncarnation())}
@@ -39,13 +39,13 @@
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 
-	e := o.open(of, in)
+	e := o.openHandover(of, in)
 	if e == nil {
 		return nil
 	}
 
 	if err := e.table.Import(ticketsFromWire(in.GetTickets())); err != nil {
-		o.log.Info("A handover found no room.", "vm", of.VM)
+		o.log.Info("A handover was refused because the limits on stored outcomes are reached.", "vm", of.VM)
 		e.table.Drop()
 		delete(o.handovers, of)
 
@@ -57,25 +57,27 @@
 
 	if in.GetLast() {
 		e.table.Complete()
-		o.told = time.Time{}
-		o.log.Info("Standing in for an owner that leaves.", "vm", of.VM, "parts", e.parts)
+		o.lastAnnounced = time.Time{}
+		o.log.Info("Took over the outcomes of an entry VM that is leaving.", "vm", of.VM, "parts", e.parts)
 	}
 
 	return nil
 }
 
-// open returns the handover that a part belongs to; the first part starts it. A
-// part that is missing, or a closed owner, leaves none.
-func (o *Owner) open(of cwticket.Owner, in *cwwire.Handover) *handover {
+// openHandover returns the handover that a part belongs to. The first part starts a
+// new one. The result is nil, which refuses the part, if the handover is already
+// complete, an earlier part is missing, its secret has a wrong size, there are
+// too many handovers, or this owner is closed.
+func (o *Owner) openHandover(of cwticket.Owner, in *cwwire.Handover) *handover {
 	e := o.handovers[of]
-	shut := o.closedAt != 0 || of == o.self || len(in.GetSecret()) != cwticket.KeySize
+	refuse := o.closedAge != 0 || of == o.self || len(in.GetSecret()) != cwticket.KeySize
 
-	if shut || (e != nil && e.table.Whole()) {
+	if refuse || (e != nil && e.table.Whole()) {
 		return nil
 	}
 
 	if in.GetPart() == 0 {
-		if len(o.handovers) >= handoversMost {
+		if len(o.handovers) >= maxHandovers {
 			return nil
 		}
 
@@ -86,10 +88,10 @@
 		secret := cwticket.Secret(in.GetSecret())
 		issuer := cwticket.NewIssuer(of, secret, time.Duration(in.GetAge()), o.clock.Now())
 		e = &handover{
-			table:    cwticket.NewSuccessor(issuer, o.budget),
-			secret:   secret,
-			closedAt: time.Duration(in.GetClosed()),
-			told:     map[cwticket.Owner]bool{},
+			table:     cwticket.NewSuccessor(issuer, o.budget),
+			secret:    secret,
+			closedAge: time.Duration(in.GetClosed()),
+			notified:  map[cwticket.Owner]bool{},
 		}
 		o.handovers[of] = e
 
@@ -103,23 +105,24 @@
 	return e
 }
 
-// Moved notes who answers for the tickets of an owner that left.
+// Moved records the successor of an owner that has left.
 func (s *Service) Moved(in *cwwire.Moved, _ *cwwire.Noted) error {
 	o := s.owner
 	of := cwticket.Owner{VM: carobward.VMID(in.GetVm()), Incarnation: carobward.Incarnation(in.GetIncarnation())}
-	left := min(time.Duration(in.GetLeft()), o.limits.Horizon)
+	remaining := min(time.Duration(in.GetLeft()), o.limits.Horizon)
 
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 
-	if len(o.moved) < handoversMost || o.moved[of] != nil {
-		o.moved[of] = &successor{peers: carobward.Address(in.GetPeers()), until: o.clock.Now().Add(left)}
+	if len(o.successors) < maxHandovers || o.successors[of] != nil {
+		o.successors[of] = &successor{peers: carobward.Address(in.GetPeers()), expires: o.clock.Now().Add(remaining)}
 	}
 
 	return nil
 }
 
-// tickHandovers forgets handovers whose last ticket is no longer honoured.
+// tickHandovers removes handovers and successors whose last ticket has expired,
+// and ends the backoff of unresponsive owners.
 func (o *Owner) tickHandovers(now time.Time) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -127,54 +130,54 @@
 	for of, e := range o.handovers {
 		e.table.Tick(now)
 
-		if e.table.Expired(now, e.closedAt) {
+		if e.table.Expired(now, e.closedAge) {
 			e.table.Drop()
 			delete(o.handovers, of)
 		}
 	}
 
-	for of, h := range o.moved {
-		if !now.Before(h.until) {
-			delete(o.moved, of)
+	for of, s := range o.successors {
+		if !now.Before(s.expires) {
+			delete(o.successors, of)
 		}
 	}
 
-	for to, at := range o.silent {
-		if now.Sub(at) >= o.pace.Quiet {
-			delete(o.silent, to)
+	for to, at := range o.unresponsive {
+		if now.Sub(at) >= o.params.Quiet {
+			delete(o.unresponsive, to)
 		}
 	}
 }
 
-// notice is one message to one peer.
+// notice announces to one peer that this entry VM is the successor of one owner.
 type notice struct {
-	to   carobward.Peer
-	of   cwticket.Owner
-	left time.Duration
+	to        carobward.Peer
+	of        cwticket.Owner
+	remaining time.Duration
 }
 
-// tell tells the peers that do not know it yet for whom this entry VM stands
-// in, newcomers too. One round runs at a time.
-func (o *Owner) tell(now time.Time) {
+// announce informs peers, including new ones, which owners this entry VM is the
+// successor of, unless they know it already. One round runs at a time.
+func (o *Owner) announce(now time.Time) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 
-	if o.telling || o.work.Err() != nil || now.Sub(o.told) < o.pace.Tell || len(o.handovers) == 0 {
+	if o.announcing || o.lifetime.Err() != nil || now.Sub(o.lastAnnounced) < o.params.Tell || len(o.handovers) == 0 {
 		return
 	}
 
-	o.told = now
+	o.lastAnnounced = now
 
-	all := o.notices(now)
+	all := o.pendingNotices(now)
 	if len(all) == 0 {
 		return
 	}
 
-	o.telling = true
+	o.announcing = true
 	o.group.Go(func() { o.sendAll(all) })
 }
 
-func (o *Owner) notices(now time.Time) []notice {
+func (o *Owner) pendingNotices(now time.Time) []notice {
 	var all []notice
 
 	for _, p := range o.peers.All() {
@@ -183,9 +186,9 @@
 		}
 
 		for of, e := range o.handovers {
-			if e.table.Whole() && !e.told[run(p)] {
-				left := e.closedAt + o.limits.Horizon - e.table.Issuer().Age(now)
-				all = append(all, notice{to: p, of: of, left: left})
+			if e.table.Whole() && !e.notified[ownerOf(p)] {
+				remaining := e.closedAge + o.limits.Horizon - e.table.Issuer().Age(now)
+				all = append(all, notice{to: p, of: of, remaining: remaining})
 			}
 		}
 	}
@@ -193,7 +196,7 @@
 	return all
 }
 
-func run(p carobward.Peer) cwticket.Owner {
+func ownerOf(p carobward.Peer) cwticket.Owner {
 	return cwticket.Owner{VM: p.ID, Incarnation: p.Incarnation}
 }
 
@@ -206,24 +209,24 @@
 			Incarnation: uint64(n.of.Incarnation),
 			Successor:   string(self.ID),
 			Peers:       string(self.Peers),
-			Left:        int64(n.left),
+			Left:        int64(n.remaining),
 		}
 		err := o.send(n.to.Peers, in)
 
 		o.mutex.Lock()
 		if e := o.handovers[n.of]; e != nil && err == nil {
-			e.told[run(n.to)] = true
+			e.notified[ownerOf(n.to)] = true
 		}
 		o.mutex.Unlock()
 	}
 
 	o.mutex.Lock()
-	o.telling = false
+	o.announcing = false
 	o.mutex.Unlock()
 }
 
 func (o *Owner) send(to carobward.Address, in *cwwire.Moved) error {
-	ctx, cancel := context.WithTimeout(o.work, o.pace.Hold+o.pace.Grace)
+	ctx, cancel := context.WithTimeout(o.lifetime, o.params.Hold+o.params.Grace)
 	defer cancel()
 
 	return o.calls.Call(ctx, to, "Owner.Moved", in, &cwwire.Noted{})
--- a/internal/cwowner/wire.go
+++ b/internal/cwowner/wire.go
@@ -10,7 +10,7 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// FieldsToWire returns header fields as they go over the wire.
+// FieldsToWire encodes header fields.
 func FieldsToWire(h carobward.Header) []*cwwire.Field {
 	all := make([]*cwwire.Field, 0, len(h))
 	for _, f := range h {
@@ -20,7 +20,7 @@
 	return all
 }
 
-// FieldsFromWire returns header fields that came over the wire.
+// FieldsFromWire decodes header fields.
 func FieldsFromWire(w []*cwwire.Field) carobward.Header {
 	h := make(carobward.Header, 0, len(w))
 	for _, f := range w {
@@ -58,7 +58,7 @@
 	}
 }
 
-// answerToWire fills in what the owner says of a ticket.
+// answerToWire sets the reply to an outcome or a failure.
 func answerToWire(out *cwwire.OnceAnswer, answer *cwticket.Outcome, err error) {
 	if err == nil {
 		out.Outcome = outcomeToWire(answer)
@@ -83,7 +83,7 @@
 
 	f := w.GetFailure()
 	if f == nil {
-		return nil, unknown(ErrSilent, carobward.Unknown)
+		return nil, unknownFailure(ErrSilent, carobward.Unknown)
 	}
 
 	v := carobward.ParseVerdict(f.GetVerdict())
