--- a/internal/cwnode/leave.go
+++ b/internal/cwnode/leave.go
@@ -9,10 +9,11 @@
 	"carobward.example/carobward/internal/cwdrain"
 )
 
-// openNews sets up what is known of leaving servers. No work is given out
-// before the news were heard, or the wait for them is over.
-func (n *Node) openNews(log logr.Logger) error {
-	n.news = cwdrain.New(cwdrain.Options{
+// openAnnouncements creates the system that exchanges announcements of leaving
+// servers with the peers. No requests are sent to servers before the peers'
+// announcements have arrived, or the wait for them has timed out.
+func (n *Node) openAnnouncements(log logr.Logger) error {
+	n.announcements = cwdrain.New(cwdrain.Options{
 		Table:   cwdrain.NewTable(),
 		Servers: n.servers,
 		Peers:   n.livePeers,
@@ -22,10 +23,10 @@
 	})
 	n.servers.SetFresh(n.clock.Now().Add(-time.Nanosecond))
 
-	return n.server.Register("News", n.news.Service())
+	return n.server.Register("News", n.announcements.Service())
 }
 
-// livePeers returns where the other entry VMs that are not dead take calls.
+// livePeers returns the RPC addresses of the other entry VMs that are not dead.
 func (n *Node) livePeers() []carobward.Address {
 	var all []carobward.Address
 
--- a/internal/cwnode/link.go
+++ b/internal/cwnode/link.go
@@ -25,8 +25,8 @@
 	}, n.carrier, n.log)
 }
 
-// tickLink tells the link how many entry VMs share the servers' connections
-// and closes idle ones, and cancels work whose caller has gone.
+// tickLink tells the link how many entry VMs share the servers' connections,
+// closes idle connections, and cancels work whose caller has disconnected.
 func (n *Node) tickLink(now time.Time) {
 	size := 0
 
--- a/internal/cwnode/measure.go
+++ b/internal/cwnode/measure.go
@@ -13,13 +13,13 @@
 	"carobward.example/carobward/internal/cwprobe"
 )
 
-// measure is what this entry VM measures with, and what it knows of the fleet
-// for its share of the budget.
+// measure has the components for load reports and health probes of servers, and
+// the VM list that helps to determine this VM's share of their budget.
 type measure struct {
 	account *cwbudget.Account
 	reports *cwbudget.Reports
 	prober  *cwprobe.Prober
-	// listed is what the VM list showed last.
+	// listed has the entry VMs of the last VM list.
 	listed atomic.Pointer[listedVMs]
 }
 
@@ -39,7 +39,7 @@
 		Self:    n.settings.VM,
 		VMs:     n.knownVMs,
 		Servers: n.servers,
-		News:    n.news,
+		News:    n.announcements,
 		Account: m.account,
 		Path:    p.Path,
 		Fresh:   p.Fresh.Std(),
@@ -51,7 +51,7 @@
 	n.publishMeasure()
 }
 
-// publishMeasure shows what has been spent since the start.
+// publishMeasure registers metrics of the calls and bytes spent since the start.
 func (n *Node) publishMeasure() {
 	const part = "measuring"
 
@@ -60,18 +60,18 @@
 	n.metrics.Gauge(part, "bytes", func() int64 { return m.account.Total().Bytes })
 	n.metrics.Gauge(part, "unasked", m.reports.Unasked)
 	n.metrics.Gauge(part, "newscalls", func() int64 {
-		calls, _ := n.news.Traffic()
+		calls, _ := n.announcements.Traffic()
 
 		return calls
 	})
 	n.metrics.Gauge(part, "newsbytes", func() int64 {
-		_, bytes := n.news.Traffic()
+		_, bytes := n.announcements.Traffic()
 
 		return bytes
 	})
 }
 
-// listVMs takes the entry VMs of a VM list.
+// listVMs stores the entry VMs of a VM list.
 func (m *measure) listVMs(now time.Time, list []carobward.VM) {
 	l := &listedVMs{at: now}
 
@@ -84,7 +84,8 @@
 	m.listed.Store(l)
 }
 
-// knownVMs returns the ids of all entry VMs that any source shows, sorted.
+// knownVMs returns the sorted ids of all entry VMs in the VM list or the
+// membership, including this one.
 func (n *Node) knownVMs() []carobward.VMID {
 	ids := append([]carobward.VMID{n.settings.VM}, n.measure.listed.Load().ids...)
 
@@ -99,14 +100,15 @@
 	return slices.Compact(ids)
 }
 
-// tickMeasure tells the account what is known of the fleet until ctx ends. It
-// waits for nothing else, since after a pause nothing may be spent.
-func (n *Node) tickMeasure(ctx context.Context) {
-	t := time.NewTicker(tickEvery)
+// tickAccount regularly updates the account's view of the fleet until ctx is
+// done. It has its own goroutine so that nothing else delays it: the account
+// permits no spending while its view is out of date.
+func (n *Node) tickAccount(ctx context.Context) {
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 
 	for ctx.Err() == nil {
-		n.viewFleet(n.clock.Now())
+		n.updateAccount(n.clock.Now())
 
 		select {
 		case <-ctx.Done():
@@ -115,7 +117,7 @@
 	}
 }
 
-func (n *Node) viewFleet(now time.Time) {
+func (n *Node) updateAccount(now time.Time) {
 	m := &n.measure
 	ids := n.knownVMs()
 	rank, _ := slices.BinarySearch(ids, n.settings.VM)
@@ -124,7 +126,7 @@
 	m.reports.Tick(now, len(n.servers.All()))
 }
 
-// lastSeen returns when the VM list or a peer was last heard.
+// lastSeen returns when the VM list was last read or a peer last replied.
 func (n *Node) lastSeen() time.Time {
 	last := n.measure.listed.Load().at
 
@@ -137,7 +139,7 @@
 	return last
 }
 
-// budget returns what the operators allow all entry VMs together.
+// budget returns the budget that operators set for all entry VMs together.
 func (n *Node) budget() cwbudget.Cost {
 	set := n.holder.Config().Set.Measure
 	if set == nil {
--- a/internal/cwnode/member.go
+++ b/internal/cwnode/member.go
@@ -10,9 +10,8 @@
 	"carobward.example/carobward/internal/cwsettings"
 )
 
-// openPeers sets up what talks to the other entry VMs, and learns from some
-// of them who the members are. So the incarnation stands before anything is
-// named after it.
+// openPeers sets up communication with the other entry VMs and fetches the members
+// from some of them. This fixes the incarnation before other components use it.
 func (n *Node) openPeers(log logr.Logger) error {
 	key, err := cwsettings.ReadKey(n.settings.Keys.Peers)
 	if err != nil {
@@ -40,7 +39,7 @@
 	return nil
 }
 
-// closePeers ends all connections with other entry VMs.
+// closePeers closes the listeners and connections for other entry VMs.
 func (n *Node) closePeers() {
 	_ = n.listeners.peers.Close()
 	_ = n.listeners.datagrams.Close()
--- a/internal/cwnode/node.go
+++ b/internal/cwnode/node.go
@@ -1,4 +1,4 @@
-// Package cwnode puts the parts of one entry VM together and runs them.
+// Package cwnode assembles the components of an entry VM and runs them.
 package cwnode
 
 import (
@@ -36,24 +36,24 @@
 	clock    carobward.Clock
 	log      logr.Logger
 
-	store   carobward.Store
-	list    carobward.VMList
-	servers *cwserver.Table
-	peers   *cwpeer.Table
-	clients *cwpeer.Clients
-	server  *cwpeer.Server
-	member  *cwmember.Service
-	news    *cwdrain.System
-	measure measure
-	holder  *cwconfig.Holder
-	syncer  *cwconfig.Syncer
-	link    *cwlink.Link
-	owner   *cwowner.Owner
-	carrier *cwentry.Carrier
-	metrics *cwmetric.Set
-	tracer  *cwtrace.Tracer
-	// metricsKept is when the counts were last compared with the targets.
-	metricsKept time.Time
+	store         carobward.Store
+	list          carobward.VMList
+	servers       *cwserver.Table
+	peers         *cwpeer.Table
+	clients       *cwpeer.Clients
+	server        *cwpeer.Server
+	member        *cwmember.Service
+	announcements *cwdrain.System
+	measure       measure
+	holder        *cwconfig.Holder
+	syncer        *cwconfig.Syncer
+	link          *cwlink.Link
+	owner         *cwowner.Owner
+	carrier       *cwentry.Carrier
+	metrics       *cwmetric.Set
+	tracer        *cwtrace.Tracer
+	// lastPrune is when metrics of deleted targets were last removed.
+	lastPrune time.Time
 
 	widths *cwlookup.Widths
 
@@ -70,7 +70,7 @@
 	datagrams                         net.PacketConn
 }
 
-// New opens the listeners and puts the parts together. Run starts them.
+// New opens the listeners and assembles the components. Run starts them.
 func New(s cwsettings.Settings, clock carobward.Clock, log logr.Logger) (*Node, error) {
 	n := &Node{
 		settings: s,
@@ -103,7 +103,7 @@
 		return nil, err
 	}
 
-	if err := n.openNews(log); err != nil {
+	if err := n.openAnnouncements(log); err != nil {
 		return nil, err
 	}
 
@@ -123,7 +123,7 @@
 	n.data = n.dataServer()
 	n.widths = cwlookup.NewWidths(n.peers, s.Route.Rate, s.Keep.Std())
 	n.lookup = cwlookup.Handler(n.peers, s.Keep.Std(), n.owner, n.widths)
-	n.operators = cwoperator.New(key, n.holder, cwconfig.NewWriter(n.store, n.holder), n.peers, n.syncer, n.metrics).WithDrains(n.news, n.servers).Handler()
+	n.operators = cwoperator.New(key, n.holder, cwconfig.NewWriter(n.store, n.holder), n.peers, n.syncer, n.metrics).WithDrains(n.announcements, n.servers).Handler()
 
 	return n, n.owner.Register(n.server, n.carrier)
 }
@@ -151,21 +151,21 @@
 func (n *Node) listen() error {
 	l := &n.settings.Listen
 
-	for _, one := range []struct {
-		at   carobward.Address
-		into *net.Listener
+	for _, s := range []struct {
+		addr     carobward.Address
+		listener *net.Listener
 	}{
 		{l.Callers, &n.listeners.callers},
 		{l.Lookup, &n.listeners.lookup},
 		{l.Peers, &n.listeners.peers},
 		{l.Operators, &n.listeners.operators},
 	} {
-		opened, err := net.Listen("tcp", string(one.at))
+		opened, err := net.Listen("tcp", string(s.addr))
 		if err != nil {
 			return errors.Annotate(err, "node")
 		}
 
-		*one.into = opened
+		*s.listener = opened
 	}
 
 	var err error
@@ -175,7 +175,7 @@
 	return errors.Annotate(err, "node")
 }
 
-// Run serves until ctx ends, then stops gracefully.
+// Run serves requests until ctx is done, then stops gracefully.
 func (n *Node) Run(ctx context.Context) error {
 	defer close(n.done)
 
@@ -188,13 +188,13 @@
 	group.Go(func() { n.syncer.Run(work) })
 	group.Go(func() { n.tick(work) })
 	group.Go(func() { n.member.Run(work) })
-	group.Go(func() { n.news.Run(work) })
+	group.Go(func() { n.announcements.Run(work) })
 	group.Go(func() { n.measure.prober.Run(work) })
-	group.Go(func() { n.tickMeasure(work) })
-	group.Go(func() { n.logEnd("callers", n.data.Serve(n.listeners.callers)) })
-	group.Go(func() { n.logEnd("lookup", n.lookup.Listener(n.listeners.lookup)) })
-	group.Go(func() { n.logEnd("peers", n.server.Serve(n.listeners.peers)) })
-	group.Go(func() { n.logEnd("operators", n.operators.Listener(n.listeners.operators)) })
+	group.Go(func() { n.tickAccount(work) })
+	group.Go(func() { n.logServeError("callers", n.data.Serve(n.listeners.callers)) })
+	group.Go(func() { n.logServeError("lookup", n.lookup.Listener(n.listeners.lookup)) })
+	group.Go(func() { n.logServeError("peers", n.server.Serve(n.listeners.peers)) })
+	group.Go(func() { n.logServeError("operators", n.operators.Listener(n.listeners.operators)) })
 
 	err := n.leave(n.awaitStop(ctx))
 	n.link.Close()
@@ -202,11 +202,11 @@
 	stop()
 	n.owner.Stop()
 	<-n.member.Done()
-	<-n.news.Done()
+	<-n.announcements.Done()
 	<-n.measure.prober.Done()
 	n.closePeers()
-	_ = n.lookup.ShutdownWithTimeout(closeMost)
-	_ = n.operators.ShutdownWithTimeout(closeMost)
+	_ = n.lookup.ShutdownWithTimeout(closeTimeout)
+	_ = n.operators.ShutdownWithTimeout(closeTimeout)
 	group.Wait()
 	n.closeTracer()
 	n.log.Info("Stopped.")
@@ -214,8 +214,8 @@
 	return err
 }
 
-func (n *Node) logEnd(listener string, err error) {
+func (n *Node) logServeError(listener string, err error) {
 	if err != nil && !errors.Is(err, net.ErrClosed) {
-		n.log.Error(err, "A listener ended.", "listener", listener)
+		n.log.Error(err, "A listener failed.", "listener", listener)
 	}
 }
--- a/internal/cwnode/observe.go
+++ b/internal/cwnode/observe.go
@@ -14,12 +14,12 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// traceMost bounds the export of the last spans when the process ends.
-const traceMost = time.Second
+// traceTimeout limits the export of the last spans when the process ends.
+const traceTimeout = time.Second
 
-// keepMetricsEvery is the pace at which the counts of targets that are gone
-// are forgotten.
-const keepMetricsEvery = time.Minute
+// pruneInterval is the time between two removals of the metrics of deleted
+// targets.
+const pruneInterval = time.Minute
 
 func (n *Node) carrierOptions() cwentry.Options {
 	return cwentry.Options{
@@ -28,7 +28,7 @@
 	}
 }
 
-// publish shows the state of the node among the metrics.
+// publish registers the metrics of the node's state.
 func (n *Node) publish() {
 	const part = "node"
 
@@ -42,7 +42,7 @@
 	}
 }
 
-// running is the number of requests in flight.
+// running returns the number of requests in flight.
 func (n *Node) running() int64 { return n.carrier.Running() }
 
 // count returns the number of entry VMs in a state.
@@ -58,20 +58,20 @@
 	return found
 }
 
-// tickMetrics forgets the counts of targets that are gone.
-func (n *Node) tickMetrics(now time.Time) {
-	if now.Sub(n.metricsKept) < keepMetricsEvery {
+// pruneMetrics removes the metrics of deleted targets, once per pruneInterval.
+func (n *Node) pruneMetrics(now time.Time) {
+	if now.Sub(n.lastPrune) < pruneInterval {
 		return
 	}
 
-	n.metricsKept = now
+	n.lastPrune = now
 	targets := n.holder.Targets()
 	n.metrics.Requests().Keep(func(name carobward.TargetName) bool { return targets.ByName(name) != nil })
 }
 
-// closeTracer exports the last spans.
+// closeTracer exports the last spans and closes the tracer.
 func (n *Node) closeTracer() {
-	ctx, cancel := context.WithTimeout(context.Background(), traceMost)
+	ctx, cancel := context.WithTimeout(context.Background(), traceTimeout)
 	defer cancel()
 
 	if err := n.tracer.Close(ctx); err != nil {
@@ -79,8 +79,8 @@
 	}
 }
 
-// ownerCalls returns how the owner of tickets calls peers: with a span around
-// each request that is passed on, if spans are made at all.
+// ownerCalls returns the client with which the ticket owner calls peers. If
+// tracing is on, it makes a span for each forwarded request.
 func (n *Node) ownerCalls() cwpeer.Calls {
 	if n.tracer == nil {
 		return n.clients
@@ -89,16 +89,15 @@
 	return &tracedCalls{Calls: n.clients, tracer: n.tracer}
 }
 
-// tracedCalls puts a span around each request that is passed to a peer. The
-// waiting for its outcome, should it take longer, is part of the request's
-// own span.
+// tracedCalls makes a span for each request that is forwarded to a peer. Further
+// calls that wait for the outcome belong to the request's own span.
 type tracedCalls struct {
 	cwpeer.Calls
 
 	tracer *cwtrace.Tracer
 }
 
-// Call calls a peer's method.
+// Call calls a method of a peer.
 func (t *tracedCalls) Call(ctx context.Context, to carobward.Address, method string, in, out proto.Message) error {
 	call, ok := in.(*cwwire.OnceCall)
 	if !ok {
--- a/internal/cwnode/owner.go
+++ b/internal/cwnode/owner.go
@@ -11,7 +11,7 @@
 	"carobward.example/carobward/internal/cwticket"
 )
 
-// newOwner makes the owner of this entry VM's tickets.
+// newOwner creates the owner of this entry VM's tickets.
 func (n *Node) newOwner(log logr.Logger) error {
 	o := &n.settings.Once
 	limits := cwticket.Options{Horizon: o.Horizon.Std(), Records: o.Records, Bytes: o.Bytes}
@@ -28,8 +28,8 @@
 	return nil
 }
 
-// publishTickets shows what the tickets hold of their room: outcomes, tickets
-// that were closed without having run, and the bytes of the outcomes.
+// publishTickets registers metrics of the stored tickets: recorded outcomes,
+// tickets that were closed without having run, and the bytes of the outcomes.
 func (n *Node) publishTickets() {
 	const part = "tickets"
 
@@ -38,17 +38,17 @@
 	n.metrics.Gauge(part, "bytes", func() int64 { _, _, bytes := n.owner.Used(); return int64(bytes) })
 }
 
-// handOverShare of the time after the callers' answers have run out is kept
-// for handing over: one in so many parts.
+// handOverShare sets the time for the handover: 1/handOverShare of the part of the
+// stop timeout that remains once callers no longer use earlier lookup replies.
 const handOverShare = 4
 
-// handOverTime returns the time that is kept for handing over.
+// handOverTime returns the time that is reserved for the handover.
 func (n *Node) handOverTime() time.Duration {
 	return (n.settings.Stop - n.settings.Keep).Std() / handOverShare
 }
 
-// handOver gives what became of the tickets to another entry VM until the
-// end, so that callers can still ask for it.
+// handOver sends the outcomes of the tickets to another entry VM before end, so
+// that callers can still query them.
 func (n *Node) handOver(end time.Time) {
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
--- a/internal/cwnode/route.go
+++ b/internal/cwnode/route.go
@@ -5,10 +5,10 @@
 	"carobward.example/carobward/internal/cwsettings"
 )
 
-// queuePerSlot is how many calls a server may hold for each of its slots.
+// queuePerSlot is the maximum number of calls at a server for each of its slots.
 const queuePerSlot = 2
 
-// newPolicy returns the choice of servers of this entry VM.
+// newPolicy returns the policy by which this entry VM chooses servers.
 func newPolicy(s *cwsettings.Settings) cwroute.Policy {
 	return cwroute.Wait{Queue: queuePerSlot, Domain: s.Domain, Far: s.Route.Far.Std()}
 }
--- a/internal/cwnode/stop.go
+++ b/internal/cwnode/stop.go
@@ -11,32 +11,34 @@
 	"carobward.example/carobward/internal/cwlookup"
 )
 
-// The steps of a graceful stop, see docs/design/stop.md.
+// Times of the steps of a graceful stop, see docs/design/stop.md.
 const (
-	// announceMost bounds the wait until all peers have confirmed that they
-	// know. One that is frozen does not hold the stop up for longer.
-	announceMost = 2 * time.Second
-	// keepMargin is the time that an address answer may be on its way.
+	// announceTimeout limits the wait until all peers have confirmed that this
+	// VM is leaving, so that a paused peer doesn't delay the stop further.
+	announceTimeout = 2 * time.Second
+	// keepMargin is the time that a lookup reply may be in transit.
 	keepMargin = 500 * time.Millisecond
-	// partMost bounds the wait for callers to close their idle connections.
-	// Some HTTP clients keep one for 10 s and do not notice that we closed
-	// it: their next request, to our successor, would be lost.
-	partMost = 11 * time.Second
-	// abortMost is what is kept of the bound to answer requests that are
-	// given up.
-	abortMost = 500 * time.Millisecond
-	// closeMost bounds the end of the other listeners.
-	closeMost = time.Second
-	stopPoll  = 10 * time.Millisecond
+	// idleCloseTimeout limits the wait for callers to close their idle
+	// connections. Some HTTP clients keep an idle connection for 10 s and don't
+	// notice that the server has closed it. Their next request to this
+	// address, where a later run of the VM may listen by then, would be lost.
+	idleCloseTimeout = 11 * time.Second
+	// abortTimeout is the part of the stop timeout that is reserved for
+	// replies to aborted requests.
+	abortTimeout = 500 * time.Millisecond
+	// closeTimeout limits the shutdown of each of the other listeners.
+	closeTimeout = time.Second
+	pollInterval = 10 * time.Millisecond
 )
 
-// The errors of a stop.
+// Errors of Run.
 const (
-	ErrBound    = errors.ConstError("node: requests in flight at the bound were answered unknown")
-	ErrReplaced = errors.ConstError("node: a later run of this VM has taken its place")
+	ErrBound    = errors.ConstError("node: the stop timeout expired, requests in flight were answered with the verdict unknown")
+	ErrReplaced = errors.ConstError("node: a later run of this VM has replaced this one")
 )
 
-// awaitStop returns at the end of ctx with nil, or with ErrReplaced.
+// awaitStop returns nil once ctx is done, or ErrReplaced once a later run of this
+// VM is known.
 func (n *Node) awaitStop(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
@@ -46,21 +48,22 @@
 	}
 }
 
-// leave stops gracefully within the bound: it tells the peers, serves for as
-// long as callers keep old answers, refuses new connections, finishes what is
-// in flight, and hands over the outcomes of run-once work.
+// leave stops gracefully within the stop timeout. It announces to the peers that
+// this VM is leaving, serves for as long as callers keep earlier lookup replies,
+// refuses new connections, finishes requests in flight, and hands over the
+// outcomes of run-once work.
 func (n *Node) leave(cause error) error {
 	end := n.clock.Now().Add(n.settings.Stop.Std())
 	n.log.Info("Leaving.", "keep", n.settings.Keep.Std().String(), "stop", n.settings.Stop.Std().String())
 
-	serve, cancel := context.WithDeadline(context.Background(), end.Add(-n.handOverTime()-abortMost))
+	serve, cancel := context.WithDeadline(context.Background(), end.Add(-n.handOverTime()-abortTimeout))
 	defer cancel()
 
 	n.announce(serve)
 	n.data.Part()
 	carobward.Sleep(serve, cwlookup.Kept(n.settings.Keep.Std())+keepMargin)
-	n.await(serve, partMost, func() bool { return n.data.GetOpenConnectionsCount() == 0 })
-	n.log.Info("No new connections are taken.", "running", n.carrier.Running())
+	n.await(serve, idleCloseTimeout, func() bool { return n.data.GetOpenConnectionsCount() == 0 })
+	n.log.Info("New connections are refused.", "running", n.carrier.Running())
 
 	if err := n.data.ShutdownWithContext(serve); err != nil {
 		cause = stderrors.Join(cause, n.giveUp())
@@ -71,24 +74,26 @@
 	return cause
 }
 
-// announce has every peer know that this VM leaves, so that no address answer
-// names it any more.
+// announce makes sure that every peer knows that this VM is leaving, so that no
+// further lookup reply includes it.
 func (n *Node) announce(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, announceMost)
+	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
 
-	if left := n.member.Leave(ctx); left > 0 {
-		n.log.Info("Not all entry VMs have confirmed that this one leaves.", "missing", left)
+	if missing := n.member.Leave(ctx); missing > 0 {
+		n.log.Info("Not all entry VMs have confirmed that this one is leaving.", "missing", missing)
 	}
 }
 
-// giveUp answers what is still in flight at the bound.
+// giveUp aborts the requests that are in flight when the stop timeout expires and
+// waits for their replies.
 func (n *Node) giveUp() error {
 	running := n.carrier.Running()
 	n.log.Info("Requests in flight are given up at the bound.", "running", running)
 	n.carrier.Abort()
-	// The library counts its listener as one, which is closed by now.
-	n.await(context.Background(), abortMost, func() bool { return n.data.GetOpenConnectionsCount() < 0 })
+	// The library counts the listener as an open connection, and it is closed by
+	// now. So the count is below zero once no connection is open.
+	n.await(context.Background(), abortTimeout, func() bool { return n.data.GetOpenConnectionsCount() < 0 })
 
 	if running == 0 {
 		return nil // Only connections without a request were open.
@@ -97,12 +102,12 @@
 	return ErrBound
 }
 
-// await waits until ok, at most for a time or until ctx ends.
-func (n *Node) await(ctx context.Context, most time.Duration, ok func() bool) {
-	ctx, cancel := context.WithTimeout(ctx, most)
+// await waits until ok returns true, the timeout expires or ctx is done.
+func (n *Node) await(ctx context.Context, timeout time.Duration, ok func() bool) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 
 	for ctx.Err() == nil && !ok() {
-		carobward.Sleep(ctx, stopPoll)
+		carobward.Sleep(ctx, pollInterval)
 	}
 }
--- a/internal/cwnode/tick.go
+++ b/internal/cwnode/tick.go
@@ -7,12 +7,12 @@
 	"carobward.example/carobward"
 )
 
-// tickEvery is the pace of the systems.
-const tickEvery = 200 * time.Millisecond
+// tickInterval is the time between two ticks of the components.
+const tickInterval = 200 * time.Millisecond
 
-// tick runs the systems over the tables until ctx ends.
+// tick reads the VM list and ticks the components until ctx is done.
 func (n *Node) tick(ctx context.Context) {
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 
 	var listed time.Time
@@ -27,7 +27,7 @@
 		}
 
 		n.tickLink(now)
-		n.tickMetrics(now)
+		n.pruneMetrics(now)
 		n.owner.Tick(now)
 		n.widths.Tick(now, n.carrier.Counts)
 
@@ -39,8 +39,8 @@
 	}
 }
 
-// listed returns what tells whether an address is on a VM list.
-func listed(list []carobward.VM) func(carobward.Address) bool {
+// onList returns a function that reports whether an address is in a VM list.
+func onList(list []carobward.VM) func(carobward.Address) bool {
 	all := make(map[carobward.Address]bool, len(list))
 	for i := range list {
 		all[list[i].Address] = true
@@ -49,8 +49,8 @@
 	return func(a carobward.Address) bool { return all[a] }
 }
 
-// readList takes the VM list: servers into their table, entry VMs to the
-// membership.
+// readList reads the VM list and passes the servers to their table and the entry
+// VMs to the membership.
 func (n *Node) readList(ctx context.Context) {
 	list, err := n.list.List(ctx)
 	if err != nil {
@@ -58,12 +58,12 @@
 	}
 
 	if len(list) == 0 {
-		return // What was listed before stands.
+		return // The previous list stays in use.
 	}
 
-	n.news.Listed(list)
+	n.announcements.Listed(list)
 	n.measure.listVMs(n.clock.Now(), list)
 	n.servers.Update(list)
-	n.link.Retain(listed(list))
+	n.link.Retain(onList(list))
 	n.member.Seeds(list)
 }
