--- a/internal/cwmember/machine.go
+++ b/internal/cwmember/machine.go
@@ -13,9 +13,9 @@
 type Options struct {
 	// Period is the protocol period: one member is pinged in each.
 	Period time.Duration
-	// Reply is how long to wait for an ACK before asking other members
+	// ReplyTimeout is how long to wait for an ACK before asking other members
 	// to ping the target.
-	Reply time.Duration
+	ReplyTimeout time.Duration
 	// Spread is the time between two rounds of gossip. There are none
 	// without updates to send.
 	Spread time.Duration
@@ -42,15 +42,15 @@
 // Defaults returns the options of entry VMs in production.
 func Defaults() Options {
 	return Options{
-		Period:    time.Second,
-		Reply:     300 * time.Millisecond,
-		Spread:    200 * time.Millisecond,
-		Relays:    3,
-		Fanout:    3,
-		Suspicion: 6,
-		Retry:     2 * time.Second,
-		Settle:    10 * time.Second,
-		Forget:    time.Hour,
+		Period:       time.Second,
+		ReplyTimeout: 300 * time.Millisecond,
+		Spread:       200 * time.Millisecond,
+		Relays:       3,
+		Fanout:       3,
+		Suspicion:    6,
+		Retry:        2 * time.Second,
+		Settle:       10 * time.Second,
+		Forget:       time.Hour,
 	}
 }
 
--- a/internal/cwmember/probe.go
+++ b/internal/cwmember/probe.go
@@ -98,7 +98,7 @@
 // requestRelays asks other members to ping a target that has not replied to us.
 func (m *Machine) requestRelays(now time.Time) []Message {
 	p := m.probe
-	if p == nil || p.relayed || now.Sub(p.sent) < m.options.Reply {
+	if p == nil || p.relayed || now.Sub(p.sent) < m.options.ReplyTimeout {
 		return nil
 	}
 
