--- a/internal/cwmember/machine.go
+++ b/internal/cwmember/machine.go
@@ -16,9 +16,9 @@
 	// ReplyTimeout is how long to wait for an ACK before asking other members
 	// to ping the target.
 	ReplyTimeout time.Duration
-	// Spread is the time between two rounds of gossip. There are none
+	// GossipInterval is the time between two rounds of gossip. There are none
 	// without updates to send.
-	Spread time.Duration
+	GossipInterval time.Duration
 	// Relays is the number of members asked to ping a target that did not
 	// reply.
 	Relays int
@@ -42,15 +42,15 @@
 // Defaults returns the options of entry VMs in production.
 func Defaults() Options {
 	return Options{
-		Period:       time.Second,
-		ReplyTimeout: 300 * time.Millisecond,
-		Spread:       200 * time.Millisecond,
-		Relays:       3,
-		Fanout:       3,
-		Suspicion:    6,
-		Retry:        2 * time.Second,
-		Settle:       10 * time.Second,
-		Forget:       time.Hour,
+		Period:         time.Second,
+		ReplyTimeout:   300 * time.Millisecond,
+		GossipInterval: 200 * time.Millisecond,
+		Relays:         3,
+		Fanout:         3,
+		Suspicion:      6,
+		Retry:          2 * time.Second,
+		Settle:         10 * time.Second,
+		Forget:         time.Hour,
 	}
 }
 
@@ -253,7 +253,7 @@
 	out = append(out, m.startProbe(now)...)
 	out = append(out, m.retry(now)...)
 
-	if now.Sub(m.lastGossip) >= m.options.Spread {
+	if now.Sub(m.lastGossip) >= m.options.GossipInterval {
 		m.lastGossip = now
 		m.expire(now)
 		out = append(out, m.pingUnconfirmed()...)
