--- a/internal/cwmember/machine.go
+++ b/internal/cwmember/machine.go
@@ -25,10 +25,10 @@
 	// Fanout is the number of members that receive updates in a round of
 	// gossip.
 	Fanout int
-	// Suspicion sets the suspicion timeout, after which a suspected
+	// SuspicionFactor sets the suspicion timeout, after which a suspected
 	// member is considered dead: so many periods, times the decimal logarithm
 	// of the fleet's size, which counts as at least 1.
-	Suspicion float64
+	SuspicionFactor float64
 	// Retry is the time between two pings of VMs outside the membership: dead
 	// members and VMs known only from the VM list.
 	Retry time.Duration
@@ -42,15 +42,15 @@
 // Defaults returns the options of entry VMs in production.
 func Defaults() Options {
 	return Options{
-		Period:         time.Second,
-		ReplyTimeout:   300 * time.Millisecond,
-		GossipInterval: 200 * time.Millisecond,
-		Relays:         3,
-		Fanout:         3,
-		Suspicion:      6,
-		Retry:          2 * time.Second,
-		Settle:         10 * time.Second,
-		Forget:         time.Hour,
+		Period:          time.Second,
+		ReplyTimeout:    300 * time.Millisecond,
+		GossipInterval:  200 * time.Millisecond,
+		Relays:          3,
+		Fanout:          3,
+		SuspicionFactor: 6,
+		Retry:           2 * time.Second,
+		Settle:          10 * time.Second,
+		Forget:          time.Hour,
 	}
 }
 
@@ -227,7 +227,7 @@
 func (m *Machine) suspicionTimeout(now time.Time) time.Duration {
 	const isolationFactor = 3
 
-	periods := m.options.Suspicion * max(1, math.Log10(float64(len(m.members)+1)))
+	periods := m.options.SuspicionFactor * max(1, math.Log10(float64(len(m.members)+1)))
 	d := time.Duration(periods * float64(m.options.Period))
 
 	if now.Sub(m.lastReceived) > d {
