--- a/internal/cwmember/machine.go
+++ b/internal/cwmember/machine.go
@@ -35,8 +35,8 @@
 	// Settle is how long the local view must be unchanged before all members
 	// are fetched from a peer whose view differs.
 	Settle time.Duration
-	// Forget is how long dead members are kept.
-	Forget time.Duration
+	// DeadRetention is how long dead members are kept.
+	DeadRetention time.Duration
 }
 
 // Defaults returns the options of entry VMs in production.
@@ -50,7 +50,7 @@
 		SuspicionFactor: 6,
 		Retry:           2 * time.Second,
 		Settle:          10 * time.Second,
-		Forget:          time.Hour,
+		DeadRetention:   time.Hour,
 	}
 }
 
@@ -291,7 +291,7 @@
 
 	for id, e := range m.members {
 		switch {
-		case e.dead && now.Sub(e.died) > m.options.Forget:
+		case e.dead && now.Sub(e.died) > m.options.DeadRetention:
 			delete(m.members, id)
 			delete(m.updates, id)
 
