--- a/internal/cwmember/digest.go
+++ b/internal/cwmember/digest.go
@@ -57,9 +57,9 @@
 	}
 }
 
-// Pull returns the address of the peer to fetch all members from, if a pull
+// TakePull returns the address of the peer to fetch all members from, if a pull
 // is due, and clears it.
-func (m *Machine) Pull() (carobward.Address, bool) {
+func (m *Machine) TakePull() (carobward.Address, bool) {
 	to := m.pullFrom
 	m.pullFrom = ""
 
--- a/internal/cwmember/service.go
+++ b/internal/cwmember/service.go
@@ -186,7 +186,7 @@
 		s.machine.SetRevision(s.table.Self().Revision)
 		out := s.machine.Tick(s.clock.Now())
 		s.publish()
-		to, pull := s.machine.Pull()
+		to, pull := s.machine.TakePull()
 		pull = pull && !s.pulling
 		s.pulling = s.pulling || pull
 		s.mutex.Unlock()
--- a/internal/lab/cwnetwork/network.go
+++ b/internal/lab/cwnetwork/network.go
@@ -165,7 +165,7 @@
 
 // pull has a machine ask another for all that it knows, if it wants to.
 func (n *Network) pull(i int, m *cwmember.Machine) {
-	to, pull := m.Pull()
+	to, pull := m.TakePull()
 	if !pull {
 		return
 	}
