--- a/internal/cwmember/digest.go
+++ b/internal/cwmember/digest.go
@@ -66,10 +66,10 @@
 	return to, to != ""
 }
 
-// Answer returns all members that are not dead, and the incarnation that is
+// MembersFor returns all members that are not dead, and the incarnation that is
 // known here of the VM that asks, so that a restarted VM learns of its
 // earlier runs.
-func (m *Machine) Answer(in *cwwire.Ask) *cwwire.Members {
+func (m *Machine) MembersFor(in *cwwire.Ask) *cwwire.Members {
 	out := &cwwire.Members{Members: []*cwwire.Member{m.self.wire(true)}}
 
 	for _, id := range sortedIDs(m.members) {
--- a/internal/cwmember/machine_test.go
+++ b/internal/cwmember/machine_test.go
@@ -335,7 +335,7 @@
 		t.Run(name, func(t *testing.T) {
 			n := cwnetwork.New(2, 1, cwnetwork.Machine)
 			m := n.VMs[0].Machine()
-			member := n.VMs[1].Machine().Answer(&cwwire.Ask{}).GetMembers()[0]
+			member := n.VMs[1].Machine().MembersFor(&cwwire.Ask{}).GetMembers()[0]
 			member.Incarnation, member.Suspect = tt.known, tt.suspect
 			m.Merge(n.Now, &cwwire.Members{Members: []*cwwire.Member{member}})
 
--- a/internal/cwmember/service.go
+++ b/internal/cwmember/service.go
@@ -151,7 +151,7 @@
 	a.service.mutex.Lock()
 	defer a.service.mutex.Unlock()
 
-	answer := a.service.machine.Answer(in)
+	answer := a.service.machine.MembersFor(in)
 	out.Members, out.Incarnation = answer.GetMembers(), answer.GetIncarnation()
 
 	return nil
--- a/internal/lab/cwnetwork/network.go
+++ b/internal/lab/cwnetwork/network.go
@@ -172,7 +172,7 @@
 
 	j, known := n.byAddr[to]
 	if known && n.reaches(i, j) && n.reaches(j, i) {
-		answer := n.VMs[j].Machine().Answer(&cwwire.Ask{Id: string(ID(i))})
+		answer := n.VMs[j].Machine().MembersFor(&cwwire.Ask{Id: string(ID(i))})
 		n.bytes += proto.Size(answer)
 		m.Merge(n.Now, answer)
 	}
