--- a/internal/cwmember/machine_test.go
+++ b/internal/cwmember/machine_test.go
@@ -127,8 +127,8 @@
 		m.Receive(n.Now, "10.1.0.2:7003", a.Datagram)
 	}
 
-	if m.Unaware() != 1 {
-		t.Errorf("%d members have not confirmed, want 1", m.Unaware())
+	if m.Unconfirmed() != 1 {
+		t.Errorf("%d members have not confirmed, want 1", m.Unconfirmed())
 	}
 }
 
@@ -181,7 +181,7 @@
 	n.Loss = 0.2
 
 	m.Leave()
-	until(t, n, 10*time.Second, "all have confirmed", func() bool { return m.Unaware() == 0 })
+	until(t, n, 10*time.Second, "all have confirmed", func() bool { return m.Unconfirmed() == 0 })
 
 	for i := range n.VMs {
 		if p, _ := n.State(i, 4); i != 4 && p.State != carobward.PeerLeaving {
--- a/internal/cwmember/news.go
+++ b/internal/cwmember/news.go
@@ -96,9 +96,9 @@
 	}
 }
 
-// Unaware returns the number of members that have not confirmed yet that
+// Unconfirmed returns the number of members that have not confirmed yet that
 // this VM is leaving.
-func (m *Machine) Unaware() int { return len(m.unconfirmed) }
+func (m *Machine) Unconfirmed() int { return len(m.unconfirmed) }
 
 // pingUnconfirmed pings members that have not confirmed yet that this VM is
 // leaving, a limited number per call.
--- a/internal/cwmember/service.go
+++ b/internal/cwmember/service.go
@@ -330,7 +330,7 @@
 
 	for {
 		s.mutex.Lock()
-		missing := s.machine.Unaware()
+		missing := s.machine.Unconfirmed()
 		s.mutex.Unlock()
 
 		if missing == 0 {
