--- a/internal/cwmember/machine_test.go
+++ b/internal/cwmember/machine_test.go
@@ -189,7 +189,7 @@
 		}
 	}
 
-	n.Send(4, m.Gone())
+	n.Send(4, m.Stop())
 	n.VMs[4].Down = true
 	until(t, n, 10*time.Second, "all see that it has stopped", n.Whole)
 
--- a/internal/cwmember/news.go
+++ b/internal/cwmember/news.go
@@ -123,9 +123,9 @@
 	return out
 }
 
-// Gone announces to some members that this VM has stopped. The machine must not
+// Stop announces to some members that this VM has stopped. The machine must not
 // be used afterwards.
-func (m *Machine) Gone() []Message {
+func (m *Machine) Stop() []Message {
 	const receivers = 8
 
 	m.self.rank = stopped
--- a/internal/cwmember/service.go
+++ b/internal/cwmember/service.go
@@ -168,7 +168,7 @@
 	s.tick(ctx, &group)
 
 	s.mutex.Lock()
-	last := s.machine.Gone()
+	last := s.machine.Stop()
 	s.mutex.Unlock()
 	s.send(last)
 
