--- a/internal/cwmember/service.go
+++ b/internal/cwmember/service.go
@@ -143,8 +143,8 @@
 // Asked has the methods that peers call.
 type Asked struct{ service *Service }
 
-// Asked returns the methods to register as "Member".
-func (s *Service) Asked() *Asked { return &Asked{s} }
+// RPC returns the methods to register as "Member".
+func (s *Service) RPC() *Asked { return &Asked{s} }
 
 // Ask returns all members that are not dead.
 func (a *Asked) Ask(in *cwwire.Ask, out *cwwire.Members) error {
--- a/internal/cwmember/service_test.go
+++ b/internal/cwmember/service_test.go
@@ -53,7 +53,7 @@
 	clients, server := cwpeer.NewClients(cwpeer.Key(key)), cwpeer.NewServer(cwpeer.Key(key), logr.Discard())
 	p.service = cwmember.NewService(cwpeer.Key(key), conn, p.table, clients, new(expvar.Map).Init(), clock, logr.Discard())
 
-	if err := server.Register("Member", p.service.Asked()); err != nil {
+	if err := server.Register("Member", p.service.RPC()); err != nil {
 		t.Fatal(err)
 	}
 
--- a/internal/cwnode/member.go
+++ b/internal/cwnode/member.go
@@ -25,7 +25,7 @@
 	n.clients = cwpeer.NewClients(k)
 	n.member = cwmember.NewService(k, n.listeners.datagrams, n.peers, n.clients, n.metrics.Part("member"), n.clock, log)
 
-	if err := n.server.Register("Member", n.member.Asked()); err != nil {
+	if err := n.server.Register("Member", n.member.RPC()); err != nil {
 		return err
 	}
 
