--- a/internal/cwmember/service.go
+++ b/internal/cwmember/service.go
@@ -140,14 +140,14 @@
 	return true
 }
 
-// Asked has the methods that peers call.
-type Asked struct{ service *Service }
+// RPC has the methods that peers call.
+type RPC struct{ service *Service }
 
 // RPC returns the methods to register as "Member".
-func (s *Service) RPC() *Asked { return &Asked{s} }
+func (s *Service) RPC() *RPC { return &RPC{s} }
 
 // Ask returns all members that are not dead.
-func (a *Asked) Ask(in *cwwire.Ask, out *cwwire.Members) error {
+func (a *RPC) Ask(in *cwwire.Ask, out *cwwire.Members) error {
 	a.service.mutex.Lock()
 	defer a.service.mutex.Unlock()
 
