--- a/internal/cwmember/service.go
+++ b/internal/cwmember/service.go
@@ -68,8 +68,8 @@
 // Replaced is closed once a later run of this VM is known.
 func (s *Service) Replaced() <-chan struct{} { return s.replaced }
 
-// Seeds sets the entry VMs of a VM list as seeds.
-func (s *Service) Seeds(list []carobward.VM) {
+// SetVMList sets the entry VMs of a VM list as seeds.
+func (s *Service) SetVMList(list []carobward.VM) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
--- a/internal/cwmember/service_test.go
+++ b/internal/cwmember/service_test.go
@@ -58,7 +58,7 @@
 	}
 
 	p.service.Join(context.Background(), list)
-	p.service.Seeds(list)
+	p.service.SetVMList(list)
 
 	var group conc.WaitGroup
 
--- a/internal/cwnode/tick.go
+++ b/internal/cwnode/tick.go
@@ -65,5 +65,5 @@
 	n.measure.listVMs(n.clock.Now(), list)
 	n.servers.Update(list)
 	n.link.Retain(onList(list))
-	n.member.Seeds(list)
+	n.member.SetVMList(list)
 }
