--- a/internal/cwmember/machine_test.go
+++ b/internal/cwmember/machine_test.go
@@ -53,9 +53,9 @@
 	}
 }
 
-// TestFrozenAccusesNobody resumes a VM that was paused while replies to its
+// TestPausedVMSuspectsNobody resumes a VM that was paused while replies to its
 // pings were due: it must not suspect the others.
-func TestFrozenAccusesNobody(t *testing.T) {
+func TestPausedVMSuspectsNobody(t *testing.T) {
 	n := settled(t, 19)
 	v := n.VMs[3]
 	v.Frozen = true
