--- a/internal/cwmember/machine_test.go
+++ b/internal/cwmember/machine_test.go
@@ -71,9 +71,9 @@
 	until(t, n, 30*time.Second, "the resumed VM is live again", n.Whole)
 }
 
-// TestDeafAccusesNobody has one VM receive nothing: what it sends
+// TestIsolatedVMSpreadsNoSuspicion has one VM receive nothing: what it sends
 // must not make the others suspect each other.
-func TestDeafAccusesNobody(t *testing.T) {
+func TestIsolatedVMSpreadsNoSuspicion(t *testing.T) {
 	n := settled(t, 19)
 	n.Cut = func(_, to int) bool { return to == 5 }
 	// Datagrams in flight at the start of the fault may still arrive during a
