--- a/internal/cwmember/machine_test.go
+++ b/internal/cwmember/machine_test.go
@@ -105,9 +105,9 @@
 	}
 }
 
-// TestStaleAnswer delivers the ACK of a ping that was sent before the VM began to
+// TestStaleAck delivers the ACK of a ping that was sent before the VM began to
 // leave: it must not count as a confirmation.
-func TestStaleAnswer(t *testing.T) {
+func TestStaleAck(t *testing.T) {
 	n := settled(t, 2)
 	m, other := n.VMs[0].Machine(), n.VMs[1].Machine()
 
