--- a/internal/cwmember/machine_test.go
+++ b/internal/cwmember/machine_test.go
@@ -154,9 +154,9 @@
 	}
 }
 
-// TestCutHeals partitions a fleet for long enough that each side declares
+// TestPartitionHeals partitions a fleet for long enough that each side declares
 // the other dead. Both must merge again without the VM list.
-func TestCutHeals(t *testing.T) {
+func TestPartitionHeals(t *testing.T) {
 	n := settled(t, 8)
 	for _, v := range n.VMs {
 		v.Machine().SetSeeds(nil)
