--- a/internal/cwmember/machine_test.go
+++ b/internal/cwmember/machine_test.go
@@ -200,9 +200,9 @@
 	}
 }
 
-// TestClockBack replaces a VM by a run whose clock is behind: it must still get
+// TestClockBehind replaces a VM by a run whose clock is behind: it must still get
 // a higher incarnation.
-func TestClockBack(t *testing.T) {
+func TestClockBehind(t *testing.T) {
 	n := settled(t, 5)
 	before, _ := n.State(0, 1)
 	n.VMs[1].Down = true
