--- a/internal/cwmember/machine_test.go
+++ b/internal/cwmember/machine_test.go
@@ -217,9 +217,9 @@
 	}
 }
 
-// TestReplacedWhileFrozen resumes a VM that was replaced by a new run while it
+// TestReplacedWhilePaused resumes a VM that was replaced by a new run while it
 // was paused: the old run must notice and the others must keep to the new one.
-func TestReplacedWhileFrozen(t *testing.T) {
+func TestReplacedWhilePaused(t *testing.T) {
 	n := settled(t, 5)
 	old := n.VMs[1].Machine()
 	n.VMs[1].Down = true
