--- a/internal/cwmember/machine_test.go
+++ b/internal/cwmember/machine_test.go
@@ -239,10 +239,10 @@
 	}
 }
 
-// TestSuccessorSoon reports a later run to a VM right after the first
+// TestReplacedBeforeFirstPing reports a later run to a VM right after the first
 // reply to it, before it has pinged any member: it must count as replaced and
 // keep its incarnation.
-func TestSuccessorSoon(t *testing.T) {
+func TestReplacedBeforeFirstPing(t *testing.T) {
 	n := cwnetwork.New(2, 1, cwnetwork.Machine)
 	n.Run(4*cwnetwork.Step, nil)
 
