--- a/internal/cwmember/machine_test.go
+++ b/internal/cwmember/machine_test.go
@@ -319,9 +319,9 @@
 	}
 }
 
-// TestAcknowledge checks that the ACK of a ping includes the receiver's
+// TestAckCorrectsSender checks that the ACK of a ping includes the receiver's
 // state of the sender if that differs from what the sender announced.
-func TestAcknowledge(t *testing.T) {
+func TestAckCorrectsSender(t *testing.T) {
 	for name, tt := range map[string]struct {
 		known, sent uint64
 		suspect     bool
