--- a/internal/cwmember/schedule_test.go
+++ b/internal/cwmember/schedule_test.go
@@ -145,9 +145,9 @@
 	}
 }
 
-// TestOrder gives the same updates to two VMs, to one of them in another
+// TestUpdateOrder gives the same updates to two VMs, to one of them in another
 // order and some twice: both must end with the same view.
-func TestOrder(t *testing.T) {
+func TestUpdateOrder(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		updates := rapid.SliceOfN(rapid.Custom(func(r *rapid.T) *cwwire.Member {
 			i := rapid.IntRange(1, 3).Draw(r, "vm")
