--- a/internal/cwowner/handover.go
+++ b/internal/cwowner/handover.go
@@ -12,8 +12,8 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// ErrSuccessor means that no other entry VM accepted the outcomes.
-const ErrSuccessor = errors.ConstError("owner: no entry VM took the outcomes")
+// ErrNoSuccessor means that no other entry VM accepted the outcomes.
+const ErrNoSuccessor = errors.ConstError("owner: no entry VM took the outcomes")
 
 // Limits of a handover: the largest answer that is included, in bytes, and the
 // number of entry VMs to try.
@@ -109,7 +109,7 @@
 		return nil
 	}
 
-	return ErrSuccessor
+	return ErrNoSuccessor
 }
 
 func (o *Owner) sendParts(ctx context.Context, to carobward.Address, of cwticket.Owner, e *handover, parts [][]cwticket.Entry) error {
@@ -131,7 +131,7 @@
 		}
 
 		if !out.GetTaken() {
-			return ErrSuccessor
+			return ErrNoSuccessor
 		}
 	}
 
