--- a/internal/cwowner/pass.go
+++ b/internal/cwowner/pass.go
@@ -163,5 +163,5 @@
 		return p.Peers, nil
 	}
 
-	return "", unknownFailure(ErrOwner, carobward.NotRun)
+	return "", unknownFailure(ErrUnknownOwner, carobward.NotRun)
 }
--- a/internal/cwowner/service.go
+++ b/internal/cwowner/service.go
@@ -114,7 +114,7 @@
 
 	table := o.table(t.Owner)
 	if table == nil {
-		return t, nil, unknownFailure(ErrOwner, carobward.NotRun)
+		return t, nil, unknownFailure(ErrUnknownOwner, carobward.NotRun)
 	}
 
 	return t, table, nil
