--- a/internal/cwowner/owner.go
+++ b/internal/cwowner/owner.go
@@ -34,7 +34,7 @@
 // The causes of a failure.
 const (
 	ErrUnknownOwner = errors.ConstError("owner: the entry VM that owns the ticket is gone or not known")
-	ErrSilent       = errors.ConstError("owner: the entry VM that owns the ticket does not answer")
+	ErrUnresponsive = errors.ConstError("owner: the entry VM that owns the ticket does not answer")
 	ErrTime         = errors.ConstError("owner: the request's time was over before its outcome was known")
 	ErrEarly        = errors.ConstError("owner: an earlier request with this ticket may have run")
 )
--- a/internal/cwowner/pass.go
+++ b/internal/cwowner/pass.go
@@ -114,7 +114,7 @@
 		attempt = carobward.VerdictOf(err)
 	}
 
-	return unknownFailure(ErrSilent, attempt)
+	return unknownFailure(ErrUnresponsive, attempt)
 }
 
 // locate returns the address to call for an owner's tickets: that of its
@@ -131,7 +131,7 @@
 
 	if at, ok := o.unresponsive[to]; ok {
 		if o.clock.Now().Sub(at) < o.params.Quiet {
-			return "", unknownFailure(ErrSilent, carobward.NotRun)
+			return "", unknownFailure(ErrUnresponsive, carobward.NotRun)
 		}
 
 		delete(o.unresponsive, to)
--- a/internal/cwowner/wire.go
+++ b/internal/cwowner/wire.go
@@ -83,7 +83,7 @@
 
 	f := w.GetFailure()
 	if f == nil {
-		return nil, unknownFailure(ErrSilent, carobward.Unknown)
+		return nil, unknownFailure(ErrUnresponsive, carobward.Unknown)
 	}
 
 	v := carobward.ParseVerdict(f.GetVerdict())
