--- a/internal/cwowner/owner.go
+++ b/internal/cwowner/owner.go
@@ -35,7 +35,7 @@
 const (
 	ErrUnknownOwner = errors.ConstError("owner: the entry VM that owns the ticket is gone or not known")
 	ErrUnresponsive = errors.ConstError("owner: the entry VM that owns the ticket does not answer")
-	ErrTime         = errors.ConstError("owner: the request's time was over before its outcome was known")
+	ErrTimeout      = errors.ConstError("owner: the request's time was over before its outcome was known")
 	ErrEarly        = errors.ConstError("owner: an earlier request with this ticket may have run")
 )
 
--- a/internal/cwowner/pass.go
+++ b/internal/cwowner/pass.go
@@ -70,7 +70,7 @@
 
 	for out.GetPending() {
 		if !o.clock.Now().Before(c.Deadline) {
-			return nil, carobward.NewFailure(carobward.Unknown, fasthttp.StatusGatewayTimeout, retryAfter, ErrTime)
+			return nil, carobward.NewFailure(carobward.Unknown, fasthttp.StatusGatewayTimeout, retryAfter, ErrTimeout)
 		}
 
 		out = &cwwire.OnceAnswer{}
