--- a/internal/cwowner/owner.go
+++ b/internal/cwowner/owner.go
@@ -33,10 +33,10 @@
 
 // The causes of a failure.
 const (
-	ErrUnknownOwner = errors.ConstError("owner: the entry VM that owns the ticket is gone or not known")
-	ErrUnresponsive = errors.ConstError("owner: the entry VM that owns the ticket does not answer")
-	ErrTimeout      = errors.ConstError("owner: the request's time was over before its outcome was known")
-	ErrEarly        = errors.ConstError("owner: an earlier request with this ticket may have run")
+	ErrUnknownOwner   = errors.ConstError("owner: the entry VM that owns the ticket is gone or not known")
+	ErrUnresponsive   = errors.ConstError("owner: the entry VM that owns the ticket does not answer")
+	ErrTimeout        = errors.ConstError("owner: the request's time was over before its outcome was known")
+	ErrEarlierRequest = errors.ConstError("owner: an earlier request with this ticket may have run")
 )
 
 // retryAfter is the default delay after which callers should retry.
@@ -165,7 +165,7 @@
 		return text, f
 	}
 
-	unknown := carobward.NewFailure(carobward.Unknown, f.Status, f.RetryAfter, errors.Annotate(f.Cause, ErrEarly.Error()))
+	unknown := carobward.NewFailure(carobward.Unknown, f.Status, f.RetryAfter, errors.Annotate(f.Cause, ErrEarlierRequest.Error()))
 	unknown.Attempt = carobward.NotRun
 
 	t, err := cwticket.Parse(text)
