--- a/internal/cwowner/owner.go
+++ b/internal/cwowner/owner.go
@@ -49,7 +49,7 @@
 	calls  cwpeer.Calls
 	clock  carobward.Clock
 	log    logr.Logger
-	params Pace
+	params Params
 
 	self   cwticket.Owner
 	secret cwticket.Secret
--- a/internal/cwowner/pass.go
+++ b/internal/cwowner/pass.go
@@ -12,8 +12,8 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// Pace has the parameters of the exchange of tickets between entry VMs.
-type Pace struct {
+// Params has the parameters of the exchange of tickets between entry VMs.
+type Params struct {
 	// Hold is how long an owner delays its reply to a peer while the work
 	// runs, before it replies that the outcome is pending.
 	Hold time.Duration
@@ -31,8 +31,8 @@
 }
 
 // UsualPace returns the parameters of entry VMs in production.
-func UsualPace() Pace {
-	return Pace{
+func UsualPace() Params {
+	return Params{
 		Hold:  150 * time.Millisecond,
 		Grace: 350 * time.Millisecond,
 		Quiet: time.Second,
@@ -43,7 +43,7 @@
 
 // SetPace replaces the default parameters. It must be called before the owner is
 // used.
-func (o *Owner) SetPace(p Pace) { o.params = p }
+func (o *Owner) SetPace(p Params) { o.params = p }
 
 // unknownFailure returns a failure with the verdict unknown for a ticket whose
 // outcome is not available here. attempt is the verdict on this one request.
--- a/internal/lab/cwfee/fleet.go
+++ b/internal/lab/cwfee/fleet.go
@@ -41,7 +41,7 @@
 // Options are the bounds and the pace of each owner.
 type Options struct {
 	Limits cwticket.Options
-	Pace   cwowner.Pace
+	Pace   cwowner.Params
 }
 
 // Quick are options with which silence shows within milliseconds, and with
@@ -49,7 +49,7 @@
 func Quick() Options {
 	return Options{
 		Limits: cwticket.Options{Horizon: time.Hour, Records: 10_000, Bytes: 10 * carobward.Megabyte},
-		Pace: cwowner.Pace{
+		Pace: cwowner.Params{
 			Hold:  2 * time.Millisecond,
 			Grace: 8 * time.Millisecond,
 			Quiet: time.Millisecond,
