--- a/internal/cwowner/pass.go
+++ b/internal/cwowner/pass.go
@@ -14,9 +14,9 @@
 
 // Params has the parameters of the exchange of tickets between entry VMs.
 type Params struct {
-	// Hold is how long an owner delays its reply to a peer while the work
+	// LongPoll is how long an owner delays its reply to a peer while the work
 	// runs, before it replies that the outcome is pending.
-	Hold time.Duration
+	LongPoll time.Duration
 	// Grace is the additional time that a reply may take. An owner that has not
 	// replied after LongPoll and Grace is unresponsive, however long the work
 	// takes.
@@ -33,11 +33,11 @@
 // UsualPace returns the parameters of entry VMs in production.
 func UsualPace() Params {
 	return Params{
-		Hold:  150 * time.Millisecond,
-		Grace: 350 * time.Millisecond,
-		Quiet: time.Second,
-		Tell:  500 * time.Millisecond,
-		Part:  512 << 10,
+		LongPoll: 150 * time.Millisecond,
+		Grace:    350 * time.Millisecond,
+		Quiet:    time.Second,
+		Tell:     500 * time.Millisecond,
+		Part:     512 << 10,
 	}
 }
 
@@ -92,7 +92,7 @@
 // callOwner calls an owner and records if it is unresponsive. Only the first call
 // for a request can start its work.
 func (o *Owner) callOwner(ctx context.Context, to carobward.Address, method string, in, out proto.Message, first bool) error {
-	callCtx, cancel := context.WithTimeout(ctx, o.params.Hold+o.params.Grace)
+	callCtx, cancel := context.WithTimeout(ctx, o.params.LongPoll+o.params.Grace)
 	defer cancel()
 
 	err := o.calls.Call(callCtx, to, method, in, out)
--- a/internal/cwowner/service.go
+++ b/internal/cwowner/service.go
@@ -83,7 +83,7 @@
 func (s *Service) await(done <-chan struct{}) {
 	select {
 	case <-done:
-	case <-time.After(s.owner.params.Hold):
+	case <-time.After(s.owner.params.LongPoll):
 	}
 }
 
--- a/internal/cwowner/successor.go
+++ b/internal/cwowner/successor.go
@@ -226,7 +226,7 @@
 }
 
 func (o *Owner) send(to carobward.Address, in *cwwire.Moved) error {
-	ctx, cancel := context.WithTimeout(o.lifetime, o.params.Hold+o.params.Grace)
+	ctx, cancel := context.WithTimeout(o.lifetime, o.params.LongPoll+o.params.Grace)
 	defer cancel()
 
 	return o.calls.Call(ctx, to, "Owner.Moved", in, &cwwire.Noted{})
