--- a/internal/cwowner/owner_test.go
+++ b/internal/cwowner/owner_test.go
@@ -370,7 +370,7 @@
 	}
 
 	pace := cwfee.Quick().Pace
-	pace.Quiet = time.Hour
+	pace.Backoff = time.Hour
 	f.owner(1).SetPace(pace)
 	resume()
 
--- a/internal/cwowner/pass.go
+++ b/internal/cwowner/pass.go
@@ -21,8 +21,8 @@
 	// replied after LongPoll and Grace is unresponsive, however long the work
 	// takes.
 	Grace time.Duration
-	// Quiet is how long an unresponsive owner is not called again.
-	Quiet time.Duration
+	// Backoff is how long an unresponsive owner is not called again.
+	Backoff time.Duration
 	// Tell is the time between two rounds of announcing to peers
 	// which owners this entry VM is the successor of.
 	Tell time.Duration
@@ -35,7 +35,7 @@
 	return Params{
 		LongPoll: 150 * time.Millisecond,
 		Grace:    350 * time.Millisecond,
-		Quiet:    time.Second,
+		Backoff:  time.Second,
 		Tell:     500 * time.Millisecond,
 		Part:     512 << 10,
 	}
@@ -130,7 +130,7 @@
 	defer o.mutex.Unlock()
 
 	if at, ok := o.unresponsive[to]; ok {
-		if o.clock.Now().Sub(at) < o.params.Quiet {
+		if o.clock.Now().Sub(at) < o.params.Backoff {
 			return "", unknownFailure(ErrUnresponsive, carobward.NotRun)
 		}
 
--- a/internal/cwowner/successor.go
+++ b/internal/cwowner/successor.go
@@ -143,7 +143,7 @@
 	}
 
 	for to, at := range o.unresponsive {
-		if now.Sub(at) >= o.params.Quiet {
+		if now.Sub(at) >= o.params.Backoff {
 			delete(o.unresponsive, to)
 		}
 	}
--- a/internal/lab/cwfee/fleet.go
+++ b/internal/lab/cwfee/fleet.go
@@ -52,7 +52,7 @@
 		Pace: cwowner.Params{
 			LongPoll: 2 * time.Millisecond,
 			Grace:    8 * time.Millisecond,
-			Quiet:    time.Millisecond,
+			Backoff:  time.Millisecond,
 			Tell:     time.Millisecond,
 			Part:     1 << 10,
 		},
