--- a/internal/cwowner/pass.go
+++ b/internal/cwowner/pass.go
@@ -23,9 +23,9 @@
 	Grace time.Duration
 	// Backoff is how long an unresponsive owner is not called again.
 	Backoff time.Duration
-	// Tell is the time between two rounds of announcing to peers
+	// AnnounceInterval is the time between two rounds of announcing to peers
 	// which owners this entry VM is the successor of.
-	Tell time.Duration
+	AnnounceInterval time.Duration
 	// Part is the size of one part of a handover.
 	Part int
 }
@@ -33,11 +33,11 @@
 // UsualPace returns the parameters of entry VMs in production.
 func UsualPace() Params {
 	return Params{
-		LongPoll: 150 * time.Millisecond,
-		Grace:    350 * time.Millisecond,
-		Backoff:  time.Second,
-		Tell:     500 * time.Millisecond,
-		Part:     512 << 10,
+		LongPoll:         150 * time.Millisecond,
+		Grace:            350 * time.Millisecond,
+		Backoff:          time.Second,
+		AnnounceInterval: 500 * time.Millisecond,
+		Part:             512 << 10,
 	}
 }
 
--- a/internal/cwowner/successor.go
+++ b/internal/cwowner/successor.go
@@ -162,7 +162,7 @@
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 
-	if o.announcing || o.lifetime.Err() != nil || now.Sub(o.lastAnnounced) < o.params.Tell || len(o.handovers) == 0 {
+	if o.announcing || o.lifetime.Err() != nil || now.Sub(o.lastAnnounced) < o.params.AnnounceInterval || len(o.handovers) == 0 {
 		return
 	}
 
--- a/internal/lab/cwfee/fleet.go
+++ b/internal/lab/cwfee/fleet.go
@@ -50,11 +50,11 @@
 	return Options{
 		Limits: cwticket.Options{Horizon: time.Hour, Records: 10_000, Bytes: 10 * carobward.Megabyte},
 		Pace: cwowner.Params{
-			LongPoll: 2 * time.Millisecond,
-			Grace:    8 * time.Millisecond,
-			Backoff:  time.Millisecond,
-			Tell:     time.Millisecond,
-			Part:     1 << 10,
+			LongPoll:         2 * time.Millisecond,
+			Grace:            8 * time.Millisecond,
+			Backoff:          time.Millisecond,
+			AnnounceInterval: time.Millisecond,
+			Part:             1 << 10,
 		},
 	}
 }
