--- a/internal/cwowner/handover.go
+++ b/internal/cwowner/handover.go
@@ -95,7 +95,7 @@
 
 // sendHandover sends one handover to the first entry VM that accepts it.
 func (o *Owner) sendHandover(ctx context.Context, of cwticket.Owner, e *handover) error {
-	parts := split(e.table.Export(), o.params.Part)
+	parts := split(e.table.Export(), o.params.PartBytes)
 
 	for _, p := range o.candidates(of) {
 		if err := o.sendParts(ctx, p.Peers, of, e, parts); err != nil {
--- a/internal/cwowner/pass.go
+++ b/internal/cwowner/pass.go
@@ -26,8 +26,8 @@
 	// AnnounceInterval is the time between two rounds of announcing to peers
 	// which owners this entry VM is the successor of.
 	AnnounceInterval time.Duration
-	// Part is the size of one part of a handover.
-	Part int
+	// PartBytes is the size of one part of a handover.
+	PartBytes int
 }
 
 // UsualPace returns the parameters of entry VMs in production.
@@ -37,7 +37,7 @@
 		Grace:            350 * time.Millisecond,
 		Backoff:          time.Second,
 		AnnounceInterval: 500 * time.Millisecond,
-		Part:             512 << 10,
+		PartBytes:        512 << 10,
 	}
 }
 
--- a/internal/lab/cwfee/fleet.go
+++ b/internal/lab/cwfee/fleet.go
@@ -54,7 +54,7 @@
 			Grace:            8 * time.Millisecond,
 			Backoff:          time.Millisecond,
 			AnnounceInterval: time.Millisecond,
-			Part:             1 << 10,
+			PartBytes:        1 << 10,
 		},
 	}
 }
