--- a/internal/cwowner/owner.go
+++ b/internal/cwowner/owner.go
@@ -79,7 +79,7 @@
 		calls:        calls,
 		clock:        clock,
 		log:          log.WithName("owner"),
-		params:       UsualPace(),
+		params:       DefaultParams(),
 		self:         cwticket.Owner{VM: self.ID, Incarnation: self.Incarnation},
 		budget:       cwticket.NewBudget(limits),
 		limits:       limits,
--- a/internal/cwowner/pass.go
+++ b/internal/cwowner/pass.go
@@ -30,8 +30,8 @@
 	PartBytes int
 }
 
-// UsualPace returns the parameters of entry VMs in production.
-func UsualPace() Params {
+// DefaultParams returns the parameters of entry VMs in production.
+func DefaultParams() Params {
 	return Params{
 		LongPoll:         150 * time.Millisecond,
 		Grace:            350 * time.Millisecond,
--- a/internal/lab/cwfee/fleet.go
+++ b/internal/lab/cwfee/fleet.go
@@ -63,7 +63,7 @@
 func Roomy() Options {
 	return Options{
 		Limits: cwticket.Options{Horizon: time.Hour, Records: 1 << 40, Bytes: 1 << 50},
-		Pace:   cwowner.UsualPace(),
+		Pace:   cwowner.DefaultParams(),
 	}
 }
 
