--- a/internal/cwowner/owner_test.go
+++ b/internal/cwowner/owner_test.go
@@ -371,7 +371,7 @@
 
 	pace := cwfee.Quick().Pace
 	pace.Backoff = time.Hour
-	f.owner(1).SetPace(pace)
+	f.owner(1).SetParams(pace)
 	resume()
 
 	if got, _ := f.send(t, 1, "fee", ticket); got.Status == 503 {
--- a/internal/cwowner/pass.go
+++ b/internal/cwowner/pass.go
@@ -41,9 +41,9 @@
 	}
 }
 
-// SetPace replaces the default parameters. It must be called before the owner is
+// SetParams replaces the default parameters. It must be called before the owner is
 // used.
-func (o *Owner) SetPace(p Params) { o.params = p }
+func (o *Owner) SetParams(p Params) { o.params = p }
 
 // unknownFailure returns a failure with the verdict unknown for a ticket whose
 // outcome is not available here. attempt is the verdict on this one request.
--- a/internal/lab/cwfee/fleet.go
+++ b/internal/lab/cwfee/fleet.go
@@ -130,7 +130,7 @@
 		return
 	}
 
-	o.SetPace(f.options.Pace)
+	o.SetParams(f.options.Pace)
 
 	v.Owner, v.service = o, cwowner.NewService(o, v)
 	f.vms[i] = v
