--- a/internal/cwowner/export_test.go
+++ b/internal/cwowner/export_test.go
@@ -2,8 +2,8 @@
 
 import "carobward.example/carobward"
 
-// Knows reports whether the owner knows the successor of a VM.
-func (o *Owner) Knows(of carobward.VMID) bool {
+// KnowsSuccessor reports whether the owner knows the successor of a VM.
+func (o *Owner) KnowsSuccessor(of carobward.VMID) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 
--- a/internal/cwowner/owner_test.go
+++ b/internal/cwowner/owner_test.go
@@ -85,7 +85,7 @@
 		cwtest.Wait(t, "the other entry VM to know the successor", func() bool {
 			f.TickAll()
 
-			return f.owner(1).Knows("vm-0")
+			return f.owner(1).KnowsSuccessor("vm-0")
 		})
 	}
 
