--- a/internal/cwowner/owner_test.go
+++ b/internal/cwowner/owner_test.go
@@ -70,9 +70,9 @@
 	return response{Verdict: x.Verdict, Status: x.Status, HasRetryAfter: x.RetryAfter > 0, SameTicket: next == ticket}, next
 }
 
-// TestRetryElsewhere sends a request to the owner of its ticket, the first entry
+// TestRetryAtOtherVM sends a request to the owner of its ticket, the first entry
 // VM, causes an event, and retries at the second entry VM.
-func TestRetryElsewhere(t *testing.T) {
+func TestRetryAtOtherVM(t *testing.T) {
 	ran := response{Verdict: carobward.Ran, Status: 1, SameTicket: true}
 	unavailable := response{Verdict: carobward.Unknown, Status: 503, HasRetryAfter: true, SameTicket: true}
 
