--- a/internal/cwowner/owner_test.go
+++ b/internal/cwowner/owner_test.go
@@ -288,10 +288,10 @@
 	}
 }
 
-// TestOutcomesOutliveManyLeaves hands outcomes over from one leaving entry VM to
+// TestOutcomesSurviveHandovers hands outcomes over from one leaving entry VM to
 // the next. New entry VMs, which no announcement has reached yet, must find
 // them too.
-func TestOutcomesOutliveManyLeaves(t *testing.T) {
+func TestOutcomesSurviveHandovers(t *testing.T) {
 	f := newFleet(t, 3, cwfee.Quick())
 
 	var tickets []string
