--- a/internal/cwowner/owner_test.go
+++ b/internal/cwowner/owner_test.go
@@ -326,10 +326,10 @@
 	}
 }
 
-// TestOwnerReplacedInMidWork replaces an owner while it runs a forwarded request.
+// TestOwnerReplacedDuringWork replaces an owner while it runs a forwarded request.
 // The new run knows nothing of that request, so its reply must not set the
 // verdict.
-func TestOwnerReplacedInMidWork(t *testing.T) {
+func TestOwnerReplacedDuringWork(t *testing.T) {
 	f := newFleet(t, 2, cwfee.Quick())
 
 	started, release := make(chan struct{}), make(chan struct{})
