--- a/internal/cwowner/owner_test.go
+++ b/internal/cwowner/owner_test.go
@@ -353,9 +353,9 @@
 	close(release)
 }
 
-// TestCallerGoneIsNotSilence checks that a request that is canceled early does
+// TestCanceledRequestIsNoTimeout checks that a request that is canceled early does
 // not mark the owner that it was forwarded to as unresponsive.
-func TestCallerGoneIsNotSilence(t *testing.T) {
+func TestCanceledRequestIsNoTimeout(t *testing.T) {
 	f := newFleet(t, 2, cwfee.Quick())
 
 	ticket := f.owner(0).Prefix() + ".1"
