--- a/internal/cwnode/stop.go
+++ b/internal/cwnode/stop.go
@@ -33,8 +33,8 @@
 
 // Errors of Run.
 const (
-	ErrBound    = errors.ConstError("node: the stop timeout expired, requests in flight were answered with the verdict unknown")
-	ErrReplaced = errors.ConstError("node: a later run of this VM has replaced this one")
+	ErrStopTimeout = errors.ConstError("node: the stop timeout expired, requests in flight were answered with the verdict unknown")
+	ErrReplaced    = errors.ConstError("node: a later run of this VM has replaced this one")
 )
 
 // awaitStop returns nil once ctx is done, or ErrReplaced once a later run of this
@@ -99,7 +99,7 @@
 		return nil // Only connections without a request were open.
 	}
 
-	return ErrBound
+	return ErrStopTimeout
 }
 
 // await waits until ok returns true, the timeout expires or ctx is done.
