--- a/internal/cwmember/machine.go
+++ b/internal/cwmember/machine.go
@@ -119,7 +119,8 @@
 	unconfirmed map[carobward.VMID]uint64
 
 	lastTick, lastProbe, lastGossip, lastRetry time.Time
-	// lastReceived is when a datagram from any other VM last arrived.
+	// lastReceived is when a datagram from any other VM last arrived, or when
+	// this process started or resumed, if that was later.
 	lastReceived time.Time
 	// lastChange is when the view last changed, lastPull when a pull was last
 	// scheduled.
--- a/internal/cwnode/measure.go
+++ b/internal/cwnode/measure.go
@@ -101,8 +101,8 @@
 }
 
 // tickAccount regularly updates the account's view of the fleet until ctx is
-// done. It has its own goroutine so that nothing else delays it: the account
-// permits no spending while its view is out of date.
+// done. It runs in its own goroutine so that nothing delays it: after a gap between
+// two updates the account permits no spending for a while.
 func (n *Node) tickAccount(ctx context.Context) {
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
