--- a/internal/cwticket/budget.go
+++ b/internal/cwticket/budget.go
@@ -7,34 +7,36 @@
 	"carobward.example/carobward"
 )
 
-// Options bound what is kept of tickets.
+// Options bound which outcomes of tickets are kept, and for how long.
 type Options struct {
-	// Horizon is how long after the issue of its prefix a ticket is honoured
+	// Horizon is how long after the issue of its prefix a ticket is accepted
 	// and its outcome kept.
 	Horizon time.Duration
-	// Records is the most outcomes kept at once, and as many tickets that
-	// were closed without having run.
+	// Records is the maximum number of outcomes, and also that of closed
+	// tickets: those that never ran and may not be started.
 	Records int
-	// Bytes bounds the memory of the outcomes with their answers.
+	// Bytes bounds the memory of the outcomes including their replies.
 	Bytes carobward.ByteCount
 }
 
-// The cost of one record without its answer, and of one field of an answer,
-// in bytes. BenchmarkRecord measures less.
+// The accounted memory in bytes of a record without its outcome, of an outcome
+// without body and header, and of a header field of its reply. They are above
+// the real use.
 const (
 	recordCost  = 160
 	outcomeCost = 224
 	fieldCost   = 48
 )
 
-// Work is started only below this share of the bytes, so that the answers of
-// what has been started find room.
+// New work is started only while at most 3/4 of the bytes are in use, so that
+// there is room for the replies of work that is already running.
 const (
-	startShare = 3
-	startOf    = 4
+	startNumerator   = 3
+	startDenominator = 4
 )
 
-// Budget is the room that all tables of one entry VM share.
+// Budget counts the records and the memory that all tables of one entry VM
+// share.
 type Budget struct {
 	options Options
 
@@ -44,10 +46,10 @@
 	bytes   carobward.ByteCount
 }
 
-// NewBudget returns a budget with nothing taken.
+// NewBudget returns a budget of which nothing is used.
 func NewBudget(o Options) *Budget { return &Budget{options: o} }
 
-// Used returns how many records and closed tickets are kept, and the bytes.
+// Used returns the number of records, of closed tickets and of bytes in use.
 func (b *Budget) Used() (records, closed int, bytes carobward.ByteCount) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -55,12 +57,13 @@
 	return b.records, b.closed, b.bytes
 }
 
-// start takes the room of one record.
-func (b *Budget) start() bool {
+// reserveRecord reserves memory for one record and reports whether there was
+// enough.
+func (b *Budget) reserveRecord() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 
-	if b.records >= b.options.Records || b.bytes+recordCost > b.options.Bytes/startOf*startShare {
+	if b.records >= b.options.Records || b.bytes+recordCost > b.options.Bytes/startDenominator*startNumerator {
 		return false
 	}
 
@@ -70,8 +73,9 @@
 	return true
 }
 
-// answer takes the room of an answer, if there is any.
-func (b *Budget) answer(size carobward.ByteCount) bool {
+// reserveAnswer reserves memory for an outcome and reports whether there was
+// enough.
+func (b *Budget) reserveAnswer(size carobward.ByteCount) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 
@@ -84,8 +88,9 @@
 	return true
 }
 
-// close takes the room of one closed ticket.
-func (b *Budget) close() bool {
+// reserveClosed reserves the place of one closed ticket and reports whether
+// there was one.
+func (b *Budget) reserveClosed() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 
@@ -98,8 +103,8 @@
 	return true
 }
 
-// free gives room back.
-func (b *Budget) free(records, closed int, bytes carobward.ByteCount) {
+// release returns what was reserved.
+func (b *Budget) release(records, closed int, bytes carobward.ByteCount) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 
@@ -108,8 +113,8 @@
 	b.bytes -= bytes
 }
 
-// sizeOf returns what an answer costs.
-func sizeOf(o *Outcome) carobward.ByteCount {
+// answerSize returns the accounted memory of an outcome in bytes.
+func answerSize(o *Outcome) carobward.ByteCount {
 	if o == nil {
 		return 0
 	}
--- a/internal/cwticket/handover.go
+++ b/internal/cwticket/handover.go
@@ -7,8 +7,8 @@
 	"github.com/juju/errors"
 )
 
-// Close ends the starting of new work for good. From then on a ticket that
-// is not in the table has not run and never will.
+// Close permanently stops the start of new work. From then on a ticket that
+// isn't in the table has not run and never will.
 func (t *Table) Close() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -24,7 +24,7 @@
 	}
 }
 
-// Drain waits until no work runs, after Close.
+// Drain waits after Close until no work runs, or ctx is done.
 func (t *Table) Drain(ctx context.Context) error {
 	select {
 	case <-t.drained:
@@ -34,25 +34,25 @@
 	}
 }
 
-// Entry is one ticket as it is handed over.
+// Entry is one ticket of a handover to another entry VM.
 type Entry struct {
 	Key    Key
 	Digest Digest
-	// Kind is what became of the ticket.
+	// Kind is the ticket's final state.
 	Kind Kind
-	// Outcome is the answer of one that ran, if it was kept.
+	// Outcome is set if the work ran and its outcome was kept.
 	Outcome *Outcome
 }
 
-// Size returns what the ticket costs in bytes.
-func (e *Entry) Size() int { return recordCost + int(sizeOf(e.Outcome)) }
+// Size returns the accounted memory of the ticket in bytes.
+func (e *Entry) Size() int { return recordCost + int(answerSize(e.Outcome)) }
 
-// Kind is what became of a ticket.
+// Kind is the final state of a ticket that is handed over.
 type Kind uint8
 
-// The kinds of a ticket that is handed over.
+// The kinds of tickets.
 const (
-	// KindLost: the outcome is not known.
+	// KindLost: the outcome is unknown.
 	KindLost Kind = iota
 	// KindRan: the work ran.
 	KindRan
@@ -60,8 +60,8 @@
 	KindClosed
 )
 
-// Export returns all tickets of a closed table. Work that still runs is
-// handed over as lost.
+// Export returns all tickets of a closed table. Work that is still running is
+// exported as KindLost.
 func (t *Table) Export() []Entry {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -86,7 +86,8 @@
 	return all
 }
 
-// Whole tells whether the table has every ticket that its owner started.
+// IsComplete reports whether the table is closed and has every ticket that its
+// owner started.
 func (t *Table) Whole() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -94,8 +95,8 @@
 	return t.phase == closed
 }
 
-// NewSuccessor returns the table of an owner that hands its tickets over. Until
-// Complete it answers for none of those that are missing.
+// NewSuccessor returns a table for the tickets that another owner hands over.
+// Until MarkComplete, a ticket that is missing in it gets the verdict unknown.
 func NewSuccessor(issuer *Issuer, budget *Budget) *Table {
 	t := NewTable(issuer, budget)
 	t.phase = partial
@@ -104,14 +105,14 @@
 	return t
 }
 
-// Import takes handed over tickets. It returns ErrFull if there is no room,
-// and then keeps what it took.
+// Import adds tickets that another owner hands over. If there is no room for
+// all of them, it keeps those that it added and returns ErrFull.
 func (t *Table) Import(all []Entry) error {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
 	for i := range all {
-		if !t.take(&all[i]) {
+		if !t.importEntry(&all[i]) {
 			return ErrFull
 		}
 	}
@@ -119,20 +120,21 @@
 	return nil
 }
 
-// take files one ticket. One that is there already stays as it is.
-func (t *Table) take(e *Entry) bool {
+// importEntry adds one ticket and reports whether there was room. A ticket that
+// is already in the table stays as it is.
+func (t *Table) importEntry(e *Entry) bool {
 	if e.Kind == KindClosed {
-		_, has := t.span(e.Key).closed[e.Key]
+		_, exists := t.ensureSpan(e.Key).closed[e.Key]
 
-		return has || t.shut(e.Key)
+		return exists || t.closeTicket(e.Key)
 	}
 
 	if t.find(e.Key) != nil {
 		return true
 	}
 
-	size := sizeOf(e.Outcome)
-	if !t.budget.start() {
+	size := answerSize(e.Outcome)
+	if !t.budget.reserveRecord() {
 		return false
 	}
 
@@ -141,11 +143,11 @@
 		r.state = ran
 	}
 
-	s := t.span(e.Key)
+	s := t.ensureSpan(e.Key)
 	s.records[e.Key] = r
 	s.bytes += recordCost
 
-	if t.budget.answer(size) {
+	if t.budget.reserveAnswer(size) {
 		r.outcome = e.Outcome
 		s.bytes += size
 	}
@@ -153,7 +155,7 @@
 	return true
 }
 
-// Complete marks that every ticket has been handed over.
+// MarkComplete records that every ticket has been handed over.
 func (t *Table) Complete() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -161,21 +163,22 @@
 	t.phase = closed
 }
 
-// Drop gives the table's room back.
+// Drop removes all tickets and releases their memory. The table then counts as
+// incomplete.
 func (t *Table) Drop() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
 	for n, s := range t.spans {
-		t.budget.free(len(s.records), len(s.closed), s.bytes)
+		t.budget.release(len(s.records), len(s.closed), s.bytes)
 		delete(t.spans, n)
 	}
 
 	t.phase = partial
 }
 
-// Expired tells whether the last ticket that the owner can have issued, at
-// the given age, is no longer honoured.
+// Expired reports whether every ticket of the owner has expired, where last is
+// the owner's age when it issued the last one.
 func (t *Table) Expired(now time.Time, last time.Duration) bool {
 	return t.issuer.Age(now)-last >= t.horizon
 }
--- a/internal/cwticket/issuer.go
+++ b/internal/cwticket/issuer.go
@@ -14,24 +14,25 @@
 // KeySize is the size of an issuer's key in bytes.
 const KeySize = 32
 
-// Secret is the key under which an owner sums its tickets. Each run of an
-// entry VM draws its own, since only the owner has to check a sum.
+// Secret is the HMAC key of an owner's tickets. Each run of an entry VM
+// generates its own, since only the owner has to verify its tickets.
 type Secret [KeySize]byte
 
-// Issuer issues the tickets of one owner and knows its own again. It counts
-// time from its start by the monotonic clock, so that a step of the wall
-// clock makes no ticket older or younger.
+// Issuer issues and verifies the tickets of one owner. The age of tickets
+// follows the monotonic clock, so that a step of the wall clock doesn't change
+// it.
 type Issuer struct {
 	owner  Owner
 	secret Secret
-	// base and age: at the time base the owner was that old.
+	// age is how old the owner was at the time base.
 	base  time.Time
 	age   time.Duration
 	nonce atomic.Uint64
 }
 
-// NewIssuer returns the issuer of an owner that was of an age at the time
-// now: zero for our own run, more for one that we stand in for.
+// NewIssuer returns the issuer of an owner with the given age at the time
+// now. The age is zero for this process's own run and above zero for an owner
+// whose tickets this process took over.
 func NewIssuer(owner Owner, secret Secret, age time.Duration, now time.Time) *Issuer {
 	return &Issuer{owner: owner, secret: secret, base: now, age: age}
 }
@@ -39,11 +40,11 @@
 // Age returns how old the owner is.
 func (i *Issuer) Age(now time.Time) time.Duration { return i.age + now.Sub(i.base) }
 
-// Prefix returns a new prefix, to which a caller appends a dot and a number
-// of its own.
+// Prefix returns a new ticket prefix, to which a caller appends a dot and a
+// number.
 func (i *Issuer) Prefix(now time.Time) string { return i.issue(now).prefix() }
 
-// Ticket returns a whole new ticket.
+// Ticket returns a new ticket with the number zero.
 func (i *Issuer) Ticket(now time.Time) Ticket { return i.issue(now) }
 
 func (i *Issuer) issue(now time.Time) Ticket {
@@ -61,14 +62,14 @@
 	return [sumSize]byte(h.Sum(nil)[:sumSize])
 }
 
-// The errors of a ticket that is not honoured.
+// Errors of a ticket that its owner rejects.
 const (
 	ErrForged  = errors.ConstError("ticket: its owner did not issue it")
 	ErrExpired = errors.ConstError("ticket: it is older than outcomes are kept")
 )
 
-// check tells whether the issuer issued a ticket, and not longer ago than
-// the horizon.
+// check returns an error if the issuer didn't issue the ticket, or issued it
+// a horizon or more ago.
 func (i *Issuer) check(t Ticket, now time.Time, horizon time.Duration) error {
 	want := i.sum(t)
 	age := i.Age(now)
--- a/internal/cwticket/table.go
+++ b/internal/cwticket/table.go
@@ -10,27 +10,27 @@
 	"carobward.example/carobward"
 )
 
-// The reasons of a failure.
+// The causes of the failures that a table returns.
 const (
-	ErrRunning = errors.ConstError("ticket: the work was started and has not ended yet, ask again with the same ticket")
-	ErrLost    = errors.ConstError("ticket: the work was started and its outcome is not known")
-	ErrContent = errors.ConstError("ticket: it was used for a request with another method, URI or body")
-	ErrSpent   = errors.ConstError("ticket: a request with it was answered not-run, use the one of the reply")
-	ErrFull    = errors.ConstError("ticket: no room for outcomes")
-	ErrLate    = errors.ConstError("ticket: the request's time was over before its work began")
-	ErrClosed  = errors.ConstError("ticket: its owner starts no more work")
-	ErrPartial = errors.ConstError("ticket: its owner's outcomes were not handed over whole")
-	ErrKept    = errors.ConstError("ticket: the work ran, but its answer was too large to keep")
+	ErrRunning         = errors.ConstError("ticket: the work was started and has not ended yet, ask again with the same ticket")
+	ErrOutcomeUnknown  = errors.ConstError("ticket: the work was started and its outcome is not known")
+	ErrContentMismatch = errors.ConstError("ticket: it was used for a request with another method, URI or body")
+	ErrSpent           = errors.ConstError("ticket: a request with it was answered not-run, use the one of the reply")
+	ErrFull            = errors.ConstError("ticket: no room for outcomes")
+	ErrLate            = errors.ConstError("ticket: the request's time was over before its work began")
+	ErrClosed          = errors.ConstError("ticket: its owner starts no more work")
+	ErrPartial         = errors.ConstError("ticket: its owner's outcomes were not handed over whole")
+	ErrAnswerTooLarge  = errors.ConstError("ticket: the work ran, but its answer was too large to keep")
 )
 
-// Outcome is the whole answer to work that ran.
+// Outcome is the complete reply to work that ran, and the server that sent it.
 type Outcome struct {
 	Reply  *carobward.Reply
 	Server carobward.Address
 }
 
-// state is what became of a ticket. A ticket with neither a record nor a
-// mark that it is closed was never started.
+// state is the state of a ticket's work. A ticket that has no record and isn't
+// closed was never started.
 type state uint8
 
 const (
@@ -39,60 +39,60 @@
 	lost
 )
 
-// record is one line of the table.
+// record is the entry of a ticket in the table.
 type record struct {
-	digest  Digest
-	state   state
-	live    *live
-	outcome *Outcome
+	digest    Digest
+	state     state
+	execution *execution
+	outcome   *Outcome
 }
 
-// live is what a record holds only while its work runs.
-type live struct {
+// execution is the part of a record that exists only while its work runs.
+type execution struct {
 	began    time.Time
 	deadline time.Time
 	done     chan struct{}
 }
 
-// span holds the tickets whose prefixes were issued within one stretch of
-// time, so that they are forgotten together and their memory is given back.
+// span holds the tickets whose prefixes were issued within one time interval.
+// They expire together, which frees their memory at once.
 type span struct {
 	records map[Key]*record
 	closed  map[Key]struct{}
 	bytes   carobward.ByteCount
 }
 
-// spansMost is how many spans make up the horizon.
-const spansMost = 32
+// spansPerHorizon is the number of spans into which the horizon is divided.
+const spansPerHorizon = 32
 
-// phase is how far a table has come.
+// phase says whether a table accepts new work and whether it is complete.
 type phase uint8
 
 const (
 	// open: new work may be started.
 	open phase = iota
-	// closed: no new work, and every ticket that was started is here.
+	// closed: no new work; the table has every ticket that was started.
 	closed
-	// partial: no new work, and outcomes may be missing.
+	// partial: no new work; outcomes may be missing.
 	partial
 )
 
-// Table holds what became of the tickets of one owner. It is safe for use by
-// many goroutines.
+// Table records the outcomes of the tickets of one owner. It is safe for
+// concurrent use.
 type Table struct {
 	issuer  *Issuer
 	budget  *Budget
 	horizon time.Duration
 
-	mutex   sync.Mutex
-	phase   phase
-	spans   map[uint64]*span
-	running int
-	drained chan struct{}
-	mean    time.Duration
+	mutex       sync.Mutex
+	phase       phase
+	spans       map[uint64]*span
+	running     int
+	drained     chan struct{}
+	meanRunTime time.Duration
 }
 
-// NewTable returns a table without records that takes new work.
+// NewTable returns an empty table that accepts new work.
 func NewTable(issuer *Issuer, budget *Budget) *Table {
 	return &Table{
 		issuer:  issuer,
@@ -106,13 +106,13 @@
 // Issuer returns the issuer of the table's tickets.
 func (t *Table) Issuer() *Issuer { return t.issuer }
 
-func (t *Table) spanOf(k Key) uint64 {
-	return uint64(k.issued() / (t.horizon / spansMost))
+func (t *Table) spanIndex(k Key) uint64 {
+	return uint64(k.issued() / (t.horizon / spansPerHorizon))
 }
 
-// span returns the span of a ticket, which is made where there is none.
-func (t *Table) span(k Key) *span {
-	n := t.spanOf(k)
+// ensureSpan returns the span of a ticket and creates it if there is none.
+func (t *Table) ensureSpan(k Key) *span {
+	n := t.spanIndex(k)
 
 	s := t.spans[n]
 	if s == nil {
@@ -123,9 +123,9 @@
 	return s
 }
 
-// Start claims a ticket for a call with the given content and deadline. With
-// a claim the caller must do the work and settle the claim. Without one the
-// recorded outcome is the answer, or the error, a Failure.
+// Start claims a ticket for a call with the given content and deadline. If it
+// returns a claim, the caller must do the work and settle the claim. Otherwise
+// it returns the recorded outcome, or a *carobward.Failure as the error.
 func (t *Table) Start(now time.Time, k Ticket, d Digest, deadline time.Time) (*Claim, *Outcome, error) {
 	if err := t.check(now, k); err != nil {
 		return nil, nil, err
@@ -139,25 +139,25 @@
 	}
 
 	if !now.Before(deadline) {
-		return nil, nil, t.refuse(k.Key, fasthttp.StatusGatewayTimeout, retryAfter, ErrLate)
+		return nil, nil, t.refuse(k.Key, fasthttp.StatusGatewayTimeout, defaultRetry, ErrLate)
 	}
 
-	if !t.budget.start() {
-		return nil, nil, t.refuse(k.Key, fasthttp.StatusServiceUnavailable, t.room(now), ErrFull)
+	if !t.budget.reserveRecord() {
+		return nil, nil, t.refuse(k.Key, fasthttp.StatusServiceUnavailable, t.fullRetryDelay(now), ErrFull)
 	}
 
-	l := &live{began: now, deadline: deadline, done: make(chan struct{})}
-	s := t.span(k.Key)
-	s.records[k.Key] = &record{digest: d, live: l}
+	l := &execution{began: now, deadline: deadline, done: make(chan struct{})}
+	s := t.ensureSpan(k.Key)
+	s.records[k.Key] = &record{digest: d, execution: l}
 	s.bytes += recordCost
 	t.running++
 
-	return &Claim{table: t, key: k.Key, live: l}, nil, nil
+	return &Claim{table: t, key: k.Key, execution: l}, nil, nil
 }
 
-// Refuse closes a ticket whose request is given up for a reason that is not
-// the ticket's. It returns a Failure: that one as not-run, or as unknown where
-// the ticket was started or cannot be closed.
+// Refuse closes the ticket of a request that is refused for the reason f, which
+// is unrelated to the ticket. The error is a *carobward.Failure: f with the
+// verdict not-run, or unknown if the ticket was started or can't be closed.
 func (t *Table) Refuse(now time.Time, k Ticket, f *carobward.Failure) error {
 	if err := t.check(now, k); err != nil {
 		return err
@@ -177,9 +177,9 @@
 	return t.refuse(k.Key, f.Status, f.RetryAfter, f.Cause)
 }
 
-// Look returns what is recorded of a ticket, without any regard to content,
-// and a channel that is closed once running work has ended; it is nil where
-// the answer is final.
+// Lookup returns the recorded outcome of a ticket without comparing the
+// request's content. While the work runs, it also returns a channel that is
+// closed when the work ends; the channel is nil if the result is final.
 func (t *Table) Look(now time.Time, k Ticket) (<-chan struct{}, *Outcome, error) {
 	if err := t.check(now, k); err != nil {
 		return nil, nil, err
@@ -190,18 +190,19 @@
 
 	r := t.find(k.Key)
 	if r == nil {
-		return nil, nil, failure(carobward.Unknown, fasthttp.StatusServiceUnavailable, retryAfter, ErrLost)
+		return nil, nil, failure(carobward.Unknown, fasthttp.StatusServiceUnavailable, defaultRetry, ErrOutcomeUnknown)
 	}
 
 	answer, err, _ := t.known(now, k.Key, r.digest)
 	if r.state == started {
-		return r.live.done, answer, err
+		return r.execution.done, answer, err
 	}
 
 	return nil, answer, err
 }
 
-// check refuses tickets that the owner did not issue or no longer keeps.
+// check returns a failure for a ticket that the owner didn't issue or that has
+// expired.
 func (t *Table) check(now time.Time, k Ticket) error {
 	err := t.issuer.check(k, now, t.horizon)
 
@@ -216,7 +217,7 @@
 }
 
 func (t *Table) find(k Key) *record {
-	s := t.spans[t.spanOf(k)]
+	s := t.spans[t.spanIndex(k)]
 	if s == nil {
 		return nil
 	}
@@ -224,66 +225,69 @@
 	return s.records[k]
 }
 
-// known returns what is known of a ticket; ok is false where it may still be
-// started.
-func (t *Table) known(now time.Time, k Key, d Digest) (answer *Outcome, err error, ok bool) { //nolint:revive // The answer is the error, ok tells whether there is one.
+// known returns the recorded outcome or the failure of a ticket. ok is false if
+// the ticket may still be started.
+func (t *Table) known(now time.Time, k Key, d Digest) (answer *Outcome, err error, ok bool) { //nolint:revive // The error is a result of the lookup; ok reports whether there is one.
 	if r := t.find(k); r != nil {
 		answer, err = t.recorded(now, r, d)
 
 		return answer, err, true
 	}
 
-	if s := t.spans[t.spanOf(k)]; s != nil {
-		if _, shut := s.closed[k]; shut {
-			return nil, failure(carobward.NotRun, fasthttp.StatusConflict, retryAfter, ErrSpent), true
+	if s := t.spans[t.spanIndex(k)]; s != nil {
+		if _, isClosed := s.closed[k]; isClosed {
+			return nil, failure(carobward.NotRun, fasthttp.StatusConflict, defaultRetry, ErrSpent), true
 		}
 	}
 
 	switch t.phase {
 	case closed:
-		// Nobody but this owner could have started it, and it never will.
-		return nil, failure(carobward.NotRun, fasthttp.StatusServiceUnavailable, retryAfter, ErrClosed), true
+		// Only this owner could have started it, and it starts no more work.
+		return nil, failure(carobward.NotRun, fasthttp.StatusServiceUnavailable, defaultRetry, ErrClosed), true
 	case partial:
-		return nil, notStarted(fasthttp.StatusServiceUnavailable, retryAfter, ErrPartial), true
+		return nil, notStarted(fasthttp.StatusServiceUnavailable, defaultRetry, ErrPartial), true
 	default:
 		return nil, nil, false
 	}
 }
 
-// recorded returns what a record says. Other content under the same ticket is
-// refused with unknown: what the ticket stands for may have run.
+// recorded returns the outcome or the failure of a record. A request with
+// other content under the same ticket gets the verdict unknown, since the work
+// that the ticket was first used for may have run.
 func (t *Table) recorded(now time.Time, r *record, d Digest) (*Outcome, error) {
 	switch {
 	case r.digest != d:
-		return nil, failure(carobward.Unknown, fasthttp.StatusUnprocessableEntity, 0, ErrContent)
+		return nil, failure(carobward.Unknown, fasthttp.StatusUnprocessableEntity, 0, ErrContentMismatch)
 	case r.state == started:
-		return nil, failure(carobward.Unknown, fasthttp.StatusConflict, t.wait(now, r.live), ErrRunning)
+		return nil, failure(carobward.Unknown, fasthttp.StatusConflict, t.retryDelay(now, r.execution), ErrRunning)
 	case r.state == lost:
-		return nil, failure(carobward.Unknown, fasthttp.StatusGone, 0, ErrLost)
+		return nil, failure(carobward.Unknown, fasthttp.StatusGone, 0, ErrOutcomeUnknown)
 	case r.outcome == nil:
-		return nil, failure(carobward.Ran, fasthttp.StatusGone, 0, ErrKept)
+		return nil, failure(carobward.Ran, fasthttp.StatusGone, 0, ErrAnswerTooLarge)
 	default:
 		return r.outcome, nil
 	}
 }
 
-// refuse gives a ticket up that has not been started. It is not-run only if
-// the ticket can be closed: a late copy of the request must not run either.
+// refuse returns the failure of a request whose ticket has not been started.
+// Its verdict is not-run only if the ticket can be closed: otherwise a delayed
+// duplicate of the request could still run.
 func (t *Table) refuse(k Key, status int, retry time.Duration, cause error) error {
-	if !t.shut(k) {
+	if !t.closeTicket(k) {
 		return notStarted(status, retry, cause)
 	}
 
 	return failure(carobward.NotRun, status, retry, cause)
 }
 
-// shut marks a ticket so that it is never started.
-func (t *Table) shut(k Key) bool {
-	if !t.budget.close() {
+// closeTicket marks a ticket so that it is never started. It reports false if
+// there is no room for the mark.
+func (t *Table) closeTicket(k Key) bool {
+	if !t.budget.reserveClosed() {
 		return false
 	}
 
-	t.span(k).closed[k] = struct{}{}
+	t.ensureSpan(k).closed[k] = struct{}{}
 
 	return true
 }
@@ -292,8 +296,8 @@
 	return carobward.NewFailure(v, status, retry, cause)
 }
 
-// notStarted is the failure of a request that did not run, while earlier ones
-// with its ticket may have.
+// notStarted returns the failure of a request that did not run itself, while
+// an earlier one with the same ticket may have run.
 func notStarted(status int, retry time.Duration, cause error) *carobward.Failure {
 	f := failure(carobward.Unknown, status, retry, cause)
 	f.Attempt = carobward.NotRun
--- a/internal/cwticket/table_test.go
+++ b/internal/cwticket/table_test.go
@@ -28,8 +28,8 @@
 	return &Outcome{Reply: &carobward.Reply{Status: 200, Body: []byte(body)}, Server: "127.0.0.1:1"}
 }
 
-// said is what a table says of a ticket, as a test compares it.
-type said struct {
+// startResult is the result of Table.Start in a form that tests can compare.
+type startResult struct {
 	Claim   bool
 	Body    string
 	Verdict carobward.Verdict
@@ -37,10 +37,10 @@
 	Cause   error
 }
 
-func ask(t *Table, now time.Time, k Ticket, d Digest) (*Claim, said) {
+func startTicket(t *Table, now time.Time, k Ticket, d Digest) (*Claim, startResult) {
 	claim, answer, err := t.Start(now, k, d, now.Add(time.Second))
 
-	s := said{Claim: claim != nil}
+	s := startResult{Claim: claim != nil}
 	if answer != nil {
 		s.Body, s.Verdict = string(answer.Reply.Body), carobward.Ran
 	}
@@ -53,49 +53,49 @@
 	return claim, s
 }
 
-// TestTicketStates takes a ticket into each state and asks again.
+// TestTicketStates brings a ticket into each state and starts it again.
 func TestTicketStates(t *testing.T) {
-	running := said{Verdict: carobward.Unknown, Status: 409, Cause: ErrRunning}
-	lost := said{Verdict: carobward.Unknown, Status: 410, Cause: ErrLost}
-	spent := said{Verdict: carobward.NotRun, Status: 409, Cause: ErrSpent}
+	running := startResult{Verdict: carobward.Unknown, Status: 409, Cause: ErrRunning}
+	lost := startResult{Verdict: carobward.Unknown, Status: 410, Cause: ErrOutcomeUnknown}
+	spent := startResult{Verdict: carobward.NotRun, Status: 409, Cause: ErrSpent}
 
 	for name, test := range map[string]struct {
 		then  func(t *Table, c *Claim)
 		after time.Duration
 		other bool
-		want  said
+		want  startResult
 	}{
 		"running":              {then: func(*Table, *Claim) {}, want: running},
-		"running, other body":  {then: func(*Table, *Claim) {}, other: true, want: said{Status: 422, Cause: ErrContent}},
-		"ran":                  {then: func(_ *Table, c *Claim) { c.Ran(start, outcome("fee")) }, want: said{Body: "fee", Verdict: carobward.Ran}},
-		"ran, other body":      {then: func(_ *Table, c *Claim) { c.Ran(start, outcome("fee")) }, other: true, want: said{Status: 422, Cause: ErrContent}},
-		"ran, then closed":     {then: func(_ *Table, c *Claim) { c.Ran(start, outcome("fee")); c.Close(start) }, want: said{Body: "fee", Verdict: carobward.Ran}},
-		"ran, answer too big":  {then: func(_ *Table, c *Claim) { c.Ran(start, outcome(string(make([]byte, 2<<20)))) }, want: said{Verdict: carobward.Ran, Status: 410, Cause: ErrKept}},
+		"running, other body":  {then: func(*Table, *Claim) {}, other: true, want: startResult{Status: 422, Cause: ErrContentMismatch}},
+		"ran":                  {then: func(_ *Table, c *Claim) { c.Ran(start, outcome("fee")) }, want: startResult{Body: "fee", Verdict: carobward.Ran}},
+		"ran, other body":      {then: func(_ *Table, c *Claim) { c.Ran(start, outcome("fee")) }, other: true, want: startResult{Status: 422, Cause: ErrContentMismatch}},
+		"ran, then closed":     {then: func(_ *Table, c *Claim) { c.Ran(start, outcome("fee")); c.Close(start) }, want: startResult{Body: "fee", Verdict: carobward.Ran}},
+		"ran, answer too big":  {then: func(_ *Table, c *Claim) { c.Ran(start, outcome(string(make([]byte, 2<<20)))) }, want: startResult{Verdict: carobward.Ran, Status: 410, Cause: ErrAnswerTooLarge}},
 		"lost":                 {then: func(_ *Table, c *Claim) { c.Lost(start) }, want: lost},
 		"left without outcome": {then: func(_ *Table, c *Claim) { c.Close(start) }, want: lost},
 		"lost is for good":     {then: func(_ *Table, c *Claim) { c.Lost(start); c.Ran(start, outcome("late")) }, want: lost},
 		"not run":              {then: func(_ *Table, c *Claim) { c.NotRun(start, false) }, want: spent},
 		"not run, other body":  {then: func(_ *Table, c *Claim) { c.NotRun(start, false) }, other: true, want: spent},
-		"not run, only once":   {then: func(_ *Table, c *Claim) { c.NotRun(start, true) }, want: said{Claim: true}},
-		"expired":              {then: func(_ *Table, c *Claim) { c.Ran(start, outcome("fee")) }, after: horizon, want: said{Status: 410, Cause: ErrExpired}},
+		"not run, only once":   {then: func(_ *Table, c *Claim) { c.NotRun(start, true) }, want: startResult{Claim: true}},
+		"expired":              {then: func(_ *Table, c *Claim) { c.Ran(start, outcome("fee")) }, after: horizon, want: startResult{Status: 410, Cause: ErrExpired}},
 		"expired and forgotten": {
 			then:  func(t *Table, c *Claim) { c.Ran(start, outcome("fee")); t.Tick(start.Add(2 * horizon)) },
-			after: 2 * horizon, want: said{Status: 410, Cause: ErrExpired},
+			after: 2 * horizon, want: startResult{Status: 410, Cause: ErrExpired},
 		},
 		"expired in mid work": {
 			then:  func(t *Table, c *Claim) { t.Tick(start.Add(2 * horizon)); c.Ran(start.Add(2*horizon), outcome("fee")) },
-			after: 2 * horizon, want: said{Status: 410, Cause: ErrExpired},
+			after: 2 * horizon, want: startResult{Status: 410, Cause: ErrExpired},
 		},
-		"owner closed, ran":     {then: func(t *Table, c *Claim) { c.Ran(start, outcome("fee")); t.Close() }, want: said{Body: "fee", Verdict: carobward.Ran}},
+		"owner closed, ran":     {then: func(t *Table, c *Claim) { c.Ran(start, outcome("fee")); t.Close() }, want: startResult{Body: "fee", Verdict: carobward.Ran}},
 		"owner closed, running": {then: func(t *Table, _ *Claim) { t.Close() }, want: running},
-		"owner closed, not run": {then: func(t *Table, c *Claim) { c.NotRun(start, true); t.Close() }, want: said{Verdict: carobward.NotRun, Status: 503, Cause: ErrClosed}},
+		"owner closed, not run": {then: func(t *Table, c *Claim) { c.NotRun(start, true); t.Close() }, want: startResult{Verdict: carobward.NotRun, Status: 503, Cause: ErrClosed}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := newTable(limits)
 			ticket := table.Issuer().Ticket(start)
 
-			claim, first := ask(table, start, ticket, Digest{1})
-			if diff := cmp.Diff(said{Claim: true}, first); diff != "" {
+			claim, first := startTicket(table, start, ticket, Digest{1})
+			if diff := cmp.Diff(startResult{Claim: true}, first); diff != "" {
 				t.Fatal(diff)
 			}
 
@@ -106,7 +106,7 @@
 				content = Digest{2}
 			}
 
-			_, got := ask(table, start.Add(test.after), ticket, content)
+			_, got := startTicket(table, start.Add(test.after), ticket, content)
 			if diff := cmp.Diff(test.want, got, cmp.Comparer(errors.Is)); diff != "" {
 				t.Error(diff)
 			}
@@ -114,8 +114,9 @@
 	}
 }
 
-// TestLateRequestIsNotStarted: the deadline has passed before the work began,
-// as after a pause of the owner, and a copy with more time comes after it.
+// TestLateRequestIsNotStarted checks that a request whose deadline passed
+// before its work began, as after a pause of the owner's process, does not run,
+// and neither does a later duplicate of it with a longer deadline.
 func TestLateRequestIsNotStarted(t *testing.T) {
 	table := newTable(limits)
 	ticket := table.Issuer().Ticket(start)
@@ -125,35 +126,37 @@
 		t.Fatalf("a late request: %v", err)
 	}
 
-	if claim, s := ask(table, start, ticket, Digest{}); claim != nil {
-		t.Errorf("a ticket that was answered not-run starts: %+v", s)
+	if claim, s := startTicket(table, start, ticket, Digest{}); claim != nil {
+		t.Errorf("a ticket that was answered not-run was started: %+v", s)
 	}
 }
 
-// TestRefuse: a request is given up for want of room elsewhere.
+// TestRefuse checks the verdicts of requests that are refused for a reason
+// outside the table, such as a full queue.
 func TestRefuse(t *testing.T) {
 	busy := carobward.NewFailure(carobward.NotRun, 503, time.Second, ErrFull)
 	table := newTable(limits)
 	ran, fresh := table.Issuer().Ticket(start), table.Issuer().Ticket(start)
 
-	claim, _ := ask(table, start, ran, Digest{})
+	claim, _ := startTicket(table, start, ran, Digest{})
 	claim.Ran(start, outcome("fee"))
 
 	if v := carobward.VerdictOf(table.Refuse(start, ran, busy)); v != carobward.Unknown {
-		t.Errorf("a ticket that ran is refused as %s", v)
+		t.Errorf("refusal of a ticket that ran: verdict %s, want unknown", v)
 	}
 
 	if v := carobward.VerdictOf(table.Refuse(start, fresh, busy)); v != carobward.NotRun {
-		t.Errorf("a new ticket is refused as %s", v)
+		t.Errorf("refusal of a new ticket: verdict %s, want not-run", v)
 	}
 
-	if claim, _ := ask(table, start, fresh, Digest{}); claim != nil {
-		t.Error("a ticket that was refused as not-run starts")
+	if claim, _ := startTicket(table, start, fresh, Digest{}); claim != nil {
+		t.Error("a ticket that was refused as not-run was started")
 	}
 }
 
-// TestRoom fills a table: nothing is forgotten early, new work is refused and
-// not run, and there is room again after the horizon.
+// TestRoom fills a table and checks that no outcome is dropped before the
+// horizon, that new work is refused and does not run, and that there is room
+// again after the horizon.
 func TestRoom(t *testing.T) {
 	for name, test := range map[string]struct {
 		options Options
@@ -167,11 +170,11 @@
 			table := newTable(test.options)
 			ticket := table.Issuer().Ticket(start)
 
-			var kept []Ticket
+			var accepted []Ticket
 
 			for n := range uint64(200) {
-				one := numbered(ticket, n)
-				claim, s := ask(table, start, one, Digest{})
+				numberedTicket := numbered(ticket, n)
+				claim, s := startTicket(table, start, numberedTicket, Digest{})
 
 				if claim == nil {
 					if s.Verdict == carobward.Ran || !errors.Is(s.Cause, ErrFull) {
@@ -182,22 +185,22 @@
 				}
 
 				claim.Ran(start, outcome(string(make([]byte, test.body))))
-				kept = append(kept, one)
+				accepted = append(accepted, numberedTicket)
 			}
 
-			if len(kept) != test.started {
-				t.Errorf("%d were started, want %d", len(kept), test.started)
+			if len(accepted) != test.started {
+				t.Errorf("%d tickets were started, want %d", len(accepted), test.started)
 			}
 
-			for _, one := range kept {
-				if _, s := ask(table, start.Add(horizon-time.Second), one, Digest{}); s.Verdict != carobward.Ran {
-					t.Errorf("ticket %d: %+v", one.Key.Number, s)
+			for _, k := range accepted {
+				if _, s := startTicket(table, start.Add(horizon-time.Second), k, Digest{}); s.Verdict != carobward.Ran {
+					t.Errorf("ticket %d: %+v", k.Key.Number, s)
 				}
 			}
 
 			records, closed, bytes := table.budget.Used()
 			if records > test.options.Records || closed > test.options.Records || bytes > test.options.Bytes {
-				t.Errorf("%d records, %d closed, %d bytes", records, closed, bytes)
+				t.Errorf("over the bounds: %d records, %d closed tickets, %d bytes", records, closed, bytes)
 			}
 
 			later := start.Add(2 * horizon)
@@ -205,63 +208,63 @@
 
 			records, closed, bytes = table.budget.Used()
 			if diff := cmp.Diff([3]int{}, [3]int{records, closed, int(bytes)}); diff != "" {
-				t.Errorf("room is not given back: %s", diff)
+				t.Errorf("records, closed tickets and bytes after the horizon (-want +got): %s", diff)
 			}
 
-			if claim, s := ask(table, later, table.Issuer().Ticket(later), Digest{}); claim == nil {
+			if claim, s := startTicket(table, later, table.Issuer().Ticket(later), Digest{}); claim == nil {
 				t.Errorf("no room after the horizon: %+v", s)
 			}
 		})
 	}
 }
 
-// TestNoRoomToClose: without room to close a ticket the answer is unknown,
-// and the same ticket may still run.
+// TestNoRoomToClose checks that without room to close a ticket the verdict is
+// unknown and the ticket may still be started.
 func TestNoRoomToClose(t *testing.T) {
 	table := newTable(Options{Horizon: horizon, Records: 1, Bytes: carobward.Megabyte})
 	first, second := table.Issuer().Ticket(start), table.Issuer().Ticket(start)
 
-	claim, _ := ask(table, start, first, Digest{})
+	claim, _ := startTicket(table, start, first, Digest{})
 	if v := claim.NotRun(start, false); v != carobward.NotRun {
-		t.Errorf("with room the verdict is %s", v)
+		t.Errorf("verdict with room: %s, want not-run", v)
 	}
 
-	claim, _ = ask(table, start, second, Digest{})
+	claim, _ = startTicket(table, start, second, Digest{})
 	if v := claim.NotRun(start, false); v != carobward.Unknown {
-		t.Errorf("without room the verdict is %s", v)
+		t.Errorf("verdict without room: %s, want unknown", v)
 	}
 
-	if claim, s := ask(table, start, second, Digest{}); claim == nil {
-		t.Errorf("the ticket is not closed and does not start: %+v", s)
+	if claim, s := startTicket(table, start, second, Digest{}); claim == nil {
+		t.Errorf("a ticket that was not closed could not be started: %+v", s)
 	}
 }
 
 func TestHandOver(t *testing.T) {
 	table := newTable(limits)
-	ran, lost, running, shut, never := table.Issuer().Ticket(start), table.Issuer().Ticket(start), table.Issuer().Ticket(start), table.Issuer().Ticket(start), table.Issuer().Ticket(start)
+	ran, lost, running, closed, unused := table.Issuer().Ticket(start), table.Issuer().Ticket(start), table.Issuer().Ticket(start), table.Issuer().Ticket(start), table.Issuer().Ticket(start)
 
-	c, _ := ask(table, start, ran, Digest{1})
+	c, _ := startTicket(table, start, ran, Digest{1})
 	c.Ran(start, outcome("fee"))
 
-	c, _ = ask(table, start, lost, Digest{1})
+	c, _ = startTicket(table, start, lost, Digest{1})
 	c.Lost(start)
 
-	c, _ = ask(table, start, shut, Digest{1})
+	c, _ = startTicket(table, start, closed, Digest{1})
 	c.NotRun(start, false)
 
-	c, _ = ask(table, start, running, Digest{1})
+	c, _ = startTicket(table, start, running, Digest{1})
 
 	table.Close()
 
-	if claim, s := ask(table, start, never, Digest{1}); claim != nil || s.Verdict != carobward.NotRun {
-		t.Errorf("a closed table: %+v", s)
+	if claim, s := startTicket(table, start, unused, Digest{1}); claim != nil || s.Verdict != carobward.NotRun {
+		t.Errorf("start of an unused ticket in a closed table: %+v", s)
 	}
 
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 
 	if err := table.Drain(ctx); err == nil {
-		t.Error("drained with work still running")
+		t.Error("Drain returned no error while work was still running")
 	}
 
 	now := start.Add(time.Minute)
@@ -271,8 +274,8 @@
 		t.Fatal(err)
 	}
 
-	if _, s := ask(successor, now, never, Digest{1}); s.Verdict != carobward.Unknown {
-		t.Errorf("a successor that lacks a part: %+v", s)
+	if _, s := startTicket(successor, now, unused, Digest{1}); s.Verdict != carobward.Unknown {
+		t.Errorf("unused ticket in an incomplete successor table: %+v", s)
 	}
 
 	successor.Complete()
@@ -280,23 +283,23 @@
 	for name, test := range map[string]struct {
 		ticket Ticket
 		digest Digest
-		want   said
+		want   startResult
 	}{
-		"ran":       {ran, Digest{1}, said{Body: "fee", Verdict: carobward.Ran}},
-		"other":     {ran, Digest{2}, said{Status: 422, Cause: ErrContent}},
-		"lost":      {lost, Digest{1}, said{Status: 410, Cause: ErrLost}},
-		"running":   {running, Digest{1}, said{Status: 410, Cause: ErrLost}},
-		"closed":    {shut, Digest{1}, said{Verdict: carobward.NotRun, Status: 409, Cause: ErrSpent}},
-		"never ran": {never, Digest{1}, said{Verdict: carobward.NotRun, Status: 503, Cause: ErrClosed}},
+		"ran":       {ran, Digest{1}, startResult{Body: "fee", Verdict: carobward.Ran}},
+		"other":     {ran, Digest{2}, startResult{Status: 422, Cause: ErrContentMismatch}},
+		"lost":      {lost, Digest{1}, startResult{Status: 410, Cause: ErrOutcomeUnknown}},
+		"running":   {running, Digest{1}, startResult{Status: 410, Cause: ErrOutcomeUnknown}},
+		"closed":    {closed, Digest{1}, startResult{Verdict: carobward.NotRun, Status: 409, Cause: ErrSpent}},
+		"never ran": {unused, Digest{1}, startResult{Verdict: carobward.NotRun, Status: 503, Cause: ErrClosed}},
 	} {
-		_, got := ask(successor, now, test.ticket, test.digest)
+		_, got := startTicket(successor, now, test.ticket, test.digest)
 		if diff := cmp.Diff(test.want, got, cmp.Comparer(errors.Is)); diff != "" {
 			t.Errorf("%s: %s", name, diff)
 		}
 	}
 
-	if _, s := ask(successor, start.Add(horizon), ran, Digest{1}); !errors.Is(s.Cause, ErrExpired) {
-		t.Errorf("a successor counts the owner's time: %+v", s)
+	if _, s := startTicket(successor, start.Add(horizon), ran, Digest{1}); !errors.Is(s.Cause, ErrExpired) {
+		t.Errorf("the successor table does not measure the ticket's age from its issue: %+v", s)
 	}
 
 	c.Close(now)
--- a/internal/cwticket/ticket_test.go
+++ b/internal/cwticket/ticket_test.go
@@ -115,8 +115,8 @@
 	}
 }
 
-// FuzzParse looks for a text that breaks the parser, or for two texts of one
-// ticket.
+// FuzzParse looks for a text that makes the parser panic, for two texts of the
+// same ticket, and for a forged ticket that is accepted.
 func FuzzParse(f *testing.F) {
 	good := newIssuer().Prefix(start.Add(time.Second))
 	for _, seed := range []string{good + ".1", good, ".", good + ".01", "AQ.1", "Ag" + good[2:] + ".1", good + ".1.1", strings.Repeat("_", 276)} {
@@ -130,11 +130,11 @@
 		}
 
 		if got.String() != text {
-			t.Errorf("%q is read as %q", text, got)
+			t.Errorf("%q was parsed as %q", text, got)
 		}
 
 		if err := newIssuer().check(got, start.Add(time.Minute), time.Hour); err == nil && !strings.HasPrefix(text, good) {
-			t.Errorf("%q was never issued and is honoured", text)
+			t.Errorf("%q was accepted although it was never issued", text)
 		}
 	})
 }
