--- a/internal/cwentry/bench_test.go
+++ b/internal/cwentry/bench_test.go
@@ -8,10 +8,10 @@
 	"carobward.example/carobward"
 )
 
-// BenchmarkHandle is our own part of one request: from the parsed request to
-// the reply, without sockets and server.
+// BenchmarkHandle measures the entry VM's work for one request, from the parsed
+// request to the reply, without network I/O and server.
 func BenchmarkHandle(b *testing.B) {
-	c := newCarrier(&fake{answer: echo}, 1)
+	fw := newForwarder(&fakeServers{answer: echo}, 1)
 
 	var ctx fasthttp.RequestCtx
 
@@ -26,6 +26,6 @@
 		ctx.Request.Header.Set(carobward.HeaderID, "one")
 		ctx.Request.Header.Set("Accept", "*/*")
 		ctx.Request.Header.Set("Traceparent", "00-1-2-01")
-		c.Handle(&ctx)
+		fw.Handle(&ctx)
 	}
 }
--- a/internal/cwentry/body.go
+++ b/internal/cwentry/body.go
@@ -10,22 +10,23 @@
 	"carobward.example/carobward"
 )
 
-// ErrBodies tells that the bodies of all requests here take too much memory.
-const ErrBodies = errors.ConstError("entry: this entry VM holds too many bytes of requests")
+// ErrBodyMemory is the error of a request whose body would exceed the memory
+// bound for the bodies of all requests.
+const ErrBodyMemory = errors.ConstError("entry: this entry VM holds too many bytes of requests")
 
-// bodiesDefault is the bound where the options give none.
-const bodiesDefault = 128 * carobward.Megabyte
+// defaultMaxBodies is the bound if Options.Bodies is zero.
+const defaultMaxBodies = 128 * carobward.Megabyte
 
-// bodies bounds the memory of request bodies, from before they are read until
-// their requests are answered.
+// bodies bounds the memory of request bodies. Memory is reserved before a body
+// is read and released when its request is answered.
 type bodies struct {
-	most int64
-	used atomic.Int64
+	maxBytes int64
+	used     atomic.Int64
 }
 
-// take reserves bytes and tells whether there was room.
+// take reserves memory in bytes and reports whether there was enough.
 func (b *bodies) take(size int64) bool {
-	if b.used.Add(size) > b.most {
+	if b.used.Add(size) > b.maxBytes {
 		b.used.Add(-size)
 
 		return false
@@ -34,14 +35,14 @@
 	return true
 }
 
-// body reads a request's body within the target's bound. The function gives
-// its memory back and must be called once the request is answered.
-func (c *Carrier) body(ctx *fasthttp.RequestCtx, target *carobward.Target) ([]byte, func(), error) {
-	most := int64(target.Body)
+// body reads a request's body, up to the target's size limit. The returned
+// function releases the memory and must be called when the request is answered.
+func (fw *Carrier) body(ctx *fasthttp.RequestCtx, target *carobward.Target) ([]byte, func(), error) {
+	maxBytes := int64(target.Body)
 	length := int64(ctx.Request.Header.ContentLength())
 	stream := ctx.RequestBodyStream()
 
-	if length > most {
+	if length > maxBytes {
 		return nil, nil, tooLarge()
 	}
 
@@ -49,19 +50,19 @@
 		return nil, func() {}, nil
 	}
 
-	// A chunked body may become as large as the bound.
+	// The size of a chunked body is unknown: it may be as large as the limit.
 	size := length
 	if length < 0 {
-		size = most
+		size = maxBytes
 	}
 
-	if !c.bodies.take(size) {
-		return nil, nil, carobward.NewFailure(carobward.NotRun, fasthttp.StatusServiceUnavailable, retryAfter, ErrBodies)
+	if !fw.bodies.take(size) {
+		return nil, nil, carobward.NewFailure(carobward.NotRun, fasthttp.StatusServiceUnavailable, defaultRetry, ErrBodyMemory)
 	}
 
-	release := func() { c.bodies.used.Add(-size) }
+	release := func() { fw.bodies.used.Add(-size) }
 
-	body, err := readBody(stream, length, most)
+	body, err := readBody(stream, length, maxBytes)
 	if err != nil {
 		release()
 
@@ -71,7 +72,7 @@
 	return body, release, nil
 }
 
-func readBody(stream io.Reader, length, most int64) ([]byte, error) {
+func readBody(stream io.Reader, length, maxBytes int64) ([]byte, error) {
 	if length >= 0 {
 		body := make([]byte, length)
 		if _, err := io.ReadFull(stream, body); err != nil {
@@ -81,12 +82,12 @@
 		return body, nil
 	}
 
-	body, err := io.ReadAll(io.LimitReader(stream, most+1))
+	body, err := io.ReadAll(io.LimitReader(stream, maxBytes+1))
 	if err != nil {
 		return nil, unreadable(err)
 	}
 
-	if int64(len(body)) > most {
+	if int64(len(body)) > maxBytes {
 		return nil, tooLarge()
 	}
 
@@ -94,11 +95,11 @@
 }
 
 func tooLarge() error {
-	return carobward.NewFailure(carobward.NotRun, fasthttp.StatusRequestEntityTooLarge, 0, ErrBody)
+	return carobward.NewFailure(carobward.NotRun, fasthttp.StatusRequestEntityTooLarge, 0, ErrBodySize)
 }
 
 func unreadable(err error) error {
-	status, cause := refusal(err)
+	status, cause := readErrorStatus(err)
 
 	return carobward.NewFailure(carobward.NotRun, status, 0, cause)
 }
--- a/internal/cwentry/bounds_test.go
+++ b/internal/cwentry/bounds_test.go
@@ -13,22 +13,23 @@
 	"carobward.example/carobward/internal/cwtest"
 )
 
-// TestFailures keeps a failure's verdict and says when to come back.
+// TestFailureReply checks that the reply to a failed request has the failure's
+// verdict and a time to retry.
 func TestFailures(t *testing.T) {
-	f := &fake{answer: func(context.Context, *carobward.Call) (*carobward.Reply, error) {
+	f := &fakeServers{answer: func(context.Context, *carobward.Call) (*carobward.Reply, error) {
 		return nil, carobward.NewFailure(carobward.Unknown, 504, 0, errors.New("silence"))
 	}}
 
 	resp := dial(t, serve(t, options(), f)).write("GET /fees HTTP/1.1\r\nHost: h\r\n\r\n").read(false)
 	checkProblem(t, resp, carobward.Unknown)
 
-	if resp.StatusCode() != 504 || len(resp.Header.Peek("Retry-After")) == 0 || len(f.seen()) != 1 {
-		t.Errorf("status %d, header %s, %d calls", resp.StatusCode(), resp.Header.String(), len(f.seen()))
+	if resp.StatusCode() != 504 || len(resp.Header.Peek("Retry-After")) == 0 || len(f.received()) != 1 {
+		t.Errorf("status %d, header %s, %d calls; want status 504, Retry-After and one call", resp.StatusCode(), resp.Header.String(), len(f.received()))
 	}
 }
 
-// TestSlow gives up on clients that send too slowly, at every place of a
-// request.
+// TestSlowClients checks that a client that stops sending in any part of a
+// request gets a timeout, and its connection is closed.
 func TestSlow(t *testing.T) {
 	for name, request := range map[string]string{
 		"nothing":   "",
@@ -42,25 +43,25 @@
 		t.Run(name, func(t *testing.T) {
 			o := options()
 			o.Read = 50 * time.Millisecond
-			f := &fake{answer: echo}
+			f := &fakeServers{answer: echo}
 			c := dial(t, serve(t, o, f)).write(request)
 			resp := c.read(false)
 
 			checkProblem(t, resp, carobward.NotRun)
 
-			if resp.StatusCode() != 408 || len(f.seen()) != 0 {
-				t.Errorf("status %d, %d calls", resp.StatusCode(), len(f.seen()))
+			if resp.StatusCode() != 408 || len(f.received()) != 0 {
+				t.Errorf("status %d, %d calls; want status 408 and no call", resp.StatusCode(), len(f.received()))
 			}
 
 			if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
-				t.Errorf("the connection is open: %v", err)
+				t.Errorf("the connection was not closed: %v", err)
 			}
 		})
 	}
 }
 
-// TestRefusedRetry does not call a retry not-run that is refused before its
-// ticket's owner was asked, since an earlier try may have run.
+// TestRefusedRetry checks that a retry that is refused before its ticket's owner
+// was asked doesn't get the verdict not-run, since an earlier try may have run.
 func TestRefusedRetry(t *testing.T) {
 	const ticket = "Host: h\r\nCarobward-Ticket: another's\r\n"
 
@@ -79,79 +80,80 @@
 		t.Run(name, func(t *testing.T) {
 			o := options()
 			o.Read = 300 * time.Millisecond
-			f := &fake{answer: echo}
+			f := &fakeServers{answer: echo}
 			resp := dial(t, serve(t, o, f)).write(request).read(false)
 
 			checkProblem(t, resp, carobward.Unknown)
 
-			if n := len(f.seen()); n != 0 {
-				t.Errorf("%d calls", n)
+			if n := len(f.received()); n != 0 {
+				t.Errorf("%d calls were sent to servers, want none", n)
 			}
 		})
 	}
 }
 
-// TestIdle closes a connection that waits for too long.
+// TestIdleTimeout checks that a connection without a next request is closed.
 func TestIdle(t *testing.T) {
 	o := options()
 	o.Idle = 50 * time.Millisecond
-	c := dial(t, serve(t, o, &fake{answer: echo})).write("GET /sheets HTTP/1.1\r\nHost: h\r\n\r\n")
+	c := dial(t, serve(t, o, &fakeServers{answer: echo})).write("GET /sheets HTTP/1.1\r\nHost: h\r\n\r\n")
 	c.read(false)
 
 	if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("the connection is open: %v", err)
+		t.Errorf("the connection was not closed: %v", err)
 	}
 }
 
-// TestBodies bounds the memory of bodies that are being read or whose request
-// is in flight, and gives it back however a request ends.
+// TestBodyMemory checks that the memory of bodies that are being read or whose
+// request is in flight is bounded, and released however a request ends.
 func TestBodies(t *testing.T) {
 	const post = "POST /fees HTTP/1.1\r\nHost: h\r\nX-Request-Id: me\r\nContent-Length: 64\r\n\r\n"
 
 	release := make(chan struct{})
-	f := &fake{answer: func(ctx context.Context, c *carobward.Call) (*carobward.Reply, error) {
+	f := &fakeServers{answer: func(ctx context.Context, c *carobward.Call) (*carobward.Reply, error) {
 		<-release
 
 		return echo(ctx, c)
 	}}
-	carrier := newCarrier(f, 8)
-	to := serveCarrier(t, options(), carrier)
+	forwarder := newForwarder(f, 8)
+	to := serveForwarder(t, options(), forwarder)
 
-	flying := dial(t, to).write(post + strings.Repeat("x", 64))
+	inFlight := dial(t, to).write(post + strings.Repeat("x", 64))
 	chunked := dial(t, to).write("POST /fees HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n")
 
-	cwtest.Wait(t, "two bodies", func() bool { return carrier.bodies.used.Load() == bodiesMost })
+	cwtest.Wait(t, "memory for two bodies to be reserved", func() bool { return forwarder.bodies.used.Load() == maxBodyMemory })
 
 	over := dial(t, to).write(post + strings.Repeat("x", 64)).read(false)
 	checkProblem(t, over, carobward.NotRun)
 
 	if over.StatusCode() != 503 || string(over.Header.Peek(carobward.HeaderID)) != "me" {
-		t.Errorf("status %d, header %s", over.StatusCode(), over.Header.String())
+		t.Errorf("status %d, header %s; want status 503 and the request's id", over.StatusCode(), over.Header.String())
 	}
 
-	// One caller goes in the middle of its body, the other gets its answer.
+	// One caller disconnects in the middle of its body, the other gets its reply.
 	_ = chunked.conn.Close()
 
 	close(release)
-	flying.read(false)
-	cwtest.Wait(t, "all memory back", func() bool { return carrier.bodies.used.Load() == 0 })
+	inFlight.read(false)
+	cwtest.Wait(t, "all body memory to be released", func() bool { return forwarder.bodies.used.Load() == 0 })
 }
 
-// TestOwnName keeps a request's id on a refusal while its body was read.
+// TestRequestIDOnReadError checks that the reply to a request whose body could
+// not be read has the request's id.
 func TestOwnName(t *testing.T) {
 	o := options()
 	o.Read = 300 * time.Millisecond
 
-	resp := dial(t, serve(t, o, &fake{answer: echo})).
+	resp := dial(t, serve(t, o, &fakeServers{answer: echo})).
 		write("POST /fees HTTP/1.1\r\nHost: h\r\nX-Request-Id: me\r\nContent-Length: 4\r\n\r\nbo").read(false)
 
 	if id := string(resp.Header.Peek(carobward.HeaderID)); id != "me" || resp.StatusCode() != 408 {
-		t.Errorf("status %d, id %q", resp.StatusCode(), id)
+		t.Errorf("status %d, id %q; want 408 and the request's id", resp.StatusCode(), id)
 	}
 }
 
-// TestConns refuses connections over the bounds with a reason and takes new
-// ones once others have gone.
+// TestConnectionBounds checks that connections over the bounds are refused with
+// a reason, and that new ones are accepted once others have closed.
 func TestConns(t *testing.T) {
 	for name, set := range map[string]func(*ServerOptions){
 		"in all": func(o *ServerOptions) { o.Conns = 2 },
@@ -163,7 +165,7 @@
 
 			const get = "GET /sheets HTTP/1.1\r\nHost: h\r\n\r\n"
 
-			f := &fake{answer: echo}
+			f := &fakeServers{answer: echo}
 			to := serve(t, o, f)
 			first := dial(t, to).write(get)
 			first.read(false)
@@ -172,8 +174,8 @@
 			over := dial(t, to).write(get).read(false)
 			checkProblem(t, over, carobward.NotRun)
 
-			if over.StatusCode() != 503 || len(over.Header.Peek("Retry-After")) == 0 || len(f.seen()) != 2 {
-				t.Errorf("status %d, %d calls", over.StatusCode(), len(f.seen()))
+			if over.StatusCode() != 503 || len(over.Header.Peek("Retry-After")) == 0 || len(f.received()) != 2 {
+				t.Errorf("status %d, %d calls; want status 503, Retry-After and 2 calls", over.StatusCode(), len(f.received()))
 			}
 
 			_ = first.conn.Close()
@@ -185,11 +187,11 @@
 	}
 }
 
-// TestCalls refuses requests over the bound in flight, and those of one
-// target over its half of it.
+// TestInFlightBounds checks that requests over the bound of requests in flight
+// are refused, and those of one target over its half of the bound.
 func TestCalls(t *testing.T) {
 	release := make(chan struct{})
-	f := &fake{answer: func(ctx context.Context, c *carobward.Call) (*carobward.Reply, error) {
+	f := &fakeServers{answer: func(ctx context.Context, c *carobward.Call) (*carobward.Reply, error) {
 		<-release
 
 		return echo(ctx, c)
@@ -206,16 +208,16 @@
 			held = append(held, dial(t, to).write(get))
 		}
 
-		cwtest.Wait(t, "requests in flight", func() bool { return len(f.seen()) == len(held) })
+		cwtest.Wait(t, "the requests to be in flight", func() bool { return len(f.received()) == len(held) })
 
 		over := dial(t, to).write(get).read(false)
 		checkProblem(t, over, carobward.NotRun)
 
 		if over.StatusCode() != 503 || len(over.Header.Peek("Retry-After")) == 0 {
-			t.Errorf("%s: status %d", path, over.StatusCode())
+			t.Errorf("%s: status %d, want 503 and Retry-After", path, over.StatusCode())
 		}
 
-		if len(f.seen()) != len(held) {
+		if len(f.received()) != len(held) {
 			t.Errorf("%s: a request over the bound was sent", path)
 		}
 	}
@@ -224,7 +226,7 @@
 
 	for _, c := range held {
 		if s := c.read(false).StatusCode(); s != 200 {
-			t.Errorf("status %d", s)
+			t.Errorf("status %d of an admitted request, want 200", s)
 		}
 	}
 }
--- a/internal/cwentry/carrier.go
+++ b/internal/cwentry/carrier.go
@@ -1,5 +1,6 @@
-// Package cwentry serves the callers: it matches a request to a target,
-// carries it to a server and sends the whole reply or a verdict back.
+// Package cwentry is the reverse proxy of an entry VM: it matches a caller's
+// request to a target, forwards it to a server of the target's service, and
+// sends the complete reply or a failure with a verdict back.
 package cwentry
 
 import (
@@ -26,57 +27,62 @@
 	"carobward.example/carobward/internal/cwtrace"
 )
 
-// The errors of a request that is given up.
+// Errors of a request that this entry VM can't forward.
 const (
-	ErrServer = errors.ConstError("entry: no server can take this request now")
-	ErrPaused = errors.ConstError("entry: this entry VM stood still and does not know yet which servers leave")
-	ErrBusy   = errors.ConstError("entry: this entry VM has too many requests in flight")
-	ErrNew    = errors.ConstError("entry: this entry VM has no configuration yet")
+	ErrNoServer = errors.ConstError("entry: no server can take this request now")
+	ErrPaused   = errors.ConstError("entry: this entry VM stood still and does not know yet which servers leave")
+	ErrBusy     = errors.ConstError("entry: this entry VM has too many requests in flight")
+	ErrNoConfig = errors.ConstError("entry: this entry VM has no configuration yet")
 )
 
-// retryAfter is when a caller should come back if nothing better is known.
-const retryAfter = 500 * time.Millisecond
+// defaultRetry is the time after which a caller should retry if there is no
+// better estimate.
+const defaultRetry = 500 * time.Millisecond
 
-// waitingShare is the part of the requests in flight that may wait for the
-// servers of one service.
-const waitingShare = 4
+// waitingDivisor bounds the queue of each service: 1/waitingDivisor of the
+// maximum number of requests in flight may wait for its servers.
+const waitingDivisor = 4
 
-// Options are the settings of a Carrier.
+// Options are the settings of a Forwarder.
 type Options struct {
 	// VM is the id of this entry VM.
 	VM carobward.VMID
-	// Calls is the number of requests in flight at once.
+	// Calls is the maximum number of requests in flight.
 	Calls int
-	// Bodies bounds the memory of all their bodies; zero is 128 MB.
+	// Bodies bounds the memory of the bodies of all requests in flight; zero
+	// means 128 MB.
 	Bodies carobward.ByteCount
 	// Policy chooses servers.
 	Policy cwroute.Policy
-	// Metrics counts hedges, retries and sheds; nil makes a map of its own.
+	// Metrics counts hedges, retries and shed requests. If it is nil, New
+	// creates a map.
 	Metrics *expvar.Map
-	// Requests counts the requests; nil counts nothing.
+	// Requests counts the requests; nil disables the counts.
 	Requests *cwmetric.Requests
-	// Tracer makes the requests' spans; nil is off.
+	// Tracer creates the spans of requests; nil disables tracing.
 	Tracer *cwtrace.Tracer
-	// Reports decides which calls ask for a report; nil: none does.
+	// Reports decides which calls ask for a load report; nil means that none
+	// does.
 	Reports Reports
 }
 
-// Reports decides which calls ask the server for a report with the reply.
+// Reports decides which calls ask the server for a load report with the reply.
 type Reports interface {
-	// Ask tells whether the next call to a server is to ask. If so, Took must
-	// be called.
+	// Ask reports whether the next call to a server should ask for a report.
+	// If so, Took must be called after it.
 	Ask(s *cwserver.Server) bool
-	// Took counts the reply to a call; nil is one that was given up.
+	// Took accounts for the reply to a call. The reply is nil if the call
+	// failed.
 	Took(asked bool, reply *carobward.Reply)
 }
 
-// noReports asks for none.
+// noReports never asks for a report.
 type noReports struct{}
 
 func (noReports) Ask(*cwserver.Server) bool   { return false }
 func (noReports) Took(bool, *carobward.Reply) {}
 
-// Carrier carries callers' requests.
+// Forwarder forwards callers' requests to servers.
 type Carrier struct {
 	options Options
 	holder  *cwconfig.Holder
@@ -91,25 +97,26 @@
 	metrics *expvar.Map
 	records *cwmap.Map[carobward.TargetName, *cwretry.TargetState]
 
-	running atomic.Int64
-	serial  atomic.Uint64
-	waiting *cwdisconnect.Watcher
-	bodies  bodies
+	inFlight      atomic.Int64
+	attemptSerial atomic.Uint64
+	callers       *cwdisconnect.Watcher
+	bodies        bodies
 
-	// bound ends when a stop may wait no longer for requests in flight.
-	bound context.Context //nolint:containedctx // It outlives any request.
-	abort context.CancelFunc
+	// abortCtx is canceled by Abort, when a shutdown no longer waits for the
+	// requests in flight.
+	abortCtx context.Context //nolint:containedctx // It outlives any request.
+	abort    context.CancelFunc
 }
 
-// New returns a Carrier.
+// New returns a Forwarder.
 func New(o Options, holder *cwconfig.Holder, servers *cwserver.Table, link carobward.Servers, owner Owner, clock carobward.Clock, log logr.Logger) *Carrier {
 	if o.Reports == nil {
 		o.Reports = noReports{}
 	}
 
-	gate := func() *cwlimit.Gate { return cwlimit.NewGate(max(1, o.Calls/waitingShare), clock) }
+	gate := func() *cwlimit.Gate { return cwlimit.NewGate(max(1, o.Calls/waitingDivisor), clock) }
 
-	c := &Carrier{
+	fw := &Carrier{
 		options: o,
 		holder:  holder,
 		servers: servers,
@@ -122,31 +129,32 @@
 		metrics: o.Metrics,
 		records: cwmap.New[carobward.TargetName](cwretry.NewTargetState),
 	}
-	c.bodies.most = int64(cmp.Or(o.Bodies, bodiesDefault))
-	c.waiting = cwdisconnect.New()
+	fw.bodies.maxBytes = int64(cmp.Or(o.Bodies, defaultMaxBodies))
+	fw.callers = cwdisconnect.New()
 
-	if c.metrics == nil {
-		c.metrics = new(expvar.Map).Init()
+	if fw.metrics == nil {
+		fw.metrics = new(expvar.Map).Init()
 	}
 
-	// Attempts of an earlier run have other ids.
-	c.serial.Store(uint64(rand.Uint32()) << 16)
-	c.bound, c.abort = context.WithCancel(context.Background())
+	// The random start makes the ids of attempts differ from those of an
+	// earlier run of this process.
+	fw.attemptSerial.Store(uint64(rand.Uint32()) << 16)
+	fw.abortCtx, fw.abort = context.WithCancel(context.Background())
 
-	return c
+	return fw
 }
 
 // Running returns the number of requests in flight.
-func (c *Carrier) Running() int64 { return c.running.Load() }
+func (fw *Carrier) Running() int64 { return fw.inFlight.Load() }
 
-// Abort gives up all requests in flight. What has been sent to a server is
-// answered with Unknown.
-func (c *Carrier) Abort() { c.abort() }
+// Abort cancels all requests in flight. Those that have been sent to a server
+// get the verdict Unknown.
+func (fw *Carrier) Abort() { fw.abort() }
 
-// abortable returns a context that also ends at Abort.
-func (c *Carrier) abortable(ctx context.Context) (context.Context, context.CancelFunc) {
+// abortable returns a context that Abort cancels as well.
+func (fw *Carrier) abortable(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
-	stop := context.AfterFunc(c.bound, cancel)
+	stop := context.AfterFunc(fw.abortCtx, cancel)
 
 	return ctx, func() {
 		stop()
@@ -155,72 +163,73 @@
 }
 
 // Handle serves one request.
-func (c *Carrier) Handle(ctx *fasthttp.RequestCtx) {
+func (fw *Carrier) Handle(ctx *fasthttp.RequestCtx) {
 	id, err := requestID(ctx)
-	o := c.observe(ctx, id)
+	o := fw.observe(ctx, id)
 
 	var reply *answer
 
 	if err != nil {
-		err = c.refuse(ctx, err)
+		err = fw.refuse(ctx, err)
 	} else {
-		reply, err = c.serve(ctx, id, o)
+		reply, err = fw.serve(ctx, id, o)
 	}
 
 	if err != nil {
-		c.writeFailure(ctx, id, err)
+		fw.writeFailure(ctx, id, err)
 	} else {
-		c.writeReply(ctx, id, reply)
+		fw.writeReply(ctx, id, reply)
 	}
 
-	c.observed(ctx, o, err)
+	fw.finishObservation(ctx, o, err)
 }
 
-func (c *Carrier) serve(ctx *fasthttp.RequestCtx, id carobward.RequestID, o *observation) (*answer, error) {
+func (fw *Carrier) serve(ctx *fasthttp.RequestCtx, id carobward.RequestID, o *observation) (*answer, error) {
 	if err := check(ctx); err != nil {
-		return nil, c.refuse(ctx, carobward.NewFailure(carobward.NotRun, fasthttp.StatusBadRequest, 0, err))
+		return nil, fw.refuse(ctx, carobward.NewFailure(carobward.NotRun, fasthttp.StatusBadRequest, 0, err))
 	}
 
 	uri := originForm(ctx)
 
-	target, err := c.target(string(ctx.Host()), string(ctx.Method()), uri)
+	target, err := fw.findTarget(string(ctx.Host()), string(ctx.Method()), uri)
 	if err != nil {
-		return nil, c.refuse(ctx, err)
+		return nil, fw.refuse(ctx, err)
 	}
 
-	o.belongs(target)
+	o.setTarget(target)
 
-	body, release, err := c.body(ctx, target)
+	body, release, err := fw.body(ctx, target)
 	if err != nil {
-		return nil, c.refuse(ctx, err)
+		return nil, fw.refuse(ctx, err)
 	}
 
 	defer release()
-	defer c.running.Add(-1)
+	defer fw.inFlight.Add(-1)
 
-	if err := c.admit(); err != nil {
-		return nil, c.refuse(ctx, err)
+	if err := fw.admit(); err != nil {
+		return nil, fw.refuse(ctx, err)
 	}
 
-	call, err := c.call(ctx, target, uri, body)
+	call, err := fw.newCall(ctx, target, uri, body)
 	if err != nil {
-		return nil, c.refuse(ctx, err)
+		return nil, fw.refuse(ctx, err)
 	}
 
 	if target.Promise == carobward.Once {
-		return c.once(o.ctx, ctx, id, target, call)
+		return fw.serveOnce(o.ctx, ctx, id, target, call)
 	}
 
-	work, done := c.waiting.Watch(o.ctx, conn(ctx))
+	callerCtx, done := fw.callers.Watch(o.ctx, conn(ctx))
 	defer done()
 
-	return c.carry(work, id, target, call)
+	return fw.forwardRepeatable(callerCtx, id, target, call)
 }
 
-// admit counts a request in flight, whether it is admitted or not.
-func (c *Carrier) admit() error {
-	if c.running.Add(1) > int64(c.options.Calls) {
-		return carobward.NewFailure(carobward.NotRun, fasthttp.StatusServiceUnavailable, retryAfter, ErrBusy)
+// admit counts a request in flight and returns an error if there are too many.
+// The request is counted in either case.
+func (fw *Carrier) admit() error {
+	if fw.inFlight.Add(1) > int64(fw.options.Calls) {
+		return carobward.NewFailure(carobward.NotRun, fasthttp.StatusServiceUnavailable, defaultRetry, ErrBusy)
 	}
 
 	return nil
--- a/internal/cwentry/carry.go
+++ b/internal/cwentry/carry.go
@@ -15,84 +15,86 @@
 	"carobward.example/carobward/internal/cwserver"
 )
 
-// answer is a reply and where it came from.
+// answer is a reply and the address of the server that sent it.
 type answer struct {
 	reply  *carobward.Reply
 	server carobward.Address
 }
 
-// triesMost bounds the attempts at one request.
-const triesMost = 3
+// maxAttempts is the maximum number of times that a request is sent.
+const maxAttempts = 3
 
-// race is one request that may be repeated, with its attempts.
+// race is a request that may be repeated, and its concurrent attempts.
 type race struct {
-	*visit
+	*admission
 	id     carobward.RequestID
 	call   *carobward.Call
 	record *cwretry.TargetState
 
-	began    time.Time
-	sent     int
-	out      int
-	replies  chan result
-	fallback *answer
-	last     *carobward.Failure
+	began       time.Time
+	sent        int
+	pending     int
+	results     chan result
+	fallback    *answer
+	lastFailure *carobward.Failure
 }
 
-// result is the end of one attempt.
+// result is the result of one attempt.
 type result struct {
 	reply  *carobward.Reply
 	err    error
 	server *cwserver.Server
-	// panicked is set if the attempt did not end.
+	// panicked is set if the attempt panicked.
 	panicked *panics.Recovered
 }
 
-// carry sends a request that may be repeated: to a second server if the first
-// one is slow, and again if it fails, both within the target's budget. The
-// first good reply wins and the other attempts are cancelled.
-func (c *Carrier) carry(ctx context.Context, id carobward.RequestID, target *carobward.Target, call *carobward.Call) (*answer, error) {
-	v, err := c.enter(target, call)
+// forwardRepeatable sends a request that may be repeated. It hedges: if the
+// first server is slow, it sends the request to a second one. If an attempt
+// fails, it retries. Both are limited by the target's retry budget. The first
+// good reply wins; the other attempts are canceled.
+func (fw *Carrier) forwardRepeatable(ctx context.Context, id carobward.RequestID, target *carobward.Target, call *carobward.Call) (*answer, error) {
+	a, err := fw.enter(target, call)
 	if err != nil {
 		return nil, err
 	}
 
-	defer v.leave()
+	defer a.leave()
 
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 
 	r := &race{
-		visit:   v,
-		id:      id,
-		call:    call,
-		record:  c.records.Get(target.Name),
-		began:   c.clock.Now(),
-		replies: make(chan result, triesMost),
+		admission: a,
+		id:        id,
+		call:      call,
+		record:    fw.records.Get(target.Name),
+		began:     fw.clock.Now(),
+		results:   make(chan result, maxAttempts),
 	}
 	r.record.Budget.Earn()
 	r.send(ctx)
 
-	return r.wait(ctx)
+	return r.awaitReply(ctx)
 }
 
-// send starts an attempt at the server that the visit holds.
+// send starts an attempt at the server that the admission holds.
 func (r *race) send(ctx context.Context) {
-	s, out := r.server, r.noted
+	s, registered := r.server, r.serverCall
 	r.sent++
-	r.out++
+	r.pending++
 
 	go func() {
-		one := result{server: s}
-		one.panicked = panics.Try(func() {
-			one.reply, one.err = r.carrier.attempt(ctx, r.id, s, out, r.call)
+		res := result{server: s}
+		res.panicked = panics.Try(func() {
+			res.reply, res.err = r.forwarder.attempt(ctx, r.id, s, registered, r.call)
 		})
-		r.replies <- one
+		r.results <- res
 	}()
 }
 
-// wait returns the first good reply, or the last failure.
-func (r *race) wait(ctx context.Context) (*answer, error) {
+// awaitReply returns the first good reply, or else the last reply with a server
+// error, or else the last failure.
+func (r *race) awaitReply(ctx context.Context) (*answer, error) {
 	_, first := r.record.Due(r.began, 0, r.server)
 
 	timer := time.NewTimer(first)
@@ -102,10 +104,10 @@
 		timer.Stop()
 	}
 
-	for r.out > 0 {
+	for r.pending > 0 {
 		select {
-		case one := <-r.replies:
-			if a := r.take(ctx, one); a != nil {
+		case res := <-r.results:
+			if a := r.handleResult(ctx, res); a != nil {
 				return a, nil
 			}
 		case <-timer.C:
@@ -119,51 +121,52 @@
 		return r.fallback, nil
 	}
 
-	return nil, r.last
+	return nil, r.lastFailure
 }
 
-// take returns the answer if the reply is a good one, and else tries again.
-func (r *race) take(ctx context.Context, one result) *answer {
-	r.out--
+// handleResult returns the answer if the reply is a good one. Otherwise it
+// retries if no other attempt is pending, and returns nil.
+func (r *race) handleResult(ctx context.Context, res result) *answer {
+	r.pending--
 
-	if one.panicked != nil {
-		panic(one.panicked.Value)
+	if res.panicked != nil {
+		panic(res.panicked.Value)
 	}
 
-	if one.err == nil && !blames(one.reply) {
-		r.record.Latency.Add(r.carrier.clock.Now().Sub(r.began))
+	if res.err == nil && !isServerFailure(res.reply) {
+		r.record.Latency.Add(r.forwarder.clock.Now().Sub(r.began))
 
-		return &answer{one.reply, one.server.Address}
+		return &answer{res.reply, res.server.Address}
 	}
 
-	if one.err == nil {
-		r.fallback = &answer{one.reply, one.server.Address}
+	if res.err == nil {
+		r.fallback = &answer{res.reply, res.server.Address}
 	} else {
-		r.last = r.carrier.failure(one.err, r.verdict())
-		r.last.RetryAfter = r.carrier.recovery(r.target)
+		r.lastFailure = r.forwarder.failure(res.err, r.verdict())
+		r.lastFailure.RetryAfter = r.forwarder.recoveryDelay(r.target)
 	}
 
-	if r.out == 0 && r.sent < triesMost && r.again() {
-		r.carrier.metrics.Add("retries", 1)
+	if r.pending == 0 && r.sent < maxAttempts && r.reserveAttempt() {
+		r.forwarder.metrics.Add("retries", 1)
 		r.send(ctx)
 	}
 
 	return nil
 }
 
-// verdict is that of the failures so far.
+// verdict returns the verdict of the failures so far.
 func (r *race) verdict() carobward.Verdict {
-	if r.last == nil {
+	if r.lastFailure == nil {
 		return carobward.NotRun
 	}
 
-	return r.last.Verdict
+	return r.lastFailure.Verdict
 }
 
-// hedge sends the call to a second server if that is due, and returns after
-// what time to look again.
+// hedge sends the call to a second server if that is due. If it is not due yet,
+// hedge returns the time after which to check again.
 func (r *race) hedge(ctx context.Context) time.Duration {
-	now := r.carrier.clock.Now()
+	now := r.forwarder.clock.Now()
 	age := now.Sub(r.began)
 
 	due, next := r.record.Due(now, age, r.server)
@@ -171,18 +174,19 @@
 		return next - age
 	}
 
-	if r.sent == 1 && r.again() {
-		r.carrier.metrics.Add("hedges", 1)
+	if r.sent == 1 && r.reserveAttempt() {
+		r.forwarder.metrics.Add("hedges", 1)
 		r.send(ctx)
 	}
 
 	return 0
 }
 
-// again takes another server for one more attempt, if one has room and the
-// budget allows it.
-func (r *race) again() bool {
-	if r.call.Deadline.Sub(r.carrier.clock.Now()) <= r.server.Usual() {
+// reserveAttempt chooses another server for one more attempt. It returns false
+// if there isn't enough time left, no server has room, or the retry budget is
+// used up.
+func (r *race) reserveAttempt() bool {
+	if r.call.Deadline.Sub(r.forwarder.clock.Now()) <= r.server.Usual() {
 		return false
 	}
 
@@ -191,7 +195,7 @@
 	}
 
 	if !r.record.Budget.Take() {
-		r.noted.End(r.carrier.clock.Now(), cwserver.Cancelled)
+		r.serverCall.End(r.forwarder.clock.Now(), cwserver.Cancelled)
 
 		return false
 	}
@@ -199,45 +203,46 @@
 	return true
 }
 
-// failure gives an error its verdict. A request that may have run in an
-// earlier attempt stays Unknown.
-func (c *Carrier) failure(err error, before carobward.Verdict) *carobward.Failure {
+// failure returns an error as a failure with a verdict. If the request may have
+// run in an earlier attempt, the verdict stays Unknown.
+func (fw *Carrier) failure(err error, earlier carobward.Verdict) *carobward.Failure {
 	f := &carobward.Failure{}
 	if !errors.As(err, &f) {
 		f = carobward.NewFailure(carobward.Unknown, fasthttp.StatusBadGateway, 0, err)
 	}
 
 	if f.RetryAfter == 0 {
-		f.RetryAfter = retryAfter
+		f.RetryAfter = defaultRetry
 	}
 
-	if before == carobward.Unknown {
+	if earlier == carobward.Unknown {
 		f.Verdict = carobward.Unknown
 	}
 
 	return f
 }
 
-// attempt sends the call to one server, where it has been noted already.
-func (c *Carrier) attempt(ctx context.Context, id carobward.RequestID, s *cwserver.Server, noted cwserver.Call, call *carobward.Call) (*carobward.Reply, error) {
-	if now := c.clock.Now(); !c.servers.MayDispatch(s, now) {
-		noted.End(now, cwserver.Cancelled)
+// attempt sends the call to one server. serverCall is the call as already
+// registered at the server.
+func (fw *Carrier) attempt(ctx context.Context, id carobward.RequestID, s *cwserver.Server, serverCall cwserver.Call, call *carobward.Call) (*carobward.Reply, error) {
+	if now := fw.clock.Now(); !fw.servers.MayDispatch(s, now) {
+		serverCall.End(now, cwserver.Cancelled)
 
-		cause := ErrServer
-		if !c.servers.Fresh(now) {
+		cause := ErrNoServer
+		if !fw.servers.Fresh(now) {
 			cause = ErrPaused
 		}
 
 		return nil, carobward.NewFailure(carobward.NotRun, fasthttp.StatusServiceUnavailable, 0, cause)
 	}
 
-	one := *call
-	one.ID = id + "~" + carobward.RequestID(strconv.FormatUint(c.serial.Add(1), 36))
+	attemptCall := *call
+	attemptCall.ID = id + "~" + carobward.RequestID(strconv.FormatUint(fw.attemptSerial.Add(1), 36))
 
-	ctx, cancel := c.abortable(ctx)
+	ctx, cancel := fw.abortable(ctx)
 	defer cancel()
 
-	reply, err := c.exchange(ctx, s, noted, &one)
+	reply, err := fw.exchange(ctx, s, serverCall, &attemptCall)
 	if err != nil {
 		return nil, err
 	}
@@ -245,31 +250,31 @@
 	s.SetReport(reply.Report)
 
 	if reply.Shed {
-		return nil, carobward.NewFailure(carobward.NotRun, fasthttp.StatusServiceUnavailable, 0, ErrServer)
+		return nil, carobward.NewFailure(carobward.NotRun, fasthttp.StatusServiceUnavailable, 0, ErrNoServer)
 	}
 
 	return reply, nil
 }
 
-// exchange sends the call and notes its end and what its report cost, also if
-// that panics.
-func (c *Carrier) exchange(ctx context.Context, s *cwserver.Server, noted cwserver.Call, one *carobward.Call) (*carobward.Reply, error) {
+// exchange sends the call. Even after a panic, it records the end of the call at
+// the server and the cost of the load report.
+func (fw *Carrier) exchange(ctx context.Context, s *cwserver.Server, serverCall cwserver.Call, call *carobward.Call) (*carobward.Reply, error) {
 	var reply *carobward.Reply
 
 	o := cwserver.Failed
-	one.WantReport = c.options.Reports.Ask(s)
+	call.WantReport = fw.options.Reports.Ask(s)
 
 	defer func() {
-		noted.End(c.clock.Now(), o)
-		c.options.Reports.Took(one.WantReport, reply)
+		serverCall.End(fw.clock.Now(), o)
+		fw.options.Reports.Took(call.WantReport, reply)
 	}()
 
-	traced, span := c.options.Tracer.Attempt(ctx, s.Address)
-	one.Header = span.Header(one.Header)
+	spanCtx, span := fw.options.Tracer.Attempt(ctx, s.Address)
+	call.Header = span.Header(call.Header)
 
 	var err error
 
-	reply, err = c.link.Exchange(traced, s.Address, one)
+	reply, err = fw.link.Exchange(spanCtx, s.Address, call)
 	o = outcome(ctx, reply, err)
 
 	span.End(statusOf(reply), err)
@@ -285,7 +290,7 @@
 	return r.Status
 }
 
-// outcome is what an attempt tells of its server.
+// outcome returns the outcome of an attempt for the statistics of its server.
 func outcome(ctx context.Context, reply *carobward.Reply, err error) cwserver.Outcome {
 	switch {
 	case ctx.Err() != nil:
@@ -296,14 +301,15 @@
 		return cwserver.Failed
 	case reply.Shed:
 		return cwserver.Refused
-	case blames(reply):
+	case isServerFailure(reply):
 		return cwserver.Failed
 	default:
 		return cwserver.Replied
 	}
 }
 
-// blames tells whether a reply speaks against its server.
-func blames(r *carobward.Reply) bool {
+// isServerFailure reports whether a reply counts as a failure of its server: a
+// 5xx status other than 501.
+func isServerFailure(r *carobward.Reply) bool {
 	return r.Status >= fasthttp.StatusInternalServerError && r.Status != fasthttp.StatusNotImplemented
 }
--- a/internal/cwentry/carry_test.go
+++ b/internal/cwentry/carry_test.go
@@ -16,49 +16,49 @@
 	"carobward.example/carobward/internal/cwtest"
 )
 
-func good() (*carobward.Reply, error) {
+func okReply() (*carobward.Reply, error) {
 	return &carobward.Reply{Status: fasthttp.StatusOK, Body: []byte("whole")}, nil
 }
 
-func status(code int) (*carobward.Reply, error) { return &carobward.Reply{Status: code}, nil }
+func statusReply(code int) (*carobward.Reply, error) { return &carobward.Reply{Status: code}, nil }
 
-// wait is the policy of these tests.
-var wait = cwroute.Wait{Queue: 2}
+// waitPolicy is the server choice policy of these tests.
+var waitPolicy = cwroute.Wait{Queue: 2}
 
-// heard is what a caller sees.
-type heard struct {
+// callerView is the part of a reply that tests compare.
+type callerView struct {
 	Status  int
 	Verdict string
 	Retry   bool
 }
 
-func get(c *Carrier, uri string) heard {
+func get(fw *Carrier, uri string) callerView {
 	var ctx fasthttp.RequestCtx
 
 	ctx.Request.SetRequestURI(uri)
 	ctx.Request.Header.SetHost("localhost")
-	c.Handle(&ctx)
+	fw.Handle(&ctx)
 
 	h := &ctx.Response.Header
 
-	return heard{
+	return callerView{
 		Status:  ctx.Response.StatusCode(),
 		Verdict: string(h.Peek(carobward.HeaderVerdict)),
 		Retry:   len(h.Peek(carobward.HeaderRetryMillis)) > 0,
 	}
 }
 
-func failed(v carobward.Verdict) (*carobward.Reply, error) {
+func failedCall(v carobward.Verdict) (*carobward.Reply, error) {
 	return nil, carobward.NewFailure(v, fasthttp.StatusBadGateway, 0, errors.New("broken"))
 }
 
 func TestCarry(t *testing.T) {
 	type seen struct {
-		Outcome heard
+		Outcome callerView
 		Calls   int64
 	}
 
-	firstThen := func(first, then func() (*carobward.Reply, error)) serving {
+	firstThen := func(first, then func() (*carobward.Reply, error)) answerFunc {
 		var n atomic.Int64
 
 		return func(context.Context, *carobward.Call) (*carobward.Reply, error) {
@@ -69,39 +69,39 @@
 			return then()
 		}
 	}
-	always := func(do func() (*carobward.Reply, error)) serving {
+	always := func(do func() (*carobward.Reply, error)) answerFunc {
 		return func(context.Context, *carobward.Call) (*carobward.Reply, error) { return do() }
 	}
-	unknown := func() (*carobward.Reply, error) { return failed(carobward.Unknown) }
-	notRun := func() (*carobward.Reply, error) { return failed(carobward.NotRun) }
-	broken := func() (*carobward.Reply, error) { return status(fasthttp.StatusInternalServerError) }
+	failUnknown := func() (*carobward.Reply, error) { return failedCall(carobward.Unknown) }
+	failNotRun := func() (*carobward.Reply, error) { return failedCall(carobward.NotRun) }
+	errorStatus := func() (*carobward.Reply, error) { return statusReply(fasthttp.StatusInternalServerError) }
 	shed := func() (*carobward.Reply, error) { return &carobward.Reply{Status: 503, Shed: true}, nil }
 
 	tests := map[string]struct {
 		uri  string
-		do   serving
+		do   answerFunc
 		want seen
 	}{
-		"good":                        {"/sheets", always(good), seen{heard{200, "ran", false}, 1}},
-		"a lookup is sent again":      {"/sheets", firstThen(unknown, good), seen{heard{200, "ran", false}, 2}},
-		"also after an error status":  {"/sheets", firstThen(broken, good), seen{heard{200, "ran", false}, 2}},
-		"error statuses only":         {"/sheets", always(broken), seen{heard{500, "ran", false}, 3}},
-		"failures only":               {"/sheets", always(unknown), seen{heard{502, "unknown", true}, 3}},
-		"unknown, then not run":       {"/sheets", firstThen(unknown, notRun), seen{heard{502, "unknown", true}, 3}},
-		"refusals only":               {"/sheets", always(shed), seen{heard{503, "not-run", true}, 3}},
-		"a fee is not sent again":     {"/fees", firstThen(unknown, good), seen{heard{502, "unknown", true}, 1}},
-		"unless it was not run":       {"/fees", firstThen(notRun, good), seen{heard{200, "ran", false}, 2}},
-		"or the server refused it":    {"/fees", firstThen(shed, good), seen{heard{200, "ran", false}, 2}},
-		"nor after an error status":   {"/fees", firstThen(broken, good), seen{heard{500, "ran", false}, 1}},
-		"a service without servers":   {"/none", always(good), seen{heard{503, "not-run", true}, 0}},
-		"a fee that is never run":     {"/fees", always(notRun), seen{heard{502, "not-run", true}, 3}},
-		"a fee that all servers shed": {"/fees", always(shed), seen{heard{503, "not-run", true}, 3}},
+		"lookup, good reply":                    {"/sheets", always(okReply), seen{callerView{200, "ran", false}, 1}},
+		"lookup, failure, then good reply":      {"/sheets", firstThen(failUnknown, okReply), seen{callerView{200, "ran", false}, 2}},
+		"lookup, error status, then good reply": {"/sheets", firstThen(errorStatus, okReply), seen{callerView{200, "ran", false}, 2}},
+		"lookup, error statuses only":           {"/sheets", always(errorStatus), seen{callerView{500, "ran", false}, 3}},
+		"lookup, failures only":                 {"/sheets", always(failUnknown), seen{callerView{502, "unknown", true}, 3}},
+		"lookup, unknown, then not run":         {"/sheets", firstThen(failUnknown, failNotRun), seen{callerView{502, "unknown", true}, 3}},
+		"lookup, shed by all servers":           {"/sheets", always(shed), seen{callerView{503, "not-run", true}, 3}},
+		"fee, unknown, no retry":                {"/fees", firstThen(failUnknown, okReply), seen{callerView{502, "unknown", true}, 1}},
+		"fee, not run, then good reply":         {"/fees", firstThen(failNotRun, okReply), seen{callerView{200, "ran", false}, 2}},
+		"fee, shed, then good reply":            {"/fees", firstThen(shed, okReply), seen{callerView{200, "ran", false}, 2}},
+		"fee, error status, no retry":           {"/fees", firstThen(errorStatus, okReply), seen{callerView{500, "ran", false}, 1}},
+		"service without servers":               {"/none", always(okReply), seen{callerView{503, "not-run", true}, 0}},
+		"fee, never run":                        {"/fees", always(failNotRun), seen{callerView{502, "not-run", true}, 3}},
+		"fee, shed by all servers":              {"/fees", always(shed), seen{callerView{503, "not-run", true}, 3}},
 	}
 
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			l := &fake{answer: test.do, to: map[carobward.Address]int{}}
-			got := seen{Outcome: get(newCarrierOf(5, 100, wait, l), test.uri)}
+			l := &fakeServers{answer: test.do, to: map[carobward.Address]int{}}
+			got := seen{Outcome: get(newForwarderOf(5, 100, waitPolicy, l), test.uri)}
 			got.Calls = l.count.Load()
 
 			if diff := cmp.Diff(test.want, got); diff != "" {
@@ -110,33 +110,35 @@
 
 			for a, n := range l.to {
 				if n > 1 {
-					t.Errorf("%s had the request %d times", a, n)
+					t.Errorf("%s received the request %d times", a, n)
 				}
 			}
 		})
 	}
 }
 
-// TestAnOutageIsNotAmplified lets all calls fail and counts them.
+// TestOutageIsNotAmplified checks that the number of extra calls stays within
+// the retry budget when all calls fail.
 func TestAnOutageIsNotAmplified(t *testing.T) {
 	const requests = 2000
 
-	l := &fake{answer: func(context.Context, *carobward.Call) (*carobward.Reply, error) {
-		return failed(carobward.Unknown)
+	l := &fakeServers{answer: func(context.Context, *carobward.Call) (*carobward.Reply, error) {
+		return failedCall(carobward.Unknown)
 	}}
-	c := newCarrierOf(10, 100, wait, l)
+	fw := newForwarderOf(10, 100, waitPolicy, l)
 
 	for range requests {
-		get(c, "/sheets")
+		get(fw, "/sheets")
 	}
 
 	if extra := l.count.Load() - requests; extra > requests/20+10 {
-		t.Errorf("%d extra calls for %d requests", extra, requests)
+		t.Errorf("%d extra calls for %d requests, over the retry budget", extra, requests)
 	}
 }
 
-// TestHedge lets one call hang and shows that the second one answers and the
-// first one is cancelled; a request that must not repeat is left alone.
+// TestHedge lets a call hang and checks that a second one is sent and answers,
+// and that the first one is canceled. A request that must run at most once is
+// not hedged.
 func TestHedge(t *testing.T) {
 	var (
 		hang      atomic.Bool
@@ -146,50 +148,50 @@
 		release   = make(chan struct{})
 	)
 
-	l := &fake{answer: func(ctx context.Context, c *carobward.Call) (*carobward.Reply, error) {
+	l := &fakeServers{answer: func(ctx context.Context, c *carobward.Call) (*carobward.Reply, error) {
 		switch c.URI {
 		case "/fees":
 			fees.Add(1)
 		case "/sheets/hedged":
 			hedged.Add(1)
 		default:
-			// A hedge of a warm-up request may come late, and neither hangs
+			// A warm-up request, whose hedge may arrive late: it neither hangs
 			// nor counts.
-			return good()
+			return okReply()
 		}
 
 		if !hang.CompareAndSwap(true, false) {
-			return good()
+			return okReply()
 		}
 
 		select {
 		case <-ctx.Done():
 			cancelled.Add(1)
 
-			return failed(carobward.Unknown)
+			return failedCall(carobward.Unknown)
 		case <-release:
-			return good()
+			return okReply()
 		case <-time.After(cwtest.MaxWait):
-			return failed(carobward.Unknown)
+			return failedCall(carobward.Unknown)
 		}
 	}}
-	c := newCarrierOf(5, 100, wait, l)
+	fw := newForwarderOf(5, 100, waitPolicy, l)
 
 	for range 200 {
-		get(c, "/sheets")
+		get(fw, "/sheets")
 	}
 
 	hang.Store(true)
 
-	got := get(c, "/sheets/hedged")
-	if diff := cmp.Diff(heard{200, "ran", false}, got); diff != "" {
+	got := get(fw, "/sheets/hedged")
+	if diff := cmp.Diff(callerView{200, "ran", false}, got); diff != "" {
 		t.Error(diff)
 	}
 
-	cwtest.Wait(t, "the first call cancelled", func() bool { return cancelled.Load() == 1 })
+	cwtest.Wait(t, "the first call to be canceled", func() bool { return cancelled.Load() == 1 })
 
 	if calls := hedged.Load(); calls != 2 {
-		t.Errorf("%d calls for a hedged request", calls)
+		t.Errorf("%d calls for a hedged request, want 2", calls)
 	}
 
 	var group conc.WaitGroup
@@ -197,36 +199,36 @@
 	hang.Store(true)
 
 	group.Go(func() {
-		if diff := cmp.Diff(heard{200, "ran", false}, get(c, "/fees")); diff != "" {
+		if diff := cmp.Diff(callerView{200, "ran", false}, get(fw, "/fees")); diff != "" {
 			t.Error(diff)
 		}
 	})
-	cwtest.Wait(t, "the fee at a server", func() bool { return fees.Load() > 0 })
+	cwtest.Wait(t, "the fee to reach a server", func() bool { return fees.Load() > 0 })
 
 	for range 20 {
-		get(c, "/sheets")
+		get(fw, "/sheets")
 	}
 
 	close(release)
 	group.Wait()
 
 	if fees.Load() != 1 {
-		t.Errorf("the fee was sent %d times", fees.Load())
+		t.Errorf("the fee was sent %d times, want once", fees.Load())
 	}
 }
 
-// TestAFloodLeavesRoomForFees floods lookups that hang until all places are
-// taken, and shows that a fee still gets through once a call ends.
+// TestFloodLeavesRoomForFees floods the service with lookups that hang until
+// their share is used up, and checks that a fee still succeeds once a call ends.
 func TestAFloodLeavesRoomForFees(t *testing.T) {
 	release := make(chan struct{})
-	l := &fake{answer: func(_ context.Context, c *carobward.Call) (*carobward.Reply, error) {
+	l := &fakeServers{answer: func(_ context.Context, c *carobward.Call) (*carobward.Reply, error) {
 		if c.URI == "/sheets" {
 			<-release
 		}
 
-		return good()
+		return okReply()
 	}}
-	c := newCarrierOf(2, 20, wait, l)
+	fw := newForwarderOf(2, 20, waitPolicy, l)
 
 	var group conc.WaitGroup
 
@@ -234,21 +236,21 @@
 
 	for range 100 {
 		group.Go(func() {
-			if got := get(c, "/sheets"); got.Status == fasthttp.StatusServiceUnavailable && got.Verdict == "not-run" && got.Retry {
+			if got := get(fw, "/sheets"); got.Status == fasthttp.StatusServiceUnavailable && got.Verdict == "not-run" && got.Retry {
 				refused.Add(1)
 			}
 		})
 	}
 
-	cwtest.Wait(t, "the flood refused", func() bool { return refused.Load() >= 80 })
+	cwtest.Wait(t, "the flood to be refused", func() bool { return refused.Load() >= 80 })
 
-	done := make(chan heard, 1)
+	done := make(chan callerView, 1)
 
-	group.Go(func() { done <- get(c, "/fees") })
-	cwtest.Wait(t, "the fee admitted", func() bool { return c.Running() >= 2 })
+	group.Go(func() { done <- get(fw, "/fees") })
+	cwtest.Wait(t, "the fee to be in flight", func() bool { return fw.Running() >= 2 })
 	close(release)
 
-	if diff := cmp.Diff(heard{200, "ran", false}, <-done); diff != "" {
+	if diff := cmp.Diff(callerView{200, "ran", false}, <-done); diff != "" {
 		t.Error(diff)
 	}
 
--- a/internal/cwentry/fuzz_test.go
+++ b/internal/cwentry/fuzz_test.go
@@ -11,8 +11,9 @@
 	"carobward.example/carobward"
 )
 
-// FuzzRequest reads any bytes as a request. What is accepted has one path
-// for us and for the server, a safe id, and no field of the connection.
+// FuzzRequest parses arbitrary bytes as a request and checks that an accepted
+// request has the same path for the entry VM and the server, an id that is safe
+// in headers and logs, and no hop-by-hop header fields.
 func FuzzRequest(f *testing.F) {
 	for _, text := range []string{
 		"GET /sheets?a=b HTTP/1.1\r\nHost: h\r\nX-Request-Id: a\r\n\r\n",
@@ -23,7 +24,7 @@
 		f.Add([]byte(text))
 	}
 
-	c := newCarrier(&fake{answer: echo}, 1)
+	fw := newForwarder(&fakeServers{answer: echo}, 1)
 
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		var ctx fasthttp.RequestCtx
@@ -33,8 +34,8 @@
 		}
 
 		id, err := requestID(&ctx)
-		if strings.ContainsAny(string(id), " \r\n\t\"") || len(id) > idMost {
-			t.Errorf("%q: id %q", raw, id)
+		if strings.ContainsAny(string(id), " \r\n\t\"") || len(id) > maxIDLength {
+			t.Errorf("%q: unsafe id %q", raw, id)
 		}
 
 		if err != nil || check(&ctx) != nil {
@@ -43,19 +44,19 @@
 
 		uri := originForm(&ctx)
 
-		target, err := c.target(string(ctx.Host()), string(ctx.Method()), uri)
+		target, err := fw.findTarget(string(ctx.Host()), string(ctx.Method()), uri)
 		if err != nil {
 			return
 		}
 
-		call, err := c.call(&ctx, target, uri, ctx.PostBody())
+		call, err := fw.newCall(&ctx, target, uri, ctx.PostBody())
 		if err != nil {
 			return
 		}
 
 		path, _, _ := strings.Cut(call.URI, "?")
 		if !strings.Contains(path, "%") && path != string(ctx.Path()) {
-			t.Errorf("%q: our path %q, the server's %q", raw, ctx.Path(), path)
+			t.Errorf("%q: path at the entry VM %q, at the server %q", raw, ctx.Path(), path)
 		}
 
 		checkFields(t, raw, call)
@@ -66,12 +67,12 @@
 	t.Helper()
 
 	if strings.ContainsAny(call.URI+call.Host+call.Method, " \r\n") {
-		t.Errorf("%q: %q %q %q", raw, call.Method, call.URI, call.Host)
+		t.Errorf("%q: unsafe method, URI or host: %q %q %q", raw, call.Method, call.URI, call.Host)
 	}
 
 	for _, f := range call.Header {
-		if hop(f.Name) || strings.ContainsAny(f.Name, " \r\n:") || strings.ContainsAny(f.Value, "\r\n") {
-			t.Errorf("%q: field %q: %q", raw, f.Name, f.Value)
+		if notForwarded(f.Name) || strings.ContainsAny(f.Name, " \r\n:") || strings.ContainsAny(f.Value, "\r\n") {
+			t.Errorf("%q: forwarded an unsafe or hop-by-hop field %q: %q", raw, f.Name, f.Value)
 		}
 	}
 }
--- a/internal/cwentry/listener.go
+++ b/internal/cwentry/listener.go
@@ -14,8 +14,8 @@
 	"carobward.example/carobward"
 )
 
-// listener bounds the open connections and tells a caller that it refuses
-// why.
+// listener bounds the number of open connections. It answers a connection over
+// the bounds with the reason before it closes it.
 type listener struct {
 	net.Listener
 	options ServerOptions
@@ -24,15 +24,16 @@
 	mutex sync.Mutex
 	open  int
 	byIP  map[netip.Addr]int
-	// parting counts the refused connections that still get their answer.
-	parting chan struct{}
+	// closing is a semaphore for connections that are drained before they are
+	// closed.
+	closing chan struct{}
 }
 
-// The bounds of telling a caller that its connection is refused.
+// The bounds of draining connections before they are closed.
 const (
-	partingMost  = 64
-	partingTime  = time.Second
-	partingBytes = 64 << 10
+	maxClosing     = 64
+	closingTimeout = time.Second
+	maxDrainBytes  = 64 << 10
 )
 
 func newListener(ln net.Listener, o ServerOptions, vm carobward.VMID) *listener {
@@ -45,11 +46,12 @@
 
 	return &listener{
 		Listener: ln, options: o, refusal: []byte(refusal),
-		byIP: map[netip.Addr]int{}, parting: make(chan struct{}, partingMost),
+		byIP: map[netip.Addr]int{}, closing: make(chan struct{}, maxClosing),
 	}
 }
 
-// Accept returns the next connection within the bounds.
+// Accept returns the next connection that is within the bounds, and refuses
+// others.
 func (l *listener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
@@ -59,7 +61,7 @@
 
 		from := ip(c)
 		if l.enter(from) {
-			return &counted{Conn: c, listener: l, from: from}, nil
+			return &countedConn{Conn: c, listener: l, from: from}, nil
 		}
 
 		l.refuse(c)
@@ -99,9 +101,9 @@
 	}
 }
 
-// refuse answers on a connection without reading a request.
+// refuse answers a connection with 503 without reading a request.
 func (l *listener) refuse(c net.Conn) {
-	_ = c.SetDeadline(time.Now().Add(partingTime))
+	_ = c.SetDeadline(time.Now().Add(closingTimeout))
 
 	if _, err := c.Write(l.refusal); err != nil {
 		_ = c.Close()
@@ -109,14 +111,15 @@
 		return
 	}
 
-	l.part(c)
+	l.drainAndClose(c)
 }
 
-// part closes a connection on which the caller may still be sending: a close
-// with unread bytes would reset the connection and lose our answer.
-func (l *listener) part(c net.Conn) {
+// drainAndClose closes a connection on which the caller may still be sending.
+// It reads and discards data first, since closing with unread data would reset
+// the connection, and the caller would lose the response.
+func (l *listener) drainAndClose(c net.Conn) {
 	select {
-	case l.parting <- struct{}{}:
+	case l.closing <- struct{}{}:
 	default:
 		_ = c.Close()
 
@@ -124,38 +127,38 @@
 	}
 
 	go func() {
-		defer func() { <-l.parting }()
+		defer func() { <-l.closing }()
 		defer func() { _ = c.Close() }()
 
 		if t, ok := c.(*net.TCPConn); ok {
 			_ = t.CloseWrite()
 		}
 
-		_ = c.SetReadDeadline(time.Now().Add(partingTime))
-		_, _ = io.CopyN(io.Discard, c, partingBytes)
+		_ = c.SetReadDeadline(time.Now().Add(closingTimeout))
+		_, _ = io.CopyN(io.Discard, c, maxDrainBytes)
 	}()
 }
 
-// counted is a connection that is counted until it is closed.
-type counted struct {
+// countedConn is a connection that counts as open until it is closed.
+type countedConn struct {
 	net.Conn
 	listener *listener
 	from     netip.Addr
 	closed   atomic.Bool
-	// refused tells that a request on it was not read to its end.
-	refused atomic.Bool
+	// drainOnClose is set if a request on the connection wasn't read completely.
+	drainOnClose atomic.Bool
 }
 
-// Close closes the connection.
-func (c *counted) Close() error {
+// Close closes the connection. It has no effect after the first call.
+func (c *countedConn) Close() error {
 	if c.closed.Swap(true) {
 		return nil
 	}
 
 	c.listener.leave(c.from)
 
-	if c.refused.Load() {
-		c.listener.part(c.Conn)
+	if c.drainOnClose.Load() {
+		c.listener.drainAndClose(c.Conn)
 
 		return nil
 	}
@@ -163,9 +166,9 @@
 	return c.Conn.Close()
 }
 
-// conn returns the TCP connection of a request.
+// conn returns the underlying connection of a request.
 func conn(r *fasthttp.RequestCtx) net.Conn {
-	if c, ok := r.Conn().(*counted); ok {
+	if c, ok := r.Conn().(*countedConn); ok {
 		return c.Conn
 	}
 
--- a/internal/cwentry/observe.go
+++ b/internal/cwentry/observe.go
@@ -11,23 +11,23 @@
 	"carobward.example/carobward/internal/cwtrace"
 )
 
-// observation is what is noted of one request while it is carried.
+// observation is the data for the metrics and the trace of one request.
 type observation struct {
-	// ctx goes on with the caller's trace. It does not end with the
-	// caller's connection.
+	// ctx continues the caller's trace. It isn't canceled when the caller's
+	// connection closes.
 	ctx    context.Context //nolint:containedctx // It lives as long as the request.
 	span   cwtrace.Span
 	began  time.Time
 	target carobward.TargetName
 }
 
-// observe starts the span and the clock of a request.
-func (c *Carrier) observe(ctx *fasthttp.RequestCtx, id carobward.RequestID) *observation {
-	o := &observation{ctx: c.bound, began: c.clock.Now(), target: cwmetric.NoTarget}
+// observe starts the span and the time measurement of a request.
+func (fw *Carrier) observe(ctx *fasthttp.RequestCtx, id carobward.RequestID) *observation {
+	o := &observation{ctx: fw.abortCtx, began: fw.clock.Now(), target: cwmetric.NoTarget}
 
-	if c.options.Tracer != nil {
+	if fw.options.Tracer != nil {
 		h := &ctx.Request.Header
-		o.ctx, o.span = c.options.Tracer.Request(o.ctx, id, cwtrace.Context{
+		o.ctx, o.span = fw.options.Tracer.Request(o.ctx, id, cwtrace.Context{
 			Parent: string(h.Peek(cwtrace.HeaderParent)),
 			State:  string(h.Peek(cwtrace.HeaderState)),
 		})
@@ -36,14 +36,14 @@
 	return o
 }
 
-// belongs notes the target of a request.
-func (o *observation) belongs(target *carobward.Target) {
+// setTarget sets the target of a request.
+func (o *observation) setTarget(target *carobward.Target) {
 	o.target = target.Name
 	o.span.Target(target.Name)
 }
 
-// observed counts a request that is answered and ends its span.
-func (c *Carrier) observed(ctx *fasthttp.RequestCtx, o *observation, err error) {
+// finishObservation counts an answered request and ends its span.
+func (fw *Carrier) finishObservation(ctx *fasthttp.RequestCtx, o *observation, err error) {
 	status := ctx.Response.StatusCode()
 	verdict := carobward.Ran
 
@@ -51,18 +51,18 @@
 		verdict = carobward.VerdictOf(err)
 	}
 
-	c.options.Requests.Target(o.target).Done(verdict, status, c.clock.Now().Sub(o.began))
+	fw.options.Requests.Target(o.target).Done(verdict, status, fw.clock.Now().Sub(o.began))
 	o.span.End(status, err)
 }
 
-// passed starts the span of a request that a peer passed on; the trace came
-// along in the header.
-func (c *Carrier) passed(ctx context.Context, id carobward.RequestID, call *carobward.Call) (context.Context, cwtrace.Span) {
-	if c.options.Tracer == nil {
+// startRelayedSpan starts the span of a request that another entry VM relayed.
+// The trace context is in the request's header.
+func (fw *Carrier) startRelayedSpan(ctx context.Context, id carobward.RequestID, call *carobward.Call) (context.Context, cwtrace.Span) {
+	if fw.options.Tracer == nil {
 		return ctx, cwtrace.Span{}
 	}
 
-	return c.options.Tracer.Request(ctx, id, cwtrace.Context{
+	return fw.options.Tracer.Request(ctx, id, cwtrace.Context{
 		Parent: call.Header.Get(cwtrace.HeaderParent),
 		State:  call.Header.Get(cwtrace.HeaderState),
 	})
--- a/internal/cwentry/once_test.go
+++ b/internal/cwentry/once_test.go
@@ -14,9 +14,9 @@
 	"carobward.example/carobward/internal/cwowner"
 )
 
-// TestRefusedWithTicket: a request that is refused before its work may be the
-// retry of one that ran, so that not-run is said of a ticket only where it is
-// closed.
+// TestRefusedWithTicket checks that a request with a ticket that is refused
+// before its work starts gets the verdict not-run only if the ticket was closed:
+// the request may be the retry of one that ran.
 func TestRefusedWithTicket(t *testing.T) {
 	const fee = "POST /fees HTTP/1.1\r\nHost: h\r\nCarobward-Ticket: %s\r\n"
 
@@ -27,7 +27,7 @@
 		"target":     strings.Replace(fee, "/fees", "/elsewhere", 1) + "Content-Length: 0\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := &fake{answer: echo}
+			f := &fakeServers{answer: echo}
 			to := serve(t, options(), f)
 
 			ask := func(ticket string) (string, string) {
@@ -40,31 +40,32 @@
 			used := string(resp.Header.Peek(carobward.HeaderTicket))
 
 			if verdict, next := ask(used); verdict != "unknown" || next != used {
-				t.Errorf("a ticket that ran: %s, ticket %q", verdict, next)
+				t.Errorf("a ticket that ran: verdict %s, next ticket %q", verdict, next)
 			}
 
 			if verdict, _ := ask("another"); verdict != "unknown" {
-				t.Errorf("a ticket of another entry VM: %s", verdict)
+				t.Errorf("a ticket of another entry VM: verdict %s, want unknown", verdict)
 			}
 
 			prefix, _, _ := strings.Cut(used, ".")
 
 			verdict, next := ask(prefix + ".7")
 			if verdict != "not-run" || next == "" || next == prefix+".7" {
-				t.Errorf("a ticket that was not used: %s, ticket %q", verdict, next)
+				t.Errorf("an unused ticket: verdict %s, next ticket %q", verdict, next)
 			}
 
 			late := fmt.Sprintf(fee, prefix+".7") + "Content-Length: 0\r\n\r\n"
 			resp = dial(t, to).write(late).read(false)
 
-			if got := string(resp.Header.Peek(carobward.HeaderVerdict)); got != "not-run" || len(f.seen()) != 1 {
-				t.Errorf("a late copy: %s, %d calls", got, len(f.seen()))
+			if got := string(resp.Header.Peek(carobward.HeaderVerdict)); got != "not-run" || len(f.received()) != 1 {
+				t.Errorf("a delayed duplicate: verdict %s, %d calls; want not-run and 1 call", got, len(f.received()))
 			}
 		})
 	}
 }
 
-// TestOnceIsSentAgainOnlyIfNotRun looks at what reaches the servers.
+// TestOnceIsSentAgainOnlyIfNotRun checks how often a request that must run at
+// most once is sent to servers.
 func TestOnceIsSentAgainOnlyIfNotRun(t *testing.T) {
 	for name, test := range map[string]struct {
 		uri     string
@@ -72,42 +73,42 @@
 		want    int
 	}{
 		"once, unknown": {"/fees", carobward.Unknown, 1},
-		"once, not run": {"/fees", carobward.NotRun, triesMost},
+		"once, not run": {"/fees", carobward.NotRun, maxAttempts},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := &fake{answer: func(context.Context, *carobward.Call) (*carobward.Reply, error) {
-				return nil, carobward.NewFailure(test.verdict, fasthttp.StatusBadGateway, 0, ErrServer)
+			f := &fakeServers{answer: func(context.Context, *carobward.Call) (*carobward.Reply, error) {
+				return nil, carobward.NewFailure(test.verdict, fasthttp.StatusBadGateway, 0, ErrNoServer)
 			}}
 
-			c := newCarrier(f, 1)
-			c.servers.Update([]carobward.VM{
+			fw := newForwarder(f, 1)
+			fw.servers.Update([]carobward.VM{
 				{Address: "127.0.0.1:1", Service: "records"}, {Address: "127.0.0.1:2", Service: "records"},
 				{Address: "127.0.0.1:3", Service: "records"}, {Address: "127.0.0.1:4", Service: "records"},
 			})
 
 			call := &carobward.Call{Method: "POST", Host: "h", URI: test.uri, Deadline: time.Now().Add(time.Minute)}
 
-			_, err := c.RunOnce(context.Background(), "me", call)
+			_, err := fw.RunOnce(context.Background(), "me", call)
 			if v := carobward.VerdictOf(err); v != test.verdict {
-				t.Errorf("got %v", err)
+				t.Errorf("wrong verdict of the error %v", err)
 			}
 
-			if diff := cmp.Diff(test.want, len(f.seen())); diff != "" {
+			if diff := cmp.Diff(test.want, len(f.received())); diff != "" {
 				t.Error(diff)
 			}
 
-			for _, c := range f.seen() {
+			for _, c := range f.received() {
 				if !c.Fresh {
-					t.Error("sent on a connection that may have been closed")
+					t.Error("the call does not ask for a fresh connection; an idle one may already be closed")
 				}
 			}
 		})
 	}
 }
 
-// TestPassedWork runs what another entry VM passes on.
+// TestRelayedWork runs requests that another entry VM relays.
 func TestPassedWork(t *testing.T) {
-	var runner cwowner.Runner = newCarrier(&fake{answer: echo}, 1)
+	var runner cwowner.Runner = newForwarder(&fakeServers{answer: echo}, 1)
 
 	for name, test := range map[string]struct {
 		call carobward.Call
@@ -128,7 +129,7 @@
 			}
 
 			if got != test.want {
-				t.Errorf("got %s, %v", got, err)
+				t.Errorf("wrong verdict %s, error %v", got, err)
 			}
 		})
 	}
--- a/internal/cwentry/request.go
+++ b/internal/cwentry/request.go
@@ -12,43 +12,43 @@
 	"carobward.example/carobward/internal/cwframe"
 )
 
-// The errors of a request that two readers could understand differently.
+// Errors of a request that two HTTP parsers could understand differently.
 const (
-	ErrID      = errors.ConstError("entry: the request id is given twice, longer than 128 bytes, or has bytes other than A-Z a-z 0-9 . _ ~ : + / = @ -")
-	ErrVersion = errors.ConstError("entry: the protocol is neither HTTP/1.1 nor HTTP/1.0")
-	ErrHost    = errors.ConstError("entry: the request has no Host")
-	ErrTrailer = errors.ConstError("entry: the trailer has a field that belongs into the header")
-	ErrForm    = errors.ConstError("entry: the request target is neither a path nor a whole address")
+	ErrID            = errors.ConstError("entry: the request id is given twice, longer than 128 bytes, or has bytes other than A-Z a-z 0-9 . _ ~ : + / = @ -")
+	ErrVersion       = errors.ConstError("entry: the protocol is neither HTTP/1.1 nor HTTP/1.0")
+	ErrHost          = errors.ConstError("entry: the request has no Host")
+	ErrTrailer       = errors.ConstError("entry: the trailer has a field that belongs into the header")
+	ErrRequestTarget = errors.ConstError("entry: the request target is neither a path nor a whole address")
 )
 
-// idMost bounds a caller's request id in bytes.
-const idMost = 128
+// maxIDLength is the maximum length of a caller's request id in bytes.
+const maxIDLength = 128
 
-// idByte has the bytes that a request id may have. It goes into headers and
-// logs as it is.
-var idByte = func() (ok [256]bool) {
-	const all = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789._~:+/=@-"
-	for i := range len(all) {
-		ok[all[i]] = true
+// validIDByte has the bytes that are allowed in a request id. The id is written
+// to headers and logs without escaping.
+var validIDByte = func() (ok [256]bool) {
+	const allowed = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789._~:+/=@-"
+	for i := range len(allowed) {
+		ok[allowed[i]] = true
 	}
 
 	return ok
 }()
 
-// requestID returns the caller's request id, or a new one where it gave none.
-// With an error the id is a new one.
+// requestID returns the caller's request id, or a new one if it sent none. If
+// the caller's id is invalid, requestID returns an error and a new id.
 func requestID(ctx *fasthttp.RequestCtx) (carobward.RequestID, error) {
 	id := ctx.Request.Header.Peek(carobward.HeaderID)
 	if len(id) == 0 {
 		return newID(), nil
 	}
 
-	fit := len(id) <= idMost && len(ctx.Request.Header.PeekAll(carobward.HeaderID)) == 1
+	valid := len(id) <= maxIDLength && len(ctx.Request.Header.PeekAll(carobward.HeaderID)) == 1
 	for _, b := range id {
-		fit = fit && idByte[b]
+		valid = valid && validIDByte[b]
 	}
 
-	if !fit {
+	if !valid {
 		return newID(), carobward.NewFailure(carobward.NotRun, fasthttp.StatusBadRequest, 0, ErrID)
 	}
 
@@ -61,8 +61,8 @@
 	return carobward.RequestID(strconv.FormatUint(rand.Uint64(), base))
 }
 
-// check refuses a request whose bounds or form a server could understand in
-// another way than we do. Its path is looked at by package cwtarget.
+// check returns an error for a request whose framing or form a server could
+// interpret differently. Package cwtarget checks the path.
 func check(ctx *fasthttp.RequestCtx) error {
 	h := &ctx.Request.Header
 	if err := cwframe.Check(h.RawHeaders()); err != nil {
@@ -79,17 +79,17 @@
 
 	uri := h.RequestURI()
 	if h.IsConnect() || (len(uri) > 0 && uri[0] != '/' && !bytes.Contains(uri, []byte("://"))) {
-		return ErrForm
+		return ErrRequestTarget
 	}
 
 	return nil
 }
 
-// checkTrailer refuses a trailer with a field that we read: the library looks
-// for a field in the trailer, too.
+// checkTrailer returns an error for a trailer with a field that carobward
+// interprets, since the HTTP library looks up header fields in the trailer, too.
 func checkTrailer(ctx *fasthttp.RequestCtx) error {
 	for name := range ctx.Request.Header.Trailers() {
-		if hop(string(name)) {
+		if notForwarded(string(name)) {
 			return ErrTrailer
 		}
 	}
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// originForm returns the path and query of a request, without the address
-// that an absolute form begins with.
+// originForm returns the path and query of a request target, without the scheme
+// and host of the absolute form.
 func originForm(ctx *fasthttp.RequestCtx) string {
 	uri := ctx.RequestURI()
 	if uri[0] == '/' {
--- a/internal/cwentry/serve_test.go
+++ b/internal/cwentry/serve_test.go
@@ -24,15 +24,16 @@
 	"carobward.example/carobward/internal/cwticket"
 )
 
-// bodiesMost bounds the bodies: two of the largest.
-const bodiesMost = 128
+// maxBodyMemory bounds the memory of bodies in bytes: two of the maximum size.
+const maxBodyMemory = 128
 
-// keptMost bounds the calls that a fake keeps.
-const keptMost = 100
+// maxKeptCalls is the maximum number of calls that fakeServers records.
+const maxKeptCalls = 100
 
-// fake is a Servers that answers by a function and keeps the calls.
-type fake struct {
-	answer serving
+// fakeServers is a carobward.Servers that answers with a function and records
+// the calls.
+type fakeServers struct {
+	answer answerFunc
 	count  atomic.Int64
 
 	mutex sync.Mutex
@@ -41,9 +42,9 @@
 	to map[carobward.Address]int
 }
 
-type serving func(ctx context.Context, c *carobward.Call) (*carobward.Reply, error)
+type answerFunc func(ctx context.Context, c *carobward.Call) (*carobward.Reply, error)
 
-func (f *fake) Exchange(ctx context.Context, to carobward.Address, c *carobward.Call) (*carobward.Reply, error) {
+func (f *fakeServers) Exchange(ctx context.Context, to carobward.Address, c *carobward.Call) (*carobward.Reply, error) {
 	f.count.Add(1)
 	f.mutex.Lock()
 
@@ -51,20 +52,20 @@
 		f.to[to]++
 	}
 
-	f.calls = append(f.calls[:min(len(f.calls), keptMost)], *c)
+	f.calls = append(f.calls[:min(len(f.calls), maxKeptCalls)], *c)
 	f.mutex.Unlock()
 
 	return f.answer(ctx, c)
 }
 
-func (f *fake) seen() []carobward.Call {
+func (f *fakeServers) received() []carobward.Call {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 
 	return append([]carobward.Call(nil), f.calls...)
 }
 
-// echo answers with method, URI and body.
+// echo replies with the call's method, URI and body.
 func echo(_ context.Context, c *carobward.Call) (*carobward.Reply, error) {
 	return &carobward.Reply{Status: 200, Body: []byte(c.Method + " " + c.URI + "\n" + string(c.Body))}, nil
 }
@@ -84,13 +85,13 @@
 	},
 }
 
-// newCarrier returns a carrier to one server.
-func newCarrier(servers carobward.Servers, calls int) *Carrier {
-	return newCarrierOf(1, calls, cwroute.Pair{}, servers)
+// newForwarder returns a Forwarder with one server.
+func newForwarder(servers carobward.Servers, calls int) *Carrier {
+	return newForwarderOf(1, calls, cwroute.Pair{}, servers)
 }
 
-// newCarrierOf returns a carrier to a number of servers.
-func newCarrierOf(count, calls int, policy cwroute.Policy, servers carobward.Servers) *Carrier {
+// newForwarderOf returns a Forwarder with count servers.
+func newForwarderOf(count, calls int, policy cwroute.Policy, servers carobward.Servers) *Carrier {
 	holder := cwconfig.NewHolder()
 	holder.Adopt(&cwconfig.Config{Revision: 1, Set: cwtarget.Set{Targets: testTargets}})
 
@@ -111,7 +112,7 @@
 		panic(err)
 	}
 
-	return New(Options{VM: "vm-1", Calls: calls, Bodies: bodiesMost, Policy: policy}, holder, table, servers, owner, carobward.SystemClock{}, logr.Discard())
+	return New(Options{VM: "vm-1", Calls: calls, Bodies: maxBodyMemory, Policy: policy}, holder, table, servers, owner, carobward.SystemClock{}, logr.Discard())
 }
 
 func options() ServerOptions {
@@ -127,18 +128,18 @@
 
 	const calls = 8
 
-	return serveCarrier(t, o, newCarrier(servers, calls))
+	return serveForwarder(t, o, newForwarder(servers, calls))
 }
 
-func serveCarrier(t testing.TB, o ServerOptions, c *Carrier) string {
+func serveForwarder(t testing.TB, o ServerOptions, fw *Carrier) string {
 	t.Helper()
 
-	s := NewServer(o, c, logr.Discard())
+	s := NewServer(o, fw, logr.Discard())
 
 	return string(cwtest.Serve(t, s.Serve, func() error { return nil }))
 }
 
-// client is a caller that writes bytes as they are.
+// client is a caller that sends raw bytes.
 type client struct {
 	t      testing.TB
 	conn   net.Conn
--- a/internal/cwentry/server.go
+++ b/internal/cwentry/server.go
@@ -16,59 +16,61 @@
 	"carobward.example/carobward/internal/cwframe"
 )
 
-// The errors of a request that could not be read.
+// Errors of a request that could not be read.
 const (
-	ErrRequest  = errors.ConstError("entry: the request is malformed")
-	ErrHeader   = errors.ConstError("entry: the request's header is too large")
-	ErrSlow     = errors.ConstError("entry: the request did not arrive in time")
-	ErrPanicked = errors.ConstError("entry: this entry VM failed while it handled the request")
+	ErrMalformed      = errors.ConstError("entry: the request is malformed")
+	ErrHeaderTooLarge = errors.ConstError("entry: the request's header is too large")
+	ErrSlow           = errors.ConstError("entry: the request did not arrive in time")
+	ErrPanicked       = errors.ConstError("entry: this entry VM failed while it handled the request")
 )
 
-// ServerOptions bound what callers can hold.
+// ServerOptions bound the resources that callers can use.
 type ServerOptions struct {
-	// Header and Body are the largest request header and body in bytes.
+	// Header and Body are the maximum sizes of a request's header and body in
+	// bytes.
 	Header carobward.ByteCount
 	Body   carobward.ByteCount
-	// Conns is the number of open connections, ConnsPerIP of those from
-	// one IP number.
+	// Conns is the maximum number of open connections, ConnsPerIP that of
+	// connections from one IP address.
 	Conns      int
 	ConnsPerIP int
-	// Read bounds the time to read one whole request, Write the time to
-	// write one whole reply.
+	// Read is the timeout for reading a whole request, Write for writing a
+	// whole reply.
 	Read  time.Duration
 	Write time.Duration
-	// Idle bounds the time that a connection waits for its next request.
+	// Idle is the maximum time for which a connection waits for its next
+	// request.
 	Idle time.Duration
 }
 
-// Server takes the callers' connections and hands their requests to a
-// Carrier.
+// Server accepts the callers' connections and passes their requests to a
+// Forwarder.
 type Server struct {
 	*fasthttp.Server
 
-	options ServerOptions
-	carrier *Carrier
-	log     logr.Logger
-	// reading has the names of requests whose first bytes of body are being
-	// read, by the header's place, since the library drops the header when
-	// that fails.
-	reading sync.Map
-	parting atomic.Bool
+	options   ServerOptions
+	forwarder *Carrier
+	log       logr.Logger
+	// reading has the id and ticket of requests whose first body bytes are being
+	// read. The key is the address of the request's header: the HTTP library
+	// clears the header if reading fails.
+	reading         sync.Map
+	closeAfterReply atomic.Bool
 }
 
-// NewServer returns a server for a Carrier.
-func NewServer(o ServerOptions, c *Carrier, log logr.Logger) *Server {
-	s := &Server{options: o, carrier: c, log: log.WithName("callers")}
+// NewServer returns a server for a Forwarder.
+func NewServer(o ServerOptions, fw *Carrier, log logr.Logger) *Server {
+	s := &Server{options: o, forwarder: fw, log: log.WithName("callers")}
 	s.Server = &fasthttp.Server{
 		Handler:      s.handle,
-		ErrorHandler: s.refuse,
+		ErrorHandler: s.handleReadError,
 		Name:         "carobward",
-		// The listener counts the connections, since it can say why it
-		// refuses one.
+		// The listener bounds the connections, since it can tell the caller
+		// why it refuses one.
 		Concurrency:                  o.Conns + 1,
 		ReadBufferSize:               int(o.Header),
 		MaxRequestBodySize:           int(o.Body),
-		HeaderReceived:               s.remember,
+		HeaderReceived:               s.rememberNames,
 		StreamRequestBody:            true,
 		ReadTimeout:                  o.Read,
 		IdleTimeout:                  o.Idle,
@@ -77,47 +79,50 @@
 		NoDefaultContentType:         true,
 		SecureErrorLogMessage:        true,
 		DisablePreParseMultipartForm: true,
-		Logger:                       serverLog{s.log},
+		Logger:                       httpLogger{s.log},
 	}
 
 	return s
 }
 
-// Part makes each reply from now on the last one of its connection, so that
-// a caller that goes on opens a new one instead of meeting a close.
-func (s *Server) Part() { s.parting.Store(true) }
+// CloseAfterReply makes the server close each connection after its next reply,
+// and announce it there, so that a caller opens a new connection instead of
+// sending a request on one that is being closed.
+func (s *Server) Part() { s.closeAfterReply.Store(true) }
 
-// Serve takes connections until the listener is closed.
+// Serve accepts connections until the listener is closed.
 func (s *Server) Serve(ln net.Listener) error {
-	return s.Server.Serve(newListener(ln, s.options, s.carrier.options.VM))
+	return s.Server.Serve(newListener(ln, s.options, s.forwarder.options.VM))
 }
 
-// names are what a reply has to say of its request.
-type names struct{ id, ticket string }
+// requestNames are the id and the ticket of a request, which a reply repeats.
+type requestNames struct{ id, ticket string }
 
-// remember keeps the names of a request with a body. Reading the first bytes
-// of one ends in handle or in refuse, also when its connection ends.
-func (s *Server) remember(h *fasthttp.RequestHeader) fasthttp.RequestConfig {
+// rememberNames stores the id and the ticket of a request with a body. After the
+// first bytes of the body, or an error, the HTTP library calls handle or
+// handleReadError, which delete them; also if the connection is closed.
+func (s *Server) rememberNames(h *fasthttp.RequestHeader) fasthttp.RequestConfig {
 	if h.ContentLength() > 0 {
-		s.reading.Store(h, names{string(h.Peek(carobward.HeaderID)), string(h.Peek(carobward.HeaderTicket))})
+		s.reading.Store(h, requestNames{string(h.Peek(carobward.HeaderID)), string(h.Peek(carobward.HeaderTicket))})
 	}
 
 	return fasthttp.RequestConfig{}
 }
 
-// handle serves one request. A fault in it costs this request only.
+// handle serves one request. It recovers from a panic, so that only this request
+// fails.
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			s.panicked(ctx, cause)
+			s.handlePanic(ctx, cause)
 		}
 
-		if s.parting.Load() {
+		if s.closeAfterReply.Load() {
 			ctx.SetConnectionClose()
 		}
 
-		// With a deadline of its own each reply is sent at once, also when
-		// more requests wait on the connection.
+		// A write deadline makes the HTTP library send each reply at once, even
+		// if more requests are pipelined on the connection.
 		_ = ctx.SetWriteDeadline(time.Now().Add(s.options.Write))
 	}()
 
@@ -125,73 +130,76 @@
 		s.reading.Delete(&ctx.Request.Header)
 	}
 
-	s.carrier.Handle(ctx)
+	s.forwarder.Handle(ctx)
 
 	if ctx.Response.StatusCode() == fasthttp.StatusRequestEntityTooLarge {
-		linger(ctx)
+		drainBeforeClose(ctx)
 	}
 }
 
-// panicked answers a request whose handling failed. It may have been sent.
-func (s *Server) panicked(ctx *fasthttp.RequestCtx, cause any) {
+// handlePanic answers a request whose handler panicked. The request may have
+// been sent to a server.
+func (s *Server) handlePanic(ctx *fasthttp.RequestCtx, cause any) {
 	s.log.Error(errors.Errorf("%v", cause), "A request failed here.", "stack", string(debug.Stack()))
 
 	ctx.Response.Reset()
 
 	id, _ := requestID(ctx)
-	s.carrier.writeFailure(ctx, id,
-		carobward.NewFailure(carobward.Unknown, fasthttp.StatusInternalServerError, retryAfter, ErrPanicked))
+	s.forwarder.writeFailure(ctx, id,
+		carobward.NewFailure(carobward.Unknown, fasthttp.StatusInternalServerError, defaultRetry, ErrPanicked))
 }
 
-// refuse answers a request that could not be read. None of it was sent on.
-func (s *Server) refuse(ctx *fasthttp.RequestCtx, err error) {
-	if kept, ok := s.reading.LoadAndDelete(&ctx.Request.Header); ok {
-		n, _ := kept.(names)
+// handleReadError answers a request that could not be read. No part of it was
+// sent to a server.
+func (s *Server) handleReadError(ctx *fasthttp.RequestCtx, err error) {
+	if stored, ok := s.reading.LoadAndDelete(&ctx.Request.Header); ok {
+		n, _ := stored.(requestNames)
 		ctx.Request.Header.Set(carobward.HeaderID, n.id)
 		ctx.Request.Header.Set(carobward.HeaderTicket, n.ticket)
 	}
 
-	// A bad id is replaced; the request is refused anyway.
+	// The error is ignored: the request is refused anyway, and the id is valid.
 	id, _ := requestID(ctx)
-	status, cause := refusal(err)
+	status, cause := readErrorStatus(err)
 	s.log.V(1).Info("A request could not be read.", "from", ctx.RemoteAddr().String(), "cause", err.Error())
 
 	f := carobward.NewFailure(carobward.NotRun, status, 0, cause)
-	s.carrier.writeFailure(ctx, id, s.carrier.refuse(ctx, f))
+	s.forwarder.writeFailure(ctx, id, s.forwarder.refuse(ctx, f))
 
 	_ = ctx.SetWriteDeadline(time.Now().Add(s.options.Write))
 
-	linger(ctx)
+	drainBeforeClose(ctx)
 }
 
-// linger lets a caller that is still sending have the answer before its
-// connection is closed.
-func linger(ctx *fasthttp.RequestCtx) {
-	if c, ok := ctx.Conn().(*counted); ok {
-		c.refused.Store(true)
+// drainBeforeClose makes sure that a caller that is still sending receives the
+// response before its connection is closed.
+func drainBeforeClose(ctx *fasthttp.RequestCtx) {
+	if c, ok := ctx.Conn().(*countedConn); ok {
+		c.drainOnClose.Store(true)
 	}
 }
 
-// refusal returns the status and the cause for an error of reading.
-func refusal(err error) (int, error) {
-	var small *fasthttp.ErrSmallBuffer
+// readErrorStatus returns the HTTP status and the cause for an error from
+// reading a request.
+func readErrorStatus(err error) (int, error) {
+	var tooSmall *fasthttp.ErrSmallBuffer
 
 	switch {
-	case errors.As(err, &small):
-		return fasthttp.StatusRequestHeaderFieldsTooLarge, ErrHeader
+	case errors.As(err, &tooSmall):
+		return fasthttp.StatusRequestHeaderFieldsTooLarge, ErrHeaderTooLarge
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
-		return fasthttp.StatusRequestEntityTooLarge, ErrBody
+		return fasthttp.StatusRequestEntityTooLarge, ErrBodySize
 	case cwframe.IsTimeout(err):
 		return fasthttp.StatusRequestTimeout, ErrSlow
 	default:
-		return fasthttp.StatusBadRequest, ErrRequest
+		return fasthttp.StatusBadRequest, ErrMalformed
 	}
 }
 
-// serverLog takes the HTTP library's own messages.
-type serverLog struct{ log logr.Logger }
+// httpLogger logs the HTTP library's messages.
+type httpLogger struct{ log logr.Logger }
 
 // Printf logs a message.
-func (l serverLog) Printf(format string, args ...any) {
-	l.log.Info("The HTTP library reports.", "message", fmt.Sprintf(format, args...))
+func (l httpLogger) Printf(format string, args ...any) {
+	l.log.Info("The HTTP library logged a message.", "message", fmt.Sprintf(format, args...))
 }
--- a/internal/cwentry/server_test.go
+++ b/internal/cwentry/server_test.go
@@ -14,8 +14,8 @@
 	"carobward.example/carobward/internal/cwtest"
 )
 
-// TestRefused sends requests that must not reach a server. Each gets a status
-// and a true verdict, and none was sent on.
+// TestInvalidRequests checks that malformed, ambiguous and oversized requests
+// get an error status with the verdict not-run and don't reach a server.
 func TestRefused(t *testing.T) {
 	long := strings.Repeat("x", 2000)
 
@@ -70,7 +70,7 @@
 		"no target":             {"GET /other HTTP/1.1\r\nHost: h\r\n\r\n", 404},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := &fake{answer: echo}
+			f := &fakeServers{answer: echo}
 			resp := dial(t, serve(t, options(), f)).write(c.request).read(false)
 
 			if resp.StatusCode() != c.want {
@@ -79,14 +79,14 @@
 
 			checkProblem(t, resp, carobward.NotRun)
 
-			if calls := f.seen(); len(calls) != 0 {
-				t.Errorf("sent on: %v", calls)
+			if calls := f.received(); len(calls) != 0 {
+				t.Errorf("forwarded: %v", calls)
 			}
 		})
 	}
 }
 
-// checkProblem checks what every failure carries.
+// checkProblem checks the headers and the body that every failure has.
 func checkProblem(t *testing.T, resp *fasthttp.Response, v carobward.Verdict) {
 	t.Helper()
 
@@ -108,12 +108,12 @@
 	}
 
 	if p.Status != resp.StatusCode() || p.Detail == "" {
-		t.Errorf("problem %+v", p)
+		t.Errorf("problem %+v: wrong status or no detail", p)
 	}
 }
 
-// TestCarried sends requests in unusual but clear forms. The server gets them
-// as they are meant.
+// TestUnusualRequests checks that requests in unusual but unambiguous forms
+// reach the server with the right method, URI and body.
 func TestCarried(t *testing.T) {
 	const multipart = "--b\r\nContent-Disposition: form-data; name=\"a\"\r\n\r\n1\r\n--b--\r\nmore"
 
@@ -136,20 +136,21 @@
 		"encoded letters": {"GET /%73heets HTTP/1.1\r\nHost: h\r\n\r\n", "GET /%73heets\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			resp := dial(t, serve(t, options(), &fake{answer: echo})).write(c.request).read(false)
+			resp := dial(t, serve(t, options(), &fakeServers{answer: echo})).write(c.request).read(false)
 
 			if diff := cmp.Diff(c.want, string(resp.Body())); diff != "" {
 				t.Error(diff)
 			}
 
 			if v := string(resp.Header.Peek(carobward.HeaderVerdict)); v != "ran" {
-				t.Errorf("verdict %q", v)
+				t.Errorf("verdict %q, want ran", v)
 			}
 		})
 	}
 }
 
-// TestExpect sends a body only after the interim reply.
+// TestExpect checks requests whose client sends the body only after the interim
+// reply 100 Continue.
 func TestExpect(t *testing.T) {
 	for name, c := range map[string]struct {
 		length int
@@ -159,31 +160,32 @@
 		"too large": {65, 413},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := &fake{answer: echo}
-			one := dial(t, serve(t, options(), f))
-			one.write(fmt.Sprintf("POST /fees HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: %d\r\n\r\n", c.length))
+			f := &fakeServers{answer: echo}
+			cl := dial(t, serve(t, options(), f))
+			cl.write(fmt.Sprintf("POST /fees HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: %d\r\n\r\n", c.length))
 
-			line, err := one.reader.ReadString('\n')
+			line, err := cl.reader.ReadString('\n')
 			if err != nil || !strings.HasPrefix(line, "HTTP/1.1 100 ") {
-				t.Fatalf("%q, %v", line, err)
+				t.Fatalf("interim reply %q, %v; want 100 Continue", line, err)
 			}
 
-			_, _ = one.reader.ReadString('\n')
+			_, _ = cl.reader.ReadString('\n')
 
-			if got := one.write(strings.Repeat("x", c.length)).read(false).StatusCode(); got != c.want {
+			if got := cl.write(strings.Repeat("x", c.length)).read(false).StatusCode(); got != c.want {
 				t.Errorf("status %d, want %d", got, c.want)
 			}
 
-			if n := len(f.seen()); (n == 1) != (c.want == 200) {
-				t.Errorf("%d calls", n)
+			if n := len(f.received()); (n == 1) != (c.want == 200) {
+				t.Errorf("%d calls were sent to servers", n)
 			}
 		})
 	}
 }
 
-// TestHeaders passes end-to-end fields both ways and no others.
+// TestHeaders checks that end-to-end header fields, and only those, are
+// forwarded in both directions.
 func TestHeaders(t *testing.T) {
-	f := &fake{answer: func(context.Context, *carobward.Call) (*carobward.Reply, error) {
+	f := &fakeServers{answer: func(context.Context, *carobward.Call) (*carobward.Reply, error) {
 		return &carobward.Reply{Status: 200, Body: []byte("body"), Header: carobward.Header{
 			{Name: "Set-Cookie", Value: "a=1; Path=/b"},
 			{Name: "Set-Cookie", Value: "a=2; Path=/c"},
@@ -213,36 +215,36 @@
 	want := "Content-Length: 4\nContent-Type: text/plain; charset=utf-8\nServer: carobward\nSet-Cookie: a=1; Path=/b\n" +
 		"Set-Cookie: a=2; Path=/c\nEtag: x\nVia: 1\nVia: 2\nX-Request-Id: me\nCarobward-Vm: vm-1\nCarobward-Verdict: ran\n" +
 		"Carobward-Server: 127.0.0.1:1\nConnection: close\n"
-	// The client's library adds the content type where there is none.
+	// The client's HTTP library adds a Content-Type if there is none.
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
 
 	sent := carobward.Header{{Name: "Cookie", Value: "b=2; a=1"}, {Name: "Accept", Value: "a"}, {Name: "Accept", Value: "b"}}
-	if diff := cmp.Diff(sent, f.seen()[0].Header); diff != "" {
+	if diff := cmp.Diff(sent, f.received()[0].Header); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// TestHead keeps the length that a reply without a body names.
+// TestHead checks that a reply to HEAD keeps its Content-Length.
 func TestHead(t *testing.T) {
-	f := &fake{answer: func(context.Context, *carobward.Call) (*carobward.Reply, error) {
+	f := &fakeServers{answer: func(context.Context, *carobward.Call) (*carobward.Reply, error) {
 		return &carobward.Reply{Status: 200, Header: carobward.Header{{Name: "Content-Length", Value: "900"}}}, nil
 	}}
 
 	c := dial(t, serve(t, options(), f))
 	for range 2 {
 		if n := c.write("HEAD /sheets HTTP/1.1\r\nHost: h\r\n\r\n").read(true).Header.ContentLength(); n != 900 {
-			t.Errorf("length %d", n)
+			t.Errorf("Content-Length %d, want 900", n)
 		}
 	}
 }
 
-// TestPipelined answers each request in its order, and the first before the
-// second has its answer.
+// TestPipelined checks that pipelined requests are answered in order, and that
+// the first reply doesn't wait for the second.
 func TestPipelined(t *testing.T) {
 	release := make(chan struct{})
-	f := &fake{answer: func(ctx context.Context, c *carobward.Call) (*carobward.Reply, error) {
+	f := &fakeServers{answer: func(ctx context.Context, c *carobward.Call) (*carobward.Reply, error) {
 		if c.URI == "/sheets/2" {
 			<-release
 		}
@@ -262,10 +264,10 @@
 	}
 }
 
-// TestOutlives keeps a call whole when the next request is read into the
-// same buffers.
+// TestCallOutlivesBuffers checks that a call stays unchanged when the HTTP
+// library reads the next request into the same buffers.
 func TestOutlives(t *testing.T) {
-	f := &fake{answer: echo}
+	f := &fakeServers{answer: echo}
 	c := dial(t, serve(t, options(), f))
 
 	for _, body := range []string{"first", "other"} {
@@ -273,7 +275,7 @@
 	}
 
 	for i, want := range []string{"first", "other"} {
-		call := f.seen()[i]
+		call := f.received()[i]
 		got := []string{call.URI, call.Host, call.Header.Get("A"), string(call.Body)}
 
 		if diff := cmp.Diff([]string{"/fees/" + want, want, want, want}, got); diff != "" {
@@ -282,11 +284,11 @@
 	}
 }
 
-// TestGone cancels idempotent work whose caller has gone, and lets work that
-// must not repeat go on.
+// TestDisconnectedCaller checks that a repeatable request is canceled when its
+// caller disconnects, and that a request that must run at most once continues.
 func TestGone(t *testing.T) {
 	release, cancelled, ran := make(chan struct{}), make(chan string, 2), make(chan string, 2)
-	f := &fake{answer: func(ctx context.Context, c *carobward.Call) (*carobward.Reply, error) {
+	f := &fakeServers{answer: func(ctx context.Context, c *carobward.Call) (*carobward.Reply, error) {
 		select {
 		case <-ctx.Done():
 			cancelled <- c.URI
@@ -297,40 +299,40 @@
 		return echo(ctx, c)
 	}}
 
-	carrier := newCarrier(f, 8)
-	to := serveCarrier(t, options(), carrier)
+	forwarder := newForwarder(f, 8)
+	to := serveForwarder(t, options(), forwarder)
 
 	const end = " HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n"
 
-	stays := dial(t, to).write("GET /sheets/stays" + end)
-	once := dial(t, to).write("POST /fees/goes" + end)
-	quick := dial(t, to).write("GET /sheets/goes" + end)
+	connected := dial(t, to).write("GET /sheets/stays" + end)
+	onceCaller := dial(t, to).write("POST /fees/goes" + end)
+	quickCaller := dial(t, to).write("GET /sheets/goes" + end)
 
-	cwtest.Wait(t, "three calls", func() bool { return len(f.seen()) == 3 })
+	cwtest.Wait(t, "three calls at the server", func() bool { return len(f.received()) == 3 })
 
-	_, _ = once.conn.Close(), quick.conn.Close()
+	_, _ = onceCaller.conn.Close(), quickCaller.conn.Close()
 
-	cwtest.Wait(t, "a cancelled call", func() bool {
-		carrier.Tick()
+	cwtest.Wait(t, "a call to be canceled", func() bool {
+		forwarder.Tick()
 
 		return len(cancelled) == 1
 	})
 	close(release)
 
-	if status := stays.read(false).StatusCode(); status != 200 {
-		t.Errorf("status %d for the caller that stays", status)
+	if status := connected.read(false).StatusCode(); status != 200 {
+		t.Errorf("status %d for the connected caller, want 200", status)
 	}
 
-	cwtest.Wait(t, "the other calls", func() bool { return len(ran) == 2 })
+	cwtest.Wait(t, "the other calls to end", func() bool { return len(ran) == 2 })
 
 	if got := <-cancelled; got != "/sheets/goes" {
-		t.Errorf("%s was cancelled", got)
+		t.Errorf("%s was canceled, want /sheets/goes", got)
 	}
 }
 
-// TestPanic turns a fault into a failure of this request only.
+// TestPanic checks that a panic fails only the request that caused it.
 func TestPanic(t *testing.T) {
-	f := &fake{answer: func(ctx context.Context, c *carobward.Call) (*carobward.Reply, error) {
+	f := &fakeServers{answer: func(ctx context.Context, c *carobward.Call) (*carobward.Reply, error) {
 		if c.URI == "/sheets/bad" {
 			panic("a fault")
 		}
@@ -344,10 +346,10 @@
 	checkProblem(t, resp, carobward.Unknown)
 
 	if id := string(resp.Header.Peek(carobward.HeaderID)); resp.StatusCode() != 500 || id != "me" {
-		t.Errorf("status %d, id %q", resp.StatusCode(), id)
+		t.Errorf("status %d, id %q; want 500 and the request's id", resp.StatusCode(), id)
 	}
 
 	if got := c.write("GET /sheets HTTP/1.1\r\nHost: h\r\n\r\n").read(false); got.StatusCode() != 200 {
-		t.Errorf("status %d after the fault", got.StatusCode())
+		t.Errorf("status %d of a request after the panic, want 200", got.StatusCode())
 	}
 }
--- a/internal/cwentry/single.go
+++ b/internal/cwentry/single.go
@@ -7,39 +7,39 @@
 	"carobward.example/carobward/internal/cwserver"
 )
 
-// single sends a request that must not repeat: to the next server only while
-// each attempt has been proved not run, within the target's budget. It is
-// never hedged.
-func (c *Carrier) single(ctx context.Context, id carobward.RequestID, target *carobward.Target, call *carobward.Call) (*answer, error) {
-	v, err := c.enter(target, call)
+// forwardOnce sends a request that must run at most once. It retries at another
+// server only if every attempt so far certainly did not run, and within the
+// target's retry budget. It never hedges.
+func (fw *Carrier) forwardOnce(ctx context.Context, id carobward.RequestID, target *carobward.Target, call *carobward.Call) (*answer, error) {
+	a, err := fw.enter(target, call)
 	if err != nil {
 		return nil, err
 	}
 
-	defer v.leave()
+	defer a.leave()
 
-	budget := c.records.Get(target.Name).Budget
+	budget := fw.records.Get(target.Name).Budget
 	budget.Earn()
 
 	for {
-		reply, err := c.attempt(ctx, id, v.server, v.noted, call)
+		reply, err := fw.attempt(ctx, id, a.server, a.serverCall, call)
 		if err == nil {
-			return &answer{reply, v.server.Address}, nil
+			return &answer{reply, a.server.Address}, nil
 		}
 
-		last := c.failure(err, carobward.NotRun)
-		last.RetryAfter = c.recovery(target)
+		last := fw.failure(err, carobward.NotRun)
+		last.RetryAfter = fw.recoveryDelay(target)
 
-		if last.Verdict != carobward.NotRun || len(v.tried) >= triesMost || !v.next() {
+		if last.Verdict != carobward.NotRun || len(a.tried) >= maxAttempts || !a.next() {
 			return nil, last
 		}
 
 		if !budget.Take() {
-			v.noted.End(c.clock.Now(), cwserver.Cancelled)
+			a.serverCall.End(fw.clock.Now(), cwserver.Cancelled)
 
 			return nil, last
 		}
 
-		c.metrics.Add("retries", 1)
+		fw.metrics.Add("retries", 1)
 	}
 }
--- a/internal/cwentry/target.go
+++ b/internal/cwentry/target.go
@@ -8,15 +8,15 @@
 	"carobward.example/carobward/internal/cwtarget"
 )
 
-// target returns the target that a request belongs to. It takes the request
-// line as the caller sent it, since that is what goes to the server; the
-// library's own cleaned path may belong to another target.
-func (c *Carrier) target(host, method, uri string) (*carobward.Target, error) {
-	if c.holder.Revision() == 0 {
-		return nil, carobward.NewFailure(carobward.NotRun, fasthttp.StatusServiceUnavailable, retryAfter, ErrNew)
+// findTarget returns the target of a request. It matches the request line as the
+// caller sent it, since that is what the server receives; the path as normalized
+// by the HTTP library may belong to another target.
+func (fw *Carrier) findTarget(host, method, uri string) (*carobward.Target, error) {
+	if fw.holder.Revision() == 0 {
+		return nil, carobward.NewFailure(carobward.NotRun, fasthttp.StatusServiceUnavailable, defaultRetry, ErrNoConfig)
 	}
 
-	target, err := c.holder.Targets().Find(host, method, uri)
+	target, err := fw.holder.Targets().Find(host, method, uri)
 	if err == nil {
 		return target, nil
 	}
--- a/internal/cwentry/target_test.go
+++ b/internal/cwentry/target_test.go
@@ -14,8 +14,9 @@
 	"carobward.example/carobward/internal/cwtarget"
 )
 
-// TestTargetOfRawRequest checks that the request line is read as it came: a
-// library that cleans "/sheets/../fees" would hide what the server gets.
+// TestTargetOfRawRequest checks that the request line is matched as the caller
+// sent it: the HTTP library normalizes "/sheets/../fees", which would hide what
+// the server receives.
 func TestTargetOfRawRequest(t *testing.T) {
 	holder := cwconfig.NewHolder()
 	holder.Adopt(&cwconfig.Config{Revision: 1, Set: cwtarget.Set{Targets: []carobward.Target{
@@ -47,10 +48,10 @@
 				t.Fatal(err)
 			}
 
-			carrier := &Carrier{holder: holder, options: Options{Calls: 1}, clock: carobward.SystemClock{}}
+			forwarder := &Carrier{holder: holder, options: Options{Calls: 1}, clock: carobward.SystemClock{}}
 
 			if tt.status != 0 {
-				carrier.Handle(&ctx)
+				forwarder.Handle(&ctx)
 
 				got := [2]string{strconv.Itoa(ctx.Response.StatusCode()), string(ctx.Response.Header.Peek(carobward.HeaderVerdict))}
 				if diff := cmp.Diff([2]string{strconv.Itoa(tt.status), "not-run"}, got); diff != "" {
@@ -60,7 +61,7 @@
 				return
 			}
 
-			found, err := carrier.target(string(ctx.Host()), string(ctx.Method()), originForm(&ctx))
+			found, err := forwarder.findTarget(string(ctx.Host()), string(ctx.Method()), originForm(&ctx))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -72,13 +73,13 @@
 	}
 }
 
-// TestTwoHosts checks that a request with two Host fields, RFC 9112, 3.2, is
-// not read at all.
+// TestTwoHosts checks that a request with two Host fields can't be parsed, as
+// RFC 9112, section 3.2 demands.
 func TestTwoHosts(t *testing.T) {
 	var ctx fasthttp.RequestCtx
 
 	raw := "GET /x HTTP/1.1\r\nHost: a\r\nHost: club.example\r\n\r\n"
 	if err := ctx.Request.Read(bufio.NewReader(strings.NewReader(raw))); err == nil {
-		t.Errorf("read with the host %q", ctx.Request.Header.Host())
+		t.Errorf("the request was parsed, with the host %q", ctx.Request.Header.Host())
 	}
 }
--- a/internal/cwentry/visit.go
+++ b/internal/cwentry/visit.go
@@ -14,129 +14,135 @@
 	"carobward.example/carobward/internal/cwserver"
 )
 
-// The times to come back where nothing better is known.
+// The times after which a caller should retry if there is no better estimate.
 const (
-	// retryList is for a service without servers: the next look at the list.
-	retryList = time.Second
-	// retryShare is for a target that has its share of requests in flight.
-	retryShare = 100 * time.Millisecond
+	// noServersRetry is for a service without servers: the VM list is read again
+	// after about this time.
+	noServersRetry = time.Second
+	// overShareRetry is for a target whose share of the requests in flight is
+	// used up.
+	overShareRetry = 100 * time.Millisecond
 )
 
-// visit is a request that has passed the gate of its service. It holds the
-// server of its latest attempt.
-type visit struct {
-	carrier *Carrier
-	target  *carobward.Target
-	gate    *cwlimit.Gate
-	entered time.Time
-	rng     *rand.Rand
+// admission is a request that was admitted by the gate of its service, with the
+// servers chosen for it.
+type admission struct {
+	forwarder *Carrier
+	target    *carobward.Target
+	gate      *cwlimit.Gate
+	entered   time.Time
+	rng       *rand.Rand
 
 	tried []*cwserver.Server
-	// server gets the next attempt, which is noted there already.
-	server *cwserver.Server
-	noted  cwserver.Call
+	// server gets the next attempt. serverCall is that attempt, already
+	// registered at the server.
+	server     *cwserver.Server
+	serverCall cwserver.Call
 }
 
-// enter waits for a server, or fails at once if the deadline can't be met.
-// Each request that entered must leave, and each call noted must be ended.
-func (c *Carrier) enter(target *carobward.Target, call *carobward.Call) (*visit, error) {
-	if !c.shares.Enter(target.Name) {
-		c.metrics.Add("shed", 1)
+// enter waits for a server, or fails at once if the deadline can't be met. The
+// caller must call leave on the admission and End on each serverCall.
+func (fw *Carrier) enter(target *carobward.Target, call *carobward.Call) (*admission, error) {
+	if !fw.shares.Enter(target.Name) {
+		fw.metrics.Add("shed", 1)
 
-		return nil, c.shed(ErrBusy, retryShare)
+		return nil, fw.shedFailure(ErrBusy, overShareRetry)
 	}
 
-	v := &visit{
-		carrier: c,
-		target:  target,
-		gate:    c.gates.Get(target.Service),
-		rng:     rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+	a := &admission{
+		forwarder: fw,
+		target:    target,
+		gate:      fw.gates.Get(target.Service),
+		rng:       rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
 
-	if err := v.wait(call.Deadline); err != nil {
-		c.shares.Leave(target.Name)
+	if err := a.wait(call.Deadline); err != nil {
+		fw.shares.Leave(target.Name)
 
 		return nil, err
 	}
 
-	v.entered = c.clock.Now()
+	a.entered = fw.clock.Now()
 
-	return v, nil
+	return a, nil
 }
 
-func (v *visit) wait(deadline time.Time) error {
-	if !cwroute.Any(v.servers(), nil) {
-		return v.carrier.shed(ErrServer, retryList)
+func (a *admission) wait(deadline time.Time) error {
+	if !cwroute.Any(a.servers(), nil) {
+		return a.forwarder.shedFailure(ErrNoServer, noServersRetry)
 	}
 
-	w := &cwlimit.Waiter{Target: v.target.Name, Deadline: deadline}
+	w := &cwlimit.Waiter{Target: a.target.Name, Deadline: deadline}
 
-	err := v.gate.Enter(w, v.next)
+	err := a.gate.Enter(w, a.next)
 
-	var full *cwlimit.Shed
-	if errors.As(err, &full) {
-		v.carrier.metrics.Add("shed", 1)
+	var shed *cwlimit.Shed
+	if errors.As(err, &shed) {
+		a.forwarder.metrics.Add("shed", 1)
 
-		return v.carrier.shed(err, full.After)
+		return a.forwarder.shedFailure(err, shed.RetryAfter)
 	}
 
 	return err
 }
 
-// leave gives the place behind the gate to the next.
-func (v *visit) leave() {
-	v.gate.Leave(v.target.Name, v.carrier.clock.Now().Sub(v.entered))
-	v.carrier.shares.Leave(v.target.Name)
+// leave gives the place at the gate to the next waiting request.
+func (a *admission) leave() {
+	a.gate.Leave(a.target.Name, a.forwarder.clock.Now().Sub(a.entered))
+	a.forwarder.shares.Leave(a.target.Name)
 }
 
-func (v *visit) servers() []*cwserver.Server { return v.carrier.servers.Of(v.target.Service) }
+func (a *admission) servers() []*cwserver.Server { return a.forwarder.servers.Of(a.target.Service) }
 
-// next chooses a server that has not had the request, and notes the call
-// there. It returns false if none has room.
-func (v *visit) next() bool {
-	now := v.carrier.clock.Now()
+// next chooses a server to which the request was not sent yet, and registers the
+// call there. It returns false if none has room.
+func (a *admission) next() bool {
+	now := a.forwarder.clock.Now()
 
-	s := v.carrier.options.Policy.Choose(now, v.servers(), v.tried, v.rng)
+	s := a.forwarder.options.Policy.Choose(now, a.servers(), a.tried, a.rng)
 	if s == nil {
 		return false
 	}
 
-	v.tried = append(v.tried, s)
-	v.server = s
-	v.noted = s.Begin(now)
+	a.tried = append(a.tried, s)
+	a.server = s
+	a.serverCall = s.Begin(now)
 
 	return true
 }
 
-// shed is the failure of a request that was never sent.
-func (c *Carrier) shed(cause error, after time.Duration) *carobward.Failure {
-	return carobward.NewFailure(carobward.NotRun, fasthttp.StatusServiceUnavailable, scatter(after), cause)
+// shedFailure returns the failure of a request that was never sent.
+func (fw *Carrier) shedFailure(cause error, after time.Duration) *carobward.Failure {
+	return carobward.NewFailure(carobward.NotRun, fasthttp.StatusServiceUnavailable, jitter(after), cause)
 }
 
-// recovery is when a target's servers are expected to answer again.
-func (c *Carrier) recovery(target *carobward.Target) time.Duration {
-	servers := c.servers.Of(target.Service)
+// recoveryDelay returns the time after which a target's servers are expected to
+// accept requests again, with jitter.
+func (fw *Carrier) recoveryDelay(target *carobward.Target) time.Duration {
+	servers := fw.servers.Of(target.Service)
 
-	return scatter(max(cwlimit.RetryLeast, cwroute.Recovery(c.clock.Now(), servers, retryAfter)))
+	return jitter(max(cwlimit.MinRetry, cwroute.Recovery(fw.clock.Now(), servers, defaultRetry)))
 }
 
-// scatter lengthens a time by up to a half at random, so that callers who
-// were refused together don't come back together.
-func scatter(after time.Duration) time.Duration {
+// jitter lengthens a delay by a random amount of up to a half, so that callers
+// that were refused at the same time don't retry at the same time.
+func jitter(after time.Duration) time.Duration {
 	return after + time.Duration(rand.Int64N(int64(after)/2+1))
 }
 
-// Counts returns the requests of each target since it was last called.
-func (c *Carrier) Counts() map[carobward.TargetName]int { return c.shares.Counts() }
-
-// Tick cancels idempotent work whose caller has gone; work that must not
-// repeat goes on, so that its outcome is known to a retry. It also drops what
-// is kept for targets that are gone and for idle services. A request that
-// holds a dropped gate may still enter it.
-func (c *Carrier) Tick() {
-	c.waiting.Tick()
-
-	targets := c.holder.Targets()
-	c.records.Retain(func(name carobward.TargetName, _ *cwretry.TargetState) bool { return targets.ByName(name) != nil })
-	c.gates.Retain(func(_ carobward.Service, g *cwlimit.Gate) bool { return !g.Idle() })
+// Counts returns the number of requests of each target since the previous call
+// of Counts.
+func (fw *Carrier) Counts() map[carobward.TargetName]int { return fw.shares.Counts() }
+
+// Tick cancels repeatable requests whose caller has disconnected. Requests that
+// must run at most once continue, so that a retry gets their outcome. Tick also
+// deletes the retry records of targets that are no longer configured and the
+// gates of idle services; a request that already holds a deleted gate may still
+// enter it.
+func (fw *Carrier) Tick() {
+	fw.callers.Tick()
+
+	targets := fw.holder.Targets()
+	fw.records.Retain(func(name carobward.TargetName, _ *cwretry.TargetState) bool { return targets.ByName(name) != nil })
+	fw.gates.Retain(func(_ carobward.Service, g *cwlimit.Gate) bool { return !g.Idle() })
 }
