--- a/internal/cwlimit/gate.go
+++ b/internal/cwlimit/gate.go
@@ -9,13 +9,14 @@
 	"carobward.example/carobward"
 )
 
-// ErrShed is the cause of a request that can't be answered in time.
+// ErrShed is the cause of a failure when a request can't be answered in time.
 const ErrShed = errors.ConstError("limit: the servers are too busy to answer in time")
 
-// Shed tells that a request was given up before it was sent.
+// Shed is the error of a request that was rejected before it was sent to a
+// server.
 type Shed struct {
-	// After is when to come back.
-	After time.Duration
+	// RetryAfter is the time after which the caller should retry.
+	RetryAfter time.Duration
 }
 
 // Error returns the cause.
@@ -24,7 +25,7 @@
 // Unwrap returns the cause.
 func (s *Shed) Unwrap() error { return ErrShed }
 
-// Gate lets requests to the servers of one service in the order of a Queue.
+// Gate admits requests to the servers of one service, in the order of a Queue.
 type Gate struct {
 	clock carobward.Clock
 
@@ -32,17 +33,18 @@
 	queue *Queue
 }
 
-// look is how often waiters look for a server that came free without a call
-// of ours: others' calls end, and what is known of them fades.
-const look = 5 * time.Millisecond
+// pollInterval is the interval at which a waiter checks for a free server. A
+// server also becomes free without the end of a call through this gate: calls
+// of other entry VMs end, and load data about them expires.
+const pollInterval = 5 * time.Millisecond
 
-// NewGate returns a gate at which most requests can wait.
-func NewGate(most int, clock carobward.Clock) *Gate {
-	return &Gate{clock: clock, queue: NewQueue(most)}
+// NewGate returns a gate at which up to maxWaiters requests can wait.
+func NewGate(maxWaiters int, clock carobward.Clock) *Gate {
+	return &Gate{clock: clock, queue: NewQueue(maxWaiters)}
 }
 
-// Enter waits until try has found a server. It returns Shed as soon as the
-// deadline can't be met. Try is called by one goroutine at a time.
+// Enter waits until try has found a server. It returns a *Shed as soon as the
+// deadline can't be met. No two goroutines call try at the same time.
 func (g *Gate) Enter(w *Waiter, try func() bool) error {
 	w.try, w.done = try, make(chan error, 1)
 
@@ -56,7 +58,7 @@
 	default:
 	}
 
-	t := time.NewTicker(look)
+	t := time.NewTicker(pollInterval)
 	defer t.Stop()
 
 	for {
@@ -64,7 +66,7 @@
 		case err := <-w.done:
 			return err
 		case <-t.C:
-			g.turn()
+			g.poll()
 		}
 	}
 }
@@ -83,7 +85,7 @@
 	}
 
 	if after, ok := g.queue.Add(now, w); !ok {
-		return &Shed{After: after}
+		return &Shed{RetryAfter: after}
 	}
 
 	g.admit(now)
@@ -91,19 +93,19 @@
 	return nil
 }
 
-func (g *Gate) turn() {
+func (g *Gate) poll() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 
 	g.admit(g.clock.Now())
 }
 
-// admit gives up the waiters that are late and serves the others in turn
-// until one finds no server.
+// admit rejects the waiters whose deadline can't be met any more, and admits
+// the others in the order of the queue until one finds no server.
 func (g *Gate) admit(now time.Time) {
 	for w := g.queue.Late(now); w != nil; w = g.queue.Late(now) {
 		g.queue.Remove(w)
-		w.done <- &Shed{After: g.queue.Retry(now, w)}
+		w.done <- &Shed{RetryAfter: g.queue.Retry(now, w)}
 	}
 
 	for w := g.queue.Next(); w != nil && w.try(); w = g.queue.Next() {
@@ -113,7 +115,7 @@
 	}
 }
 
-// Leave notes that a request that entered has ended.
+// Leave records that an admitted request has ended, and admits waiters.
 func (g *Gate) Leave(target carobward.TargetName, took time.Duration) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -123,10 +125,10 @@
 	g.admit(now)
 }
 
-// Idle tells whether nothing waits or runs.
+// Idle reports whether no request is waiting or in flight.
 func (g *Gate) Idle() bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 
-	return g.queue.length == 0 && g.queue.running == 0
+	return g.queue.length == 0 && g.queue.inFlight == 0
 }
--- a/internal/cwlimit/gate_test.go
+++ b/internal/cwlimit/gate_test.go
@@ -12,7 +12,7 @@
 	"carobward.example/carobward/internal/cwlimit"
 )
 
-// slots is a service with room for some calls.
+// slots counts the free slots of a service.
 type slots struct{ free atomic.Int64 }
 
 func (s *slots) take() bool {
@@ -33,7 +33,7 @@
 	var (
 		room    slots
 		running atomic.Int64
-		most    atomic.Int64
+		peak    atomic.Int64
 		group   conc.WaitGroup
 	)
 
@@ -43,13 +43,13 @@
 		group.Go(func() {
 			w := &cwlimit.Waiter{Target: "a", Deadline: time.Now().Add(time.Minute)}
 			if err := g.Enter(w, room.take); err != nil {
-				t.Errorf("shed: %v", err)
+				t.Errorf("a request was shed: %v", err)
 
 				return
 			}
 
 			n := running.Add(1)
-			for m := most.Load(); n > m && !most.CompareAndSwap(m, n); m = most.Load() {
+			for m := peak.Load(); n > m && !peak.CompareAndSwap(m, n); m = peak.Load() {
 			}
 
 			running.Add(-1)
@@ -60,13 +60,13 @@
 
 	group.Wait()
 
-	if most.Load() > 3 || room.free.Load() != 3 {
-		t.Errorf("%d ran at once, %d slots free in the end", most.Load(), room.free.Load())
+	if peak.Load() > 3 || room.free.Load() != 3 {
+		t.Errorf("up to %d requests were in flight, %d slots were free at the end, want 3 and 3", peak.Load(), room.free.Load())
 	}
 }
 
-// TestGateGivesUpAtOnce shows that a request whose deadline can't be met is
-// answered without waiting for it, with a time to come back.
+// TestGateShedsAtOnce checks that a request whose deadline can't be met is shed
+// with a retry time without waiting for the deadline.
 func TestGateGivesUpAtOnce(t *testing.T) {
 	g := cwlimit.NewGate(1000, carobward.SystemClock{})
 
@@ -89,11 +89,11 @@
 	err := enter(time.Minute)
 
 	var shed *cwlimit.Shed
-	if !errors.As(err, &shed) || shed.After < cwlimit.RetryLeast {
-		t.Errorf("got %v", err)
+	if !errors.As(err, &shed) || shed.RetryAfter < cwlimit.MinRetry {
+		t.Errorf("got error %v, want a Shed with a retry time", err)
 	}
 
 	if waited := time.Since(began); waited > 30*time.Second {
-		t.Errorf("the answer was held for %s", waited)
+		t.Errorf("the request was shed only after %s", waited)
 	}
 }
--- a/internal/cwlimit/queue.go
+++ b/internal/cwlimit/queue.go
@@ -1,6 +1,7 @@
-// Package cwlimit holds requests back while their servers are full: a short
-// queue a service, fair between targets and in order of deadline within one.
-// What can't be met is refused at once, with the time to come back.
+// Package cwlimit queues requests while the servers of their service are at
+// capacity. Each service has a short queue that is fair between targets and
+// ordered by deadline within a target. A request whose deadline can't be met is
+// rejected at once, with the time after which the caller should retry.
 package cwlimit
 
 import (
@@ -12,9 +13,10 @@
 
 // Waiter is one request that waits for a server.
 type Waiter struct {
-	// Target is the class of the request.
+	// Target is the target of the request. Each target has its own class in the
+	// queue.
 	Target carobward.TargetName
-	// Deadline is when its reply must be here.
+	// Deadline is the time by which the reply must arrive.
 	Deadline time.Time
 
 	index int
@@ -22,54 +24,56 @@
 	done  chan error
 }
 
-// Queue holds the waiters of one service. It is not safe for use by many
-// goroutines; Gate is.
+// Queue holds the waiters of one service. It is not safe for concurrent use;
+// Gate is.
 type Queue struct {
-	most    int
-	length  int
-	running int
-	took    time.Duration
-	ended   time.Time
-	classes map[carobward.TargetName]*class
+	maxWaiters int
+	length     int
+	inFlight   int
+	meanTime   time.Duration
+	lastEnd    time.Time
+	classes    map[carobward.TargetName]*class
 }
 
-// class is what one target has in the queue and in flight.
+// class is the share of one target: its waiting requests and the number of its
+// calls in flight.
 type class struct {
-	waiting waiters
-	running int
+	waiting  waiters
+	inFlight int
 }
 
-// The bounds of waiting.
+// Parameters of the queue.
 const (
-	// classShare is the share of the queue that one target can hold.
-	classShare = 0.5
-	// tookShare is the weight of one call in the average time that calls
-	// hold a server.
-	tookShare = 1.0 / 32
-	// RetryLeast and RetryMost bound the time after which a caller is told to
-	// come back.
-	RetryLeast = 50 * time.Millisecond
-	RetryMost  = 5 * time.Second
+	// maxTargetShare is the maximum share of one target: of the places in a
+	// queue, and of the requests in flight (Shares).
+	maxTargetShare = 0.5
+	// meanWeight is the weight of one call in the moving average of the time
+	// for which calls occupy a server.
+	meanWeight = 1.0 / 32
+	// MinRetry and MaxRetry bound the time after which a caller is told to
+	// retry.
+	MinRetry = 50 * time.Millisecond
+	MaxRetry = 5 * time.Second
 )
 
-// NewQueue returns a queue that holds most waiters.
-func NewQueue(most int) *Queue {
-	return &Queue{most: most, classes: map[carobward.TargetName]*class{}}
+// NewQueue returns a queue for up to maxWaiters waiters.
+func NewQueue(maxWaiters int) *Queue {
+	return &Queue{maxWaiters: maxWaiters, classes: map[carobward.TargetName]*class{}}
 }
 
 // Len returns the number of waiters.
 func (q *Queue) Len() int { return q.length }
 
-// Add takes a waiter, or returns false and the time after which a place is
-// expected if its deadline can't be met or the queue is full.
+// Add adds a waiter. If its deadline can't be met or the queue is full, Add
+// returns false and the time after which the caller should retry.
 func (q *Queue) Add(now time.Time, w *Waiter) (time.Duration, bool) {
 	c := q.class(w.Target)
-	wait := q.wait(now, c)
-	left := w.Deadline.Sub(now) - q.took
+	wait := q.expectedWait(now, c)
+	left := w.Deadline.Sub(now) - q.meanTime
 
-	full := q.length >= q.most || float64(len(c.waiting)) >= classShare*float64(q.most)
+	full := q.length >= q.maxWaiters || float64(len(c.waiting)) >= maxTargetShare*float64(q.maxWaiters)
 	if full || wait > left {
-		q.tidy(w.Target, c)
+		q.dropIfEmpty(w.Target, c)
 
 		return clamp(max(wait-left, wait/2)), false
 	}
@@ -80,17 +84,18 @@
 	return 0, true
 }
 
-// wait is the expected time until a new waiter of a class gets a server.
-func (q *Queue) wait(now time.Time, c *class) time.Duration {
-	if q.running == 0 {
+// expectedWait returns the expected time until a new waiter of a class is
+// admitted.
+func (q *Queue) expectedWait(now time.Time, c *class) time.Duration {
+	if q.inFlight == 0 {
 		return 0
 	}
 
-	// Calls in flight end at running/took, Little's law, or more slowly if
-	// none has ended for longer than that.
-	one := max(q.took, now.Sub(q.ended)) / time.Duration(q.running)
+	// By Little's law, calls end at the rate inFlight/meanTime. The interval
+	// is longer if no call has ended for more than meanTime.
+	interval := max(q.meanTime, now.Sub(q.lastEnd)) / time.Duration(q.inFlight)
 
-	// Each class that waits gets its turn.
+	// The classes with waiters take turns.
 	turns := 1
 
 	for _, other := range q.classes {
@@ -101,14 +106,14 @@
 
 	ahead := min(q.length, len(c.waiting)*turns)
 
-	return one * time.Duration(ahead+1)
+	return interval * time.Duration(ahead+1)
 }
 
-// clamp bounds a time to come back.
-func clamp(d time.Duration) time.Duration { return min(max(d, RetryLeast), RetryMost) }
+// clamp bounds a retry time.
+func clamp(d time.Duration) time.Duration { return min(max(d, MinRetry), MaxRetry) }
 
-// Next returns the waiter whose turn it is, or nil: of the class with the
-// fewest calls in flight the one with the earliest deadline.
+// Next returns the next waiter to admit, or nil if none waits: the one with the
+// earliest deadline in the class with the fewest calls in flight.
 func (q *Queue) Next() *Waiter {
 	var best *class
 
@@ -130,8 +135,8 @@
 }
 
 func (c *class) before(d *class) bool {
-	if c.running != d.running {
-		return c.running < d.running
+	if c.inFlight != d.inFlight {
+		return c.inFlight < d.inFlight
 	}
 
 	return c.waiting[0].before(d.waiting[0])
@@ -145,17 +150,18 @@
 	return w.Target < v.Target
 }
 
-// Remove takes a waiter out.
+// Remove removes a waiter.
 func (q *Queue) Remove(w *Waiter) {
 	c := q.class(w.Target)
 	heap.Remove(&c.waiting, w.index)
 	q.length--
-	q.tidy(w.Target, c)
+	q.dropIfEmpty(w.Target, c)
 }
 
-// Late returns a waiter that can't be answered in time any more, or nil.
+// Late returns a waiter that can't be answered in time any more, or nil if
+// there is none.
 func (q *Queue) Late(now time.Time) *Waiter {
-	earliest := now.Add(q.took)
+	earliest := now.Add(q.meanTime)
 
 	for _, c := range q.classes {
 		if len(c.waiting) > 0 && c.waiting[0].Deadline.Before(earliest) {
@@ -166,36 +172,36 @@
 	return nil
 }
 
-// Retry is when a request that became late should come back: once the queue
-// that is there has gone.
+// Retry returns the time after which the caller of a late request should
+// retry: when the requests that are queued now are expected to be admitted.
 func (q *Queue) Retry(now time.Time, w *Waiter) time.Duration {
-	return clamp(q.wait(now, q.class(w.Target)))
+	return clamp(q.expectedWait(now, q.class(w.Target)))
 }
 
-// Began notes that a call of a target went to a server.
+// Began records that a call of a target was sent to a server.
 func (q *Queue) Began(now time.Time, target carobward.TargetName) {
-	if q.running == 0 {
-		q.ended = now
+	if q.inFlight == 0 {
+		q.lastEnd = now
 	}
 
-	q.running++
-	q.class(target).running++
+	q.inFlight++
+	q.class(target).inFlight++
 }
 
-// Ended notes that it has ended, and how long it took.
+// Ended records that a call of a target has ended, and how long it took.
 func (q *Queue) Ended(now time.Time, target carobward.TargetName, took time.Duration) {
-	q.running--
-	q.ended = now
+	q.inFlight--
+	q.lastEnd = now
 
-	if q.took == 0 {
-		q.took = took
+	if q.meanTime == 0 {
+		q.meanTime = took
 	}
 
-	q.took += time.Duration(float64(took-q.took) * tookShare)
+	q.meanTime += time.Duration(float64(took-q.meanTime) * meanWeight)
 
 	c := q.class(target)
-	c.running--
-	q.tidy(target, c)
+	c.inFlight--
+	q.dropIfEmpty(target, c)
 }
 
 func (q *Queue) class(name carobward.TargetName) *class {
@@ -208,14 +214,15 @@
 	return c
 }
 
-// tidy drops a class that has nothing left, so that the map stays bounded.
-func (q *Queue) tidy(name carobward.TargetName, c *class) {
-	if c.running == 0 && len(c.waiting) == 0 {
+// dropIfEmpty deletes a class without waiters and calls in flight, so that the
+// map stays bounded.
+func (q *Queue) dropIfEmpty(name carobward.TargetName, c *class) {
+	if c.inFlight == 0 && len(c.waiting) == 0 {
 		delete(q.classes, name)
 	}
 }
 
-// waiters is a heap by deadline.
+// waiters is a heap ordered by deadline.
 type waiters []*Waiter
 
 func (w waiters) Len() int           { return len(w) }
@@ -228,21 +235,21 @@
 
 // Push implements heap.Interface.
 func (w *waiters) Push(x any) {
-	one, ok := x.(*Waiter)
+	waiter, ok := x.(*Waiter)
 	if !ok {
 		return
 	}
 
-	one.index = len(*w)
-	*w = append(*w, one)
+	waiter.index = len(*w)
+	*w = append(*w, waiter)
 }
 
 // Pop implements heap.Interface.
 func (w *waiters) Pop() any {
 	last := len(*w) - 1
-	one := (*w)[last]
+	waiter := (*w)[last]
 	(*w)[last] = nil
 	*w = (*w)[:last]
 
-	return one
+	return waiter
 }
--- a/internal/cwlimit/queue_test.go
+++ b/internal/cwlimit/queue_test.go
@@ -20,8 +20,8 @@
 }
 
 // busy returns a queue with calls in flight that take 10 ms each.
-func busy(most int, running map[carobward.TargetName]int) *cwlimit.Queue {
-	q := cwlimit.NewQueue(most)
+func busy(maxWaiters int, running map[carobward.TargetName]int) *cwlimit.Queue {
+	q := cwlimit.NewQueue(maxWaiters)
 	q.Began(start, "first")
 	q.Ended(start, "first", 10*ms)
 
@@ -47,19 +47,19 @@
 		within  time.Duration
 		want    answer
 	}{
-		"in time":                        {busy(100, map[carobward.TargetName]int{"a": 10}), 0, 0, 12 * ms, answer{OK: true}},
-		"no time to be served":           {busy(100, map[carobward.TargetName]int{"a": 10}), 0, 0, 9 * ms, answer{After: cwlimit.RetryLeast}},
-		"too many ahead":                 {busy(1000, map[carobward.TargetName]int{"a": 1}), 19, 0, 109 * ms, answer{After: 101 * ms}},
-		"just not too many ahead":        {busy(1000, map[carobward.TargetName]int{"a": 1}), 19, 0, 211 * ms, answer{OK: true}},
-		"its share of the queue is full": {busy(20, map[carobward.TargetName]int{"a": 1}), 10, 0, time.Hour, answer{After: 55 * ms}},
-		"nothing ends for a second":      {busy(1000, map[carobward.TargetName]int{"a": 1}), 1, time.Second, 2 * time.Second, answer{After: 1010 * ms}},
+		"deadline can be met":           {busy(100, map[carobward.TargetName]int{"a": 10}), 0, 0, 12 * ms, answer{OK: true}},
+		"deadline before the mean time": {busy(100, map[carobward.TargetName]int{"a": 10}), 0, 0, 9 * ms, answer{After: cwlimit.MinRetry}},
+		"too many waiters ahead":        {busy(1000, map[carobward.TargetName]int{"a": 1}), 19, 0, 109 * ms, answer{After: 101 * ms}},
+		"waiters ahead, still in time":  {busy(1000, map[carobward.TargetName]int{"a": 1}), 19, 0, 211 * ms, answer{OK: true}},
+		"target's share of queue full":  {busy(20, map[carobward.TargetName]int{"a": 1}), 10, 0, time.Hour, answer{After: 55 * ms}},
+		"no call ends for a second":     {busy(1000, map[carobward.TargetName]int{"a": 1}), 1, time.Second, 2 * time.Second, answer{After: 1010 * ms}},
 	}
 
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			for range test.waiting {
 				if _, ok := test.queue.Add(start, waiter("a", time.Hour)); !ok {
-					t.Fatal("a waiter was refused")
+					t.Fatal("Add refused a waiter with a distant deadline")
 				}
 			}
 
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestAFloodLeavesRoom floods one target and shows that another one of the
-// same service is admitted and served first.
+// TestFloodLeavesRoom floods one target and checks that a request of another
+// target of the same service is queued and admitted first.
 func TestAFloodLeavesRoom(t *testing.T) {
 	q := busy(100, map[carobward.TargetName]int{"flood": 20})
 	for range 1000 {
@@ -81,11 +81,11 @@
 
 	fee := waiter("fee", 10*time.Second)
 	if after, ok := q.Add(start, fee); !ok {
-		t.Fatalf("the other target was refused for %s", after)
+		t.Fatalf("the waiter of the other target was refused, retry after %s", after)
 	}
 
 	if q.Next() != fee {
-		t.Error("the flood goes before the other target")
+		t.Error("a waiter of the flooding target is admitted before the other target")
 	}
 }
 
@@ -97,16 +97,16 @@
 	q.Add(start, late)
 
 	if got := q.Late(start.Add(80 * ms)); got != nil {
-		t.Error("given up too early")
+		t.Error("Late returned a waiter whose deadline can still be met")
 	}
 
 	if got := q.Late(start.Add(95 * ms)); got != late {
-		t.Error("a late waiter of the class whose turn it isn't was not found")
+		t.Error("Late did not return the late waiter of a class that isn't next")
 	}
 }
 
-// TestOrder checks against a plain list that waiters of one target leave in
-// the order of their deadlines and that no more than most wait.
+// TestOrder checks that waiters of one target are admitted in the order of
+// their deadlines, and that no more than the target's share of the queue wait.
 func TestOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := cwlimit.NewQueue(20)
@@ -122,7 +122,7 @@
 				}
 			} else if w := q.Next(); w != nil {
 				if w.Deadline.Before(last) {
-					t.Fatalf("%s after %s", w.Deadline, last)
+					t.Fatalf("deadline %s was admitted after deadline %s", w.Deadline, last)
 				}
 
 				last = w.Deadline
@@ -131,7 +131,7 @@
 			}
 
 			if q.Len() != count || count > 10 {
-				t.Fatalf("%d wait, %d counted", q.Len(), count)
+				t.Fatalf("queue length %d, want %d and at most 10", q.Len(), count)
 			}
 		}
 	})
--- a/internal/cwlimit/shares.go
+++ b/internal/cwlimit/shares.go
@@ -6,51 +6,52 @@
 	"carobward.example/carobward"
 )
 
-// Shares bounds the requests in flight of each target to a share of all, so
-// that one target with too many leaves room for the others.
+// Shares bounds the requests in flight of each target to a share of the total,
+// so that an overloaded target leaves room for the others.
 type Shares struct {
-	most int
+	maxInFlight int
 
-	mutex   sync.Mutex
-	running map[carobward.TargetName]int
-	counts  map[carobward.TargetName]int
+	mutex    sync.Mutex
+	inFlight map[carobward.TargetName]int
+	counts   map[carobward.TargetName]int
 }
 
-// NewShares returns shares of calls requests in flight.
-func NewShares(calls int) *Shares {
-	most := max(1, int(classShare*float64(calls)))
+// NewShares returns the shares of at most maxTotal requests in flight.
+func NewShares(maxTotal int) *Shares {
+	maxInFlight := max(1, int(maxTargetShare*float64(maxTotal)))
 
-	return &Shares{most: most, running: map[carobward.TargetName]int{}, counts: map[carobward.TargetName]int{}}
+	return &Shares{maxInFlight: maxInFlight, inFlight: map[carobward.TargetName]int{}, counts: map[carobward.TargetName]int{}}
 }
 
-// Enter counts a request of a target, or returns false if it has its share.
+// Enter counts a request of a target. It returns false if the target's share is
+// used up.
 func (s *Shares) Enter(t carobward.TargetName) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
 	s.counts[t]++
 
-	if s.running[t] >= s.most {
+	if s.inFlight[t] >= s.maxInFlight {
 		return false
 	}
 
-	s.running[t]++
+	s.inFlight[t]++
 
 	return true
 }
 
-// Leave notes the end of a request that entered.
+// Leave records the end of a request that Enter admitted.
 func (s *Shares) Leave(t carobward.TargetName) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
-	if s.running[t]--; s.running[t] == 0 {
-		delete(s.running, t)
+	if s.inFlight[t]--; s.inFlight[t] == 0 {
+		delete(s.inFlight, t)
 	}
 }
 
-// Counts returns the requests of each target since it was last called, those
-// refused among them.
+// Counts returns the number of requests of each target since the previous call
+// of Counts, including refused ones.
 func (s *Shares) Counts() map[carobward.TargetName]int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
