--- a/internal/cwowner/successor.go
+++ b/internal/cwowner/successor.go
@@ -56,7 +56,7 @@
 	out.Taken = true
 
 	if in.GetLast() {
-		e.table.Complete()
+		e.table.MarkComplete()
 		o.lastAnnounced = time.Time{}
 		o.log.Info("Took over the outcomes of an entry VM that is leaving.", "vm", of.VM, "parts", e.parts)
 	}
--- a/internal/cwticket/handover.go
+++ b/internal/cwticket/handover.go
@@ -156,7 +156,7 @@
 }
 
 // MarkComplete records that every ticket has been handed over.
-func (t *Table) Complete() {
+func (t *Table) MarkComplete() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
--- a/internal/cwticket/table_test.go
+++ b/internal/cwticket/table_test.go
@@ -278,7 +278,7 @@
 		t.Errorf("unused ticket in an incomplete successor table: %+v", s)
 	}
 
-	successor.Complete()
+	successor.MarkComplete()
 
 	for name, test := range map[string]struct {
 		ticket Ticket
