--- a/internal/cwowner/handover.go
+++ b/internal/cwowner/handover.go
@@ -85,7 +85,7 @@
 	all := map[cwticket.Owner]*handover{o.self: {table: o.own, secret: o.secret, closedAge: o.closedAge}}
 
 	for of, e := range o.handovers {
-		if e.table.Whole() {
+		if e.table.IsComplete() {
 			all[of] = e
 		}
 	}
--- a/internal/cwowner/successor.go
+++ b/internal/cwowner/successor.go
@@ -72,7 +72,7 @@
 	e := o.handovers[of]
 	refuse := o.closedAge != 0 || of == o.self || len(in.GetSecret()) != cwticket.KeySize
 
-	if refuse || (e != nil && e.table.Whole()) {
+	if refuse || (e != nil && e.table.IsComplete()) {
 		return nil
 	}
 
@@ -186,7 +186,7 @@
 		}
 
 		for of, e := range o.handovers {
-			if e.table.Whole() && !e.notified[ownerOf(p)] {
+			if e.table.IsComplete() && !e.notified[ownerOf(p)] {
 				remaining := e.closedAge + o.limits.Horizon - e.table.Issuer().Age(now)
 				all = append(all, notice{to: p, of: of, remaining: remaining})
 			}
--- a/internal/cwticket/handover.go
+++ b/internal/cwticket/handover.go
@@ -88,7 +88,7 @@
 
 // IsComplete reports whether the table is closed and has every ticket that its
 // owner started.
-func (t *Table) Whole() bool {
+func (t *Table) IsComplete() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
