--- a/internal/cwowner/service.go
+++ b/internal/cwowner/service.go
@@ -70,7 +70,7 @@
 		return nil
 	}
 
-	if done, _, _ := table.Look(s.owner.clock.Now(), t); done != nil {
+	if done, _, _ := table.Lookup(s.owner.clock.Now(), t); done != nil {
 		s.await(done)
 	}
 
@@ -89,7 +89,7 @@
 
 // result sets the reply to the recorded outcome of a ticket.
 func (s *Service) result(table *cwticket.Table, t cwticket.Ticket, out *cwwire.OnceAnswer) {
-	done, answer, err := table.Look(s.owner.clock.Now(), t)
+	done, answer, err := table.Lookup(s.owner.clock.Now(), t)
 	if done != nil {
 		out.Pending = true
 
--- a/internal/cwticket/table.go
+++ b/internal/cwticket/table.go
@@ -180,7 +180,7 @@
 // Lookup returns the recorded outcome of a ticket without comparing the
 // request's content. While the work runs, it also returns a channel that is
 // closed when the work ends; the channel is nil if the result is final.
-func (t *Table) Look(now time.Time, k Ticket) (<-chan struct{}, *Outcome, error) {
+func (t *Table) Lookup(now time.Time, k Ticket) (<-chan struct{}, *Outcome, error) {
 	if err := t.check(now, k); err != nil {
 		return nil, nil, err
 	}
