--- a/internal/cwentry/body.go
+++ b/internal/cwentry/body.go
@@ -37,7 +37,7 @@
 
 // body reads a request's body, up to the target's size limit. The returned
 // function releases the memory and must be called when the request is answered.
-func (fw *Carrier) body(ctx *fasthttp.RequestCtx, target *carobward.Target) ([]byte, func(), error) {
+func (fw *Forwarder) body(ctx *fasthttp.RequestCtx, target *carobward.Target) ([]byte, func(), error) {
 	maxBytes := int64(target.Body)
 	length := int64(ctx.Request.Header.ContentLength())
 	stream := ctx.RequestBodyStream()
--- a/internal/cwentry/carrier.go
+++ b/internal/cwentry/carrier.go
@@ -83,7 +83,7 @@
 func (noReports) Took(bool, *carobward.Reply) {}
 
 // Forwarder forwards callers' requests to servers.
-type Carrier struct {
+type Forwarder struct {
 	options Options
 	holder  *cwconfig.Holder
 	servers *cwserver.Table
@@ -109,14 +109,14 @@
 }
 
 // New returns a Forwarder.
-func New(o Options, holder *cwconfig.Holder, servers *cwserver.Table, link carobward.Servers, owner Owner, clock carobward.Clock, log logr.Logger) *Carrier {
+func New(o Options, holder *cwconfig.Holder, servers *cwserver.Table, link carobward.Servers, owner Owner, clock carobward.Clock, log logr.Logger) *Forwarder {
 	if o.Reports == nil {
 		o.Reports = noReports{}
 	}
 
 	gate := func() *cwlimit.Gate { return cwlimit.NewGate(max(1, o.Calls/waitingDivisor), clock) }
 
-	fw := &Carrier{
+	fw := &Forwarder{
 		options: o,
 		holder:  holder,
 		servers: servers,
@@ -145,14 +145,14 @@
 }
 
 // Running returns the number of requests in flight.
-func (fw *Carrier) Running() int64 { return fw.inFlight.Load() }
+func (fw *Forwarder) Running() int64 { return fw.inFlight.Load() }
 
 // Abort cancels all requests in flight. Those that have been sent to a server
 // get the verdict Unknown.
-func (fw *Carrier) Abort() { fw.abort() }
+func (fw *Forwarder) Abort() { fw.abort() }
 
 // abortable returns a context that Abort cancels as well.
-func (fw *Carrier) abortable(ctx context.Context) (context.Context, context.CancelFunc) {
+func (fw *Forwarder) abortable(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	stop := context.AfterFunc(fw.abortCtx, cancel)
 
@@ -163,7 +163,7 @@
 }
 
 // Handle serves one request.
-func (fw *Carrier) Handle(ctx *fasthttp.RequestCtx) {
+func (fw *Forwarder) Handle(ctx *fasthttp.RequestCtx) {
 	id, err := requestID(ctx)
 	o := fw.observe(ctx, id)
 
@@ -184,7 +184,7 @@
 	fw.finishObservation(ctx, o, err)
 }
 
-func (fw *Carrier) serve(ctx *fasthttp.RequestCtx, id carobward.RequestID, o *observation) (*answer, error) {
+func (fw *Forwarder) serve(ctx *fasthttp.RequestCtx, id carobward.RequestID, o *observation) (*answer, error) {
 	if err := check(ctx); err != nil {
 		return nil, fw.refuse(ctx, carobward.NewFailure(carobward.NotRun, fasthttp.StatusBadRequest, 0, err))
 	}
@@ -227,7 +227,7 @@
 
 // admit counts a request in flight and returns an error if there are too many.
 // The request is counted in either case.
-func (fw *Carrier) admit() error {
+func (fw *Forwarder) admit() error {
 	if fw.inFlight.Add(1) > int64(fw.options.Calls) {
 		return carobward.NewFailure(carobward.NotRun, fasthttp.StatusServiceUnavailable, defaultRetry, ErrBusy)
 	}
--- a/internal/cwentry/carry.go
+++ b/internal/cwentry/carry.go
@@ -52,7 +52,7 @@
 // first server is slow, it sends the request to a second one. If an attempt
 // fails, it retries. Both are limited by the target's retry budget. The first
 // good reply wins; the other attempts are canceled.
-func (fw *Carrier) forwardRepeatable(ctx context.Context, id carobward.RequestID, target *carobward.Target, call *carobward.Call) (*answer, error) {
+func (fw *Forwarder) forwardRepeatable(ctx context.Context, id carobward.RequestID, target *carobward.Target, call *carobward.Call) (*answer, error) {
 	a, err := fw.enter(target, call)
 	if err != nil {
 		return nil, err
@@ -205,7 +205,7 @@
 
 // failure returns an error as a failure with a verdict. If the request may have
 // run in an earlier attempt, the verdict stays Unknown.
-func (fw *Carrier) failure(err error, earlier carobward.Verdict) *carobward.Failure {
+func (fw *Forwarder) failure(err error, earlier carobward.Verdict) *carobward.Failure {
 	f := &carobward.Failure{}
 	if !errors.As(err, &f) {
 		f = carobward.NewFailure(carobward.Unknown, fasthttp.StatusBadGateway, 0, err)
@@ -224,7 +224,7 @@
 
 // attempt sends the call to one server. serverCall is the call as already
 // registered at the server.
-func (fw *Carrier) attempt(ctx context.Context, id carobward.RequestID, s *cwserver.Server, serverCall cwserver.Call, call *carobward.Call) (*carobward.Reply, error) {
+func (fw *Forwarder) attempt(ctx context.Context, id carobward.RequestID, s *cwserver.Server, serverCall cwserver.Call, call *carobward.Call) (*carobward.Reply, error) {
 	if now := fw.clock.Now(); !fw.servers.MayDispatch(s, now) {
 		serverCall.End(now, cwserver.Cancelled)
 
@@ -258,7 +258,7 @@
 
 // exchange sends the call. Even after a panic, it records the end of the call at
 // the server and the cost of the load report.
-func (fw *Carrier) exchange(ctx context.Context, s *cwserver.Server, serverCall cwserver.Call, call *carobward.Call) (*carobward.Reply, error) {
+func (fw *Forwarder) exchange(ctx context.Context, s *cwserver.Server, serverCall cwserver.Call, call *carobward.Call) (*carobward.Reply, error) {
 	var reply *carobward.Reply
 
 	o := cwserver.Failed
--- a/internal/cwentry/carry_test.go
+++ b/internal/cwentry/carry_test.go
@@ -32,7 +32,7 @@
 	Retry   bool
 }
 
-func get(fw *Carrier, uri string) callerView {
+func get(fw *Forwarder, uri string) callerView {
 	var ctx fasthttp.RequestCtx
 
 	ctx.Request.SetRequestURI(uri)
--- a/internal/cwentry/message.go
+++ b/internal/cwentry/message.go
@@ -41,7 +41,7 @@
 // newCall returns the request as it is sent to a server, with the path and query
 // of uri. It doesn't refer to the HTTP library's buffers, so that it may outlive
 // the handler.
-func (fw *Carrier) newCall(ctx *fasthttp.RequestCtx, target *carobward.Target, uri string, body []byte) (*carobward.Call, error) {
+func (fw *Forwarder) newCall(ctx *fasthttp.RequestCtx, target *carobward.Target, uri string, body []byte) (*carobward.Call, error) {
 	limit, err := timeout(ctx, target)
 	if err != nil {
 		return nil, err
@@ -103,7 +103,7 @@
 	return false
 }
 
-func (fw *Carrier) writeReply(ctx *fasthttp.RequestCtx, id carobward.RequestID, a *answer) {
+func (fw *Forwarder) writeReply(ctx *fasthttp.RequestCtx, id carobward.RequestID, a *answer) {
 	resp := &ctx.Response
 	resp.SetStatusCode(a.reply.Status)
 
@@ -134,7 +134,7 @@
 	}
 }
 
-func (fw *Carrier) writeCommon(resp *fasthttp.Response, id carobward.RequestID, v carobward.Verdict) {
+func (fw *Forwarder) writeCommon(resp *fasthttp.Response, id carobward.RequestID, v carobward.Verdict) {
 	resp.Header.Set(carobward.HeaderID, string(id))
 	resp.Header.Set(carobward.HeaderVM, string(fw.options.VM))
 	resp.Header.Set(carobward.HeaderVerdict, v.String())
@@ -149,7 +149,7 @@
 	ID      carobward.RequestID `json:"id"`
 }
 
-func (fw *Carrier) writeFailure(ctx *fasthttp.RequestCtx, id carobward.RequestID, err error) {
+func (fw *Forwarder) writeFailure(ctx *fasthttp.RequestCtx, id carobward.RequestID, err error) {
 	f := &carobward.Failure{}
 	if !errors.As(err, &f) {
 		f = carobward.NewFailure(carobward.Unknown, fasthttp.StatusInternalServerError, defaultRetry, err)
--- a/internal/cwentry/observe.go
+++ b/internal/cwentry/observe.go
@@ -22,7 +22,7 @@
 }
 
 // observe starts the span and the time measurement of a request.
-func (fw *Carrier) observe(ctx *fasthttp.RequestCtx, id carobward.RequestID) *observation {
+func (fw *Forwarder) observe(ctx *fasthttp.RequestCtx, id carobward.RequestID) *observation {
 	o := &observation{ctx: fw.abortCtx, began: fw.clock.Now(), target: cwmetric.NoTarget}
 
 	if fw.options.Tracer != nil {
@@ -43,7 +43,7 @@
 }
 
 // finishObservation counts an answered request and ends its span.
-func (fw *Carrier) finishObservation(ctx *fasthttp.RequestCtx, o *observation, err error) {
+func (fw *Forwarder) finishObservation(ctx *fasthttp.RequestCtx, o *observation, err error) {
 	status := ctx.Response.StatusCode()
 	verdict := carobward.Ran
 
@@ -57,7 +57,7 @@
 
 // startRelayedSpan starts the span of a request that another entry VM relayed.
 // The trace context is in the request's header.
-func (fw *Carrier) startRelayedSpan(ctx context.Context, id carobward.RequestID, call *carobward.Call) (context.Context, cwtrace.Span) {
+func (fw *Forwarder) startRelayedSpan(ctx context.Context, id carobward.RequestID, call *carobward.Call) (context.Context, cwtrace.Span) {
 	if fw.options.Tracer == nil {
 		return ctx, cwtrace.Span{}
 	}
--- a/internal/cwentry/once.go
+++ b/internal/cwentry/once.go
@@ -23,7 +23,7 @@
 
 // serveOnce serves a request that must run at most once, under the ticket that
 // the caller sent or a new one. The reply has the ticket for the next try.
-func (fw *Carrier) serveOnce(ctx context.Context, r *fasthttp.RequestCtx, id carobward.RequestID, target *carobward.Target, call *carobward.Call) (*answer, error) {
+func (fw *Forwarder) serveOnce(ctx context.Context, r *fasthttp.RequestCtx, id carobward.RequestID, target *carobward.Target, call *carobward.Call) (*answer, error) {
 	work := func(ctx context.Context) (*cwticket.Outcome, error) { return fw.onceOutcome(ctx, id, target, call) }
 	outcome, next, err := fw.owner.Do(ctx, ticketOf(r), id, call, work)
 
@@ -43,7 +43,7 @@
 // refuse returns the failure of a request that is refused before its work
 // starts. A request with a ticket may be the retry of one that ran, so only the
 // ticket's owner can give it the verdict not-run.
-func (fw *Carrier) refuse(ctx *fasthttp.RequestCtx, err error) error {
+func (fw *Forwarder) refuse(ctx *fasthttp.RequestCtx, err error) error {
 	ticket := ticketOf(ctx)
 	if ticket == "" {
 		return err
@@ -60,7 +60,7 @@
 
 // RunOnce does work that another entry VM relayed, under a ticket that is
 // claimed on this entry VM.
-func (fw *Carrier) RunOnce(ctx context.Context, id carobward.RequestID, call *carobward.Call) (*cwticket.Outcome, error) {
+func (fw *Forwarder) RunOnce(ctx context.Context, id carobward.RequestID, call *carobward.Call) (*cwticket.Outcome, error) {
 	ctx, span := fw.startRelayedSpan(ctx, id, call)
 	defer span.End(0, nil)
 
@@ -90,7 +90,7 @@
 }
 
 // onceOutcome calls forwardOnce and returns the outcome to record.
-func (fw *Carrier) onceOutcome(ctx context.Context, id carobward.RequestID, target *carobward.Target, call *carobward.Call) (*cwticket.Outcome, error) {
+func (fw *Forwarder) onceOutcome(ctx context.Context, id carobward.RequestID, target *carobward.Target, call *carobward.Call) (*cwticket.Outcome, error) {
 	a, err := fw.forwardOnce(ctx, id, target, call)
 	if err != nil {
 		return nil, err
--- a/internal/cwentry/serve_test.go
+++ b/internal/cwentry/serve_test.go
@@ -86,12 +86,12 @@
 }
 
 // newForwarder returns a Forwarder with one server.
-func newForwarder(servers carobward.Servers, calls int) *Carrier {
+func newForwarder(servers carobward.Servers, calls int) *Forwarder {
 	return newForwarderOf(1, calls, cwroute.Pair{}, servers)
 }
 
 // newForwarderOf returns a Forwarder with count servers.
-func newForwarderOf(count, calls int, policy cwroute.Policy, servers carobward.Servers) *Carrier {
+func newForwarderOf(count, calls int, policy cwroute.Policy, servers carobward.Servers) *Forwarder {
 	holder := cwconfig.NewHolder()
 	holder.Adopt(&cwconfig.Config{Revision: 1, Set: cwtarget.Set{Targets: testTargets}})
 
@@ -131,7 +131,7 @@
 	return serveForwarder(t, o, newForwarder(servers, calls))
 }
 
-func serveForwarder(t testing.TB, o ServerOptions, fw *Carrier) string {
+func serveForwarder(t testing.TB, o ServerOptions, fw *Forwarder) string {
 	t.Helper()
 
 	s := NewServer(o, fw, logr.Discard())
--- a/internal/cwentry/server.go
+++ b/internal/cwentry/server.go
@@ -49,7 +49,7 @@
 	*fasthttp.Server
 
 	options   ServerOptions
-	forwarder *Carrier
+	forwarder *Forwarder
 	log       logr.Logger
 	// reading has the id and ticket of requests whose first body bytes are being
 	// read. The key is the address of the request's header: the HTTP library
@@ -59,7 +59,7 @@
 }
 
 // NewServer returns a server for a Forwarder.
-func NewServer(o ServerOptions, fw *Carrier, log logr.Logger) *Server {
+func NewServer(o ServerOptions, fw *Forwarder, log logr.Logger) *Server {
 	s := &Server{options: o, forwarder: fw, log: log.WithName("callers")}
 	s.Server = &fasthttp.Server{
 		Handler:      s.handle,
--- a/internal/cwentry/single.go
+++ b/internal/cwentry/single.go
@@ -10,7 +10,7 @@
 // forwardOnce sends a request that must run at most once. It retries at another
 // server only if every attempt so far certainly did not run, and within the
 // target's retry budget. It never hedges.
-func (fw *Carrier) forwardOnce(ctx context.Context, id carobward.RequestID, target *carobward.Target, call *carobward.Call) (*answer, error) {
+func (fw *Forwarder) forwardOnce(ctx context.Context, id carobward.RequestID, target *carobward.Target, call *carobward.Call) (*answer, error) {
 	a, err := fw.enter(target, call)
 	if err != nil {
 		return nil, err
--- a/internal/cwentry/target.go
+++ b/internal/cwentry/target.go
@@ -11,7 +11,7 @@
 // findTarget returns the target of a request. It matches the request line as the
 // caller sent it, since that is what the server receives; the path as normalized
 // by the HTTP library may belong to another target.
-func (fw *Carrier) findTarget(host, method, uri string) (*carobward.Target, error) {
+func (fw *Forwarder) findTarget(host, method, uri string) (*carobward.Target, error) {
 	if fw.holder.Revision() == 0 {
 		return nil, carobward.NewFailure(carobward.NotRun, fasthttp.StatusServiceUnavailable, defaultRetry, ErrNoConfig)
 	}
--- a/internal/cwentry/target_test.go
+++ b/internal/cwentry/target_test.go
@@ -48,7 +48,7 @@
 				t.Fatal(err)
 			}
 
-			forwarder := &Carrier{holder: holder, options: Options{Calls: 1}, clock: carobward.SystemClock{}}
+			forwarder := &Forwarder{holder: holder, options: Options{Calls: 1}, clock: carobward.SystemClock{}}
 
 			if tt.status != 0 {
 				forwarder.Handle(&ctx)
--- a/internal/cwentry/visit.go
+++ b/internal/cwentry/visit.go
@@ -27,7 +27,7 @@
 // admission is a request that was admitted by the gate of its service, with the
 // servers chosen for it.
 type admission struct {
-	forwarder *Carrier
+	forwarder *Forwarder
 	target    *carobward.Target
 	gate      *cwlimit.Gate
 	entered   time.Time
@@ -42,7 +42,7 @@
 
 // enter waits for a server, or fails at once if the deadline can't be met. The
 // caller must call leave on the admission and End on each serverCall.
-func (fw *Carrier) enter(target *carobward.Target, call *carobward.Call) (*admission, error) {
+func (fw *Forwarder) enter(target *carobward.Target, call *carobward.Call) (*admission, error) {
 	if !fw.shares.Enter(target.Name) {
 		fw.metrics.Add("shed", 1)
 
@@ -112,13 +112,13 @@
 }
 
 // shedFailure returns the failure of a request that was never sent.
-func (fw *Carrier) shedFailure(cause error, after time.Duration) *carobward.Failure {
+func (fw *Forwarder) shedFailure(cause error, after time.Duration) *carobward.Failure {
 	return carobward.NewFailure(carobward.NotRun, fasthttp.StatusServiceUnavailable, jitter(after), cause)
 }
 
 // recoveryDelay returns the time after which a target's servers are expected to
 // accept requests again, with jitter.
-func (fw *Carrier) recoveryDelay(target *carobward.Target) time.Duration {
+func (fw *Forwarder) recoveryDelay(target *carobward.Target) time.Duration {
 	servers := fw.servers.Of(target.Service)
 
 	return jitter(max(cwlimit.MinRetry, cwroute.Recovery(fw.clock.Now(), servers, defaultRetry)))
@@ -132,14 +132,14 @@
 
 // Counts returns the number of requests of each target since the previous call
 // of Counts.
-func (fw *Carrier) Counts() map[carobward.TargetName]int { return fw.shares.Counts() }
+func (fw *Forwarder) Counts() map[carobward.TargetName]int { return fw.shares.Counts() }
 
 // Tick cancels repeatable requests whose caller has disconnected. Requests that
 // must run at most once continue, so that a retry gets their outcome. Tick also
 // deletes the retry records of targets that are no longer configured and the
 // gates of idle services; a request that already holds a deleted gate may still
 // enter it.
-func (fw *Carrier) Tick() {
+func (fw *Forwarder) Tick() {
 	fw.callers.Tick()
 
 	targets := fw.holder.Targets()
--- a/internal/cwnode/node.go
+++ b/internal/cwnode/node.go
@@ -49,7 +49,7 @@
 	syncer        *cwconfig.Syncer
 	link          *cwlink.Link
 	owner         *cwowner.Owner
-	carrier       *cwentry.Carrier
+	carrier       *cwentry.Forwarder
 	metrics       *cwmetric.Set
 	tracer        *cwtrace.Tracer
 	// lastPrune is when metrics of deleted targets were last removed.
