--- a/internal/cwnode/stop.go
+++ b/internal/cwnode/stop.go
@@ -60,7 +60,7 @@
 	defer cancel()
 
 	n.announce(serve)
-	n.data.Part()
+	n.data.CloseAfterReply()
 	carobward.Sleep(serve, cwlookup.Kept(n.settings.Keep.Std())+keepMargin)
 	n.await(serve, idleCloseTimeout, func() bool { return n.data.GetOpenConnectionsCount() == 0 })
 	n.log.Info("New connections are refused.", "running", n.carrier.Running())
