--- a/internal/cwticket/table_test.go
+++ b/internal/cwticket/table_test.go
@@ -239,7 +239,7 @@
 	}
 }
 
-func TestHandOver(t *testing.T) {
+func TestHandover(t *testing.T) {
 	table := newTable(limits)
 	ran, lost, running, closed, unused := table.Issuer().Ticket(start), table.Issuer().Ticket(start), table.Issuer().Ticket(start), table.Issuer().Ticket(start), table.Issuer().Ticket(start)
 
