--- a/internal/cwentry/bounds_test.go
+++ b/internal/cwentry/bounds_test.go
@@ -15,7 +15,7 @@
 
 // TestFailureReply checks that the reply to a failed request has the failure's
 // verdict and a time to retry.
-func TestFailures(t *testing.T) {
+func TestFailureReply(t *testing.T) {
 	f := &fakeServers{answer: func(context.Context, *carobward.Call) (*carobward.Reply, error) {
 		return nil, carobward.NewFailure(carobward.Unknown, 504, 0, errors.New("silence"))
 	}}
