--- a/internal/cwentry/bounds_test.go
+++ b/internal/cwentry/bounds_test.go
@@ -30,7 +30,7 @@
 
 // TestSlowClients checks that a client that stops sending in any part of a
 // request gets a timeout, and its connection is closed.
-func TestSlow(t *testing.T) {
+func TestSlowClients(t *testing.T) {
 	for name, request := range map[string]string{
 		"nothing":   "",
 		"line":      "GET /she",
