--- a/internal/cwentry/bounds_test.go
+++ b/internal/cwentry/bounds_test.go
@@ -93,7 +93,7 @@
 }
 
 // TestIdleTimeout checks that a connection without a next request is closed.
-func TestIdle(t *testing.T) {
+func TestIdleTimeout(t *testing.T) {
 	o := options()
 	o.Idle = 50 * time.Millisecond
 	c := dial(t, serve(t, o, &fakeServers{answer: echo})).write("GET /sheets HTTP/1.1\r\nHost: h\r\n\r\n")
