--- a/internal/cwentry/bounds_test.go
+++ b/internal/cwentry/bounds_test.go
@@ -106,7 +106,7 @@
 
 // TestBodyMemory checks that the memory of bodies that are being read or whose
 // request is in flight is bounded, and released however a request ends.
-func TestBodies(t *testing.T) {
+func TestBodyMemory(t *testing.T) {
 	const post = "POST /fees HTTP/1.1\r\nHost: h\r\nX-Request-Id: me\r\nContent-Length: 64\r\n\r\n"
 
 	release := make(chan struct{})
