--- a/internal/cwentry/bounds_test.go
+++ b/internal/cwentry/bounds_test.go
@@ -140,7 +140,7 @@
 
 // TestRequestIDOnReadError checks that the reply to a request whose body could
 // not be read has the request's id.
-func TestOwnName(t *testing.T) {
+func TestRequestIDOnReadError(t *testing.T) {
 	o := options()
 	o.Read = 300 * time.Millisecond
 
