--- a/internal/cwentry/bounds_test.go
+++ b/internal/cwentry/bounds_test.go
@@ -154,7 +154,7 @@
 
 // TestConnectionBounds checks that connections over the bounds are refused with
 // a reason, and that new ones are accepted once others have closed.
-func TestConns(t *testing.T) {
+func TestConnectionBounds(t *testing.T) {
 	for name, set := range map[string]func(*ServerOptions){
 		"in all": func(o *ServerOptions) { o.Conns = 2 },
 		"per IP": func(o *ServerOptions) { o.ConnsPerIP = 2 },
