--- a/internal/cwentry/bounds_test.go
+++ b/internal/cwentry/bounds_test.go
@@ -189,7 +189,7 @@
 
 // TestInFlightBounds checks that requests over the bound of requests in flight
 // are refused, and those of one target over its half of the bound.
-func TestCalls(t *testing.T) {
+func TestInFlightBounds(t *testing.T) {
 	release := make(chan struct{})
 	f := &fakeServers{answer: func(ctx context.Context, c *carobward.Call) (*carobward.Reply, error) {
 		<-release
