--- a/internal/cwentry/carry_test.go
+++ b/internal/cwentry/carry_test.go
@@ -52,7 +52,7 @@
 	return nil, carobward.NewFailure(v, fasthttp.StatusBadGateway, 0, errors.New("broken"))
 }
 
-func TestCarry(t *testing.T) {
+func TestAttempts(t *testing.T) {
 	type seen struct {
 		Outcome callerView
 		Calls   int64
