--- a/internal/cwentry/carry_test.go
+++ b/internal/cwentry/carry_test.go
@@ -119,7 +119,7 @@
 
 // TestOutageIsNotAmplified checks that the number of extra calls stays within
 // the retry budget when all calls fail.
-func TestAnOutageIsNotAmplified(t *testing.T) {
+func TestOutageIsNotAmplified(t *testing.T) {
 	const requests = 2000
 
 	l := &fakeServers{answer: func(context.Context, *carobward.Call) (*carobward.Reply, error) {
