--- a/internal/cwentry/carry_test.go
+++ b/internal/cwentry/carry_test.go
@@ -219,7 +219,7 @@
 
 // TestFloodLeavesRoomForFees floods the service with lookups that hang until
 // their share is used up, and checks that a fee still succeeds once a call ends.
-func TestAFloodLeavesRoomForFees(t *testing.T) {
+func TestFloodLeavesRoomForFees(t *testing.T) {
 	release := make(chan struct{})
 	l := &fakeServers{answer: func(_ context.Context, c *carobward.Call) (*carobward.Reply, error) {
 		if c.URI == "/sheets" {
