--- a/internal/cwentry/once_test.go
+++ b/internal/cwentry/once_test.go
@@ -107,7 +107,7 @@
 }
 
 // TestRelayedWork runs requests that another entry VM relays.
-func TestPassedWork(t *testing.T) {
+func TestRelayedWork(t *testing.T) {
 	var runner cwowner.Runner = newForwarder(&fakeServers{answer: echo}, 1)
 
 	for name, test := range map[string]struct {
