--- a/internal/cwentry/server_test.go
+++ b/internal/cwentry/server_test.go
@@ -16,7 +16,7 @@
 
 // TestInvalidRequests checks that malformed, ambiguous and oversized requests
 // get an error status with the verdict not-run and don't reach a server.
-func TestRefused(t *testing.T) {
+func TestInvalidRequests(t *testing.T) {
 	long := strings.Repeat("x", 2000)
 
 	for name, c := range map[string]struct {
