--- a/internal/cwentry/server_test.go
+++ b/internal/cwentry/server_test.go
@@ -114,7 +114,7 @@
 
 // TestUnusualRequests checks that requests in unusual but unambiguous forms
 // reach the server with the right method, URI and body.
-func TestCarried(t *testing.T) {
+func TestUnusualRequests(t *testing.T) {
 	const multipart = "--b\r\nContent-Disposition: form-data; name=\"a\"\r\n\r\n1\r\n--b--\r\nmore"
 
 	for name, c := range map[string]struct {
