--- a/internal/cwentry/server_test.go
+++ b/internal/cwentry/server_test.go
@@ -266,7 +266,7 @@
 
 // TestCallOutlivesBuffers checks that a call stays unchanged when the HTTP
 // library reads the next request into the same buffers.
-func TestOutlives(t *testing.T) {
+func TestCallOutlivesBuffers(t *testing.T) {
 	f := &fakeServers{answer: echo}
 	c := dial(t, serve(t, options(), f))
 
