--- a/internal/cwentry/server_test.go
+++ b/internal/cwentry/server_test.go
@@ -286,7 +286,7 @@
 
 // TestDisconnectedCaller checks that a repeatable request is canceled when its
 // caller disconnects, and that a request that must run at most once continues.
-func TestGone(t *testing.T) {
+func TestDisconnectedCaller(t *testing.T) {
 	release, cancelled, ran := make(chan struct{}), make(chan string, 2), make(chan string, 2)
 	f := &fakeServers{answer: func(ctx context.Context, c *carobward.Call) (*carobward.Reply, error) {
 		select {
