--- a/internal/cwlimit/gate_test.go
+++ b/internal/cwlimit/gate_test.go
@@ -67,7 +67,7 @@
 
 // TestGateShedsAtOnce checks that a request whose deadline can't be met is shed
 // with a retry time without waiting for the deadline.
-func TestGateGivesUpAtOnce(t *testing.T) {
+func TestGateShedsAtOnce(t *testing.T) {
 	g := cwlimit.NewGate(1000, carobward.SystemClock{})
 
 	var room slots
