--- a/internal/cwlimit/queue_test.go
+++ b/internal/cwlimit/queue_test.go
@@ -73,7 +73,7 @@
 
 // TestFloodLeavesRoom floods one target and checks that a request of another
 // target of the same service is queued and admitted first.
-func TestAFloodLeavesRoom(t *testing.T) {
+func TestFloodLeavesRoom(t *testing.T) {
 	q := busy(100, map[carobward.TargetName]int{"flood": 20})
 	for range 1000 {
 		q.Add(start, waiter("flood", time.Second))
