--- a/internal/cwlimit/queue_test.go
+++ b/internal/cwlimit/queue_test.go
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestLateOnesAreFoundInEachClass(t *testing.T) {
+func TestLateFindsWaitersOfEachClass(t *testing.T) {
 	q := busy(100, map[carobward.TargetName]int{"a": 1, "b": 30})
 	q.Add(start, waiter("a", time.Hour))
 
