--- a/internal/cwentry/bounds_test.go
+++ b/internal/cwentry/bounds_test.go
@@ -156,8 +156,8 @@
 // a reason, and that new ones are accepted once others have closed.
 func TestConnectionBounds(t *testing.T) {
 	for name, set := range map[string]func(*ServerOptions){
-		"in all": func(o *ServerOptions) { o.Conns = 2 },
-		"per IP": func(o *ServerOptions) { o.ConnsPerIP = 2 },
+		"in total": func(o *ServerOptions) { o.Conns = 2 },
+		"per IP":   func(o *ServerOptions) { o.ConnsPerIP = 2 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			o := options()
--- a/internal/cwentry/server_test.go
+++ b/internal/cwentry/server_test.go
@@ -58,7 +58,7 @@
 		"id in the trailer":     {"POST /fees HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nX-Request-Id: a\r\n\r\n", 400},
 		"timeout in trailer":    {"POST /fees HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nCarobward-Timeout: 1\r\n\r\n", 400},
 		"CONNECT":               {"CONNECT h:443 HTTP/1.1\r\nHost: h\r\n\r\n", 400},
-		"whole server":          {"OPTIONS * HTTP/1.1\r\nHost: h\r\n\r\n", 400},
+		"asterisk form":         {"OPTIONS * HTTP/1.1\r\nHost: h\r\n\r\n", 400},
 		"dot segments":          {"GET /fees/../sheets HTTP/1.1\r\nHost: h\r\n\r\n", 400},
 		"dot segment":           {"GET /sheets/. HTTP/1.1\r\nHost: h\r\n\r\n", 400},
 		"empty segment":         {"GET //sheets HTTP/1.1\r\nHost: h\r\n\r\n", 400},
@@ -121,19 +121,19 @@
 		request string
 		want    string
 	}{
-		"plain":           {"GET /sheets HTTP/1.1\r\nHost: h\r\n\r\n", "GET /sheets\n"},
-		"HTTP/1.0":        {"GET /sheets HTTP/1.0\r\n\r\n", "GET /sheets\n"},
-		"query":           {"GET /sheets/a%20b?c=//d/../e%2f HTTP/1.1\r\nHost: h\r\n\r\n", "GET /sheets/a%20b?c=//d/../e%2f\n"},
-		"slash at end":    {"GET /sheets/ HTTP/1.1\r\nHost: h\r\n\r\n", "GET /sheets/\n"},
-		"absolute":        {"GET http://h/sheets?a=b HTTP/1.1\r\nHost: h\r\n\r\n", "GET /sheets?a=b\n"},
-		"body":            {"POST /fees HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody", "POST /fees\nbody"},
-		"chunked":         {"POST /fees HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nbo\r\n2\r\ndy\r\n0\r\n\r\n", "POST /fees\nbody"},
-		"body as large":   {"POST /fees HTTP/1.1\r\nHost: h\r\nContent-Length: 64\r\n\r\n" + strings.Repeat("x", 64), "POST /fees\n" + strings.Repeat("x", 64)},
-		"empty body":      {"POST /fees HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n", "POST /fees\n"},
-		"multipart":       {"POST /fees HTTP/1.1\r\nHost: h\r\nContent-Type: multipart/form-data; boundary=b\r\nContent-Length: 63\r\n\r\n" + multipart, "POST /fees\n" + multipart},
-		"trailer":         {"POST /fees HTTP/1.1\r\nHost: h\r\nTrailer: A\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nA: 1\r\n\r\n", "POST /fees\n"},
-		"unknown method":  {"BREW /sheets HTTP/1.1\r\nHost: h\r\n\r\n", "BREW /sheets\n"},
-		"encoded letters": {"GET /%73heets HTTP/1.1\r\nHost: h\r\n\r\n", "GET /%73heets\n"},
+		"plain":                {"GET /sheets HTTP/1.1\r\nHost: h\r\n\r\n", "GET /sheets\n"},
+		"HTTP/1.0":             {"GET /sheets HTTP/1.0\r\n\r\n", "GET /sheets\n"},
+		"query":                {"GET /sheets/a%20b?c=//d/../e%2f HTTP/1.1\r\nHost: h\r\n\r\n", "GET /sheets/a%20b?c=//d/../e%2f\n"},
+		"trailing slash":       {"GET /sheets/ HTTP/1.1\r\nHost: h\r\n\r\n", "GET /sheets/\n"},
+		"absolute":             {"GET http://h/sheets?a=b HTTP/1.1\r\nHost: h\r\n\r\n", "GET /sheets?a=b\n"},
+		"body":                 {"POST /fees HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody", "POST /fees\nbody"},
+		"chunked":              {"POST /fees HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nbo\r\n2\r\ndy\r\n0\r\n\r\n", "POST /fees\nbody"},
+		"body of maximum size": {"POST /fees HTTP/1.1\r\nHost: h\r\nContent-Length: 64\r\n\r\n" + strings.Repeat("x", 64), "POST /fees\n" + strings.Repeat("x", 64)},
+		"empty body":           {"POST /fees HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n", "POST /fees\n"},
+		"multipart":            {"POST /fees HTTP/1.1\r\nHost: h\r\nContent-Type: multipart/form-data; boundary=b\r\nContent-Length: 63\r\n\r\n" + multipart, "POST /fees\n" + multipart},
+		"trailer":              {"POST /fees HTTP/1.1\r\nHost: h\r\nTrailer: A\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nA: 1\r\n\r\n", "POST /fees\n"},
+		"unknown method":       {"BREW /sheets HTTP/1.1\r\nHost: h\r\n\r\n", "BREW /sheets\n"},
+		"encoded letters":      {"GET /%73heets HTTP/1.1\r\nHost: h\r\n\r\n", "GET /%73heets\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			resp := dial(t, serve(t, options(), &fakeServers{answer: echo})).write(c.request).read(false)
--- a/internal/cwentry/target_test.go
+++ b/internal/cwentry/target_test.go
@@ -30,16 +30,16 @@
 		want    carobward.TargetName
 		status  int
 	}{
-		"plain":           {request: "POST /fees HTTP/1.1\r\nHost: a\r\n", want: "fee"},
-		"host with port":  {request: "GET /x HTTP/1.1\r\nHost: CLUB.example:80\r\n", want: "club"},
-		"up":              {request: "POST /sheets/../fees HTTP/1.1\r\nHost: a\r\n", status: fasthttp.StatusBadRequest},
-		"double slash":    {request: "POST //fees HTTP/1.1\r\nHost: a\r\n", status: fasthttp.StatusBadRequest},
-		"absolute form":   {request: "POST http://club.example/fees HTTP/1.1\r\nHost: a\r\n", want: "club"},
-		"absolute and up": {request: "POST http://a/sheets/../fees HTTP/1.1\r\nHost: a\r\n", status: fasthttp.StatusBadRequest},
-		"fragment":        {request: "POST /sheets?x#/fees HTTP/1.1\r\nHost: a\r\n", status: fasthttp.StatusBadRequest},
-		"none":            {request: "GET /fees HTTP/1.1\r\nHost: a\r\n", status: fasthttp.StatusNotFound},
-		"small method":    {request: "post /fees HTTP/1.1\r\nHost: a\r\n", status: fasthttp.StatusBadRequest},
-		"encoded letters": {request: "POST /%66ees HTTP/1.1\r\nHost: a\r\n", want: "fee"},
+		"plain":                    {request: "POST /fees HTTP/1.1\r\nHost: a\r\n", want: "fee"},
+		"host with port":           {request: "GET /x HTTP/1.1\r\nHost: CLUB.example:80\r\n", want: "club"},
+		"parent segment":           {request: "POST /sheets/../fees HTTP/1.1\r\nHost: a\r\n", status: fasthttp.StatusBadRequest},
+		"double slash":             {request: "POST //fees HTTP/1.1\r\nHost: a\r\n", status: fasthttp.StatusBadRequest},
+		"absolute form":            {request: "POST http://club.example/fees HTTP/1.1\r\nHost: a\r\n", want: "club"},
+		"absolute, parent segment": {request: "POST http://a/sheets/../fees HTTP/1.1\r\nHost: a\r\n", status: fasthttp.StatusBadRequest},
+		"fragment":                 {request: "POST /sheets?x#/fees HTTP/1.1\r\nHost: a\r\n", status: fasthttp.StatusBadRequest},
+		"no target":                {request: "GET /fees HTTP/1.1\r\nHost: a\r\n", status: fasthttp.StatusNotFound},
+		"lower-case method":        {request: "post /fees HTTP/1.1\r\nHost: a\r\n", status: fasthttp.StatusBadRequest},
+		"encoded letters":          {request: "POST /%66ees HTTP/1.1\r\nHost: a\r\n", want: "fee"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/cwticket/table_test.go
+++ b/internal/cwticket/table_test.go
@@ -65,24 +65,24 @@
 		other bool
 		want  startResult
 	}{
-		"running":              {then: func(*Table, *Claim) {}, want: running},
-		"running, other body":  {then: func(*Table, *Claim) {}, other: true, want: startResult{Status: 422, Cause: ErrContentMismatch}},
-		"ran":                  {then: func(_ *Table, c *Claim) { c.Ran(start, outcome("fee")) }, want: startResult{Body: "fee", Verdict: carobward.Ran}},
-		"ran, other body":      {then: func(_ *Table, c *Claim) { c.Ran(start, outcome("fee")) }, other: true, want: startResult{Status: 422, Cause: ErrContentMismatch}},
-		"ran, then closed":     {then: func(_ *Table, c *Claim) { c.Ran(start, outcome("fee")); c.Close(start) }, want: startResult{Body: "fee", Verdict: carobward.Ran}},
-		"ran, answer too big":  {then: func(_ *Table, c *Claim) { c.Ran(start, outcome(string(make([]byte, 2<<20)))) }, want: startResult{Verdict: carobward.Ran, Status: 410, Cause: ErrAnswerTooLarge}},
-		"lost":                 {then: func(_ *Table, c *Claim) { c.Lost(start) }, want: lost},
-		"left without outcome": {then: func(_ *Table, c *Claim) { c.Close(start) }, want: lost},
-		"lost is for good":     {then: func(_ *Table, c *Claim) { c.Lost(start); c.Ran(start, outcome("late")) }, want: lost},
-		"not run":              {then: func(_ *Table, c *Claim) { c.NotRun(start, false) }, want: spent},
-		"not run, other body":  {then: func(_ *Table, c *Claim) { c.NotRun(start, false) }, other: true, want: spent},
-		"not run, only once":   {then: func(_ *Table, c *Claim) { c.NotRun(start, true) }, want: startResult{Claim: true}},
-		"expired":              {then: func(_ *Table, c *Claim) { c.Ran(start, outcome("fee")) }, after: horizon, want: startResult{Status: 410, Cause: ErrExpired}},
+		"running":                      {then: func(*Table, *Claim) {}, want: running},
+		"running, other body":          {then: func(*Table, *Claim) {}, other: true, want: startResult{Status: 422, Cause: ErrContentMismatch}},
+		"ran":                          {then: func(_ *Table, c *Claim) { c.Ran(start, outcome("fee")) }, want: startResult{Body: "fee", Verdict: carobward.Ran}},
+		"ran, other body":              {then: func(_ *Table, c *Claim) { c.Ran(start, outcome("fee")) }, other: true, want: startResult{Status: 422, Cause: ErrContentMismatch}},
+		"ran, then closed":             {then: func(_ *Table, c *Claim) { c.Ran(start, outcome("fee")); c.Close(start) }, want: startResult{Body: "fee", Verdict: carobward.Ran}},
+		"ran, answer too big":          {then: func(_ *Table, c *Claim) { c.Ran(start, outcome(string(make([]byte, 2<<20)))) }, want: startResult{Verdict: carobward.Ran, Status: 410, Cause: ErrAnswerTooLarge}},
+		"lost":                         {then: func(_ *Table, c *Claim) { c.Lost(start) }, want: lost},
+		"claim closed without outcome": {then: func(_ *Table, c *Claim) { c.Close(start) }, want: lost},
+		"lost, then ran":               {then: func(_ *Table, c *Claim) { c.Lost(start); c.Ran(start, outcome("late")) }, want: lost},
+		"not run":                      {then: func(_ *Table, c *Claim) { c.NotRun(start, false) }, want: spent},
+		"not run, other body":          {then: func(_ *Table, c *Claim) { c.NotRun(start, false) }, other: true, want: spent},
+		"not run, only request":        {then: func(_ *Table, c *Claim) { c.NotRun(start, true) }, want: startResult{Claim: true}},
+		"expired":                      {then: func(_ *Table, c *Claim) { c.Ran(start, outcome("fee")) }, after: horizon, want: startResult{Status: 410, Cause: ErrExpired}},
 		"expired and forgotten": {
 			then:  func(t *Table, c *Claim) { c.Ran(start, outcome("fee")); t.Tick(start.Add(2 * horizon)) },
 			after: 2 * horizon, want: startResult{Status: 410, Cause: ErrExpired},
 		},
-		"expired in mid work": {
+		"expired while running": {
 			then:  func(t *Table, c *Claim) { t.Tick(start.Add(2 * horizon)); c.Ran(start.Add(2*horizon), outcome("fee")) },
 			after: 2 * horizon, want: startResult{Status: 410, Cause: ErrExpired},
 		},
@@ -285,12 +285,12 @@
 		digest Digest
 		want   startResult
 	}{
-		"ran":       {ran, Digest{1}, startResult{Body: "fee", Verdict: carobward.Ran}},
-		"other":     {ran, Digest{2}, startResult{Status: 422, Cause: ErrContentMismatch}},
-		"lost":      {lost, Digest{1}, startResult{Status: 410, Cause: ErrOutcomeUnknown}},
-		"running":   {running, Digest{1}, startResult{Status: 410, Cause: ErrOutcomeUnknown}},
-		"closed":    {closed, Digest{1}, startResult{Verdict: carobward.NotRun, Status: 409, Cause: ErrSpent}},
-		"never ran": {unused, Digest{1}, startResult{Verdict: carobward.NotRun, Status: 503, Cause: ErrClosed}},
+		"ran":           {ran, Digest{1}, startResult{Body: "fee", Verdict: carobward.Ran}},
+		"other content": {ran, Digest{2}, startResult{Status: 422, Cause: ErrContentMismatch}},
+		"lost":          {lost, Digest{1}, startResult{Status: 410, Cause: ErrOutcomeUnknown}},
+		"running":       {running, Digest{1}, startResult{Status: 410, Cause: ErrOutcomeUnknown}},
+		"closed":        {closed, Digest{1}, startResult{Verdict: carobward.NotRun, Status: 409, Cause: ErrSpent}},
+		"never ran":     {unused, Digest{1}, startResult{Verdict: carobward.NotRun, Status: 503, Cause: ErrClosed}},
 	} {
 		_, got := startTicket(successor, now, test.ticket, test.digest)
 		if diff := cmp.Diff(test.want, got, cmp.Comparer(errors.Is)); diff != "" {
--- a/internal/cwticket/ticket_test.go
+++ b/internal/cwticket/ticket_test.go
@@ -25,21 +25,21 @@
 		text string
 		want error
 	}{
-		"whole":            {good + ".7", nil},
-		"greatest number":  {good + ".18446744073709551615", nil},
-		"number too great": {good + ".18446744073709551616", ErrFormat},
-		"no number":        {good, ErrFormat},
-		"empty number":     {good + ".", ErrFormat},
-		"leading zero":     {good + ".07", ErrFormat},
-		"sign":             {good + ".+7", ErrFormat},
-		"two numbers":      {good + ".7.7", ErrFormat},
-		"empty":            {"", ErrFormat},
-		"not base64":       {"?" + good + ".7", ErrFormat},
-		"cut":              {good[:20] + ".7", ErrFormat},
-		"no VM":            {good[:55] + ".7", ErrFormat},
-		"too long":         {strings.Repeat("A", 300) + ".7", ErrFormat},
-		"another version":  {"Ag" + good[2:] + ".7", ErrVersion},
-		"line end within":  {good[:10] + "\n" + good[10:] + ".7", ErrFormat},
+		"valid":             {good + ".7", nil},
+		"maximum number":    {good + ".18446744073709551615", nil},
+		"number too large":  {good + ".18446744073709551616", ErrFormat},
+		"no number":         {good, ErrFormat},
+		"empty number":      {good + ".", ErrFormat},
+		"leading zero":      {good + ".07", ErrFormat},
+		"sign":              {good + ".+7", ErrFormat},
+		"two numbers":       {good + ".7.7", ErrFormat},
+		"empty":             {"", ErrFormat},
+		"not base64":        {"?" + good + ".7", ErrFormat},
+		"truncated":         {good[:20] + ".7", ErrFormat},
+		"no VM":             {good[:55] + ".7", ErrFormat},
+		"too long":          {strings.Repeat("A", 300) + ".7", ErrFormat},
+		"another version":   {"Ag" + good[2:] + ".7", ErrVersion},
+		"line break inside": {good[:10] + "\n" + good[10:] + ".7", ErrFormat},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, err := Parse(test.text)
@@ -102,12 +102,12 @@
 		call carobward.Call
 		same bool
 	}{
-		"as is":                {carobward.Call{Method: "POST", Host: "10.0.0.1:80", URI: "/fees", Body: []byte("17")}, true},
-		"another entry VM":     {carobward.Call{Method: "POST", Host: "10.0.0.2:80", URI: "/fees", Body: []byte("17")}, true},
-		"another method":       {carobward.Call{Method: "PUT", Host: "10.0.0.1:80", URI: "/fees", Body: []byte("17")}, false},
-		"another URI":          {carobward.Call{Method: "POST", Host: "10.0.0.1:80", URI: "/fees?x", Body: []byte("17")}, false},
-		"another body":         {carobward.Call{Method: "POST", Host: "10.0.0.1:80", URI: "/fees", Body: []byte("18")}, false},
-		"letters moved across": {carobward.Call{Method: "POST", Host: "10.0.0.1:80", URI: "/fees1", Body: []byte("7")}, false},
+		"same call":                   {carobward.Call{Method: "POST", Host: "10.0.0.1:80", URI: "/fees", Body: []byte("17")}, true},
+		"another entry VM":            {carobward.Call{Method: "POST", Host: "10.0.0.2:80", URI: "/fees", Body: []byte("17")}, true},
+		"another method":              {carobward.Call{Method: "PUT", Host: "10.0.0.1:80", URI: "/fees", Body: []byte("17")}, false},
+		"another URI":                 {carobward.Call{Method: "POST", Host: "10.0.0.1:80", URI: "/fees?x", Body: []byte("17")}, false},
+		"another body":                {carobward.Call{Method: "POST", Host: "10.0.0.1:80", URI: "/fees", Body: []byte("18")}, false},
+		"byte moved from body to URI": {carobward.Call{Method: "POST", Host: "10.0.0.1:80", URI: "/fees1", Body: []byte("7")}, false},
 	} {
 		if got := DigestOf(&test.call) == first; got != test.same {
 			t.Errorf("%s: same digest: %v", name, got)
