--- a/internal/cwserver/call.go
+++ b/internal/cwserver/call.go
@@ -2,60 +2,65 @@
 
 import "time"
 
-// Outcome is how a call ended, as far as the choice of server cares.
+// Outcome is how a call ended, as far as it matters for choosing servers.
 type Outcome uint8
 
 // The outcomes of a call.
 const (
-	// Replied: a whole reply came that speaks for the server.
+	// Replied: a complete reply arrived that shows no fault of the server.
 	Replied Outcome = iota
-	// Failed: no whole reply came, or one that blames the server.
+	// Failed: no complete reply arrived, or one that shows a fault of the
+	// server.
 	Failed
-	// Refused: the server shed the call before it began.
+	// Refused: the server shed the call before it started work on it.
 	Refused
-	// Crowded: all our connections to the server were in use.
+	// Crowded: all connections of this entry VM to the server were in use.
 	Crowded
-	// Cancelled: we gave the call up ourselves.
+	// Cancelled: this entry VM gave up the call.
 	Cancelled
 )
 
-// The constants of a server's state. docs/design/route.md has the
-// measurements.
+// The parameters of a server's state; see docs/design/route.md.
 const (
-	// slowFactor is how many usual latencies make a slow reply.
+	// slowFactor times the usual latency is the threshold of a slow reply.
 	slowFactor = 2
-	// slowDoubled bounds how often the memory of slow replies doubles, and
-	// memoryMost bounds the memory itself.
-	slowDoubled = 8
-	memoryMost  = 10 * time.Second
-	// worstFactor is the latency of a failure in usual latencies.
-	worstFactor = 16
-	// ejectAfter failures in a row a server is ejected, for ejectFirst,
-	// doubled each time up to ejectMost.
-	ejectAfter = 3
-	ejectFirst = 500 * time.Millisecond
-	ejectMost  = 30 * time.Second
-	// ejectShare is the largest share of a service that may be ejected.
-	ejectShare = 0.34
-	// limitFirst, limitLeast and limitMost bound our own calls in flight on
-	// one server. The most are our part of a server's 250 connections.
-	limitFirst = 2
-	limitLeast = 1
-	limitMost  = 12
+	// maxDoublings bounds how often the half-life of a slow latency doubles,
+	// and maxSlowHalfLife bounds the half-life itself.
+	maxDoublings    = 8
+	maxSlowHalfLife = 10 * time.Second
+	// failureFactor times the usual latency is the latency that a failure
+	// counts as.
+	failureFactor = 16
+	// ejectAfter is the number of consecutive failures after which a server is
+	// ejected, for initialEjectTime at first and twice as long each further
+	// time, up to maxEjectTime.
+	ejectAfter       = 3
+	initialEjectTime = 500 * time.Millisecond
+	maxEjectTime     = 30 * time.Second
+	// maxEjectedShare is the largest fraction of a service's servers that may
+	// be ejected at once.
+	maxEjectedShare = 0.34
+	// initialLimit, minLimit and maxLimit bound this entry VM's calls in
+	// flight on one server. The maximum is its share of the 250 connections
+	// that a server accepts.
+	initialLimit = 2
+	minLimit     = 1
+	maxLimit     = 12
 )
 
-// Call is one of our calls in flight. Its zero value is of no use.
+// Call is a call of this entry VM in flight. Its zero value is not usable.
 type Call struct {
-	server *Server
-	place  int
-	began  instant
-	// rounds of the server's slots is what it was expected to wait and take.
+	server  *Server
+	index   int
+	started instant
+	// rounds is how many rounds of the server's slots the call was expected to
+	// wait for and take.
 	rounds float64
 }
 
-// Begin notes a call that is about to be sent.
+// Begin records a call that is about to be sent.
 func (s *Server) Begin(now time.Time) Call {
-	t := at(now)
+	t := toInstant(now)
 	m := s.Moment(now)
 	v := s.View(&m)
 
@@ -64,8 +69,8 @@
 
 	s.Running.Add(1)
 
-	c := Call{server: s, place: s.free(), began: t, rounds: v.Rounds()}
-	s.out[c.place] = t
+	c := Call{server: s, index: s.freeIndex(), started: t, rounds: v.Rounds()}
+	s.starts[c.index] = t
 
 	if o := instant(s.oldest.Load()); o == 0 || t < o {
 		s.oldest.Store(int64(t))
@@ -74,138 +79,142 @@
 	return c
 }
 
-// free returns a free place among the calls out.
-func (s *Server) free() int {
-	for i, t := range s.out {
+// freeIndex returns an unused index in starts.
+func (s *Server) freeIndex() int {
+	for i, t := range s.starts {
 		if t == 0 {
 			return i
 		}
 	}
 
-	s.out = append(s.out, 0)
+	s.starts = append(s.starts, 0)
 
-	return len(s.out) - 1
+	return len(s.starts) - 1
 }
 
-// End notes how the call ended. It must be called once.
+// End records how the call ended. It must be called exactly once.
 func (c Call) End(now time.Time, o Outcome) {
-	s, t := c.server, at(now)
-	took := t.since(c.began)
+	s, t := c.server, toInstant(now)
+	elapsed := t.since(c.started)
 
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
 	s.Running.Add(-1)
-	s.out[c.place] = 0
-	s.oldest.Store(int64(s.first()))
+	s.starts[c.index] = 0
+	s.oldest.Store(int64(s.oldestStart()))
 
 	switch o {
 	case Replied:
-		s.replied(t, took, c.rounds)
+		s.replied(t, elapsed, c.rounds)
 	case Failed:
 		s.failed(t)
 	case Refused:
 		s.refused(t)
 	case Crowded:
-		s.limit.Store(max(limitLeast, s.Running.Load()))
+		s.limit.Store(max(minLimit, s.Running.Load()))
 	case Cancelled:
 	}
 }
 
-// first returns the start of the oldest call out.
-func (s *Server) first() instant {
-	var first instant
+// oldestStart returns the start of the oldest call in flight, or zero.
+func (s *Server) oldestStart() instant {
+	var oldest instant
 
-	for _, t := range s.out {
-		if t != 0 && (first == 0 || t < first) {
-			first = t
+	for _, t := range s.starts {
+		if t != 0 && (oldest == 0 || t < oldest) {
+			oldest = t
 		}
 	}
 
-	return first
+	return oldest
 }
 
-// replied takes the latency, less the rounds of queue that it was sent into.
-func (s *Server) replied(now instant, took time.Duration, rounds float64) {
+// replied records the latency of a reply. For the server's own latency it is
+// divided by the rounds that the call was expected to take, so that queueing
+// does not count as slowness.
+func (s *Server) replied(now instant, latency time.Duration, rounds float64) {
 	s.failures, s.ejections = 0, 0
 
 	if s.group != nil {
-		s.group.addLatency(took)
+		s.group.addLatency(latency)
 	}
 
-	s.sample(now, time.Duration(float64(took)/max(1, rounds)))
+	s.addSample(now, time.Duration(float64(latency)/max(1, rounds)))
 	s.grow()
 }
 
-// sample takes one latency. The first slow one counts in full and is
-// remembered for as long as it lasted, each further one for twice as long; a
-// reply in the usual time ends that.
-func (s *Server) sample(now instant, took time.Duration) {
-	if float64(took) < slowFactor*float64(s.Usual()) {
-		s.slow = 0
-		s.memory.Store(0)
+// addSample records one latency. A first slow one counts in full and its
+// half-life is the latency itself; each further one in a row doubles the
+// half-life. A reply within the usual latency resets both.
+func (s *Server) addSample(now instant, latency time.Duration) {
+	if float64(latency) < slowFactor*float64(s.Usual()) {
+		s.slowReplies = 0
+		s.slowHalfLife.Store(0)
 
 		return
 	}
 
-	s.remember(now, took, took<<min(s.slow, slowDoubled))
-	s.slow++
+	s.setSlowLatency(now, latency, latency<<min(s.slowReplies, maxDoublings))
+	s.slowReplies++
 }
 
-// remember keeps a latency that fades to half after a time.
-func (s *Server) remember(now instant, latency, half time.Duration) {
-	s.latency.Store(int64(latency))
-	s.memory.Store(int64(min(half, memoryMost)))
-	s.measured.Store(int64(now))
+// setSlowLatency stores a latency and the time after which its excess over the
+// usual one counts half.
+func (s *Server) setSlowLatency(now instant, latency, halfLife time.Duration) {
+	s.slowLatency.Store(int64(latency))
+	s.slowHalfLife.Store(int64(min(halfLife, maxSlowHalfLife)))
+	s.slowAt.Store(int64(now))
 }
 
 func (s *Server) failed(now instant) {
 	if s.group != nil {
-		worst := worstFactor * s.group.Usual()
-		s.remember(now, worst, worst<<min(s.failures, slowDoubled))
+		latency := failureFactor * s.group.Usual()
+		s.setSlowLatency(now, latency, latency<<min(s.failures, maxDoublings))
 	}
 
 	s.shrink()
 	s.failures++
 
-	if s.failures >= ejectAfter && instant(s.ejected.Load()) <= now {
+	if s.failures >= ejectAfter && instant(s.ejectedUntil.Load()) <= now {
 		s.eject(now)
 	}
 }
 
-// eject takes the server out of the choice for a while, longer each time.
+// eject excludes the server from being chosen, for twice as long each time.
 func (s *Server) eject(now instant) {
 	if s.group == nil || !s.group.mayEject(now) {
 		return
 	}
 
-	lasts := min(ejectMost, ejectFirst<<min(s.ejections, 10))
-	s.ejected.Store(int64(now) + int64(lasts))
+	duration := min(maxEjectTime, initialEjectTime<<min(s.ejections, 10))
+	s.ejectedUntil.Store(int64(now) + int64(duration))
 	s.ejections++
-	// One more failure afterwards is enough.
+	// After that, a single failure ejects it again.
 	s.failures = ejectAfter - 1
 }
 
-// refused counts as a report that all slots are taken.
+// refused records a refusal, which counts as a report that all slots are in
+// use.
 func (s *Server) refused(now instant) {
-	s.others.Store(max(s.others.Load(), 2*s.slots.Load()))
-	s.reported.Store(int64(now))
+	s.otherCalls.Store(max(s.otherCalls.Load(), 2*s.slots.Load()))
+	s.reportedAt.Store(int64(now))
 	s.shrink()
 }
 
-// grow raises the limit by one for each limit's worth of replies.
+// grow raises the limit by one once as many replies as the limit have arrived.
 func (s *Server) grow() {
 	limit := s.Limit()
-	s.grown++
+	s.repliesAtLimit++
 
-	if limit < limitMost && s.grown >= limit {
+	if limit < maxLimit && s.repliesAtLimit >= limit {
 		s.limit.Store(limit + 1)
-		s.grown = 0
+		s.repliesAtLimit = 0
 	}
 }
 
 // shrink halves the limit.
 func (s *Server) shrink() {
-	s.limit.Store(max(limitLeast, s.Limit()/2))
-	s.grown = 0
+	s.limit.Store(max(minLimit, s.Limit()/2))
+	s.repliesAtLimit = 0
 }
--- a/internal/cwserver/call_test.go
+++ b/internal/cwserver/call_test.go
@@ -15,7 +15,7 @@
 
 var start = time.Date(2100, time.January, 1, 0, 0, 0, 0, time.UTC)
 
-// servers returns the lines of one service that has its usual latency.
+// servers returns the n servers of one service whose usual latency is known.
 func servers(n int) []*cwserver.Server {
 	var list []carobward.VM
 	for i := range n {
@@ -53,21 +53,21 @@
 		at    time.Time
 		want  time.Duration
 	}{
-		"usual replies":        {func(s *cwserver.Server) { s.Begin(ms(0)).End(ms(15), cwserver.Replied) }, ms(15), usual},
-		"a slow reply counts":  {func(s *cwserver.Server) { s.Begin(ms(0)).End(ms(90), cwserver.Replied) }, ms(90), 90 * time.Millisecond},
-		"and half of it later": {func(s *cwserver.Server) { s.Begin(ms(0)).End(ms(90), cwserver.Replied) }, ms(180), 50 * time.Millisecond},
-		"and longer after another": {func(s *cwserver.Server) {
+		"usual reply":              {func(s *cwserver.Server) { s.Begin(ms(0)).End(ms(15), cwserver.Replied) }, ms(15), usual},
+		"slow reply":               {func(s *cwserver.Server) { s.Begin(ms(0)).End(ms(90), cwserver.Replied) }, ms(90), 90 * time.Millisecond},
+		"slow reply, half decayed": {func(s *cwserver.Server) { s.Begin(ms(0)).End(ms(90), cwserver.Replied) }, ms(180), 50 * time.Millisecond},
+		"second slow reply decays more slowly": {func(s *cwserver.Server) {
 			s.Begin(ms(0)).End(ms(90), cwserver.Replied)
 			s.Begin(ms(90)).End(ms(180), cwserver.Replied)
 		}, ms(360), 50 * time.Millisecond},
-		"a usual reply ends that": {func(s *cwserver.Server) {
+		"usual reply resets a slow one": {func(s *cwserver.Server) {
 			s.Begin(ms(0)).End(ms(90), cwserver.Replied)
 			s.Begin(ms(90)).End(ms(100), cwserver.Replied)
 		}, ms(100), usual},
-		"a failure counts most":   {func(s *cwserver.Server) { s.Begin(ms(0)).End(ms(1), cwserver.Failed) }, ms(1), 160 * time.Millisecond},
-		"a call that is not late": {func(s *cwserver.Server) { s.Begin(ms(0)) }, ms(14), usual},
-		"a call that is overdue":  {func(s *cwserver.Server) { s.Begin(ms(0)) }, ms(40), 40 * time.Millisecond},
-		"a call that we gave up":  {func(s *cwserver.Server) { s.Begin(ms(0)).End(ms(90), cwserver.Cancelled) }, ms(90), usual},
+		"failure":                     {func(s *cwserver.Server) { s.Begin(ms(0)).End(ms(1), cwserver.Failed) }, ms(1), 160 * time.Millisecond},
+		"call in flight, not overdue": {func(s *cwserver.Server) { s.Begin(ms(0)) }, ms(14), usual},
+		"call in flight, overdue":     {func(s *cwserver.Server) { s.Begin(ms(0)) }, ms(40), 40 * time.Millisecond},
+		"cancelled call":              {func(s *cwserver.Server) { s.Begin(ms(0)).End(ms(90), cwserver.Cancelled) }, ms(90), usual},
 	}
 
 	for name, test := range tests {
@@ -75,7 +75,7 @@
 			s := servers(64)[0]
 			test.calls(s)
 
-			// The group's average moves a little with each reply.
+			// Rounded because the group's average moves a little with each reply.
 			got := view(s, test.at).Latency.Round(5 * time.Millisecond)
 			if diff := cmp.Diff(test.want.Round(5*time.Millisecond).String(), got.String()); diff != "" {
 				t.Error(diff)
@@ -92,22 +92,22 @@
 	average := view(all[1], start).Load
 
 	got := map[string]bool{
-		"all at once":             view(all[0], start).Load == 9,
-		"half after a fade":       view(all[0], start.Add(500*time.Millisecond)).Load < 6,
-		"not less than half":      view(all[0], start.Add(500*time.Millisecond)).Load > 4.5,
-		"the average for another": average > 0.1 && average < 0.2,
-		"our own in the end":      view(all[0], start.Add(time.Hour)).Load < 1.01,
-		"nothing in the end":      view(all[1], start.Add(time.Hour)).Load < 0.01,
+		"full report at once":         view(all[0], start).Load == 9,
+		"below 6 after a half-life":   view(all[0], start.Add(500*time.Millisecond)).Load < 6,
+		"above 4.5 after a half-life": view(all[0], start.Add(500*time.Millisecond)).Load > 4.5,
+		"average for another server":  average > 0.1 && average < 0.2,
+		"only own calls in the end":   view(all[0], start.Add(time.Hour)).Load < 1.01,
+		"nothing in the end":          view(all[1], start.Add(time.Hour)).Load < 0.01,
 	}
 	for name, ok := range got {
 		if !ok {
-			t.Errorf("%s: no", name)
+			t.Errorf("%s: false", name)
 		}
 	}
 }
 
-// TestDoubt shows that reports which lack calls that we have there count for
-// little, and again once they fit.
+// TestDoubt verifies that after reports which lack calls of this entry VM a
+// server's reports count little, and count fully again once they are plausible.
 func TestDoubt(t *testing.T) {
 	all := servers(2)
 	s, now := all[0], start
@@ -129,14 +129,14 @@
 		report(3)
 	}
 
-	doubted := report(12)
+	distrusted := report(12)
 
 	for range 10000 {
 		report(12)
 	}
 
-	if after := report(12); before < 5.9 || doubted > 1 || after < 5.9 {
-		t.Errorf("others' calls by the report: %.1f before, %.1f in doubt, %.1f after", before, doubted, after)
+	if after := report(12); before < 5.9 || distrusted > 1 || after < 5.9 {
+		t.Errorf("other entry VMs' calls by the report: %.1f before, %.1f while distrusted, %.1f after", before, distrusted, after)
 	}
 }
 
@@ -144,11 +144,11 @@
 	tests := map[string]struct {
 		servers, failing, want int
 	}{
-		"one of thirty":              {30, 1, 1},
-		"a bounded share of many":    {30, 30, 10},
-		"none of one":                {1, 1, 0},
-		"none of two":                {2, 2, 0},
-		"one of three, not a second": {3, 2, 1},
+		"one of thirty":   {30, 1, 1},
+		"a third of many": {30, 30, 10},
+		"the only server": {1, 1, 0},
+		"both of two":     {2, 2, 0},
+		"two of three":    {3, 2, 1},
 	}
 
 	for name, test := range tests {
@@ -162,18 +162,18 @@
 				}
 			}
 
-			if got := ejected(all, now); got != test.want {
-				t.Errorf("%d are ejected, want %d", got, test.want)
+			if got := countEjected(all, now); got != test.want {
+				t.Errorf("%d servers are ejected, want %d", got, test.want)
 			}
 
-			if got := ejected(all, now.Add(time.Second)); got != 0 {
-				t.Errorf("%d are ejected a second later", got)
+			if got := countEjected(all, now.Add(time.Second)); got != 0 {
+				t.Errorf("%d servers are still ejected a second later", got)
 			}
 		})
 	}
 }
 
-func ejected(all []*cwserver.Server, now time.Time) int {
+func countEjected(all []*cwserver.Server, now time.Time) int {
 	count := 0
 
 	for _, s := range all {
@@ -215,21 +215,22 @@
 		s.Begin(start).End(start.Add(usual), cwserver.Replied)
 	}
 
-	grown := s.Limit()
+	raised := s.Limit()
 	s.Begin(start).End(start, cwserver.Refused)
 
-	if half := s.Limit(); grown < 10 || half != grown/2 {
-		t.Errorf("limit %d after replies, %d after a refusal", grown, half)
+	if half := s.Limit(); raised < 10 || half != raised/2 {
+		t.Errorf("limit %d after replies, %d after a refusal", raised, half)
 	}
 
-	// All three connections are in use, which is no fault of the server.
+	// Running out of connections lowers the limit to the calls in flight but is
+	// no fault of the server, so it must not raise its latency.
 	for range 3 {
 		s.Begin(start)
 	}
 
 	s.Begin(start).End(start, cwserver.Crowded)
 
-	if crowded, latency := s.Limit(), view(s, start).Latency; crowded != 3 || latency > 2*usual {
-		t.Errorf("limit %d, latency %s after too few connections", crowded, latency)
+	if limit, latency := s.Limit(), view(s, start).Latency; limit != 3 || latency > 2*usual {
+		t.Errorf("limit %d, latency %s after the connections ran out", limit, latency)
 	}
 }
--- a/internal/cwserver/group.go
+++ b/internal/cwserver/group.go
@@ -6,56 +6,57 @@
 	"time"
 )
 
-// Group is what the servers of one service have in common.
+// Group holds what the servers of one service have in common.
 type Group struct {
 	servers atomic.Pointer[[]*Server]
-	// usual is the moving average of all latencies in nanoseconds.
-	usual atomic.Int64
-	// others is the moving average of the calls that are not ours, a server,
-	// as the bits of a float64.
-	others atomic.Uint64
-	// reported is when the last report came.
-	reported atomic.Int64
+	// averageLatency is the moving average of all latencies in nanoseconds.
+	averageLatency atomic.Int64
+	// averageOtherCalls is the moving average of the calls that other entry
+	// VMs have on a server, as the bits of a float64.
+	averageOtherCalls atomic.Uint64
+	// reportedAt is the instant of the last report.
+	reportedAt atomic.Int64
 }
 
-// groupShare is the weight of one sample in the group's averages.
-const groupShare = 1.0 / 64
+// sampleWeight is the weight of one sample in the group's averages.
+const sampleWeight = 1.0 / 64
 
 func (g *Group) setServers(list []*Server) { g.servers.Store(&list) }
 
 // Usual returns the average latency of the service, or zero.
-func (g *Group) Usual() time.Duration { return time.Duration(g.usual.Load()) }
+func (g *Group) Usual() time.Duration { return time.Duration(g.averageLatency.Load()) }
 
-// addLatency takes the latency of one whole reply. Two at once may lose one,
-// which an average can bear.
+// addLatency adds the latency of one complete reply. Of two concurrent updates
+// one may be lost, which the average tolerates.
 func (g *Group) addLatency(d time.Duration) {
-	old := g.usual.Load()
+	old := g.averageLatency.Load()
 	if old == 0 {
-		g.usual.Store(int64(d))
+		g.averageLatency.Store(int64(d))
 
 		return
 	}
 
-	g.usual.Store(old + int64(float64(int64(d)-old)*groupShare))
+	g.averageLatency.Store(old + int64(float64(int64(d)-old)*sampleWeight))
 }
 
-func (g *Group) addOthers(now instant, n int64) {
-	g.reported.Store(int64(now))
+func (g *Group) addOtherCalls(now instant, n int64) {
+	g.reportedAt.Store(int64(now))
 
-	old := math.Float64frombits(g.others.Load())
-	g.others.Store(math.Float64bits(old + (float64(n)-old)*groupShare))
+	old := math.Float64frombits(g.averageOtherCalls.Load())
+	g.averageOtherCalls.Store(math.Float64bits(old + (float64(n)-old)*sampleWeight))
 }
 
-// expectOthers returns the average number of calls a server that are not
-// ours. It fades, too: who holds all servers for full sends nothing and hears
-// nothing new, and would never try again.
-func (g *Group) expectOthers(now instant) float64 {
-	average := math.Float64frombits(g.others.Load())
+// expectedOtherCalls returns the average number of calls that other entry VMs
+// have on a server. It decays with the age of the last report: an entry VM that
+// takes all servers for full sends nothing, so gets no new reports, and would
+// never try again.
+func (g *Group) expectedOtherCalls(now instant) float64 {
+	average := math.Float64frombits(g.averageOtherCalls.Load())
 
-	return average * fade(now.since(instant(g.reported.Load())), reportFade)
+	return average * decay(now.since(instant(g.reportedAt.Load())), reportHalfLife)
 }
 
-// mayEject tells whether one more server may be ejected.
+// mayEject reports whether one more server may be ejected.
 func (g *Group) mayEject(now instant) bool {
 	list := g.servers.Load()
 	if list == nil {
@@ -65,10 +66,10 @@
 	count := 1
 
 	for _, s := range *list {
-		if instant(s.ejected.Load()) > now {
+		if instant(s.ejectedUntil.Load()) > now {
 			count++
 		}
 	}
 
-	return float64(count) <= ejectShare*float64(len(*list))
+	return float64(count) <= maxEjectedShare*float64(len(*list))
 }
--- a/internal/cwserver/leave.go
+++ b/internal/cwserver/leave.go
@@ -10,66 +10,67 @@
 	"carobward.example/carobward"
 )
 
-// Level tells how surely a server leaves.
+// Level is how certain it is that a server is leaving.
 type Level uint8
 
 // The levels.
 const (
-	// Stays: nothing says that it leaves.
+	// Stays: nothing shows that it is leaving.
 	Stays Level = iota
-	// MayLeave: its health endpoint alone says so. It gets no new work while
-	// another server of its service stays.
+	// MayLeave: only its health endpoint reports it. The server gets no new
+	// work while another server of its service stays.
 	MayLeave
-	// Leaves: it said so itself, or the VM list or an operator did. It gets
-	// no new work.
+	// Leaves: the server announced it in a reply, or the VM list or an
+	// operator declared it. The server gets no new work.
 	Leaves
 )
 
-// Word is what a server said of itself with a reply.
+// Word is what a server announced about itself with a reply.
 type Word struct {
 	// Address is the server.
 	Address carobward.Address
-	// Run numbers its runs, rising; 0 where it gives no number.
+	// Run is a number that rises with each start of the server, or 0 if it
+	// reports none.
 	Run uint64
-	// Draining tells that it takes no new work.
+	// Draining is true if the server takes no new work.
 	Draining bool
 }
 
-// leave is what a Table knows of leaving servers.
-type leave struct {
-	mutex  sync.Mutex
-	levels map[carobward.Address]Level
-	words  map[carobward.Address]Word
-	// owners has the server that the VM list shows at an address.
+// leaveState is what a Table knows of leaving servers.
+type leaveState struct {
+	mutex         sync.Mutex
+	levels        map[carobward.Address]Level
+	announcements map[carobward.Address]Word
+	// owners maps each address to the server that the VM list has there.
 	owners map[carobward.Address]*Server
-	// fresh is the instant until which the levels may be relied on; 0 means
-	// for ever.
-	fresh atomic.Int64
+	// freshUntil is the instant up to which the levels are up to date; 0 means
+	// that they never expire.
+	freshUntil atomic.Int64
 }
 
-func newLeave() *leave {
-	return &leave{levels: map[carobward.Address]Level{}, words: map[carobward.Address]Word{}}
+func newLeaveState() *leaveState {
+	return &leaveState{levels: map[carobward.Address]Level{}, announcements: map[carobward.Address]Word{}}
 }
 
-// SetLevels replaces what is known of leaving servers, in which the given
-// words are taken into account.
+// SetLevels replaces the levels of all servers. The announcements in taken are
+// accounted for in them and are removed unless a newer one replaced them.
 func (t *Table) SetLevels(levels map[carobward.Address]Level, taken []Word) {
 	t.leave.mutex.Lock()
 	defer t.leave.mutex.Unlock()
 
 	for _, w := range taken {
-		if t.leave.words[w.Address] == w {
-			delete(t.leave.words, w.Address)
+		if t.leave.announcements[w.Address] == w {
+			delete(t.leave.announcements, w.Address)
 		}
 	}
 
 	t.leave.levels = maps.Clone(levels)
-	t.refresh()
+	t.refreshLeaving()
 }
 
-// listed takes what the VM list says. A server that it shows as leaving leaves
-// at once; who else must know is told through SetLevels.
-func (t *Table) listed(list []carobward.VM, owners map[carobward.Address]*Server) {
+// updateLeaving applies the VM list. A server that is listed as leaving gets no
+// new work from now on; SetLevels confirms or replaces that level later.
+func (t *Table) updateLeaving(list []carobward.VM, owners map[carobward.Address]*Server) {
 	t.leave.mutex.Lock()
 	defer t.leave.mutex.Unlock()
 
@@ -81,42 +82,43 @@
 		}
 	}
 
-	t.refresh()
+	t.refreshLeaving()
 }
 
-// refresh sets Leaving for each server; the mutex of leave is held.
-func (t *Table) refresh() {
+// refreshLeaving sets Leaving for each server; the mutex of leave must be held.
+func (t *Table) refreshLeaving() {
 	for _, list := range *t.byService.Load() {
-		stay := 0
+		staying := 0
 
 		for _, s := range list {
 			if t.leave.level(s.Address) == Stays {
-				stay++
+				staying++
 			}
 		}
 
 		for _, s := range list {
 			level := t.leave.level(s.Address)
-			s.Leaving.Store(level == Leaves || level == MayLeave && stay > 0)
+			s.Leaving.Store(level == Leaves || level == MayLeave && staying > 0)
 		}
 	}
 }
 
-// level returns the level with the words that are not yet taken.
-func (l *leave) level(a carobward.Address) Level {
-	if w, ok := l.words[a]; ok && w.Draining {
+// level returns the level of the server at an address, with announcements that
+// SetLevels has not taken yet.
+func (l *leaveState) level(a carobward.Address) Level {
+	if w, ok := l.announcements[a]; ok && w.Draining {
 		return Leaves
 	}
 
 	return l.levels[a]
 }
 
-// Words returns what servers said since it was last taken into account.
+// Words returns the announcements that SetLevels has not taken yet.
 func (t *Table) Words() []Word {
 	t.leave.mutex.Lock()
 	defer t.leave.mutex.Unlock()
 
-	return slices.Collect(maps.Values(t.leave.words))
+	return slices.Collect(maps.Values(t.leave.announcements))
 }
 
 // All returns the servers of all services.
@@ -127,7 +129,7 @@
 	return slices.Collect(maps.Values(t.leave.owners))
 }
 
-// Has tells whether the VM list shows a server at an address.
+// Has reports whether the VM list has a server at an address.
 func (t *Table) Has(a carobward.Address) bool {
 	t.leave.mutex.Lock()
 	defer t.leave.mutex.Unlock()
@@ -135,14 +137,14 @@
 	return t.leave.owners[a] != nil
 }
 
-// say takes a server's word. It is called for each report and so returns fast
-// where there is no news.
-func (s *Server) say(r carobward.Report) {
+// updateDraining records whether a report announces that the server is
+// draining. It runs for each report, so it returns early if nothing changed.
+func (s *Server) updateDraining(r carobward.Report) {
 	if !r.Draining && (r.Run == 0 || !s.Leaving.Load()) {
 		return
 	}
 
-	if s.leave == nil { // It belongs to no table.
+	if s.leave == nil { // The server belongs to no table.
 		s.Leaving.Store(r.Draining)
 
 		return
@@ -151,37 +153,38 @@
 	s.leave.mutex.Lock()
 	defer s.leave.mutex.Unlock()
 
-	// A late word of a server whose address another one has by now says
-	// nothing of that one.
+	// Another server may have the address by now; a late report of the old one
+	// does not apply to it.
 	if owner := s.leave.owners[s.Address]; owner != nil && owner != s {
 		return
 	}
 
-	// A reply from before the drain may come after one that told of it.
-	if old, ok := s.leave.words[s.Address]; ok && old.Draining && !r.Draining && r.Run <= old.Run {
+	// A reply sent before the drain may arrive after one that announced it.
+	if old, ok := s.leave.announcements[s.Address]; ok && old.Draining && !r.Draining && r.Run <= old.Run {
 		return
 	}
 
-	s.leave.words[s.Address] = Word{Address: s.Address, Run: r.Run, Draining: r.Draining}
+	s.leave.announcements[s.Address] = Word{Address: s.Address, Run: r.Run, Draining: r.Draining}
 
 	if r.Draining {
 		s.Leaving.Store(true)
 	}
 }
 
-// SetFresh tells until when the levels may be relied on.
-func (t *Table) SetFresh(until time.Time) { t.leave.fresh.Store(int64(at(until))) }
+// SetFresh sets the time up to which the levels count as up to date.
+func (t *Table) SetFresh(until time.Time) { t.leave.freshUntil.Store(int64(toInstant(until))) }
 
-// MayDispatch tells whether new work may go to a server now. It must be asked
-// right before each dispatch, be it the first, queued, retried or hedged. An
-// entry VM that was paused gives out no work until it has heard the news.
+// MayDispatch reports whether new work may go to a server now. It must be
+// called right before each dispatch, whether the call is a first one, queued,
+// retried or hedged. An entry VM that was paused dispatches nothing until it has
+// received current levels.
 func (t *Table) MayDispatch(s *Server, now time.Time) bool {
 	return !s.Leaving.Load() && t.Fresh(now)
 }
 
-// Fresh tells whether the levels may be relied on.
+// Fresh reports whether the levels are up to date.
 func (t *Table) Fresh(now time.Time) bool {
-	fresh := t.leave.fresh.Load()
+	until := t.leave.freshUntil.Load()
 
-	return fresh == 0 || int64(at(now)) <= fresh
+	return until == 0 || int64(toInstant(now)) <= until
 }
--- a/internal/cwserver/leave_test.go
+++ b/internal/cwserver/leave_test.go
@@ -9,7 +9,7 @@
 	"carobward.example/carobward"
 )
 
-func listOf(addresses ...carobward.Address) []carobward.VM {
+func vmList(addresses ...carobward.Address) []carobward.VM {
 	var list []carobward.VM
 	for _, a := range addresses {
 		list = append(list, carobward.VM{Address: a, Service: "records"})
@@ -18,7 +18,7 @@
 	return list
 }
 
-func staying(t *Table, now time.Time) []carobward.Address {
+func dispatchable(t *Table, now time.Time) []carobward.Address {
 	var all []carobward.Address
 
 	for _, s := range t.Of("records") {
@@ -30,7 +30,8 @@
 	return all
 }
 
-// TestWhoGetsWork has the levels against the servers that may get work.
+// TestWhoGetsWork checks which servers may get work at given levels, whether
+// the levels are known before the VM list or only after it.
 func TestWhoGetsWork(t *testing.T) {
 	type levels = map[carobward.Address]Level
 
@@ -38,83 +39,85 @@
 		levels levels
 		want   []carobward.Address
 	}{
-		"all stay":                          {nil, []carobward.Address{"a", "b", "c"}},
-		"one may leave":                     {levels{"a": MayLeave}, []carobward.Address{"b", "c"}},
-		"only one stays":                    {levels{"a": MayLeave, "b": Leaves}, []carobward.Address{"c"}},
-		"health says that all leave":        {levels{"a": MayLeave, "b": MayLeave, "c": MayLeave}, []carobward.Address{"a", "b", "c"}},
-		"the last resort is not the sure":   {levels{"a": MayLeave, "b": Leaves, "c": Leaves}, []carobward.Address{"a"}},
-		"all leave surely, so nobody gets":  {levels{"a": Leaves, "b": Leaves, "c": Leaves}, nil},
-		"a server that is not on the list ": {levels{"x": Leaves}, []carobward.Address{"a", "b", "c"}},
+		"all stay":                         {nil, []carobward.Address{"a", "b", "c"}},
+		"one may leave":                    {levels{"a": MayLeave}, []carobward.Address{"b", "c"}},
+		"only one stays":                   {levels{"a": MayLeave, "b": Leaves}, []carobward.Address{"c"}},
+		"health reports that all leave":    {levels{"a": MayLeave, "b": MayLeave, "c": MayLeave}, []carobward.Address{"a", "b", "c"}},
+		"one may leave, the others do":     {levels{"a": MayLeave, "b": Leaves, "c": Leaves}, []carobward.Address{"a"}},
+		"all leave":                        {levels{"a": Leaves, "b": Leaves, "c": Leaves}, nil},
+		"a server that is not on the list": {levels{"x": Leaves}, []carobward.Address{"a", "b", "c"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := NewTable()
 			table.SetLevels(test.levels, nil)
-			table.Update(listOf("a", "b", "c"))
+			table.Update(vmList("a", "b", "c"))
 
-			if diff := cmp.Diff(test.want, staying(table, time.Now())); diff != "" {
-				t.Errorf("known before: %s", diff)
+			if diff := cmp.Diff(test.want, dispatchable(table, time.Now())); diff != "" {
+				t.Errorf("levels set before the VM list: %s", diff)
 			}
 
 			table.SetLevels(nil, nil)
 			table.SetLevels(test.levels, nil)
 
-			if diff := cmp.Diff(test.want, staying(table, time.Now())); diff != "" {
-				t.Errorf("learned after: %s", diff)
+			if diff := cmp.Diff(test.want, dispatchable(table, time.Now())); diff != "" {
+				t.Errorf("levels set after the VM list: %s", diff)
 			}
 		})
 	}
 }
 
-// TestWordStandsUntilTaken shows that a server's word holds from the reply on,
-// whatever comes from elsewhere meanwhile.
+// TestWordStandsUntilTaken verifies that a server's announcement holds from the
+// reply on until SetLevels takes it, whatever other sources report meanwhile,
+// and that a late one of a server that was replaced at its address is ignored.
 func TestWordStandsUntilTaken(t *testing.T) {
 	table := NewTable()
-	table.Update(listOf("a", "b"))
+	table.Update(vmList("a", "b"))
 
 	now := time.Now()
 	first := table.Of("records")[0]
 	first.SetReport(carobward.Report{At: now, Draining: true, Run: 7})
 	first.SetReport(carobward.Report{At: now, Run: 7})
 	table.SetLevels(nil, nil)
-	table.Update(listOf("a", "b"))
+	table.Update(vmList("a", "b"))
 
-	if diff := cmp.Diff([]carobward.Address{"b"}, staying(table, now)); diff != "" {
+	if diff := cmp.Diff([]carobward.Address{"b"}, dispatchable(table, now)); diff != "" {
 		t.Error(diff)
 	}
 
-	words := table.Words()
-	if diff := cmp.Diff([]Word{{Address: "a", Run: 7, Draining: true}}, words); diff != "" {
+	announcements := table.Words()
+	if diff := cmp.Diff([]Word{{Address: "a", Run: 7, Draining: true}}, announcements); diff != "" {
 		t.Error(diff)
 	}
 
-	table.SetLevels(nil, words)
+	table.SetLevels(nil, announcements)
 
-	if diff := cmp.Diff([]carobward.Address{"a", "b"}, staying(table, now)); diff != "" {
-		t.Errorf("after it was taken: %s", diff)
+	if diff := cmp.Diff([]carobward.Address{"a", "b"}, dispatchable(table, now)); diff != "" {
+		t.Errorf("after the announcement was taken: %s", diff)
 	}
 
-	table.Update(listOf("b"))
-	table.Update(listOf("a", "b"))
+	table.Update(vmList("b"))
+	table.Update(vmList("a", "b"))
 	first.SetReport(carobward.Report{At: now, Draining: true})
 
 	if diff := cmp.Diff([]Word(nil), table.Words()); diff != "" {
-		t.Errorf("the word of the server before: %s", diff)
+		t.Errorf("announcement of the server that was replaced: %s", diff)
 	}
 }
 
-// TestPaused shows that no work is given out by old news.
+// TestPaused verifies that nothing is dispatched once the levels are out of
+// date, as after a pause of the entry VM.
 func TestPaused(t *testing.T) {
 	table := NewTable()
-	table.Update(listOf("a"))
+	table.Update(vmList("a"))
 
 	now := time.Now()
 	table.SetFresh(now)
 
-	if got := staying(table, now); len(got) != 1 {
-		t.Error("fresh, but no work")
+	if got := dispatchable(table, now); len(got) != 1 {
+		t.Error("no server may get work although the levels are up to date")
 	}
 
-	if got := staying(table, now.Add(1)); len(got) != 0 {
-		t.Error("work by old news")
+	if got := dispatchable(table, now.Add(1)); len(got) != 0 {
+		t.Error("a server may get work although the levels are out of date")
 	}
 }
--- a/internal/cwserver/server.go
+++ b/internal/cwserver/server.go
@@ -9,60 +9,60 @@
 	"carobward.example/carobward"
 )
 
-// epoch is the start of the times kept as numbers. Differences to it use the
-// monotonic clock.
+// epoch is the zero point of instants. Differences to it use the monotonic
+// clock.
 var epoch = time.Now()
 
 // instant is a time in nanoseconds since epoch, at least 1; zero means never.
 type instant int64
 
-func at(t time.Time) instant { return max(1, instant(t.Sub(epoch))) }
+func toInstant(t time.Time) instant { return max(1, instant(t.Sub(epoch))) }
 
-// since returns the time passed, which is never negative.
-func (i instant) since(then instant) time.Duration { return max(0, time.Duration(i-then)) }
+// since returns the time since an earlier instant; it is never negative.
+func (i instant) since(earlier instant) time.Duration { return max(0, time.Duration(i-earlier)) }
 
-// Server is one line of the table. Its counters may be read and written at
-// any time.
+// Server is one entry of the table. Its counters may be used concurrently.
 type Server struct {
 	// Address, Service and Domain come from the VM list.
 	Address carobward.Address
 	Service carobward.Service
 	Domain  carobward.Domain
-	// Running counts our own calls in flight.
+	// Running counts this entry VM's calls in flight.
 	Running atomic.Int64
-	// Leaving tells that it gets no new work.
+	// Leaving is true if the server gets no new work.
 	Leaving atomic.Bool
 
 	report atomic.Pointer[carobward.Report]
 	group  *Group
-	leave  *leave
-
-	// What the choice reads, without a lock.
-	slots    atomic.Int64
-	others   atomic.Int64
-	doubt    atomic.Uint64
-	reported atomic.Int64
-	latency  atomic.Int64
-	memory   atomic.Int64
-	measured atomic.Int64
-	oldest   atomic.Int64
-	ejected  atomic.Int64
-	limit    atomic.Int64
+	leave  *leaveState
+
+	// Read without a lock when a server is chosen.
+	slots        atomic.Int64
+	otherCalls   atomic.Int64
+	distrust     atomic.Uint64
+	reportedAt   atomic.Int64
+	slowLatency  atomic.Int64
+	slowHalfLife atomic.Int64
+	slowAt       atomic.Int64
+	oldest       atomic.Int64
+	ejectedUntil atomic.Int64
+	limit        atomic.Int64
 
 	mutex sync.Mutex
-	// out has the start of each own call in flight, zero for a free place.
-	out []instant
-	// slow counts the slow replies in a row.
-	slow int
-	// failures counts those in a row, ejections those without a reply
-	// between them.
+	// starts has the start of each of this entry VM's calls in flight, zero at
+	// an unused index.
+	starts []instant
+	// slowReplies counts consecutive slow replies.
+	slowReplies int
+	// failures counts consecutive failures, ejections those since the last
+	// reply.
 	failures  int
 	ejections int
-	// grown counts replies since the limit last changed.
-	grown int64
+	// repliesAtLimit counts replies since the limit last changed.
+	repliesAtLimit int64
 }
 
-// Report returns the last load report; At is zero if there was none.
+// Report returns the last load report; its At is zero if there was none.
 func (s *Server) Report() carobward.Report {
 	if r := s.report.Load(); r != nil {
 		return *r
@@ -71,51 +71,52 @@
 	return carobward.Report{}
 }
 
-// SetReport takes a load report that came with a reply to one of our calls,
-// or with a probe.
+// SetReport stores a load report that came with the reply to a call or to a
+// probe.
 func (s *Server) SetReport(r carobward.Report) {
 	if r.At.IsZero() {
 		return
 	}
 
 	s.report.Store(&r)
-	s.say(r)
+	s.updateDraining(r)
 
 	own, total := s.Running.Load(), int64(r.Running+r.Queued)
-	s.check(own, total)
+	s.checkReport(own, total)
 
-	others := max(0, total-own)
+	otherCalls := max(0, total-own)
 	s.slots.Store(int64(r.Slots))
-	s.others.Store(others)
-	s.reported.Store(int64(at(r.At)))
+	s.otherCalls.Store(otherCalls)
+	s.reportedAt.Store(int64(toInstant(r.At)))
 
 	if s.group != nil {
-		s.group.addOthers(at(r.At), others)
+		s.group.addOtherCalls(toInstant(r.At), otherCalls)
 	}
 }
 
-// The doubt in a server's reports, from 0 to 1.
+// The parameters of the distrust in a server's reports, which is from 0 to 1.
 const (
-	// onTheWay is how many of our calls may be on the way to or from a server,
-	// so that a true report lacks them.
-	onTheWay = 2
-	// doubtFaster is how much of the trust one false report costs, and
-	// doubtSlower how much of the doubt one that may be true takes away.
-	doubtFaster = 0.9
-	doubtSlower = 1.0 / 1024
+	// maxInTransit is how many of this entry VM's calls a correct report may
+	// lack because they are on the network to or from the server.
+	maxInTransit = 2
+	// distrustGain is the fraction of the remaining trust that one implausible
+	// report removes, and distrustDecay the fraction of the distrust that one
+	// plausible report removes.
+	distrustGain  = 0.9
+	distrustDecay = 1.0 / 1024
 )
 
-// check compares a report with what we know for sure: a server that holds
-// fewer calls than we have there reports what was, not what is. Its next
-// reports count less until they fit again.
-func (s *Server) check(own, total int64) {
-	doubt := math.Float64frombits(s.doubt.Load())
+// checkReport compares a report with this entry VM's own calls on the server. A
+// total below that number shows that the report is out of date, so the server's
+// next reports count less until they are plausible again.
+func (s *Server) checkReport(own, total int64) {
+	distrust := math.Float64frombits(s.distrust.Load())
 
-	if own > total+onTheWay {
-		doubt += (1 - doubt) * doubtFaster
+	if own > total+maxInTransit {
+		distrust += (1 - distrust) * distrustGain
 	} else {
-		doubt -= doubt * doubtSlower
+		distrust -= distrust * distrustDecay
 	}
 
-	s.doubt.Store(math.Float64bits(doubt))
+	s.distrust.Store(math.Float64bits(distrust))
 }
--- a/internal/cwserver/table.go
+++ b/internal/cwserver/table.go
@@ -1,5 +1,5 @@
-// Package cwserver holds the table of servers and what this entry VM
-// knows of each.
+// Package cwserver holds the table of servers with the state that this entry VM
+// keeps of each: load, latency, ejection and whether it is leaving.
 package cwserver
 
 import (
@@ -15,7 +15,7 @@
 	byAddress map[carobward.Address]*Server
 	groups    map[carobward.Service]*Group
 	byService atomic.Pointer[map[carobward.Service][]*Server]
-	leave     *leave
+	leave     *leaveState
 }
 
 // NewTable returns an empty table.
@@ -23,7 +23,7 @@
 	t := &Table{
 		byAddress: map[carobward.Address]*Server{},
 		groups:    map[carobward.Service]*Group{},
-		leave:     newLeave(),
+		leave:     newLeaveState(),
 	}
 	t.byService.Store(&map[carobward.Service][]*Server{})
 
@@ -33,7 +33,7 @@
 // Of returns the servers of a service. The slice must not be changed.
 func (t *Table) Of(s carobward.Service) []*Server { return (*t.byService.Load())[s] }
 
-// Update takes the VM list. Servers that are still on it keep their state.
+// Update applies the VM list. Servers that stay on it keep their state.
 func (t *Table) Update(list []carobward.VM) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -65,10 +65,10 @@
 
 	t.byAddress = next
 	t.byService.Store(&byService)
-	t.listed(list, next)
+	t.updateLeaving(list, next)
 }
 
-// group returns the group of a service; the mutex is held.
+// group returns the group of a service; the mutex must be held.
 func (t *Table) group(s carobward.Service) *Group {
 	g := t.groups[s]
 	if g == nil {
--- a/internal/cwserver/view.go
+++ b/internal/cwserver/view.go
@@ -5,137 +5,142 @@
 	"time"
 )
 
-// The fading of old knowledge.
+// How age affects what is known of a server.
 const (
-	// reportFade is the age at which a report counts half.
-	reportFade = 500 * time.Millisecond
-	// ageFactor is how many usual latencies a call must be out before its age
-	// counts.
-	ageFactor = 2
+	// reportHalfLife is the age at which a report counts half.
+	reportHalfLife = 500 * time.Millisecond
+	// overdueFactor times the usual latency is the age from which a call in
+	// flight counts as overdue.
+	overdueFactor = 2
 )
 
-// fade returns the weight of knowledge by its age, from 1 to 0.
-func fade(age, half time.Duration) float64 { return float64(half) / float64(half+age) }
+// decay returns the weight, from 1 down to 0, of a value of some age.
+func decay(age, halfLife time.Duration) float64 { return float64(halfLife) / float64(halfLife+age) }
 
-// Moment is a time with what all servers of a service share at it, so that a
-// choice among many looks it up once.
+// Moment is a time with the averages of a service at that time, so that a
+// choice among many servers looks them up once.
 type Moment struct {
-	at     instant
-	usual  time.Duration
-	others float64
+	at           instant
+	usualLatency time.Duration
+	otherCalls   float64
 }
 
-// Moment returns a moment for this server and all others of its service.
+// Moment returns the moment for this server and all others of its service.
 func (s *Server) Moment(now time.Time) Moment {
-	m := Moment{at: at(now)}
+	m := Moment{at: toInstant(now)}
 
 	if s.group != nil {
-		m.usual = s.group.Usual()
-		m.others = s.group.expectOthers(m.at)
+		m.usualLatency = s.group.Usual()
+		m.otherCalls = s.group.expectedOtherCalls(m.at)
 	}
 
 	return m
 }
 
 // Usual returns the average latency of the service, or zero.
-func (m *Moment) Usual() time.Duration { return m.usual }
+func (m *Moment) Usual() time.Duration { return m.usualLatency }
 
-// View is what is expected of a server at a moment.
+// View is the expected state of a server at a moment.
 type View struct {
-	// Running counts our own calls, and Limit is the most it should hold.
+	// Running counts this entry VM's calls, and Limit is the most of them that
+	// the server should hold.
 	Running, Limit int64
-	// Load is how many calls the server holds: ours exactly, those of others
-	// by the last report, which fades to the service's average.
+	// Load is how many calls the server holds: the exact number of this entry
+	// VM's calls, and for those of other entry VMs an estimate that moves from
+	// the last report to the service's average as the report ages.
 	Load float64
-	// Slots is how many it runs at once, or zero where it has not told.
+	// Slots is how many calls the server runs at once, or zero if it has not
+	// reported that.
 	Slots float64
-	// Latency is that of a call that finds a free slot: the usual one, or the
-	// last slow one as it fades, or the age of the oldest call out where that
-	// is longer than is usual.
+	// Latency is the expected latency of a call that finds a free slot: the
+	// usual one, plus the decaying excess of the last slow one, or the age of
+	// the oldest call in flight if that is overdue and longer.
 	Latency time.Duration
 }
 
-// View returns what is expected of the server at a moment.
+// View returns the expected state of the server at a moment.
 func (s *Server) View(m *Moment) View {
 	running := s.Running.Load()
 
 	return View{
 		Running: running,
 		Limit:   s.Limit(),
-		Load:    float64(running) + s.expectOthers(m),
+		Load:    float64(running) + s.expectedOtherCalls(m),
 		Slots:   float64(s.slots.Load()),
-		Latency: s.expectLatency(m),
+		Latency: s.expectedLatency(m),
 	}
 }
 
-// Ejected tells whether the server has been taken out of the choice.
-func (s *Server) Ejected(m *Moment) bool { return instant(s.ejected.Load()) > m.at }
+// Ejected reports whether the server is excluded from being chosen.
+func (s *Server) Ejected(m *Moment) bool { return instant(s.ejectedUntil.Load()) > m.at }
 
-// EjectedFor returns for how long the server stays out of the choice.
+// EjectedFor returns for how much longer the server stays ejected.
 func (s *Server) EjectedFor(m *Moment) time.Duration {
-	return instant(s.ejected.Load()).since(m.at)
+	return instant(s.ejectedUntil.Load()).since(m.at)
 }
 
-// Limit returns the most of our own calls that the server should hold.
+// Limit returns the most of this entry VM's calls that the server should hold.
 func (s *Server) Limit() int64 {
 	if l := s.limit.Load(); l != 0 {
 		return l
 	}
 
-	return limitFirst
+	return initialLimit
 }
 
-func (s *Server) expectOthers(m *Moment) float64 {
-	reported := instant(s.reported.Load())
-	if reported == 0 {
-		return m.others
+func (s *Server) expectedOtherCalls(m *Moment) float64 {
+	reportedAt := instant(s.reportedAt.Load())
+	if reportedAt == 0 {
+		return m.otherCalls
 	}
 
-	weight := fade(m.at.since(reported), reportFade) * (1 - math.Float64frombits(s.doubt.Load()))
+	weight := decay(m.at.since(reportedAt), reportHalfLife) * (1 - math.Float64frombits(s.distrust.Load()))
 
-	return m.others + (float64(s.others.Load())-m.others)*weight
+	return m.otherCalls + (float64(s.otherCalls.Load())-m.otherCalls)*weight
 }
 
 // Rounds returns how many rounds of its slots a new call is expected to wait
 // for and take: 1 with a free slot.
 func (v *View) Rounds() float64 { return max(1, (v.Load+1)/max(1, v.Slots)) }
 
-func (s *Server) expectLatency(m *Moment) time.Duration {
-	latency := m.usual
+func (s *Server) expectedLatency(m *Moment) time.Duration {
+	latency := m.usualLatency
 
-	if memory := time.Duration(s.memory.Load()); memory != 0 {
-		slow := time.Duration(s.latency.Load())
-		age := m.at.since(instant(s.measured.Load()))
-		latency += time.Duration(float64(max(0, slow-m.usual)) * fade(age, memory))
+	if halfLife := time.Duration(s.slowHalfLife.Load()); halfLife != 0 {
+		slow := time.Duration(s.slowLatency.Load())
+		age := m.at.since(instant(s.slowAt.Load()))
+		latency += time.Duration(float64(max(0, slow-m.usualLatency)) * decay(age, halfLife))
 	}
 
-	return max(latency, s.overdue(m))
+	return max(latency, s.overdueAge(m))
 }
 
-// overdue returns the age of the oldest call out if it is news.
-func (s *Server) overdue(m *Moment) time.Duration {
+// overdueAge returns the age of the oldest call in flight if that call is
+// overdue, or zero.
+func (s *Server) overdueAge(m *Moment) time.Duration {
 	oldest := instant(s.oldest.Load())
 	if oldest == 0 {
 		return 0
 	}
 
-	if age := m.at.since(oldest); age > ageFactor*m.usual {
+	if age := m.at.since(oldest); age > overdueFactor*m.usualLatency {
 		return age
 	}
 
 	return 0
 }
 
-// Overdue counts our calls that have been out for longer than than.
-func (s *Server) Overdue(now time.Time, than time.Duration) int {
-	t := at(now)
+// Overdue counts this entry VM's calls that have been in flight for longer than
+// age.
+func (s *Server) Overdue(now time.Time, age time.Duration) int {
+	t := toInstant(now)
 	count := 0
 
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
-	for _, began := range s.out {
-		if began != 0 && t.since(began) > than {
+	for _, started := range s.starts {
+		if started != 0 && t.since(started) > age {
 			count++
 		}
 	}
