--- a/internal/cwroute/choose.go
+++ b/internal/cwroute/choose.go
@@ -1,5 +1,5 @@
-// Package cwroute decides which server gets a call. Its decisions are pure
-// functions of the table, the time and the random source handed in.
+// Package cwroute chooses the server that gets a call. A choice depends only on
+// the table of servers, the time and the random source passed in.
 package cwroute
 
 import (
@@ -10,8 +10,8 @@
 	"carobward.example/carobward/internal/cwserver"
 )
 
-// Pair takes the server with fewer of our own calls among two drawn at
-// random.
+// Pair draws two servers at random and chooses the one with fewer calls of this
+// entry VM in flight (the power of two choices).
 type Pair struct{}
 
 // Choose implements Policy.
@@ -30,7 +30,7 @@
 	return first
 }
 
-// draw returns a random fit server: the first fit one from a random place.
+// draw returns a random eligible server: the first one from a random index on.
 func draw(servers, tried []*cwserver.Server, rng *rand.Rand) *cwserver.Server {
 	n := len(servers)
 	if n == 0 {
@@ -40,7 +40,7 @@
 	start := rng.IntN(n)
 	for i := range n {
 		s := servers[(start+i)%n]
-		if fit(s, tried) {
+		if eligible(s, tried) {
 			return s
 		}
 	}
@@ -48,7 +48,8 @@
 	return nil
 }
 
-// fit tells whether a server may get this request at all.
-func fit(s *cwserver.Server, tried []*cwserver.Server) bool {
+// eligible reports whether a server may get this request at all: it is not
+// leaving and has not had the request before.
+func eligible(s *cwserver.Server, tried []*cwserver.Server) bool {
 	return !s.Leaving.Load() && !slices.Contains(tried, s)
 }
--- a/internal/cwroute/policy.go
+++ b/internal/cwroute/policy.go
@@ -7,10 +7,10 @@
 	"carobward.example/carobward/internal/cwserver"
 )
 
-// Policy chooses servers. It may be used by many goroutines, each with its
-// own random source.
+// Policy chooses servers. It must be safe for concurrent use by goroutines that
+// each pass their own random source.
 type Policy interface {
-	// Choose returns the server that the next call goes to, or nil if none is
-	// left. Servers in tried had this request before and are passed over.
+	// Choose returns the server for the next call, or nil if there is none.
+	// Servers in tried have had this request before and are skipped.
 	Choose(now time.Time, servers, tried []*cwserver.Server, rng *rand.Rand) *cwserver.Server
 }
--- a/internal/cwroute/recovery.go
+++ b/internal/cwroute/recovery.go
@@ -6,15 +6,14 @@
 	"carobward.example/carobward/internal/cwserver"
 )
 
-// soundFactor is how many usual latencies a sound server may be expected to
-// take.
-const soundFactor = 4
+// healthyFactor times the usual latency is the highest expected latency of a
+// healthy server.
+const healthyFactor = 4
 
-// Any tells whether a server of the list may get a request at all, full or
-// not.
+// Any reports whether any server of the list may get a request, full or not.
 func Any(servers, tried []*cwserver.Server) bool {
 	for _, s := range servers {
-		if fit(s, tried) {
+		if eligible(s, tried) {
 			return true
 		}
 	}
@@ -22,14 +21,14 @@
 	return false
 }
 
-// Recovery returns the time after which a server is expected to answer again:
-// the usual latency if one is sound, else until the first one that has been
-// ejected is tried again. It returns none if there is nothing to go by.
-func Recovery(now time.Time, servers []*cwserver.Server, none time.Duration) time.Duration {
-	least := time.Duration(0)
+// Recovery returns the time after which some server is expected to answer: the
+// usual latency if one is healthy, else the time until the first ejection ends.
+// It returns fallback if neither is known.
+func Recovery(now time.Time, servers []*cwserver.Server, fallback time.Duration) time.Duration {
+	shortest := time.Duration(0)
 
 	for _, s := range servers {
-		if !fit(s, nil) {
+		if !eligible(s, nil) {
 			continue
 		}
 
@@ -37,18 +36,18 @@
 		v := s.View(&m)
 		wait := s.EjectedFor(&m)
 
-		if wait == 0 && v.Latency <= soundFactor*s.Usual() {
+		if wait == 0 && v.Latency <= healthyFactor*s.Usual() {
 			wait = s.Usual()
 		}
 
-		if wait > 0 && (least == 0 || wait < least) {
-			least = wait
+		if wait > 0 && (shortest == 0 || wait < shortest) {
+			shortest = wait
 		}
 	}
 
-	if least == 0 {
-		return none
+	if shortest == 0 {
+		return fallback
 	}
 
-	return least
+	return shortest
 }
--- a/internal/cwroute/wait.go
+++ b/internal/cwroute/wait.go
@@ -8,37 +8,39 @@
 	"carobward.example/carobward/internal/cwserver"
 )
 
-// Wait takes the server with the least expected time to a reply, ties at
-// random. Its zero value looks at all servers and has no limits.
+// Wait chooses the server with the shortest expected time to a reply, at random
+// among equal ones. Its zero value compares all servers and takes none for full.
 type Wait struct {
 	// Sample is how many servers are drawn at random and compared; zero means
 	// all of them.
 	Sample int
-	// Queue is how many calls a server may be expected to hold for each of its
-	// slots; more are not sent. Zero means no limit.
+	// Queue is the highest expected number of calls per slot of a server; the
+	// server gets no call beyond it. Zero means no limit.
 	Queue float64
-	// Domain is our own failure domain, and Far is what a call to another one
-	// takes longer, there and back. So near servers go first until they are
-	// that much busier.
+	// Domain is this entry VM's failure domain, and Far the additional
+	// round-trip time of a call to another one. Servers in Domain are preferred
+	// until they are slower by Far because of their load.
 	Domain carobward.Domain
 	Far    time.Duration
-	// Ignore leaves knowledge out, to measure what it is worth.
+	// Ignore is the set of signals left out of the choice, to measure what they
+	// contribute.
 	Ignore Knowledge
 }
 
-// Knowledge is a set of what is known of servers.
+// Knowledge is a set of signals about servers.
 type Knowledge uint8
 
-// The kinds of knowledge.
+// The signals.
 const (
-	// Reports are the load reports, so what others send.
+	// Reports are the servers' load reports, which show the calls of other
+	// entry VMs.
 	Reports Knowledge = 1 << iota
-	// Latencies are slow replies and calls out for long.
+	// Latencies are slow replies and overdue calls.
 	Latencies
 )
 
-// blind forgets what is to be ignored.
-func (w Wait) blind(m *cwserver.Moment, v *cwserver.View) {
+// ignoreSignals removes the signals in Ignore from a view.
+func (w Wait) ignoreSignals(m *cwserver.Moment, v *cwserver.View) {
 	if w.Ignore&Reports != 0 {
 		v.Load = float64(v.Running)
 	}
@@ -48,20 +50,21 @@
 	}
 }
 
-// tie is the share by which two expected times may differ and still be a tie.
-const tie = 0.1
+// tieTolerance is the fraction by which two expected times may differ and still
+// count as equal.
+const tieTolerance = 0.1
 
-// Choose implements Policy. It returns nil also where all servers are full.
+// Choose implements Policy. It also returns nil if all servers are full.
 func (w Wait) Choose(now time.Time, servers, tried []*cwserver.Server, rng *rand.Rand) *cwserver.Server {
 	if s := w.best(now, servers, tried, rng, false); s != nil {
 		return s
 	}
 
-	return w.last(now, servers, tried, rng)
+	return w.lastResort(now, servers, tried, rng)
 }
 
-// last ignores ejection, where all others leave or had the request before.
-func (w Wait) last(now time.Time, servers, tried []*cwserver.Server, rng *rand.Rand) *cwserver.Server {
+// lastResort chooses among the ejected servers if no other one is eligible.
+func (w Wait) lastResort(now time.Time, servers, tried []*cwserver.Server, rng *rand.Rand) *cwserver.Server {
 	if len(servers) == 0 {
 		return nil
 	}
@@ -69,7 +72,7 @@
 	m := servers[0].Moment(now)
 
 	for _, s := range servers {
-		if fit(s, tried) && !s.Ejected(&m) {
+		if eligible(s, tried) && !s.Ejected(&m) {
 			return nil
 		}
 	}
@@ -90,7 +93,7 @@
 
 	m := servers[0].Moment(now)
 
-	p := pick{random: rng.Uint64()}
+	sel := selection{random: rng.Uint64()}
 
 	for range n {
 		s := servers[next]
@@ -98,53 +101,55 @@
 			next = 0
 		}
 
-		if !fit(s, tried) || (!ejected && s.Ejected(&m)) {
+		if !eligible(s, tried) || (!ejected && s.Ejected(&m)) {
 			continue
 		}
 
 		v := s.View(&m)
 		if w.Ignore != 0 {
-			w.blind(&m, &v)
+			w.ignoreSignals(&m, &v)
 		}
 
-		if w.full(&v) {
+		if w.isFull(&v) {
 			continue
 		}
 
-		p.add(s, cost(&v)+w.distance(s))
+		sel.add(s, cost(&v)+w.distanceCost(s))
 
 		if count--; count == 0 {
 			break
 		}
 	}
 
-	return p.server
+	return sel.server
 }
 
-// pick is the best server so far.
-type pick struct {
-	server *cwserver.Server
-	least  float64
-	ties   int
-	random uint64
+// selection is the best server so far while servers are compared.
+type selection struct {
+	server   *cwserver.Server
+	bestCost float64
+	ties     int
+	random   uint64
 }
 
-// add keeps each of those that tie with the same chance.
-func (p *pick) add(s *cwserver.Server, cost float64) {
+// add compares one more server. Servers with equal costs are each kept with the
+// same probability.
+func (p *selection) add(s *cwserver.Server, cost float64) {
 	switch {
-	case p.server == nil || cost < p.least*(1-tie):
-		p.server, p.least, p.ties = s, cost, 1
-	case cost <= p.least*(1+tie):
+	case p.server == nil || cost < p.bestCost*(1-tieTolerance):
+		p.server, p.bestCost, p.ties = s, cost, 1
+	case cost <= p.bestCost*(1+tieTolerance):
 		p.ties++
-		if p.below(uint64(p.ties)) == 0 {
+		if p.intN(uint64(p.ties)) == 0 {
 			p.server = s
 		}
 	}
 }
 
-// below returns a number below n. One step of a linear congruential generator
-// is a fraction of the cost of the source that the first number came from.
-func (p *pick) below(n uint64) uint64 {
+// intN returns a random number below n by one step of a linear congruential
+// generator, which costs a fraction of what the random source costs that seeded
+// it.
+func (p *selection) intN(n uint64) uint64 {
 	const multiplier, increment, half = 6364136223846793005, 1442695040888963407, 32
 
 	p.random = p.random*multiplier + increment
@@ -152,8 +157,8 @@
 	return (p.random >> half) * n >> half
 }
 
-// full tells whether a server should get no more calls.
-func (w Wait) full(v *cwserver.View) bool {
+// isFull reports whether a server should get no more calls.
+func (w Wait) isFull(v *cwserver.View) bool {
 	if w.Queue == 0 {
 		return false
 	}
@@ -162,13 +167,15 @@
 		return true
 	}
 
-	// One call of ours is always allowed. Whose calls end there knows first
-	// that a slot is free, so the others would never get one.
+	// One call of this entry VM is always allowed. An entry VM whose call ends
+	// is the first to learn of the free slot, so one without any call there
+	// would never get a slot.
 	return v.Running > 0 && v.Slots > 0 && v.Load+1 > v.Slots*w.Queue
 }
 
-// distance is what a call takes longer because of where the server is.
-func (w Wait) distance(s *cwserver.Server) float64 {
+// distanceCost is the additional time in nanoseconds of a call to a server in
+// another failure domain.
+func (w Wait) distanceCost(s *cwserver.Server) float64 {
 	if s.Domain == w.Domain {
 		return 0
 	}
@@ -176,19 +183,20 @@
 	return float64(w.Far)
 }
 
-// spread is how much a server whose slots are just full costs over an idle
-// one.
-const spread = 0.5
+// fullSlotsCost is the fraction by which a server with all slots in use costs
+// more than an idle one.
+const fullSlotsCost = 0.5
 
-// cost is the expected time to a reply in nanoseconds. Below one round the
-// share of taken slots breaks ties, since the load is an estimate.
+// cost is the expected time to a reply in nanoseconds. While a slot is free the
+// cost still rises with the fraction of slots in use, because the load is only
+// an estimate.
 func cost(v *cwserver.View) float64 {
 	latency := float64(v.Latency) + 1
 
 	load := (v.Load + 1) / max(1, v.Slots)
 	if load <= 1 {
-		return latency * (1 + spread*load)
+		return latency * (1 + fullSlotsCost*load)
 	}
 
-	return latency * (spread + load)
+	return latency * (fullSlotsCost + load)
 }
--- a/internal/cwroute/wait_test.go
+++ b/internal/cwroute/wait_test.go
@@ -20,7 +20,8 @@
 	now   = start.Add(time.Second)
 )
 
-// table returns services of servers of four slots that all had one reply.
+// table returns a table of services with so many servers each, all of which
+// have four slots and have sent one reply and one report.
 func table(services, each int) *cwserver.Table {
 	var list []carobward.VM
 
@@ -48,7 +49,7 @@
 
 func source() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-// chosen returns how often each server is chosen in a thousand.
+// chosen returns how often each server is chosen in a thousand choices.
 func chosen(p cwroute.Policy, all, tried []*cwserver.Server) []int {
 	rng := source()
 	counts := make([]int, len(all))
@@ -77,46 +78,46 @@
 		}
 	}
 
-	// Each case tells which of five servers may be chosen.
+	// Each case has in want which of the five servers may be chosen.
 	tests := map[string]struct {
 		change func(all []*cwserver.Server)
 		tried  []int
 		want   [5]bool
 	}{
-		"all alike": {func([]*cwserver.Server) {}, nil, [5]bool{true, true, true, true, true}},
-		"our own calls count": {func(all []*cwserver.Server) {
+		"all equal": {func([]*cwserver.Server) {}, nil, [5]bool{true, true, true, true, true}},
+		"own calls count": {func(all []*cwserver.Server) {
 			begin(all[0], 2)
 			begin(all[1], 5)
 		}, nil, [5]bool{false, false, true, true, true}},
-		"the calls of others count": {func(all []*cwserver.Server) {
+		"other entry VMs' calls count": {func(all []*cwserver.Server) {
 			all[2].SetReport(carobward.Report{At: now, Slots: 4, Running: 4, Queued: 3})
 		}, nil, [5]bool{true, true, false, true, true}},
-		"an old call out warns": {func(all []*cwserver.Server) {
+		"an overdue call counts": {func(all []*cwserver.Server) {
 			all[3].Begin(now.Add(-5 * usual))
 		}, nil, [5]bool{true, true, true, false, true}},
-		"failing fast attracts nothing": {func(all []*cwserver.Server) {
+		"fast failures attract no calls": {func(all []*cwserver.Server) {
 			fail(all[4], 1)
 		}, nil, [5]bool{true, true, true, true, false}},
-		"refusing fast attracts nothing": {func(all []*cwserver.Server) {
+		"fast refusals attract no calls": {func(all []*cwserver.Server) {
 			all[4].Begin(now).End(now, cwserver.Refused)
 		}, nil, [5]bool{true, true, true, true, false}},
-		"one that leaves gets nothing": {func(all []*cwserver.Server) {
+		"a leaving server is not chosen": {func(all []*cwserver.Server) {
 			all[0].Leaving.Store(true)
 		}, nil, [5]bool{false, true, true, true, true}},
-		"one that had it gets nothing": {func([]*cwserver.Server) {}, []int{1, 2}, [5]bool{true, false, false, true, true}},
-		"the last resort ignores ejection": {func(all []*cwserver.Server) {
+		"a server that had the request is not chosen": {func([]*cwserver.Server) {}, []int{1, 2}, [5]bool{true, false, false, true, true}},
+		"an ejected server is the last resort": {func(all []*cwserver.Server) {
 			fail(all[0], 3)
 			for _, s := range all[1:] {
 				s.Leaving.Store(true)
 			}
 		}, nil, [5]bool{true, false, false, false, false}},
-		"an ejected one gets nothing, though all others are slow": {func(all []*cwserver.Server) {
+		"an ejected server is not chosen though all others are slow": {func(all []*cwserver.Server) {
 			fail(all[0], 3)
 			for _, s := range all[1:] {
 				s.Begin(now.Add(-time.Minute))
 			}
 		}, nil, [5]bool{false, true, true, true, true}},
-		"full ones get nothing": {func(all []*cwserver.Server) {
+		"full servers are not chosen": {func(all []*cwserver.Server) {
 			for i := range 4 {
 				begin(all[i], 1)
 				all[i].SetReport(carobward.Report{At: now, Slots: 4, Running: 4, Queued: 9})
@@ -124,13 +125,13 @@
 
 			begin(all[4], 1)
 		}, nil, [5]bool{false, false, false, false, true}},
-		"one call is allowed at a full one": {func(all []*cwserver.Server) {
+		"one call is allowed on a full server": {func(all []*cwserver.Server) {
 			for i := range 5 {
 				begin(all[i], min(i, 1))
 				all[i].SetReport(carobward.Report{At: now, Slots: 4, Running: 4, Queued: 9})
 			}
 		}, nil, [5]bool{true, false, false, false, false}},
-		"none where all are full": {func(all []*cwserver.Server) {
+		"none if all are full": {func(all []*cwserver.Server) {
 			for _, s := range all {
 				begin(s, 9)
 			}
@@ -159,8 +160,8 @@
 	}
 }
 
-// TestWaitSpreads shows that servers which look alike share the calls, so
-// that many entry VMs don't all turn to one.
+// TestWaitSpreads verifies that servers with equal costs share the calls, so
+// that many entry VMs don't all choose the same one.
 func TestWaitSpreads(t *testing.T) {
 	const busy = 15
 
@@ -178,17 +179,17 @@
 	}
 }
 
-// TestWaitPrefersItsDomain shows that near servers get the calls until they
-// are busier than the way is long.
+// TestWaitPrefersItsDomain verifies that the servers in the own failure domain
+// get all calls until their load costs more time than the way to another one.
 func TestWaitPrefersItsDomain(t *testing.T) {
 	tests := map[string]struct {
 		calls int
 		far   time.Duration
 		near  bool
 	}{
-		"idle":                   {0, usual / 5, true},
-		"one call, a longer way": {1, usual / 2, true},
-		"all slots taken":        {4, usual / 5, false},
+		"idle":                      {0, usual / 5, true},
+		"one call, longer distance": {1, usual / 2, true},
+		"all slots in use":          {4, usual / 5, false},
 	}
 
 	for name, test := range tests {
@@ -201,14 +202,14 @@
 				}
 			}
 
-			near := 0
+			inDomain := 0
 
 			for i, n := range chosen(cwroute.Wait{Queue: 2, Domain: "near", Far: test.far}, all, nil) {
-				near += n * (1 - i%2)
+				inDomain += n * (1 - i%2)
 			}
 
-			if want := map[bool]int{true: 1000}[test.near]; near != want {
-				t.Errorf("%d calls stayed near, want %d", near, want)
+			if want := map[bool]int{true: 1000}[test.near]; inDomain != want {
+				t.Errorf("%d calls stayed in the failure domain, want %d", inDomain, want)
 			}
 		})
 	}
@@ -234,7 +235,7 @@
 
 				for i := range b.N {
 					if p.Choose(now, lists[i%services], nil, rng) == nil {
-						b.Fatal("none")
+						b.Fatal("no server was chosen")
 					}
 				}
 			})
@@ -242,9 +243,9 @@
 	}
 }
 
-// TestOldNewsOfFullServersFades tells that all servers are full, once and for
-// a while. An entry VM that therefore sends nothing hears nothing new, so it
-// must come to try again by itself.
+// TestOldNewsOfFullServersFades has all servers report for a second that they
+// are full. An entry VM that sends nothing because of that gets no new reports,
+// so it must try again once the last ones are old.
 func TestOldNewsOfFullServersFades(t *testing.T) {
 	all := table(1, 5).Of(service(0))
 
@@ -262,10 +263,10 @@
 	p := cwroute.Wait{Queue: 2}
 
 	if p.Choose(end, all, nil, source()) != nil {
-		t.Error("a full server was chosen")
+		t.Error("a full server was chosen one second later")
 	}
 
 	if p.Choose(end.Add(5*time.Second), all, nil, source()) == nil {
-		t.Error("no server is tried five seconds after the last news")
+		t.Error("no server is chosen six seconds later")
 	}
 }
