--- a/internal/cwbudget/ask.go
+++ b/internal/cwbudget/ask.go
@@ -8,63 +8,65 @@
 	"carobward.example/carobward/internal/cwserver"
 )
 
-// reportMost is what is reserved for a report on a reply: the field that asks
-// for it and the one that holds it.
-const reportMost = 256
+// maxReportBytes is what is reserved for a report on a reply: the header field
+// that asks for it and the one that holds it.
+const maxReportBytes = 256
 
-// lateAfter is how long after a call that was given up the server may still
-// send its report.
-const lateAfter = time.Second
+// maxReportDelay is how long after a call was given up its server may still
+// send the report.
+const maxReportDelay = time.Second
 
 // Reports decides which calls ask the server for a report with the reply.
 type Reports struct {
 	account *Account
 	clock   carobward.Clock
-	// every is the age in nanoseconds from which a report is asked for anew,
-	// so that the budget suffices for all servers alike.
-	every atomic.Int64
-	// unasked counts the bytes of reports that servers sent unasked.
+	// interval is the age in nanoseconds from which a new report is asked for,
+	// so that the budget suffices for all servers equally.
+	interval atomic.Int64
+	// unasked counts the bytes of reports that were not asked for.
 	unasked atomic.Int64
 }
 
-// NewReports returns what asks for reports within the account.
+// NewReports returns Reports that spend from an account.
 func NewReports(a *Account, clock carobward.Clock) *Reports {
 	return &Reports{account: a, clock: clock}
 }
 
-// probeShare of the bytes is left to probes: one in so many parts.
-const probeShare = 2
+// reportDivisor divides the bytes of the budget to get those for reports; the
+// rest is left to probes.
+const reportDivisor = 2
 
-// Tick sets the pace by the number of servers.
+// Tick sets the interval of reports from the number of servers.
 func (r *Reports) Tick(now time.Time, servers int) {
-	most := r.account.Most(now).Bytes / probeShare
-	if most == 0 {
-		r.every.Store(int64(time.Hour))
+	limit := r.account.Most(now).Bytes / reportDivisor
+	if limit == 0 {
+		r.interval.Store(int64(time.Hour))
 
 		return
 	}
 
-	r.every.Store(int64(time.Second) * int64(servers) * reportMost / most)
+	r.interval.Store(int64(time.Second) * int64(servers) * maxReportBytes / limit)
 }
 
-// Ask tells whether the next call to a server is to ask for a report. If so,
+// Ask reports whether the next call to a server should ask for a report. If so,
 // Took must be called when the call has ended.
 func (r *Reports) Ask(s *cwserver.Server) bool {
 	now := r.clock.Now()
-	if now.Sub(s.Report().At) < time.Duration(r.every.Load()) {
+	if now.Sub(s.Report().At) < time.Duration(r.interval.Load()) {
 		return false
 	}
 
-	return r.account.ReserveReport(now, reportMost)
+	return r.account.ReserveReport(now, maxReportBytes)
 }
 
-// Took counts what the reply to a call held; nil is a call that was given up.
+// Took counts the bytes of the report in the reply to a call. The reply is nil
+// if the call was given up; then all reserved bytes count as spent.
 func (r *Reports) Took(asked bool, reply *carobward.Reply) {
 	bytes := int64(0)
 
 	if reply != nil {
-		if text := reply.Header.Get(carobward.HeaderReport); text != "" {
-			bytes = fieldBytes(carobward.HeaderReport, text)
+		if report := reply.Header.Get(carobward.HeaderReport); report != "" {
+			bytes = fieldBytes(carobward.HeaderReport, report)
 		}
 	}
 
@@ -72,18 +74,18 @@
 	case !asked:
 		r.unasked.Add(bytes)
 	case reply == nil:
-		r.account.Settle(now.Add(lateAfter), Cost{Bytes: reportMost}, Cost{Bytes: reportMost})
+		r.account.Settle(now.Add(maxReportDelay), Cost{Bytes: maxReportBytes}, Cost{Bytes: maxReportBytes})
 	default:
 		bytes += fieldBytes(carobward.HeaderAsk, carobward.AskReport)
-		r.account.Settle(now, Cost{Bytes: reportMost}, Cost{Bytes: bytes})
+		r.account.Settle(now, Cost{Bytes: maxReportBytes}, Cost{Bytes: bytes})
 	}
 }
 
-// Unasked returns the bytes of reports that servers sent unasked, which no
-// budget can hold back.
+// Unasked returns the bytes of reports that were not asked for, which no budget
+// can prevent.
 func (r *Reports) Unasked() int64 { return r.unasked.Load() }
 
-// fieldBytes returns the bytes of a header field on the wire.
+// fieldBytes returns the size of a header field on the wire.
 func fieldBytes(name, value string) int64 {
 	const separators = len(": \r\n")
 
--- a/internal/cwbudget/budget.go
+++ b/internal/cwbudget/budget.go
@@ -1,6 +1,6 @@
-// Package cwbudget keeps this entry VM within its share of the operators'
-// measuring budget, which holds for all entry VMs together. See
-// docs/design/budget.md.
+// Package cwbudget keeps this entry VM within its share of the measurement
+// budget that operators set: the limit of health probes and load reports for all
+// entry VMs together. See docs/design/budget.md.
 package cwbudget
 
 import (
@@ -10,7 +10,7 @@
 	"carobward.example/carobward"
 )
 
-// Cost is what measuring spends.
+// Cost is what measurement costs.
 type Cost struct {
 	// Calls is the number of requests made only to measure.
 	Calls int64
@@ -21,105 +21,108 @@
 // Plus returns the sum of both costs.
 func (c Cost) Plus(d Cost) Cost { return Cost{c.Calls + d.Calls, c.Bytes + d.Bytes} }
 
-// Minus returns what is left of c without d.
+// Minus returns c less d.
 func (c Cost) Minus(d Cost) Cost { return Cost{c.Calls - d.Calls, c.Bytes - d.Bytes} }
 
-// Within tells whether neither calls nor bytes are more than the most.
-func (c Cost) Within(most Cost) bool { return c.Calls <= most.Calls && c.Bytes <= most.Bytes }
+// Within reports whether neither calls nor bytes exceed the limit.
+func (c Cost) Within(limit Cost) bool { return c.Calls <= limit.Calls && c.Bytes <= limit.Bytes }
 
 // View is what this entry VM knows of the fleet.
 type View struct {
-	// Budget is what all entry VMs together may spend a second.
+	// Budget is what all entry VMs together may spend per second.
 	Budget Cost
-	// Size is the highest number of entry VMs that any source shows, this
-	// one among them.
+	// Size is the highest number of entry VMs that any source shows, including
+	// this one.
 	Size int
-	// Rank is the place of this entry VM among the ids that it knows.
+	// Rank is the position of this entry VM among the ids that it knows.
 	Rank int
 	// At is when a source last answered.
 	At time.Time
 }
 
-// The rules of a share.
+// The parameters of an account.
 const (
-	// settle is how long a newcomer waits, so that the others count it, and
-	// how long a change of turns takes effect after, so that two VMs never
-	// take their turns by different views that are less far apart.
-	settle = 5 * time.Second
-	// gapMost is the longest pause between two ticks. After a longer one this
-	// entry VM is a newcomer again.
-	gapMost = 2 * time.Second
-	// viewKeep is how long a view holds without an answer of any source.
-	viewKeep = 10 * time.Second
-	// sizeKeep is how long the highest size is remembered.
-	sizeKeep = time.Minute
-	// headroom divides the size to get the room for VMs not yet seen.
-	headroom = 4
+	// settleDelay is how long a new entry VM spends nothing, so that the others
+	// count it first, and how long one spends nothing after its turns changed,
+	// so that two entry VMs whose views differ by less than that never spend in
+	// overlapping turns.
+	settleDelay = 5 * time.Second
+	// maxTickGap is the longest pause between two ticks. After a longer one this
+	// entry VM counts as new again.
+	maxTickGap = 2 * time.Second
+	// maxViewAge is how long a view is valid without an answer of any source.
+	maxViewAge = 10 * time.Second
+	// maxSizeAge is how long the highest size is remembered.
+	maxSizeAge = time.Minute
+	// headroomDivisor divides the size to get the number of entry VMs to
+	// reserve shares for that have not been seen yet.
+	headroomDivisor = 4
 )
 
-// Account is this entry VM's share of the budget.
+// Account is this entry VM's share of the budget and what it spent of it.
 type Account struct {
-	mutex  sync.Mutex
-	sizes  sizes
-	view   View
-	since  time.Time
-	ticked time.Time
-	steady time.Time
-	share  share
-	held   Cost
-	window window
-	total  Cost
+	mutex          sync.Mutex
+	sizes          sizes
+	view           View
+	joinedAt       time.Time
+	tickedAt       time.Time
+	turnsChangedAt time.Time
+	share          share
+	pending        Cost
+	window         window
+	total          Cost
 }
 
-// New returns an account that may spend nothing until it knows the fleet.
+// New returns an account that grants nothing until it knows the fleet.
 func New() *Account { return &Account{} }
 
-// Tick takes the current view. It must be called more often than once in two
+// Tick sets the current view. It must be called more often than every two
 // seconds.
 func (a *Account) Tick(now time.Time, v View) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 
-	if a.ticked.IsZero() || now.Sub(a.ticked) > gapMost {
-		a.since = now
+	if a.tickedAt.IsZero() || now.Sub(a.tickedAt) > maxTickGap {
+		a.joinedAt = now
 		a.sizes = nil
 	}
 
-	a.ticked = now
-	a.sizes.note(now, v.Size)
+	a.tickedAt = now
+	a.sizes.add(now, v.Size)
 	v.Size = a.sizes.highest(now)
 	a.view = v
 
 	next := newShare(v)
 	if next.turns != a.share.turns || next.rank != a.share.rank {
-		a.steady = now
+		a.turnsChangedAt = now
 	}
 
 	a.share = next
 }
 
-// Reserve asks for the cost of measuring that is about to begin. What is
-// granted counts as spent until Settle.
+// Reserve reserves the cost of a measurement that is about to begin and reports
+// whether the account allows it. The reservation counts as spent until Settle.
 func (a *Account) Reserve(now time.Time, c Cost) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 
-	if !a.open(now) || !a.share.open(now) {
+	if !a.ready(now) || !a.share.inTurn(now) {
 		return false
 	}
 
-	spent := a.window.sum(now, a.share.span()).Plus(a.held)
-	if !spent.Plus(c).Within(a.share.most) {
+	spent := a.window.sum(now, a.share.period()).Plus(a.pending)
+	if !spent.Plus(c).Within(a.share.limit) {
 		return false
 	}
 
-	a.held = a.held.Plus(c)
+	a.pending = a.pending.Plus(c)
 
 	return true
 }
 
-// ReserveReport asks for the bytes of a report on a reply, which may come
-// late. It is refused where the budget is too small to divide by bytes alone.
+// ReserveReport reserves the bytes of a report on a reply, which may arrive
+// late. It refuses if the budget is so small that entry VMs take turns, because
+// a late report could fall into another one's turn.
 func (a *Account) ReserveReport(now time.Time, bytes int64) bool {
 	a.mutex.Lock()
 	turns := a.share.turns
@@ -128,27 +131,27 @@
 	return turns <= 1 && a.Reserve(now, Cost{Bytes: bytes})
 }
 
-// Settle ends a reservation with what was spent, at the time when no more
-// can follow.
+// Settle replaces a reservation by what was spent. The end is the time after
+// which the measurement can cost nothing more.
 func (a *Account) Settle(end time.Time, reserved, spent Cost) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 
-	a.held = a.held.Minus(reserved)
+	a.pending = a.pending.Minus(reserved)
 	a.window.add(end, spent)
 	a.total = a.total.Plus(spent)
 }
 
-// Most returns what this entry VM may spend a second now.
+// Most returns what this entry VM may spend per second now.
 func (a *Account) Most(now time.Time) Cost {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 
-	if !a.open(now) {
+	if !a.ready(now) {
 		return Cost{}
 	}
 
-	return a.share.most
+	return a.share.limit
 }
 
 // Total returns what has been spent since the start.
@@ -159,20 +162,21 @@
 	return a.total
 }
 
-// open tells whether this entry VM knows the fleet and is known in it.
-func (a *Account) open(now time.Time) bool {
-	if a.share.turns > 1 && now.Sub(a.steady) < settle {
+// ready reports whether this entry VM knows the fleet and has been in it long
+// enough for the others to count it.
+func (a *Account) ready(now time.Time) bool {
+	if a.share.turns > 1 && now.Sub(a.turnsChangedAt) < settleDelay {
 		return false
 	}
 
-	return !a.ticked.IsZero() &&
-		now.Sub(a.ticked) <= gapMost &&
-		now.Sub(a.since) >= settle &&
-		now.Sub(a.view.At) <= viewKeep &&
-		a.view.At.After(a.since)
+	return !a.tickedAt.IsZero() &&
+		now.Sub(a.tickedAt) <= maxTickGap &&
+		now.Sub(a.joinedAt) >= settleDelay &&
+		now.Sub(a.view.At) <= maxViewAge &&
+		a.view.At.After(a.joinedAt)
 }
 
-// DefaultBudget is in force until the operators set one.
+// DefaultBudget returns the budget that applies until operators set one.
 func DefaultBudget() Cost {
 	const (
 		calls = 100
--- a/internal/cwbudget/budget_test.go
+++ b/internal/cwbudget/budget_test.go
@@ -10,9 +10,9 @@
 	"carobward.example/carobward/internal/lab/cwspend"
 )
 
-// TestBudgetHoldsAlways draws fleets at peak and counts at the servers, in
-// every sliding second. Some VMs see four fifths of the fleet only, for as
-// long as they run.
+// TestBudgetHoldsAlways runs random fleets at peak load and verifies, by counts
+// at the servers, that no sliding second exceeds the budget, even though some
+// entry VMs see only four fifths of the fleet all the time.
 func TestBudgetHoldsAlways(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		vms := rapid.Int64Range(1, 24).Draw(r, "vms")
@@ -25,8 +25,8 @@
 	})
 }
 
-// TestTinyBudgetHoldsAlways does so with budgets that are divided by time. The
-// views differ for as long as they lag only.
+// TestTinyBudgetHoldsAlways verifies the same for budgets that are divided by
+// time. The entry VMs' views differ only while they lag.
 func TestTinyBudgetHoldsAlways(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		budget := cwbudget.Cost{
@@ -45,25 +45,27 @@
 	r.Helper()
 
 	if worst := m.Run(); !worst.Within(budget) {
-		r.Fatalf("the fleet spent %+v of %+v in a second", worst, budget)
+		r.Fatalf("the fleet spent %+v in a second, more than its budget of %+v", worst, budget)
 	}
 }
 
-// TestNaiveExceeds runs ours and the naive spender on the same fleets.
+// TestNaiveExceeds verifies that on the same fleets the account stays within the
+// budget and a naive spender exceeds it, so that these fleets do put the account
+// to the test.
 func TestNaiveExceeds(t *testing.T) {
 	budget := cwbudget.Cost{Calls: 100, Bytes: 64 << 10}
 
 	for seed := range uint64(5) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			worst := cwspend.Compare(budget, 19, seed)
-			mine, theirs := worst.Account, worst.Naive
+			account, naive := worst.Account, worst.Naive
 
-			if !mine.Within(budget) || mine.Calls == 0 {
-				t.Errorf("ours spent %+v", mine)
+			if !account.Within(budget) || account.Calls == 0 {
+				t.Errorf("the account spent %+v", account)
 			}
 
-			if theirs.Within(budget) {
-				t.Errorf("the naive one kept to the budget: %+v", theirs)
+			if naive.Within(budget) {
+				t.Errorf("the naive spender stayed within the budget: %+v", naive)
 			}
 		})
 	}
--- a/internal/cwbudget/share.go
+++ b/internal/cwbudget/share.go
@@ -2,43 +2,45 @@
 
 import "time"
 
-// Unit is the largest cost of one probe. A budget that does not hold one a
-// second for each entry VM is divided by time.
+// Unit is the largest size of one probe in bytes, sent and received. A budget
+// that does not allow each entry VM one such probe per second is divided by
+// time.
 const Unit = 1 << 10
 
-// The turns of a budget that is divided by time. Two entry VMs with different
-// turns never spend within the same second as long as their clocks differ by
-// less than turnLength - turnOpen - probe timeout (half a second) - 1 s.
+// The turns of a budget that is divided by time: an entry VM may start probes
+// for turnOpen from the start of its turn. Two entry VMs with different turns
+// never spend within the same second as long as their clocks differ by less than
+// turnLength - turnOpen - probe timeout (half a second) - 1 s.
 const (
 	turnLength = 3 * time.Second
 	turnOpen   = 500 * time.Millisecond
 )
 
-// share is what one entry VM may spend: most within any second, and that only
-// in its turns if there is more than one.
+// share is what one entry VM may spend: limit within any second, or, if there is
+// more than one turn, limit within each of its own turns.
 type share struct {
-	most  Cost
+	limit Cost
 	turns int64
 	rank  int64
 }
 
-// newShare divides the budget by the size and some headroom.
+// newShare divides the budget by the size plus some headroom.
 func newShare(v View) share {
 	size := int64(max(1, v.Size))
-	size += (size + headroom - 1) / headroom
+	size += (size + headroomDivisor - 1) / headroomDivisor
 	b := v.Budget
 
 	if b.Calls < 1 || b.Bytes < Unit {
 		return share{}
 	}
 
-	most := Cost{b.Calls / size, b.Bytes / size}
-	if most.Calls >= 1 && most.Bytes >= Unit {
-		return share{most: most, turns: 1}
+	limit := Cost{b.Calls / size, b.Bytes / size}
+	if limit.Calls >= 1 && limit.Bytes >= Unit {
+		return share{limit: limit, turns: 1}
 	}
 
-	// A power of two, so that the turns of VMs which see different sizes
-	// nest.
+	// A power of two, so that the turns of entry VMs that see different sizes
+	// nest within each other.
 	units := min(b.Calls, b.Bytes/Unit)
 	turns := int64(1)
 
@@ -46,11 +48,12 @@
 		turns *= 2
 	}
 
-	return share{most: Cost{Calls: 1, Bytes: Unit}, turns: turns, rank: int64(v.Rank)}
+	return share{limit: Cost{Calls: 1, Bytes: Unit}, turns: turns, rank: int64(v.Rank)}
 }
 
-// open tells whether it is this entry VM's turn, by the machine's clock.
-func (s share) open(now time.Time) bool {
+// inTurn reports whether it is this entry VM's turn by its wall clock. If there
+// is only one turn, it always is.
+func (s share) inTurn(now time.Time) bool {
 	if s.turns <= 1 {
 		return s.turns == 1
 	}
@@ -61,8 +64,8 @@
 	return turn%s.turns == s.rank%s.turns && nanos%int64(turnLength) < int64(turnOpen)
 }
 
-// span is the time in which most may be spent.
-func (s share) span() time.Duration {
+// period is the time in which limit may be spent.
+func (s share) period() time.Duration {
 	if s.turns > 1 {
 		return turnLength
 	}
@@ -70,26 +73,27 @@
 	return time.Second
 }
 
-// LateMost is how far ahead of now a reservation may be settled.
+// LateMost is how far in the future a reservation may be settled.
 const LateMost = 2 * time.Second
 
-// bucketLength and buckets make the window: any second lies within the
-// buckets that a sum over it reads.
+// bucketLength and buckets are the dimensions of a window. A sum over a period
+// reads all buckets that overlap with it.
 const (
 	bucketLength = 50 * time.Millisecond
 	buckets      = int((turnLength+LateMost)/bucketLength) + 2
 )
 
-// window counts what was spent lately.
+// window is a ring of buckets that counts what was spent recently. indexes has
+// for each bucket the number of the interval that it counts.
 type window struct {
-	epoch time.Time
-	cost  [buckets]Cost
-	place [buckets]int64
+	epoch   time.Time
+	costs   [buckets]Cost
+	indexes [buckets]int64
 }
 
 func (w *window) index(t time.Time) int64 {
 	if w.epoch.IsZero() {
-		// Room below, since a time may lie before the first one.
+		// An hour earlier, because times before the first one may follow.
 		w.epoch = t.Add(-time.Hour)
 	}
 
@@ -100,30 +104,31 @@
 	i := w.index(t)
 	at := int(i % int64(buckets))
 
-	if w.place[at] != i {
-		w.place[at], w.cost[at] = i, Cost{}
+	if w.indexes[at] != i {
+		w.indexes[at], w.costs[at] = i, Cost{}
 	}
 
-	w.cost[at] = w.cost[at].Plus(c)
+	w.costs[at] = w.costs[at].Plus(c)
 }
 
-// sum returns what was spent in the span before t and what ends after t.
+// sum returns what was spent in the span before t, plus what was settled for
+// times after t.
 func (w *window) sum(t time.Time, span time.Duration) Cost {
 	first := w.index(t) - int64(span/bucketLength)
 
 	var all Cost
 
 	for at := range buckets {
-		if w.place[at] >= first {
-			all = all.Plus(w.cost[at])
+		if w.indexes[at] >= first {
+			all = all.Plus(w.costs[at])
 		}
 	}
 
 	return all
 }
 
-// sizes remembers the highest sizes: each is lower and later than the one
-// before it.
+// sizes is a monotonic queue to find the highest recent size: each entry is
+// lower and later than the one before it.
 type sizes []sizeAt
 
 type sizeAt struct {
@@ -131,7 +136,7 @@
 	at   time.Time
 }
 
-func (s *sizes) note(now time.Time, size int) {
+func (s *sizes) add(now time.Time, size int) {
 	for n := len(*s); n > 0 && (*s)[n-1].size <= size; n-- {
 		*s = (*s)[:n-1]
 	}
@@ -141,7 +146,7 @@
 
 func (s *sizes) highest(now time.Time) int {
 	list := *s
-	for len(list) > 1 && now.Sub(list[0].at) > sizeKeep {
+	for len(list) > 1 && now.Sub(list[0].at) > maxSizeAge {
 		list = list[1:]
 	}
 
--- a/internal/cwbudget/share_test.go
+++ b/internal/cwbudget/share_test.go
@@ -14,22 +14,22 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// TestShare shows that the division leaves each VM something, by time where
-// it can't be by number.
+// TestShare verifies that each entry VM gets a share of a budget of any size: of
+// calls and bytes, or of time if there are too few of them.
 func TestShare(t *testing.T) {
 	for name, test := range map[string]struct {
 		budget Cost
 		size   int
 		want   share
 	}{
-		"a call each":               {Cost{100, 64 << 10}, 19, share{most: Cost{4, 2730}, turns: 1}},
-		"fewer calls than VMs":      {Cost{10, 64 << 10}, 19, share{most: Cost{1, Unit}, turns: 4, rank: 7}},
-		"fewer bytes than a call's": {Cost{100, 4 << 10}, 19, share{most: Cost{1, Unit}, turns: 8, rank: 7}},
-		"no budget":                 {Cost{0, 64 << 10}, 19, share{}},
-		"no bytes":                  {Cost{100, 100}, 19, share{}},
-		"alone":                     {Cost{1, Unit}, 1, share{most: Cost{1, Unit}, turns: 2, rank: 7}},
-		"one call's bytes and some": {Cost{2, Unit + 384}, 24, share{most: Cost{1, Unit}, turns: 32, rank: 7}},
-		"size at scale":             {Cost{2000, 2 << 20}, 200, share{most: Cost{8, 8388}, turns: 1}},
+		"a call each":                       {Cost{100, 64 << 10}, 19, share{limit: Cost{4, 2730}, turns: 1}},
+		"fewer calls than entry VMs":        {Cost{10, 64 << 10}, 19, share{limit: Cost{1, Unit}, turns: 4, rank: 7}},
+		"fewer bytes than a probe each":     {Cost{100, 4 << 10}, 19, share{limit: Cost{1, Unit}, turns: 8, rank: 7}},
+		"no budget":                         {Cost{0, 64 << 10}, 19, share{}},
+		"no bytes":                          {Cost{100, 100}, 19, share{}},
+		"single entry VM":                   {Cost{1, Unit}, 1, share{limit: Cost{1, Unit}, turns: 2, rank: 7}},
+		"bytes of little more than a probe": {Cost{2, Unit + 384}, 24, share{limit: Cost{1, Unit}, turns: 32, rank: 7}},
+		"large fleet":                       {Cost{2000, 2 << 20}, 200, share{limit: Cost{8, 8388}, turns: 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := newShare(View{Budget: test.budget, Size: test.size, Rank: 7})
@@ -40,14 +40,14 @@
 	}
 }
 
-// TestTinyBudgetReachesAll shows that each of 19 VMs gets its turn within the
-// cycle of a budget of ten calls.
+// TestTinyBudgetReachesAll verifies that with a budget of ten calls each of 19
+// entry VMs gets its turn within one cycle of turns.
 func TestTinyBudgetReachesAll(t *testing.T) {
 	for rank := range 19 {
 		a := New()
 		granted := 0
 
-		for now := time.Duration(0); now < settle+4*turnLength; now += step {
+		for now := time.Duration(0); now < settleDelay+4*turnLength; now += step {
 			at := start.Add(now)
 			a.Tick(at, View{Budget: Cost{10, 64 << 10}, Size: 19, Rank: rank, At: at})
 
@@ -59,12 +59,13 @@
 		}
 
 		if granted == 0 {
-			t.Errorf("rank %d got nothing in a cycle", rank)
+			t.Errorf("rank %d was granted nothing in a cycle of turns", rank)
 		}
 	}
 }
 
-// TestNothingBeforeOrAfter has the times at which nothing may be spent.
+// TestNothingBeforeOrAfter checks when an account grants nothing: before the
+// other entry VMs count this one, and after a gap in ticks or answers.
 func TestNothingBeforeOrAfter(t *testing.T) {
 	view := View{Budget: Cost{100, 64 << 10}, Size: 5}
 	tick := func(a *Account, from, to, seen time.Duration) {
@@ -80,13 +81,13 @@
 		at    time.Duration
 		want  bool
 	}{
-		"newcomer":         {func(a *Account) { tick(a, 0, settle, run) }, settle - 1, false},
-		"settled":          {func(a *Account) { tick(a, 0, settle, run) }, settle, true},
-		"no tick":          {func(a *Account) { tick(a, 0, settle, run) }, settle + gapMost + 1, false},
-		"blind":            {func(a *Account) { tick(a, 0, 20*time.Second, 9*time.Second) }, 20 * time.Second, false},
-		"after a freeze":   {func(a *Account) { tick(a, 0, settle, run); tick(a, 30*time.Second, 34*time.Second, run) }, 34 * time.Second, false},
-		"well after it":    {func(a *Account) { tick(a, 0, settle, run); tick(a, 30*time.Second, 36*time.Second, run) }, 36 * time.Second, true},
-		"nobody ever seen": {func(a *Account) { tick(a, 0, 8*time.Second, 0) }, 8 * time.Second, false},
+		"just started":                 {func(a *Account) { tick(a, 0, settleDelay, run) }, settleDelay - 1, false},
+		"after settleDelay":            {func(a *Account) { tick(a, 0, settleDelay, run) }, settleDelay, true},
+		"gap in ticks":                 {func(a *Account) { tick(a, 0, settleDelay, run) }, settleDelay + maxTickGap + 1, false},
+		"no answers of any source":     {func(a *Account) { tick(a, 0, 20*time.Second, 9*time.Second) }, 20 * time.Second, false},
+		"shortly after a long gap":     {func(a *Account) { tick(a, 0, settleDelay, run); tick(a, 30*time.Second, 34*time.Second, run) }, 34 * time.Second, false},
+		"settleDelay after a long gap": {func(a *Account) { tick(a, 0, settleDelay, run); tick(a, 30*time.Second, 36*time.Second, run) }, 36 * time.Second, true},
+		"no answer after the start":    {func(a *Account) { tick(a, 0, 8*time.Second, 0) }, 8 * time.Second, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			a := New()
@@ -101,11 +102,11 @@
 
 func BenchmarkReserve(b *testing.B) {
 	a := New()
-	for now := time.Duration(0); now <= settle; now += time.Second {
+	for now := time.Duration(0); now <= settleDelay; now += time.Second {
 		a.Tick(start.Add(now), View{Budget: Cost{1 << 40, 1 << 50}, Size: 200, At: start.Add(now)})
 	}
 
-	at := start.Add(settle)
+	at := start.Add(settleDelay)
 
 	for b.Loop() {
 		a.ReserveReport(at, 160)
