--- a/internal/cwprobe/budget_test.go
+++ b/internal/cwprobe/budget_test.go
@@ -11,9 +11,9 @@
 	"carobward.example/carobward/internal/lab/cwspend"
 )
 
-// TestBudgetOverSockets has five entry VMs probe as much as they may. They
-// see different fleets and so probe the same servers, and one of them pauses.
-// The servers count.
+// TestBudgetOverSockets verifies, by counts at the servers, that five entry VMs
+// stay within the budget although they probe as much as they may. They see
+// different fleets, so several of them probe the same servers, and one pauses.
 func TestBudgetOverSockets(t *testing.T) {
 	budget := cwbudget.Cost{Calls: 30, Bytes: 24 << 10}
 
@@ -30,19 +30,19 @@
 	defer stop()
 
 	group.Go(func() { live.Run(ctx) })
-	cwtest.Wait(t, "some probes", func() bool { return live.Count() > 20 })
+	cwtest.Wait(t, "the first probes", func() bool { return live.Count() > 20 })
 	live.Pause(0)
 
-	some := live.Count()
-	cwtest.Wait(t, "more probes", func() bool { return live.Count() > some+40 })
+	before := live.Count()
+	cwtest.Wait(t, "probes after the pause", func() bool { return live.Count() > before+40 })
 	stop()
 	group.Wait()
 
 	if worst := live.Worst(); !worst.Within(budget) {
-		t.Errorf("the servers counted %+v of %+v in a second", worst, budget)
+		t.Errorf("the servers counted %+v in a second, more than the budget of %+v", worst, budget)
 	}
 
 	if total := live.Total(); total.Calls < int64(live.Count()) {
-		t.Errorf("the entry VMs counted %d calls, the servers %d", total.Calls, live.Count())
+		t.Errorf("the entry VMs counted %d calls, fewer than the %d of the servers", total.Calls, live.Count())
 	}
 }
--- a/internal/cwprobe/check.go
+++ b/internal/cwprobe/check.go
@@ -17,17 +17,18 @@
 	"carobward.example/carobward/internal/cwlink"
 )
 
-// result is what came of one probe.
+// result is the outcome of one probe.
 type result struct {
 	check  cwdrain.CheckResult
 	report carobward.Report
-	// bytes counts those sent and received.
+	// bytes is the number of bytes sent and received.
 	bytes int64
 }
 
-// check asks the health endpoint of a server once, over a connection of its
-// own. It reads no more than the cost that was reserved.
-func check(ctx context.Context, to carobward.Address, path string) result {
+// probeOnce sends one request to the health endpoint of a server, over a
+// connection of its own. Request and reply together stay within the reserved
+// bytes.
+func probeOnce(ctx context.Context, to carobward.Address, path string) result {
 	var d net.Dialer
 
 	c, err := d.DialContext(ctx, "tcp", string(to))
@@ -44,22 +45,22 @@
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	defer stop()
 
-	head := request(to, path)
+	head := newRequest(to, path)
 
 	n, err := c.Write(head)
 	if err != nil {
 		return result{check: cwdrain.NoResult, bytes: int64(n)}
 	}
 
-	r := read(&io.LimitedReader{R: c, N: cwbudget.Unit - int64(n)})
+	r := readReply(&io.LimitedReader{R: c, N: cwbudget.Unit - int64(n)})
 	r.bytes += int64(n)
 
 	return r
 }
 
-// request asks for a report as well, and for the end of the connection, which
-// counts against those that the server takes.
-func request(to carobward.Address, path string) []byte {
+// newRequest returns the request of a probe. It also asks for a load report, and
+// to close the connection, which counts towards the server's connection limit.
+func newRequest(to carobward.Address, path string) []byte {
 	var h fasthttp.RequestHeader
 
 	h.DisableNormalizing()
@@ -72,15 +73,15 @@
 	return h.AppendBytes(nil)
 }
 
-// read reads the answer; the limit of the reader is the most that it may be.
-func read(from *io.LimitedReader) result {
+// readReply reads the reply, which must not exceed the limit of the reader.
+func readReply(from *io.LimitedReader) result {
 	var (
-		resp fasthttp.Response
-		most = from.N
+		resp  fasthttp.Response
+		limit = from.N
 	)
 
 	err := resp.ReadLimitBody(bufio.NewReaderSize(from, cwbudget.Unit), cwbudget.Unit)
-	r := result{check: cwdrain.NoResult, bytes: most - from.N}
+	r := result{check: cwdrain.NoResult, bytes: limit - from.N}
 
 	if err != nil {
 		return r
--- a/internal/cwprobe/pick.go
+++ b/internal/cwprobe/pick.go
@@ -1,5 +1,5 @@
-// Package cwprobe checks the health and load of servers that have no fresh
-// traffic, within the measuring budget. See docs/design/budget.md.
+// Package cwprobe checks the health and load of servers that have had no recent
+// traffic, within the measurement budget. See docs/design/budget.md.
 package cwprobe
 
 import (
@@ -11,19 +11,20 @@
 	"carobward.example/carobward/internal/cwserver"
 )
 
-// Mine returns the servers that an entry VM probes: each goes to the VM with
-// the highest hash of both, so that two do not probe the same, and only the
-// servers of a VM that comes or goes change hands.
+// Mine returns the servers that an entry VM probes, by rendezvous hashing: each
+// server is probed by the entry VM with the highest hash of the two. So no two
+// entry VMs probe the same server, and when an entry VM joins or leaves, only
+// the servers that it probes are reassigned.
 func Mine(self carobward.VMID, vms []carobward.VMID, servers []*cwserver.Server) []*cwserver.Server {
-	sums := make([]uint64, len(vms))
+	hashes := make([]uint64, len(vms))
 	for i, v := range vms {
-		sums[i] = sum(string(v))
+		hashes[i] = hash(string(v))
 	}
 
 	var mine []*cwserver.Server
 
 	for _, s := range servers {
-		if own := sum(string(s.Address)); vms[highest(own, sums)] == self {
+		if own := hash(string(s.Address)); vms[highestScore(own, hashes)] == self {
 			mine = append(mine, s)
 		}
 	}
@@ -31,27 +32,27 @@
 	return mine
 }
 
-func highest(own uint64, sums []uint64) int {
-	place, best := 0, uint64(0)
+func highestScore(own uint64, hashes []uint64) int {
+	index, best := 0, uint64(0)
 
-	for i, v := range sums {
+	for i, v := range hashes {
 		if score := mix(own ^ v); score > best {
-			place, best = i, score
+			index, best = i, score
 		}
 	}
 
-	return place
+	return index
 }
 
-func sum(id string) uint64 {
+func hash(id string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(id))
 
 	return mix(h.Sum64())
 }
 
-// mix spreads the last bytes, in which the ids differ, over the whole sum: the
-// finalizer of SplitMix64.
+// mix is the finalizer of SplitMix64. It spreads the last bytes, in which the ids
+// differ, over the whole hash.
 func mix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
@@ -59,29 +60,29 @@
 	return x ^ x>>31
 }
 
-// due is a server that should be probed, and since when nothing was heard.
-type due struct {
-	server *cwserver.Server
-	heard  time.Time
+// dueServer is a server to probe, with the time of its last report or probe.
+type dueServer struct {
+	server   *cwserver.Server
+	lastSeen time.Time
 }
 
-// pick returns the servers that have not been heard for longer than fresh,
-// nor probed, those first that were not for the longest.
-func pick(now time.Time, servers []*cwserver.Server, probed map[carobward.Address]time.Time, fresh time.Duration) []*cwserver.Server {
-	var all []due
+// pickDue returns the servers whose last report and last probe are at least as
+// old as fresh, those with the oldest first.
+func pickDue(now time.Time, servers []*cwserver.Server, probed map[carobward.Address]time.Time, fresh time.Duration) []*cwserver.Server {
+	var all []dueServer
 
 	for _, s := range servers {
-		heard := s.Report().At
-		if p := probed[s.Address]; p.After(heard) {
-			heard = p
+		lastSeen := s.Report().At
+		if p := probed[s.Address]; p.After(lastSeen) {
+			lastSeen = p
 		}
 
-		if now.Sub(heard) >= fresh {
-			all = append(all, due{s, heard})
+		if now.Sub(lastSeen) >= fresh {
+			all = append(all, dueServer{s, lastSeen})
 		}
 	}
 
-	slices.SortStableFunc(all, func(a, b due) int { return a.heard.Compare(b.heard) })
+	slices.SortStableFunc(all, func(a, b dueServer) int { return a.lastSeen.Compare(b.lastSeen) })
 
 	picked := make([]*cwserver.Server, 0, len(all))
 	for _, d := range all {
--- a/internal/cwprobe/prober.go
+++ b/internal/cwprobe/prober.go
@@ -14,27 +14,28 @@
 	"carobward.example/carobward/internal/cwserver"
 )
 
-// The pace of the prober.
+// The rates and limits of the prober.
 const (
-	tickEvery = 100 * time.Millisecond
-	// atOnce bounds the probes on their way.
-	atOnce = 16
-	// shareEvery is the time between two looks at whose each server is.
-	shareEvery = time.Second
+	tickInterval = 100 * time.Millisecond
+	// maxInFlight bounds the concurrent probes.
+	maxInFlight = 16
+	// assignInterval is the time after which the servers to probe are assigned
+	// again.
+	assignInterval = time.Second
 )
 
-// Options are what a Prober works with.
+// Options configure a Prober.
 type Options struct {
-	// Self is this entry VM, VMs returns all that are not dead.
+	// Self is this entry VM, and VMs returns all entry VMs that are not dead.
 	Self carobward.VMID
 	VMs  func() []carobward.VMID
-	// Servers are probed for the news of their leaving.
+	// Servers has the servers to probe, and News takes the results.
 	Servers *cwserver.Table
 	News    *cwdrain.System
 	Account *cwbudget.Account
-	// Path is the health endpoint.
+	// Path is the path of the health endpoint.
 	Path string
-	// Fresh is the age from which what a server said is too old.
+	// Fresh is the age of a server's last report from which it is probed.
 	Fresh time.Duration
 	// Timeout bounds one probe.
 	Timeout time.Duration
@@ -42,27 +43,27 @@
 	Log     logr.Logger
 }
 
-// Prober probes the servers that are this entry VM's to probe.
+// Prober probes the servers that are assigned to this entry VM.
 type Prober struct {
 	options Options
 	log     logr.Logger
 	done    chan struct{}
 
-	mutex  sync.Mutex
-	shared time.Time
-	mine   []*cwserver.Server
-	probed map[carobward.Address]time.Time
-	flying map[carobward.Address]bool
+	mutex      sync.Mutex
+	assignedAt time.Time
+	assigned   []*cwserver.Server
+	probed     map[carobward.Address]time.Time
+	inFlight   map[carobward.Address]bool
 }
 
 // New returns a Prober.
 func New(o Options) *Prober {
 	return &Prober{
-		options: o,
-		log:     o.Log.WithName("probe"),
-		done:    make(chan struct{}),
-		probed:  map[carobward.Address]time.Time{},
-		flying:  map[carobward.Address]bool{},
+		options:  o,
+		log:      o.Log.WithName("probe"),
+		done:     make(chan struct{}),
+		probed:   map[carobward.Address]time.Time{},
+		inFlight: map[carobward.Address]bool{},
 	}
 }
 
@@ -76,7 +77,7 @@
 	var group conc.WaitGroup
 	defer group.Wait()
 
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 
 	for ctx.Err() == nil {
@@ -91,29 +92,29 @@
 	}
 }
 
-// unit is what a probe reserves.
-func unit() cwbudget.Cost { return cwbudget.Cost{Calls: 1, Bytes: cwbudget.Unit} }
+// reservation returns the cost that is reserved for one probe.
+func reservation() cwbudget.Cost { return cwbudget.Cost{Calls: 1, Bytes: cwbudget.Unit} }
 
-// next returns the servers to probe now, with the budget reserved.
+// next returns the servers to probe now and reserves the cost of the probes.
 func (p *Prober) next() []*cwserver.Server {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 
 	now := p.options.Clock.Now()
-	p.share(now)
+	p.assign(now)
 
 	var all []*cwserver.Server
 
-	for _, s := range pick(now, p.mine, p.probed, p.options.Fresh) {
-		if p.flying[s.Address] {
+	for _, s := range pickDue(now, p.assigned, p.probed, p.options.Fresh) {
+		if p.inFlight[s.Address] {
 			continue
 		}
 
-		if len(p.flying) >= atOnce || !p.options.Account.Reserve(now, unit()) {
+		if len(p.inFlight) >= maxInFlight || !p.options.Account.Reserve(now, reservation()) {
 			break
 		}
 
-		p.flying[s.Address] = true
+		p.inFlight[s.Address] = true
 		p.probed[s.Address] = now
 		all = append(all, s)
 	}
@@ -121,26 +122,27 @@
 	return all
 }
 
-// share works out anew which servers are this entry VM's to probe.
-func (p *Prober) share(now time.Time) {
-	if now.Sub(p.shared) < shareEvery {
+// assign updates the servers that are assigned to this entry VM, if it is time.
+func (p *Prober) assign(now time.Time) {
+	if now.Sub(p.assignedAt) < assignInterval {
 		return
 	}
 
-	p.shared = now
-	p.mine = Mine(p.options.Self, p.options.VMs(), p.options.Servers.All())
-	p.forget(p.mine)
+	p.assignedAt = now
+	p.assigned = Mine(p.options.Self, p.options.VMs(), p.options.Servers.All())
+	p.prune(p.assigned)
 }
 
-// forget drops the times of servers that are not ours any more.
-func (p *Prober) forget(mine []*cwserver.Server) {
-	if len(p.probed) <= 2*len(mine) {
+// prune removes the probe times of servers that are not assigned to this entry
+// VM, once they are more than half of all.
+func (p *Prober) prune(assigned []*cwserver.Server) {
+	if len(p.probed) <= 2*len(assigned) {
 		return
 	}
 
-	keep := make(map[carobward.Address]time.Time, len(mine))
+	keep := make(map[carobward.Address]time.Time, len(assigned))
 
-	for _, s := range mine {
+	for _, s := range assigned {
 		if t, ok := p.probed[s.Address]; ok {
 			keep[s.Address] = t
 		}
@@ -154,16 +156,16 @@
 	defer cancel()
 
 	sent := p.options.Clock.Now()
-	r := check(ctx, s.Address, p.options.Path)
+	r := probeOnce(ctx, s.Address, p.options.Path)
 	now := p.options.Clock.Now()
 
-	p.options.Account.Settle(now, unit(), cwbudget.Cost{Calls: 1, Bytes: r.bytes})
+	p.options.Account.Settle(now, reservation(), cwbudget.Cost{Calls: 1, Bytes: r.bytes})
 	s.SetReport(r.report)
 	p.options.News.Checked(sent, s.Address, r.check)
-	p.log.V(1).Info("Probed.", "server", s.Address, "outcome", r.check.String(), "bytes", r.bytes)
+	p.log.V(1).Info("Probed a server.", "server", s.Address, "outcome", r.check.String(), "bytes", r.bytes)
 
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 
-	delete(p.flying, s.Address)
+	delete(p.inFlight, s.Address)
 }
--- a/internal/cwprobe/prober_test.go
+++ b/internal/cwprobe/prober_test.go
@@ -17,9 +17,10 @@
 	"carobward.example/carobward/internal/lab/cwcounter"
 )
 
-// TestCheck has the outcomes of one probe.
+// TestCheck checks the outcome of one probe for each kind of reply, and that it
+// reads no more than the largest size of a probe.
 func TestCheck(t *testing.T) {
-	text := func(s string) *string { return &s }
+	header := func(s string) *string { return &s }
 
 	for name, test := range map[string]struct {
 		status int
@@ -27,12 +28,12 @@
 		want   cwdrain.CheckResult
 		run    uint64
 	}{
-		"serves":               {200, text("TEXT named_metrics.run=7"), cwdrain.Healthy, 7},
-		"serves, no report":    {200, nil, cwdrain.Healthy, 0},
-		"drains":               {503, nil, cwdrain.Draining, 0},
-		"drains by its report": {200, text("TEXT named_metrics.draining=1"), cwdrain.Draining, 0},
-		"fails":                {500, nil, cwdrain.NoResult, 0},
-		"too large":            {200, text("TEXT " + fmt.Sprintf("%02000d", 0)), cwdrain.NoResult, 0},
+		"healthy":                {200, header("TEXT named_metrics.run=7"), cwdrain.Healthy, 7},
+		"healthy, no report":     {200, nil, cwdrain.Healthy, 0},
+		"draining by status":     {503, nil, cwdrain.Draining, 0},
+		"draining by its report": {200, header("TEXT named_metrics.draining=1"), cwdrain.Draining, 0},
+		"failing":                {500, nil, cwdrain.NoResult, 0},
+		"reply too large":        {200, header("TEXT " + fmt.Sprintf("%02000d", 0)), cwdrain.NoResult, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := cwcounter.New(test.status, test.report)
@@ -43,7 +44,7 @@
 				t.Fatal(err)
 			}
 
-			got := check(context.Background(), address, "/healthz")
+			got := probeOnce(context.Background(), address, "/healthz")
 			if got.check != test.want || got.report.Run != test.run {
 				t.Errorf("got %s, run %d", got.check, got.report.Run)
 			}
@@ -54,12 +55,12 @@
 		})
 	}
 
-	if got := check(context.Background(), closed(t), "/healthz"); got.check != cwdrain.Refused {
-		t.Errorf("nothing listens: %s", got.check)
+	if got := probeOnce(context.Background(), closedAddress(t), "/healthz"); got.check != cwdrain.Refused {
+		t.Errorf("nothing listens at the address: got %s, want refused", got.check)
 	}
 }
 
-func closed(t *testing.T) carobward.Address {
+func closedAddress(t *testing.T) carobward.Address {
 	t.Helper()
 
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -72,7 +73,8 @@
 	return carobward.Address(ln.Addr().String())
 }
 
-// TestPick has the stalest first and the fresh ones left out.
+// TestPick verifies that the servers with the oldest report or probe come first
+// and those with a recent one are left out.
 func TestPick(t *testing.T) {
 	now := time.Now()
 	table := cwserver.NewTable()
@@ -88,7 +90,7 @@
 	probed := map[carobward.Address]time.Time{"c": now.Add(-2 * time.Second)}
 
 	var got []carobward.Address
-	for _, s := range pick(now, table.All(), probed, time.Second) {
+	for _, s := range pickDue(now, table.All(), probed, time.Second) {
 		got = append(got, s.Address)
 	}
 
@@ -97,10 +99,11 @@
 	}
 }
 
-// TestMine shows that each server is probed by one VM, that the load is even,
-// and that a lost VM moves its own servers only.
+// TestMine verifies that each server is probed by exactly one entry VM, that the
+// servers are spread evenly, and that the loss of an entry VM reassigns only its
+// own servers.
 func TestMine(t *testing.T) {
-	servers, vms := sized(600, 20)
+	servers, vms := newFleet(600, 20)
 
 	owners := func(vms []carobward.VMID) map[carobward.Address]carobward.VMID {
 		all := map[carobward.Address]carobward.VMID{}
@@ -140,7 +143,7 @@
 func BenchmarkMine(b *testing.B) {
 	for _, n := range []int{30, 600, 6600} {
 		b.Run(fmt.Sprint(n, "servers"), func(b *testing.B) {
-			servers, vms := sized(n, max(19, n/33))
+			servers, vms := newFleet(n, max(19, n/33))
 
 			for b.Loop() {
 				Mine("vm-0", vms, servers)
@@ -149,8 +152,8 @@
 	}
 }
 
-// sized returns so many servers and entry VMs.
-func sized(servers, vms int) ([]*cwserver.Server, []carobward.VMID) {
+// newFleet returns so many servers and ids of entry VMs.
+func newFleet(servers, vms int) ([]*cwserver.Server, []carobward.VMID) {
 	list := make([]carobward.VM, servers)
 	for i := range list {
 		list[i].Address = carobward.Address(fmt.Sprintf("10.1.%d.%d:80", i/200, i%200))
