--- a/internal/cwlookup/carriers.go
+++ b/internal/cwlookup/carriers.go
@@ -5,22 +5,24 @@
 	"carobward.example/carobward/internal/cwrank"
 )
 
-// Base is how many entry VMs of each failure domain carry a target that is
-// not hot: two, so that the loss of one leaves one that knows the servers.
+// Base is how many entry VMs of each failure domain serve a target with a low
+// request rate: two, so that after the loss of one there is another one that
+// knows the state of the target's servers.
 const Base = 2
 
-// Carriers returns the entry VMs that carry a target: of each failure domain
-// the first width by rendezvous weight. Few of them see more of what the
-// target's servers hold. All entry VMs come to the same answer, but for what
-// they know of each other, and a request to any other VM is served, too.
+// Carriers returns the entry VMs that are assigned to a target: of each failure
+// domain the first ones by rendezvous weight, as many as width. The fewer they
+// are, the more of the load on the target's servers is known to each. All entry
+// VMs compute the same assignment as long as they agree on the live peers, and a
+// request to any other entry VM is served, too.
 func Carriers(peers []carobward.Peer, target carobward.TargetName, width int) []carobward.Peer {
-	taken := map[carobward.Domain]int{}
+	counts := map[carobward.Domain]int{}
 
 	var chosen []carobward.Peer
 
-	for _, p := range rank(peers, string(target)) {
-		if taken[p.Domain] < width {
-			taken[p.Domain]++
+	for _, p := range rankPeers(peers, string(target)) {
+		if counts[p.Domain] < width {
+			counts[p.Domain]++
 
 			chosen = append(chosen, p)
 		}
@@ -29,9 +31,9 @@
 	return chosen
 }
 
-// place returns how many entry VMs of its failure domain go before one among
-// a target's carriers.
-func place(peers []carobward.Peer, target carobward.TargetName, self *carobward.Peer) int {
+// rankOf returns how many entry VMs of its own failure domain have a higher
+// rendezvous weight for a target than self.
+func rankOf(peers []carobward.Peer, target carobward.TargetName, self *carobward.Peer) int {
 	own := cwrank.Weight(string(self.ID), string(target))
 	before := 0
 
--- a/internal/cwlookup/carriers_test.go
+++ b/internal/cwlookup/carriers_test.go
@@ -23,10 +23,10 @@
 		vms, width int
 		want       map[carobward.Domain]int
 	}{
-		"two a domain":              {19, 2, map[carobward.Domain]int{"domain-0": 2, "domain-1": 2, "domain-2": 2}},
+		"two per domain":            {19, 2, map[carobward.Domain]int{"domain-0": 2, "domain-1": 2, "domain-2": 2}},
 		"a hot target":              {19, 4, map[carobward.Domain]int{"domain-0": 4, "domain-1": 4, "domain-2": 4}},
-		"more than there are":       {7, 9, map[carobward.Domain]int{"domain-0": 3, "domain-1": 2, "domain-2": 2}},
-		"a domain with one VM only": {4, 2, map[carobward.Domain]int{"domain-0": 2, "domain-1": 1, "domain-2": 1}},
+		"wider than a domain":       {7, 9, map[carobward.Domain]int{"domain-0": 3, "domain-1": 2, "domain-2": 2}},
+		"a domain with a single VM": {4, 2, map[carobward.Domain]int{"domain-0": 2, "domain-1": 1, "domain-2": 1}},
 	}
 
 	for name, test := range tests {
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestALostCarrier takes one entry VM away: one other one takes its place and
-// no other target's carriers change.
+// TestALostCarrier verifies that if an entry VM is lost, one other takes its
+// place for its targets and the assignment of all other targets is unchanged.
 func TestALostCarrier(t *testing.T) {
 	all := cwcarrier.Peers(19)
 	lost := cwlookup.Carriers(all, "lookup", cwlookup.Base)[0].ID
@@ -55,21 +55,21 @@
 		want := cwcarrier.IDs(cwlookup.Carriers(all, target, cwlookup.Base))[lost]
 
 		if changed := cwcarrier.Moved(cwlookup.Carriers, all, left, target); changed > 1 || (changed == 1) != want {
-			t.Errorf("%s: %d carriers changed, the lost one was among them: %v", target, changed, want)
+			t.Errorf("%s: %d assigned entry VMs changed, the lost one was among them: %v", target, changed, want)
 		}
 	}
 }
 
-// TestTargetsSpread shows that many targets load all entry VMs.
+// TestTargetsSpread verifies that many targets are spread over all entry VMs.
 func TestTargetsSpread(t *testing.T) {
-	// 220 targets with 6 carriers each are 69 for each of 19.
+	// 220 targets with 6 entry VMs each make 69 for each of 19 on average.
 	if got := cwcarrier.MeasureSpread(19, 220); got.Least < 35 || got.Most > 120 {
-		t.Errorf("the entry VMs carry %d to %d targets", got.Least, got.Most)
+		t.Errorf("the entry VMs are assigned %d to %d targets each", got.Least, got.Most)
 	}
 }
 
-// TestWidthsSettle lets callers follow the widths of a hot target and shows
-// that the entry VMs come to one that is enough and stay there.
+// TestWidthsSettle verifies that, while callers follow the widths of a target
+// with a high request rate, the entry VMs converge to one that suffices.
 func TestWidthsSettle(t *testing.T) {
 	settled := []int{7, 7, 7, 7, 7, 7, 7}
 
@@ -80,7 +80,7 @@
 	}
 }
 
-// TestHandler asks over HTTP with and without a target.
+// TestHandler looks up addresses over HTTP, with and without a target.
 func TestHandler(t *testing.T) {
 	all := cwcarrier.Peers(19)
 	table := cwpeer.NewTable(all[0])
@@ -88,16 +88,16 @@
 
 	app := cwlookup.Handler(table, 5*time.Second, prefix("p"), cwlookup.NewWidths(table, 3000, 5*time.Second))
 
-	carriers := cwcarrier.IDs(cwlookup.Carriers(all, "lookup", cwlookup.Base))
+	assigned := cwcarrier.IDs(cwlookup.Carriers(all, "lookup", cwlookup.Base))
 	used := map[string]map[carobward.VMID]bool{}
 
 	for _, query := range []string{"", "&target=lookup", "&target=lookup&width=-1"} {
 		used[query] = map[carobward.VMID]bool{}
 
 		for i := range 60 {
-			a := ask(t, app, fmt.Sprintf("/addresses?caller=c%d&domain=domain-%d%s", i, i%3, query))
+			a := lookup(t, app, fmt.Sprintf("/addresses?caller=c%d&domain=domain-%d%s", i, i%3, query))
 			if len(a.Use) != 4 || a.Use[0].Domain != carobward.Domain(fmt.Sprintf("domain-%d", i%3)) {
-				t.Fatalf("answer %+v", a)
+				t.Fatalf("unexpected reply %+v", a)
 			}
 
 			for _, l := range a.Use {
@@ -106,25 +106,25 @@
 		}
 	}
 
-	if diff := cmp.Diff(carriers, used["&target=lookup"]); diff != "" {
+	if diff := cmp.Diff(assigned, used["&target=lookup"]); diff != "" {
 		t.Error(diff)
 	}
 
-	if diff := cmp.Diff(carriers, used["&target=lookup&width=-1"]); diff != "" {
+	if diff := cmp.Diff(assigned, used["&target=lookup&width=-1"]); diff != "" {
 		t.Error(diff)
 	}
 
 	if len(used[""]) < 15 {
-		t.Errorf("without a target only %d entry VMs are named", len(used[""]))
+		t.Errorf("without a target only %d entry VMs are in the replies, want at least 15", len(used[""]))
 	}
 }
 
-// prefix is a fake issuer of tickets.
+// prefix is an issuer of tickets that always returns itself.
 type prefix string
 
 func (p prefix) Prefix() string { return string(p) }
 
-func ask(t *testing.T, app *fiber.App, uri string) cwlookup.Answer {
+func lookup(t *testing.T, app *fiber.App, uri string) cwlookup.Answer {
 	t.Helper()
 
 	resp, err := app.Test(httptest.NewRequest(http.MethodGet, uri, nil), -1)
@@ -151,7 +151,7 @@
 
 			for range b.N {
 				if len(cwlookup.Choose(cwlookup.Carriers(all, "lookup", cwlookup.Base), "caller", "domain-0")) == 0 {
-					b.Fatal("none")
+					b.Fatal("no address was chosen")
 				}
 			}
 		})
--- a/internal/cwlookup/handler.go
+++ b/internal/cwlookup/handler.go
@@ -9,25 +9,26 @@
 	"carobward.example/carobward/internal/cwpeer"
 )
 
-// Tickets issues the prefixes of tickets.
+// Tickets issues ticket prefixes.
 type Tickets interface {
 	// Prefix returns a new prefix.
 	Prefix() string
 }
 
-// Kept returns how long callers keep an answer, which they are told in whole
-// seconds.
+// Kept returns how long callers keep a reply, which tells them in whole seconds:
+// keep rounded down, but at least one second.
 func Kept(keep time.Duration) time.Duration { return max(time.Second, keep.Truncate(time.Second)) }
 
-// Handler returns the HTTP side:
-// GET /addresses?caller=ID&domain=NAME&target=NAME&width=N. Without a target
-// all entry VMs come into question. The width is that of the last answer.
+// Handler returns the HTTP handler of
+// GET /addresses?caller=ID&domain=NAME&target=NAME&width=N. Without a target the
+// addresses are chosen from all entry VMs. The width is that of the caller's last
+// reply.
 func Handler(table *cwpeer.Table, keep time.Duration, tickets Tickets, widths *Widths) *fiber.App {
 	app := fiber.New(fiber.Config{DisableStartupMessage: true, Immutable: true})
 
 	app.Get("/addresses", func(c *fiber.Ctx) error {
 		if table.Self().State == carobward.PeerLeaving {
-			// The caller asks others next time.
+			// Makes the caller ask another entry VM next time.
 			c.Context().SetConnectionClose()
 		}
 
--- a/internal/cwlookup/lookup.go
+++ b/internal/cwlookup/lookup.go
@@ -1,4 +1,4 @@
-// Package cwlookup answers callers that ask which entry VMs to use.
+// Package cwlookup tells callers which entry VMs to send their requests to.
 package cwlookup
 
 import (
@@ -9,46 +9,45 @@
 	"carobward.example/carobward/internal/cwrank"
 )
 
-// Line is one address that a caller may use.
+// Line is one entry VM that a caller may use.
 type Line struct {
 	// Address takes the caller's requests.
 	Address carobward.Address `json:"address"`
-	// Lookup answers address questions, with tickets of this entry VM.
+	// Lookup takes lookups; its replies have tickets of this entry VM.
 	Lookup carobward.Address `json:"lookup"`
-	// VM is the entry VM behind it.
+	// VM is the id of the entry VM.
 	VM carobward.VMID `json:"vm"`
-	// Domain is its failure domain.
+	// Domain is the failure domain of the entry VM.
 	Domain carobward.Domain `json:"domain"`
 }
 
-// Answer tells a caller which addresses to use, the best one first.
+// Answer is the reply to a lookup: which addresses the caller may use.
 type Answer struct {
 	// Use lists the addresses in the order to try them.
 	Use []Line `json:"use"`
-	// Keep is how long the answer may be kept, in seconds.
+	// Keep is how long the reply may be kept, in seconds.
 	Keep int `json:"keep"`
-	// Width is how many entry VMs of each failure domain carry the target
-	// that was asked for. A caller says it with its next question.
+	// Width is how many entry VMs of each failure domain are assigned to the
+	// target that was asked for. The caller passes it with its next lookup.
 	Width int `json:"width,omitempty"`
-	// Ticket starts the tickets of requests that run at most once: the
-	// caller appends a dot and a number of its own. The entry VM that
-	// answered owns them, so the lookup of the address that is used gives
-	// the ones that need not be passed on.
+	// Ticket is the prefix of tickets for requests that run at most once: the
+	// caller appends a dot and a number of its own. The entry VM that replied
+	// owns these tickets, so a caller that does its lookups at the entry VM it
+	// sends requests to gets tickets that need not be relayed to another owner.
 	Ticket string `json:"ticket,omitempty"`
 }
 
-// The make-up of an answer.
+// The most addresses of the caller's own and of other failure domains in a reply.
 const (
-	nearMost = 2
-	farMost  = 2
+	maxNear = 2
+	maxFar  = 2
 )
 
-// Choose returns the addresses for a caller: its own failure domain first,
-// then one each of other failure domains, spread by rendezvous hashing. One
-// that is suspected comes after all that are not; one that leaves or is dead
-// is left out.
+// Choose returns the addresses for a caller, spread by rendezvous hashing: first
+// those in its own failure domain, then one each of other failure domains.
+// Suspect entry VMs come after all live ones; leaving and dead ones are left out.
 func Choose(peers []carobward.Peer, caller string, domain carobward.Domain) []Line {
-	best := rank(peers, caller)
+	best := rankPeers(peers, caller)
 
 	var near, far []carobward.Peer
 
@@ -56,9 +55,9 @@
 
 	for _, p := range best {
 		switch {
-		case p.Domain == domain && len(near) < nearMost:
+		case p.Domain == domain && len(near) < maxNear:
 			near = append(near, p)
-		case !seen[p.Domain] && len(far) < farMost:
+		case !seen[p.Domain] && len(far) < maxFar:
 			seen[p.Domain] = true
 			far = append(far, p)
 		}
@@ -75,11 +74,11 @@
 	return use
 }
 
-// rank sorts the fit peers by their rendezvous weight for the caller. One
-// without a configuration would refuse each request, so it is left out once
-// another one has any.
-func rank(peers []carobward.Peer, caller string) []carobward.Peer {
-	fit := make([]ranked, 0, len(peers))
+// rankPeers returns the live and suspect peers, sorted by state and then by their
+// rendezvous weight for a key. A peer without a configuration would refuse each
+// request, so it is left out if any other one has a configuration.
+func rankPeers(peers []carobward.Peer, key string) []carobward.Peer {
+	eligible := make([]ranked, 0, len(peers))
 
 	configured := slices.ContainsFunc(peers, func(p carobward.Peer) bool { return p.Revision > 0 })
 
@@ -90,23 +89,23 @@
 		}
 
 		if p.State == carobward.PeerLive || p.State == carobward.PeerSuspect {
-			fit = append(fit, ranked{p, cwrank.Weight(string(p.ID), caller)})
+			eligible = append(eligible, ranked{p, cwrank.Weight(string(p.ID), key)})
 		}
 	}
 
-	slices.SortStableFunc(fit, func(a, b ranked) int {
+	slices.SortStableFunc(eligible, func(a, b ranked) int {
 		return cmp.Or(cmp.Compare(a.peer.State, b.peer.State), cmp.Compare(b.weight, a.weight))
 	})
 
-	all := make([]carobward.Peer, len(fit))
-	for i := range fit {
-		all[i] = *fit[i].peer
+	all := make([]carobward.Peer, len(eligible))
+	for i := range eligible {
+		all[i] = *eligible[i].peer
 	}
 
 	return all
 }
 
-// ranked is a peer with its weight, which is worked out once.
+// ranked is a peer with its weight, so that each weight is computed only once.
 type ranked struct {
 	peer   *carobward.Peer
 	weight uint64
--- a/internal/cwlookup/lookup_test.go
+++ b/internal/cwlookup/lookup_test.go
@@ -15,7 +15,7 @@
 		return carobward.Peer{ID: id, Domain: d, State: s}
 	}
 
-	revised := func(id carobward.VMID, d carobward.Domain, r carobward.Revision) carobward.Peer {
+	atRevision := func(id carobward.VMID, d carobward.Domain, r carobward.Revision) carobward.Peer {
 		return carobward.Peer{ID: id, Domain: d, Revision: r}
 	}
 
@@ -25,17 +25,17 @@
 		peers []carobward.Peer
 		want  []carobward.VMID
 	}{
-		"own domain first":       {[]carobward.Peer{peer("b", "y", live), peer("a", "x", live)}, []carobward.VMID{"a", "b"}},
-		"a suspect comes last":   {[]carobward.Peer{peer("a", "x", suspect), peer("b", "y", live)}, []carobward.VMID{"b", "a"}},
-		"only suspects":          {[]carobward.Peer{peer("a", "x", suspect)}, []carobward.VMID{"a"}},
-		"leaving and dead never": {[]carobward.Peer{peer("a", "x", leaving), peer("b", "x", dead), peer("c", "y", live)}, []carobward.VMID{"c"}},
-		"nobody":                 {[]carobward.Peer{peer("a", "x", leaving)}, nil},
+		"own domain first":        {[]carobward.Peer{peer("b", "y", live), peer("a", "x", live)}, []carobward.VMID{"a", "b"}},
+		"suspect last":            {[]carobward.Peer{peer("a", "x", suspect), peer("b", "y", live)}, []carobward.VMID{"b", "a"}},
+		"only suspects":           {[]carobward.Peer{peer("a", "x", suspect)}, []carobward.VMID{"a"}},
+		"no leaving or dead ones": {[]carobward.Peer{peer("a", "x", leaving), peer("b", "x", dead), peer("c", "y", live)}, []carobward.VMID{"c"}},
+		"none left":               {[]carobward.Peer{peer("a", "x", leaving)}, nil},
 
-		// One without a configuration is in no answer while another has one.
-		"one is new":   {[]carobward.Peer{revised("a", "x", 3), revised("b", "y", 0)}, []carobward.VMID{"a"}},
-		"one lags":     {[]carobward.Peer{revised("a", "x", 3), revised("b", "y", 2)}, []carobward.VMID{"a", "b"}},
-		"all are new":  {[]carobward.Peer{revised("a", "x", 0), revised("b", "y", 0)}, []carobward.VMID{"a", "b"}},
-		"new one asks": {[]carobward.Peer{revised("a", "x", 0), revised("b", "y", 1)}, []carobward.VMID{"b"}},
+		// An entry VM without a configuration is in no reply while another has one.
+		"other has no configuration":      {[]carobward.Peer{atRevision("a", "x", 3), atRevision("b", "y", 0)}, []carobward.VMID{"a"}},
+		"one lags":                        {[]carobward.Peer{atRevision("a", "x", 3), atRevision("b", "y", 2)}, []carobward.VMID{"a", "b"}},
+		"none has a configuration":        {[]carobward.Peer{atRevision("a", "x", 0), atRevision("b", "y", 0)}, []carobward.VMID{"a", "b"}},
+		"own domain has no configuration": {[]carobward.Peer{atRevision("a", "x", 0), atRevision("b", "y", 1)}, []carobward.VMID{"b"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var got []carobward.VMID
@@ -52,9 +52,9 @@
 
 func TestKept(t *testing.T) {
 	for name, tt := range map[string]struct{ keep, want time.Duration }{
-		"under a second": {200 * time.Millisecond, time.Second},
-		"whole":          {5 * time.Second, 5 * time.Second},
-		"with a part":    {5900 * time.Millisecond, 5 * time.Second},
+		"under a second":  {200 * time.Millisecond, time.Second},
+		"whole seconds":   {5 * time.Second, 5 * time.Second},
+		"with a fraction": {5900 * time.Millisecond, 5 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := cwlookup.Kept(tt.keep); got != tt.want {
--- a/internal/cwlookup/widths.go
+++ b/internal/cwlookup/widths.go
@@ -9,85 +9,88 @@
 	"carobward.example/carobward/internal/cwpeer"
 )
 
-// Widths decides how many entry VMs of each failure domain carry a target,
-// by the rate that this entry VM sees of it. Callers renew their answers at
-// the entry VMs that carry the target, so each one's own rate is enough and
-// nothing has to be agreed. One that carries a target only because it is hot
-// learns the width from the callers, who say what they were told.
+// Widths decides how many entry VMs of each failure domain are assigned to a
+// target, by the request rate that this entry VM sees of it. Callers renew their
+// replies at the entry VMs that are assigned to the target, so each one can
+// decide by its own rate without agreement. An entry VM that is assigned only
+// because the width was raised learns the width from callers, who pass the one
+// of their last reply.
 type Widths struct {
 	table *cwpeer.Table
-	// most is the rate of one target that one entry VM should carry.
-	most float64
-	// pace is the time between two decisions, in which callers follow.
-	pace time.Duration
-
-	mutex   sync.Mutex
-	decided time.Time
-	widths  map[carobward.TargetName]int
-	heard   map[carobward.TargetName]int
+	// maxRate is the rate of one target, in requests per second, that one entry
+	// VM should get.
+	maxRate float64
+	// interval is the time between two decisions, in which callers adopt the
+	// last one.
+	interval time.Duration
+
+	mutex     sync.Mutex
+	decidedAt time.Time
+	widths    map[carobward.TargetName]int
+	learned   map[carobward.TargetName]int
 }
 
-// paceKeeps is the time between two decisions in times that callers keep an
-// answer.
-const paceKeeps = 2
+// keepTimesPerInterval is the time between two decisions, as a multiple of the
+// time for which callers keep a reply.
+const keepTimesPerInterval = 2
 
-// heardMost bounds the targets whose width is learned from callers, who may ask
-// for any name.
-const heardMost = 4096
+// maxLearned bounds the targets whose width is learned from callers, because
+// callers may ask for any name.
+const maxLearned = 4096
 
-// NewWidths returns widths for a rate in requests a second, and for callers
-// that keep answers for a time.
-func NewWidths(table *cwpeer.Table, most float64, keep time.Duration) *Widths {
+// NewWidths returns Widths for a rate per entry VM in requests per second and
+// callers that keep replies for a time.
+func NewWidths(table *cwpeer.Table, maxRate float64, keep time.Duration) *Widths {
 	return &Widths{
-		table:  table,
-		most:   most,
-		pace:   paceKeeps * keep,
-		widths: map[carobward.TargetName]int{},
-		heard:  map[carobward.TargetName]int{},
+		table:    table,
+		maxRate:  maxRate,
+		interval: keepTimesPerInterval * keep,
+		widths:   map[carobward.TargetName]int{},
+		learned:  map[carobward.TargetName]int{},
 	}
 }
 
 // Pace returns the time between two decisions.
-func (w *Widths) Pace() time.Duration { return w.pace }
+func (w *Widths) Pace() time.Duration { return w.interval }
 
-// Of returns the width of a target for a caller who was told another one
-// before, or zero. Callers may tell any number, so that only one who would
-// carry the target by it, and not else, goes by it, and no further than there
-// are entry VMs.
-func (w *Widths) Of(target carobward.TargetName, told int) int {
+// Of returns the width of a target for a caller whose last reply had the width
+// previous, or zero. Callers may pass any number, so it is used only if this
+// entry VM is assigned to the target by that width and not by its own one, and
+// it is bounded by the number of entry VMs.
+func (w *Widths) Of(target carobward.TargetName, previous int) int {
 	self, peers := w.table.Self(), w.table.All()
-	at, told := place(peers, target, &self), min(told, len(peers))
+	rank, previous := rankOf(peers, target, &self), min(previous, len(peers))
 
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 
 	own := max(Base, w.widths[target])
-	if at < own || at >= told {
+	if rank < own || rank >= previous {
 		return own
 	}
 
-	if _, known := w.heard[target]; !known && len(w.heard) >= heardMost {
+	if _, known := w.learned[target]; !known && len(w.learned) >= maxLearned {
 		return own
 	}
 
-	w.heard[target] = max(told, w.heard[target])
+	w.learned[target] = max(previous, w.learned[target])
 
-	return told
+	return previous
 }
 
-// Tick decides anew if it is time. Counts returns the requests of each target
-// since it was last called.
+// Tick decides the widths again if it is time. The function counts returns the
+// number of requests of each target since its last call.
 func (w *Widths) Tick(now time.Time, counts func() map[carobward.TargetName]int) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 
-	passed := now.Sub(w.decided)
-	if passed < w.pace {
+	elapsed := now.Sub(w.decidedAt)
+	if elapsed < w.interval {
 		return
 	}
 
-	first := w.decided.IsZero()
-	w.decided = now
+	first := w.decidedAt.IsZero()
+	w.decidedAt = now
 
 	seen := counts()
 	if first {
@@ -98,28 +101,30 @@
 	next := map[carobward.TargetName]int{}
 
 	for target, n := range seen {
-		rate := float64(n) / passed.Seconds()
+		rate := float64(n) / elapsed.Seconds()
 
-		if width := decide(rate, w.most, max(w.widths[target], w.heard[target]), place(peers, target, &self)); width > Base {
+		if width := nextWidth(rate, w.maxRate, max(w.widths[target], w.learned[target]), rankOf(peers, target, &self)); width > Base {
 			next[target] = width
 		}
 	}
 
-	w.widths, w.heard = next, map[carobward.TargetName]int{}
+	w.widths, w.learned = next, map[carobward.TargetName]int{}
 }
 
-// decide returns the next width of a target that this entry VM, at its place
-// among the domain's, sees at a rate. All of the old width share the domain's
-// requests alike; who is asked beyond that knows of a greater one.
-func decide(rate, most float64, old, place int) int {
-	shared := max(Base, old, place+1)
-	if rate < most/leftover {
+// nextWidth returns the next width of a target whose requests arrive at this
+// entry VM at a rate. The entry VMs within the old width get equal shares of the
+// domain's requests; one that is not within it by its rank but does get a share
+// must be within a larger width that callers know of.
+func nextWidth(rate, maxRate float64, old, rank int) int {
+	shared := max(Base, old, rank+1)
+	if rate < maxRate/strayDivisor {
 		shared = max(Base, old)
 	}
 
-	return max(Base, int(math.Ceil(rate*float64(shared)/most)))
+	return max(Base, int(math.Ceil(rate*float64(shared)/maxRate)))
 }
 
-// leftover parts what callers with old or few addresses send from a share: an
-// entry VM that sees less than that part of the most does not carry a target.
-const leftover = 10
+// strayDivisor divides maxRate to get the lowest rate that counts as a share of a
+// target's requests. A lower one comes from callers with outdated replies or few
+// addresses, so it does not show that this entry VM is assigned to the target.
+const strayDivisor = 10
--- a/internal/cwlookup/widths_test.go
+++ b/internal/cwlookup/widths_test.go
@@ -9,8 +9,8 @@
 	"carobward.example/carobward/internal/cwpeer"
 )
 
-// TestWidthsBounded has a caller ask for targets without end, each under
-// another name.
+// TestWidthsBounded verifies that a caller that asks for ever new names of targets
+// cannot make the learned widths grow without bound.
 func TestWidthsBounded(t *testing.T) {
 	all := make([]carobward.Peer, 30)
 	for i := range all {
@@ -21,33 +21,33 @@
 	table.Replace(all)
 
 	w := NewWidths(table, 1, time.Second)
-	for i := range 5 * heardMost {
+	for i := range 5 * maxLearned {
 		w.Of(carobward.TargetName(fmt.Sprint(i)), len(all))
 	}
 
-	if len(w.heard) != heardMost {
-		t.Errorf("%d names are kept, want %d", len(w.heard), heardMost)
+	if len(w.learned) != maxLearned {
+		t.Errorf("%d widths are kept, want %d", len(w.learned), maxLearned)
 	}
 }
 
 func TestDecide(t *testing.T) {
 	tests := map[string]struct {
-		rate       float64
-		old, place int
-		want       int
+		rate      float64
+		old, rank int
+		want      int
 	}{
-		"cold":                         {100, 0, 0, 2},
-		"hot":                          {5000, 0, 0, 4},
-		"stays once others help":       {2500, 4, 0, 4},
-		"one of those who help":        {2500, 0, 3, 4},
-		"cools down":                   {600, 4, 0, 2},
-		"gone":                         {0, 9, 0, 2},
-		"a few strays at the last one": {20, 0, 18, 2},
+		"low rate":                   {100, 0, 0, 2},
+		"high rate":                  {5000, 0, 0, 4},
+		"unchanged once shared":      {2500, 4, 0, 4},
+		"share beyond the old width": {2500, 0, 3, 4},
+		"falling rate":               {600, 4, 0, 2},
+		"no requests":                {0, 9, 0, 2},
+		"stray requests":             {20, 0, 18, 2},
 	}
 
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			if got := decide(test.rate, 3000, test.old, test.place); got != test.want {
+			if got := nextWidth(test.rate, 3000, test.old, test.rank); got != test.want {
 				t.Errorf("width %d, want %d", got, test.want)
 			}
 		})
