--- a/internal/cwoperator/api.go
+++ b/internal/cwoperator/api.go
@@ -1,5 +1,5 @@
-// Package cwoperator serves the operators' client: the configuration, the
-// state of the entry VMs, and metrics.
+// Package cwoperator serves the HTTP API for operators: configuration, draining
+// of servers, state of the entry VMs, and metrics.
 package cwoperator
 
 import (
@@ -17,20 +17,20 @@
 	"carobward.example/carobward/internal/cwpeer"
 )
 
-// The bounds of the listener.
+// The limits of the listener.
 const (
-	// bodyMost is the largest request body in bytes: what the store takes.
-	bodyMost = 1 << 20
-	// requestsMost is the number of requests at once.
-	requestsMost = 64
-	readMost     = 5 * time.Second
-	writeMost    = 15 * time.Second
-	idleMost     = 30 * time.Second
-	// applyMost bounds the work on one change. Its outcome may be unknown
-	// then.
-	applyMost = 8 * time.Second
-	// statusMost bounds the asking of all entry VMs.
-	statusMost = 3 * time.Second
+	// maxBodySize is the largest request body in bytes: what the store accepts.
+	maxBodySize = 1 << 20
+	// maxRequests bounds the concurrent requests.
+	maxRequests  = 64
+	readTimeout  = 5 * time.Second
+	writeTimeout = 15 * time.Second
+	idleTimeout  = 30 * time.Second
+	// applyTimeout bounds the work on one change. After a timeout it may be
+	// unknown whether the change was accepted.
+	applyTimeout = 8 * time.Second
+	// statusTimeout bounds the collection of the states of all entry VMs.
+	statusTimeout = 3 * time.Second
 )
 
 // API serves the operators' listener.
@@ -39,27 +39,28 @@
 	holder *cwconfig.Holder
 	writer *cwconfig.Writer
 	peers  *cwpeer.Table
-	drains drains
+	drains drainHandlers
 	syncer *cwconfig.Syncer
 	vars   http.Handler
 }
 
-// New returns the API. An empty key lets everyone in. vars shows the metrics.
+// New returns the API. With an empty key no authentication is required. The
+// handler vars serves the metrics.
 func New(key string, holder *cwconfig.Holder, writer *cwconfig.Writer, peers *cwpeer.Table, syncer *cwconfig.Syncer, vars http.Handler) *API {
 	return &API{key: key, holder: holder, writer: writer, peers: peers, syncer: syncer, vars: vars}
 }
 
-// Handler returns the HTTP side.
+// Handler returns the HTTP handler.
 func (a *API) Handler() *fiber.App {
 	app := fiber.New(fiber.Config{
 		DisableStartupMessage: true,
 		Immutable:             true,
-		BodyLimit:             bodyMost,
-		Concurrency:           requestsMost,
-		ReadTimeout:           readMost,
-		WriteTimeout:          writeMost,
-		IdleTimeout:           idleMost,
-		ErrorHandler:          failed,
+		BodyLimit:             maxBodySize,
+		Concurrency:           maxRequests,
+		ReadTimeout:           readTimeout,
+		WriteTimeout:          writeTimeout,
+		IdleTimeout:           idleTimeout,
+		ErrorHandler:          handleError,
 	})
 	app.Use(a.authenticate)
 	app.Get("/config", a.config)
@@ -88,13 +89,14 @@
 	return c.Next()
 }
 
-// failed answers what fiber refuses itself, such as a body too large.
-func failed(c *fiber.Ctx, err error) error {
+// handleError answers requests that fiber itself refuses, such as one whose body
+// is too large.
+func handleError(c *fiber.Ctx, err error) error {
 	status := fiber.StatusInternalServerError
 
-	var f *fiber.Error
-	if errors.As(err, &f) {
-		status = f.Code
+	var fiberErr *fiber.Error
+	if errors.As(err, &fiberErr) {
+		status = fiberErr.Code
 	}
 
 	return c.Status(status).JSON(Refused{Code: CodeRequest, Error: err.Error()})
--- a/internal/cwoperator/config.go
+++ b/internal/cwoperator/config.go
@@ -12,27 +12,27 @@
 	"carobward.example/carobward/internal/cwconfig"
 )
 
-// View is the configuration in force on an entry VM.
+// View is the effective configuration of an entry VM.
 type View struct {
 	cwconfig.Config
 
-	// Recent holds the last changes, oldest first.
+	// Recent has the last changes, oldest first.
 	Recent []cwconfig.Change `json:"recent,omitempty"`
 }
 
-// Applied answers a change that was accepted.
+// Applied is the reply to a change that was accepted.
 type Applied struct {
 	// Revision is the one that the change made.
 	Revision carobward.Revision `json:"revision"`
-	// Newest is the one in force on the entry VM; it is higher if the change
-	// was accepted earlier and others came after it.
+	// Newest is the effective one of the entry VM. It is higher than Revision if
+	// the change had been accepted before and others followed it.
 	Newest carobward.Revision `json:"newest"`
 }
 
-// Code tells programs why a request was refused.
+// Code is the reason of a refusal, for programs.
 type Code string
 
-// The codes. Nothing was changed but for CodeUnknown.
+// The codes. Except with CodeUnknown, nothing was changed.
 const (
 	CodeKey      Code = "key"
 	CodeRequest  Code = "request"
@@ -47,20 +47,20 @@
 	CodeUnknown  Code = "unknown"
 )
 
-// Refused answers a change that was not accepted, or may have been.
+// Refused is the reply to a request that was refused or whose outcome is unknown.
 type Refused struct {
-	// Code tells programs what happened, Error tells people.
+	// Code is the reason for programs, and Error is the reason for people.
 	Code  Code   `json:"code"`
 	Error string `json:"error"`
-	// Unknown tells that the change may have been accepted.
+	// Unknown is true if the change may have been accepted.
 	Unknown bool `json:"unknown"`
-	// Conflict names the change that was first, for CodeConflict.
+	// Conflict is the change that was accepted before, for CodeConflict.
 	Conflict *Conflict `json:"conflict,omitempty"`
 }
 
-// Conflict names the change that was first.
+// Conflict identifies the change that was accepted before a conflicting one.
 type Conflict struct {
-	// Target is empty for the measuring budget.
+	// Target is empty for the measurement budget.
 	Target   carobward.TargetName `json:"target,omitempty"`
 	Revision carobward.Revision   `json:"revision"`
 	Author   string               `json:"author,omitempty"`
@@ -114,15 +114,15 @@
 	})
 }
 
-// readChange decodes a change. Unknown keys are refused: they may come from
-// a newer client that means more by them.
+// readChange decodes a change. It rejects unknown keys, because a newer client
+// may have sent them and rely on their effect.
 func readChange(body []byte) (*cwconfig.Change, error) {
 	change := &cwconfig.Change{}
 
-	d := json.NewDecoder(bytes.NewReader(body))
-	d.DisallowUnknownFields()
+	decoder := json.NewDecoder(bytes.NewReader(body))
+	decoder.DisallowUnknownFields()
 
-	if err := d.Decode(change); err != nil {
+	if err := decoder.Decode(change); err != nil {
 		return nil, errors.Annotate(err, "malformed change")
 	}
 
@@ -133,12 +133,12 @@
 	return change, nil
 }
 
-// change makes a change within a bound and answers its outcome.
-func (a *API) change(c *fiber.Ctx, make func(context.Context) (carobward.Revision, error)) error {
-	ctx, cancel := context.WithTimeout(context.Background(), applyMost)
+// change makes a change within applyTimeout and replies with its outcome.
+func (a *API) change(c *fiber.Ctx, apply func(context.Context) (carobward.Revision, error)) error {
+	ctx, cancel := context.WithTimeout(context.Background(), applyTimeout)
 	defer cancel()
 
-	revision, err := make(ctx)
+	revision, err := apply(ctx)
 	if err != nil {
 		return refuse(c, err)
 	}
@@ -148,13 +148,13 @@
 
 const unchanged = "nothing was changed"
 
-// refusals gives each error its code, status and what it means for the
-// operator, the first that fits.
+// refusals maps errors to their code, status and meaning for the operator. The
+// first entry that matches is used.
 var refusals = []struct {
-	err    error
-	code   Code
-	status int
-	means  string
+	err     error
+	code    Code
+	status  int
+	meaning string
 }{
 	{carobward.ErrStoreUnknown, CodeUnknown, fiber.StatusServiceUnavailable, "the change may have been accepted"},
 	{carobward.ErrStoreDown, CodeDown, fiber.StatusServiceUnavailable, "the platform's store does not answer, nothing was changed"},
@@ -184,7 +184,7 @@
 
 	for _, r := range refusals {
 		if errors.Is(err, r.err) {
-			return c.Status(r.status).JSON(Refused{Code: r.code, Error: r.means + ": " + err.Error(), Unknown: r.code == CodeUnknown})
+			return c.Status(r.status).JSON(Refused{Code: r.code, Error: r.meaning + ": " + err.Error(), Unknown: r.code == CodeUnknown})
 		}
 	}
 
--- a/internal/cwoperator/drain.go
+++ b/internal/cwoperator/drain.go
@@ -11,38 +11,38 @@
 	"carobward.example/carobward/internal/cwserver"
 )
 
-// DrainPath is where servers are drained (POST a Drain) and where those that
-// leave are listed (GET).
+// DrainPath is the path to drain a server (POST a Drain) and to list the leaving
+// servers (GET).
 const DrainPath = "/drain"
 
-// Drain asks that a server gets no new work, or that it gets work again.
+// Drain is the request to give a server no new work, or to give it work again.
 type Drain struct {
 	Address carobward.Address `json:"address"`
-	// Undo ends all that is known of the server's leaving.
+	// Undo discards everything known of the server's leaving, from any source.
 	Undo bool `json:"undo,omitempty"`
 }
 
-// Leaving is one server that leaves, and by what sign.
+// Leaving is a leaving server with the source that reported it.
 type Leaving struct {
 	Address carobward.Address `json:"address"`
 	// Source is server, health, vm-list or operator.
 	Source string `json:"source"`
 }
 
-// drains has what the drain handlers need.
-type drains struct {
+// drainHandlers serve DrainPath.
+type drainHandlers struct {
 	news    *cwdrain.System
 	servers *cwserver.Table
 }
 
-// WithDrains adds the draining of servers and returns the same API.
+// WithDrains adds DrainPath and returns the same API.
 func (a *API) WithDrains(news *cwdrain.System, servers *cwserver.Table) *API {
-	a.drains = drains{news: news, servers: servers}
+	a.drains = drainHandlers{news: news, servers: servers}
 
 	return a
 }
 
-func (d drains) handle(app *fiber.App) {
+func (d drainHandlers) handle(app *fiber.App) {
 	if d.news == nil {
 		return
 	}
@@ -51,9 +51,9 @@
 	app.Post(DrainPath, d.drain)
 }
 
-func (d drains) list(c *fiber.Ctx) error { return c.JSON(d.leaving()) }
+func (d drainHandlers) list(c *fiber.Ctx) error { return c.JSON(d.leaving()) }
 
-func (d drains) leaving() []Leaving {
+func (d drainHandlers) leaving() []Leaving {
 	all := []Leaving{}
 
 	for _, m := range d.news.Marks() {
@@ -65,21 +65,21 @@
 	return all
 }
 
-func (d drains) drain(c *fiber.Ctx) error {
-	var in Drain
-	if err := json.Unmarshal(c.Body(), &in); err != nil {
+func (d drainHandlers) drain(c *fiber.Ctx) error {
+	var request Drain
+	if err := json.Unmarshal(c.Body(), &request); err != nil {
 		return c.Status(fiber.StatusBadRequest).JSON(Refused{Error: err.Error()})
 	}
 
-	if _, err := netip.ParseAddrPort(string(in.Address)); err != nil {
+	if _, err := netip.ParseAddrPort(string(request.Address)); err != nil {
 		return c.Status(fiber.StatusBadRequest).JSON(Refused{Error: "drain: want an IP number and a port such as 10.0.0.9:8080"})
 	}
 
-	if !in.Undo && !d.servers.Has(in.Address) {
-		return c.Status(fiber.StatusNotFound).JSON(Refused{Error: "drain: the VM list has no server at " + string(in.Address)})
+	if !request.Undo && !d.servers.Has(request.Address) {
+		return c.Status(fiber.StatusNotFound).JSON(Refused{Error: "drain: the VM list has no server at " + string(request.Address)})
 	}
 
-	d.news.Drain(in.Address, !in.Undo)
+	d.news.Drain(request.Address, !request.Undo)
 
 	return c.JSON(d.leaving())
 }
--- a/internal/cwoperator/ready.go
+++ b/internal/cwoperator/ready.go
@@ -6,17 +6,16 @@
 	"carobward.example/carobward"
 )
 
-// Ready tells whether this entry VM takes requests, for the platform's health
-// checks.
+// Ready is the readiness of this entry VM, for the platform's health checks.
 type Ready struct {
-	// Ready is false for a newcomer that does not know the configuration
-	// yet, and for an entry VM that leaves. The status is 503 then.
+	// Ready is false, and the status 503, until the entry VM has received its
+	// configuration and while it is leaving.
 	Ready bool `json:"ready"`
-	// State is how this entry VM counts among its peers.
+	// State is the state of this entry VM as a peer.
 	State string `json:"state"`
-	// Revision is the one in force here.
+	// Revision is the effective one here.
 	Revision carobward.Revision `json:"revision"`
-	// Alarm says what is wrong with the configuration.
+	// Alarm describes what is wrong with the configuration, if anything.
 	Alarm string `json:"alarm,omitempty"`
 }
 
--- a/internal/cwoperator/status.go
+++ b/internal/cwoperator/status.go
@@ -13,39 +13,40 @@
 type VMStatus struct {
 	VM     carobward.VMID   `json:"vm"`
 	Domain carobward.Domain `json:"domain"`
-	// State is live, suspect, leaving or dead, as the asked entry VM sees it.
+	// State is live, suspect, leaving or dead, as seen by the entry VM that
+	// serves the request.
 	State string `json:"state"`
-	// Answered tells that the entry VM itself told what follows. Else the
-	// revision is what was last heard of.
+	// Answered is true if the entry VM itself reported the fields below. Else
+	// only Revision is known, as last received from a peer.
 	Answered bool               `json:"answered"`
 	Ready    bool               `json:"ready"`
 	Revision carobward.Revision `json:"revision"`
-	// AgeMillis is for how long it has had no news that its revision is the
-	// newest, in milliseconds; negative for never.
+	// AgeMillis is the time in milliseconds since the entry VM last learned that
+	// its revision is the newest; negative if it never did or that is not known.
 	AgeMillis int64 `json:"age_millis"`
-	// Alarm says what is wrong with its configuration.
+	// Alarm describes what is wrong with its configuration, if anything.
 	Alarm string `json:"alarm,omitempty"`
 }
 
-// Status is the state of the whole as one entry VM sees it.
+// Status is the state of the fleet as one entry VM sees it.
 type Status struct {
-	// Revision is the highest that is in force anywhere.
+	// Revision is the highest one known of any entry VM.
 	Revision carobward.Revision `json:"revision"`
 	// VMs lists the entry VMs.
 	VMs []VMStatus `json:"vms"`
 }
 
-// Dead tells that the entry VM counts as gone.
+// Dead reports whether the entry VM counts as dead.
 func (v *VMStatus) Dead() bool { return !v.Answered && v.State == carobward.PeerDead.String() }
 
-// Has tells that the entry VM has said itself that a revision or a later one
-// is in force there.
+// Has reports whether the entry VM itself reported that a revision or a later one
+// is effective there.
 func (v *VMStatus) Has(r carobward.Revision) bool {
 	return v.Answered && v.Ready && v.Revision >= r
 }
 
-// Without returns the entry VMs on which a revision is not known to be in
-// force, but for those that count as gone.
+// Without returns the entry VMs, except dead ones, on which a revision is not
+// known to be effective.
 func (s *Status) Without(r carobward.Revision) []VMStatus {
 	var all []VMStatus
 
@@ -58,7 +59,7 @@
 	return all
 }
 
-// Reached counts the entry VMs on which a revision is in force.
+// Reached counts the entry VMs on which a revision is known to be effective.
 func (s *Status) Reached(r carobward.Revision) int {
 	n := 0
 
@@ -72,13 +73,13 @@
 }
 
 func (a *API) status(c *fiber.Ctx) error {
-	ctx, cancel := context.WithTimeout(context.Background(), statusMost)
+	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
 
 	s := Status{VMs: []VMStatus{}}
 
-	for _, st := range a.syncer.FleetStatus(ctx) {
-		v := vmStatus(&st)
+	for _, standing := range a.syncer.FleetStatus(ctx) {
+		v := vmStatus(&standing)
 		s.Revision = max(s.Revision, v.Revision)
 		s.VMs = append(s.VMs, v)
 	}
