--- a/internal/cwdrain/mark_test.go
+++ b/internal/cwdrain/mark_test.go
@@ -36,7 +36,7 @@
 
 // reply makes the server announce with a reply whether it is draining.
 func (s *sim) reply(run uint64, draining bool) {
-	s.table.ApplyAnnouncements(s.now, []cwserver.Word{{Address: server, Run: run, Draining: draining}})
+	s.table.ApplyAnnouncements(s.now, []cwserver.Announcement{{Address: server, Run: run, Draining: draining}})
 }
 
 // check reports the result of a health check a number of times, one second apart.
--- a/internal/cwdrain/table.go
+++ b/internal/cwdrain/table.go
@@ -117,7 +117,7 @@
 }
 
 // ApplyAnnouncements processes what servers announced with replies.
-func (t *Table) ApplyAnnouncements(now time.Time, announcements []cwserver.Word) {
+func (t *Table) ApplyAnnouncements(now time.Time, announcements []cwserver.Announcement) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
@@ -126,7 +126,7 @@
 	}
 }
 
-func (t *Table) applyAnnouncement(now time.Time, w cwserver.Word) {
+func (t *Table) applyAnnouncement(now time.Time, w cwserver.Announcement) {
 	k := key{w.Address, Announced}
 	e := t.entries[k]
 
--- a/internal/cwserver/leave.go
+++ b/internal/cwserver/leave.go
@@ -25,8 +25,8 @@
 	Leaves
 )
 
-// Word is what a server announced about itself with a reply.
-type Word struct {
+// Announcement is what a server announced about itself with a reply.
+type Announcement struct {
 	// Address is the server.
 	Address carobward.Address
 	// Run is a number that rises with each start of the server, or 0 if it
@@ -40,7 +40,7 @@
 type leaveState struct {
 	mutex         sync.Mutex
 	levels        map[carobward.Address]Level
-	announcements map[carobward.Address]Word
+	announcements map[carobward.Address]Announcement
 	// owners maps each address to the server that the VM list has there.
 	owners map[carobward.Address]*Server
 	// freshUntil is the instant up to which the levels are up to date; 0 means
@@ -49,12 +49,12 @@
 }
 
 func newLeaveState() *leaveState {
-	return &leaveState{levels: map[carobward.Address]Level{}, announcements: map[carobward.Address]Word{}}
+	return &leaveState{levels: map[carobward.Address]Level{}, announcements: map[carobward.Address]Announcement{}}
 }
 
 // SetLevels replaces the levels of all servers. The announcements in taken are
 // accounted for in them and are removed unless a newer one replaced them.
-func (t *Table) SetLevels(levels map[carobward.Address]Level, taken []Word) {
+func (t *Table) SetLevels(levels map[carobward.Address]Level, taken []Announcement) {
 	t.leave.mutex.Lock()
 	defer t.leave.mutex.Unlock()
 
@@ -114,7 +114,7 @@
 }
 
 // Words returns the announcements that SetLevels has not taken yet.
-func (t *Table) Words() []Word {
+func (t *Table) Words() []Announcement {
 	t.leave.mutex.Lock()
 	defer t.leave.mutex.Unlock()
 
@@ -164,7 +164,7 @@
 		return
 	}
 
-	s.leave.announcements[s.Address] = Word{Address: s.Address, Run: r.Run, Draining: r.Draining}
+	s.leave.announcements[s.Address] = Announcement{Address: s.Address, Run: r.Run, Draining: r.Draining}
 
 	if r.Draining {
 		s.Leaving.Store(true)
