--- a/internal/cwdrain/system.go
+++ b/internal/cwdrain/system.go
@@ -90,7 +90,7 @@
 	defer s.mutex.Unlock()
 
 	o, now := &s.options, s.options.Clock.Now()
-	announcements := o.Servers.Words()
+	announcements := o.Servers.Announcements()
 
 	o.Table.ApplyAnnouncements(now, announcements)
 	o.Table.Tick(now)
--- a/internal/cwserver/leave.go
+++ b/internal/cwserver/leave.go
@@ -113,8 +113,8 @@
 	return l.levels[a]
 }
 
-// Words returns the announcements that SetLevels has not taken yet.
-func (t *Table) Words() []Announcement {
+// Announcements returns the announcements that SetLevels has not taken yet.
+func (t *Table) Announcements() []Announcement {
 	t.leave.mutex.Lock()
 	defer t.leave.mutex.Unlock()
 
--- a/internal/cwserver/leave_test.go
+++ b/internal/cwserver/leave_test.go
@@ -84,7 +84,7 @@
 		t.Error(diff)
 	}
 
-	announcements := table.Words()
+	announcements := table.Announcements()
 	if diff := cmp.Diff([]Announcement{{Address: "a", Run: 7, Draining: true}}, announcements); diff != "" {
 		t.Error(diff)
 	}
@@ -99,7 +99,7 @@
 	table.Update(vmList("a", "b"))
 	first.SetReport(carobward.Report{At: now, Draining: true})
 
-	if diff := cmp.Diff([]Announcement(nil), table.Words()); diff != "" {
+	if diff := cmp.Diff([]Announcement(nil), table.Announcements()); diff != "" {
 		t.Errorf("announcement of the server that was replaced: %s", diff)
 	}
 }
