--- a/internal/cwdrain/system.go
+++ b/internal/cwdrain/system.go
@@ -106,7 +106,7 @@
 // the marks are fresh.
 func (s *System) extendFresh() {
 	if now := s.options.Clock.Now(); s.gossip.Fresh(now) {
-		s.options.Servers.SetFresh(now.Add(maxTickGap))
+		s.options.Servers.SetFreshUntil(now.Add(maxTickGap))
 	}
 }
 
--- a/internal/cwnode/announcement.go
+++ b/internal/cwnode/announcement.go
@@ -21,7 +21,7 @@
 		Clock:   n.clock,
 		Log:     log,
 	})
-	n.servers.SetFresh(n.clock.Now().Add(-time.Nanosecond))
+	n.servers.SetFreshUntil(n.clock.Now().Add(-time.Nanosecond))
 
 	return n.server.Register("News", n.announcements.Service())
 }
--- a/internal/cwserver/leave.go
+++ b/internal/cwserver/leave.go
@@ -171,8 +171,8 @@
 	}
 }
 
-// SetFresh sets the time up to which the levels count as up to date.
-func (t *Table) SetFresh(until time.Time) { t.leave.freshUntil.Store(int64(toInstant(until))) }
+// SetFreshUntil sets the time up to which the levels count as up to date.
+func (t *Table) SetFreshUntil(until time.Time) { t.leave.freshUntil.Store(int64(toInstant(until))) }
 
 // MayDispatch reports whether new work may go to a server now. It must be
 // called right before each dispatch, whether the call is a first one, queued,
--- a/internal/cwserver/leave_test.go
+++ b/internal/cwserver/leave_test.go
@@ -111,7 +111,7 @@
 	table.Update(vmList("a"))
 
 	now := time.Now()
-	table.SetFresh(now)
+	table.SetFreshUntil(now)
 
 	if got := dispatchable(table, now); len(got) != 1 {
 		t.Error("no server may get work although the levels are up to date")
--- a/internal/lab/cwleave/vm.go
+++ b/internal/lab/cwleave/vm.go
@@ -34,7 +34,7 @@
 func newVM(i int, c *clock, rng *rand.Rand) *vm {
 	v := &vm{address: vmAddress(i), news: cwdrain.NewTable(), servers: cwserver.NewTable()}
 	v.System = cwdrain.New(cwdrain.Options{Table: v.news, Servers: v.servers, Clock: c, Rand: rng, Log: logr.Discard()})
-	v.servers.SetFresh(c.now.Add(-1))
+	v.servers.SetFreshUntil(c.now.Add(-1))
 
 	return v
 }
