--- a/internal/cwentry/forward.go
+++ b/internal/cwentry/forward.go
@@ -296,7 +296,7 @@
 	case ctx.Err() != nil:
 		return cwserver.Cancelled
 	case errors.Is(err, cwlink.ErrConnsInUse):
-		return cwserver.Crowded
+		return cwserver.PoolExhausted
 	case err != nil:
 		return cwserver.Failed
 	case reply.Shed:
--- a/internal/cwserver/call.go
+++ b/internal/cwserver/call.go
@@ -14,8 +14,8 @@
 	Failed
 	// Refused: the server shed the call before it started work on it.
 	Refused
-	// Crowded: all connections of this entry VM to the server were in use.
-	Crowded
+	// PoolExhausted: all connections of this entry VM to the server were in use.
+	PoolExhausted
 	// Cancelled: this entry VM gave up the call.
 	Cancelled
 )
@@ -111,7 +111,7 @@
 		s.failed(t)
 	case Refused:
 		s.refused(t)
-	case Crowded:
+	case PoolExhausted:
 		s.limit.Store(max(minLimit, s.Running.Load()))
 	case Cancelled:
 	}
--- a/internal/cwserver/call_test.go
+++ b/internal/cwserver/call_test.go
@@ -228,7 +228,7 @@
 		s.Begin(start)
 	}
 
-	s.Begin(start).End(start, cwserver.Crowded)
+	s.Begin(start).End(start, cwserver.PoolExhausted)
 
 	if limit, latency := s.Limit(), view(s, start).Latency; limit != 3 || latency > 2*usual {
 		t.Errorf("limit %d, latency %s after the connections ran out", limit, latency)
