--- a/internal/cwserver/call.go
+++ b/internal/cwserver/call.go
@@ -169,7 +169,7 @@
 
 func (s *Server) failed(now instant) {
 	if s.group != nil {
-		latency := failureFactor * s.group.Usual()
+		latency := failureFactor * s.group.UsualLatency()
 		s.setSlowLatency(now, latency, latency<<min(s.failures, maxDoublings))
 	}
 
--- a/internal/cwserver/group.go
+++ b/internal/cwserver/group.go
@@ -23,8 +23,8 @@
 
 func (g *Group) setServers(list []*Server) { g.servers.Store(&list) }
 
-// Usual returns the average latency of the service, or zero.
-func (g *Group) Usual() time.Duration { return time.Duration(g.averageLatency.Load()) }
+// UsualLatency returns the average latency of the service, or zero.
+func (g *Group) UsualLatency() time.Duration { return time.Duration(g.averageLatency.Load()) }
 
 // addLatency adds the latency of one complete reply. Of two concurrent updates
 // one may be lost, which the average tolerates.
--- a/internal/cwserver/view.go
+++ b/internal/cwserver/view.go
@@ -30,7 +30,7 @@
 	m := Moment{at: toInstant(now)}
 
 	if s.group != nil {
-		m.usualLatency = s.group.Usual()
+		m.usualLatency = s.group.UsualLatency()
 		m.otherCalls = s.group.expectedOtherCalls(m.at)
 	}
 
@@ -154,5 +154,5 @@
 		return 0
 	}
 
-	return s.group.Usual()
+	return s.group.UsualLatency()
 }
