--- a/internal/cwentry/forward.go
+++ b/internal/cwentry/forward.go
@@ -186,7 +186,7 @@
 // if there isn't enough time left, no server has room, or the retry budget is
 // used up.
 func (r *race) reserveAttempt() bool {
-	if r.call.Deadline.Sub(r.forwarder.clock.Now()) <= r.server.Usual() {
+	if r.call.Deadline.Sub(r.forwarder.clock.Now()) <= r.server.UsualLatency() {
 		return false
 	}
 
--- a/internal/cwretry/target.go
+++ b/internal/cwretry/target.go
@@ -52,7 +52,7 @@
 		return true, 0
 	}
 
-	usual := float64(s.Usual())
+	usual := float64(s.UsualLatency())
 
 	early := time.Duration(earlyFactor * usual)
 	if age < early {
--- a/internal/cwroute/recovery.go
+++ b/internal/cwroute/recovery.go
@@ -36,8 +36,8 @@
 		v := s.View(&m)
 		wait := s.EjectedFor(&m)
 
-		if wait == 0 && v.Latency <= healthyFactor*s.Usual() {
-			wait = s.Usual()
+		if wait == 0 && v.Latency <= healthyFactor*s.UsualLatency() {
+			wait = s.UsualLatency()
 		}
 
 		if wait > 0 && (shortest == 0 || wait < shortest) {
--- a/internal/cwserver/call.go
+++ b/internal/cwserver/call.go
@@ -148,7 +148,7 @@
 // half-life is the latency itself; each further one in a row doubles the
 // half-life. A reply within the usual latency resets both.
 func (s *Server) addSample(now instant, latency time.Duration) {
-	if float64(latency) < slowFactor*float64(s.Usual()) {
+	if float64(latency) < slowFactor*float64(s.UsualLatency()) {
 		s.slowReplies = 0
 		s.slowHalfLife.Store(0)
 
--- a/internal/cwserver/view.go
+++ b/internal/cwserver/view.go
@@ -148,8 +148,8 @@
 	return count
 }
 
-// Usual returns the average latency of the server's service, or zero.
-func (s *Server) Usual() time.Duration {
+// UsualLatency returns the average latency of the server's service, or zero.
+func (s *Server) UsualLatency() time.Duration {
 	if s.group == nil {
 		return 0
 	}
