--- a/internal/cwroute/wait.go
+++ b/internal/cwroute/wait.go
@@ -46,7 +46,7 @@
 	}
 
 	if w.Ignore&Latencies != 0 {
-		v.Latency = m.Usual()
+		v.Latency = m.UsualLatency()
 	}
 }
 
--- a/internal/cwserver/view.go
+++ b/internal/cwserver/view.go
@@ -37,8 +37,8 @@
 	return m
 }
 
-// Usual returns the average latency of the service, or zero.
-func (m *Moment) Usual() time.Duration { return m.usualLatency }
+// UsualLatency returns the average latency of the service, or zero.
+func (m *Moment) UsualLatency() time.Duration { return m.usualLatency }
 
 // View is the expected state of a server at a moment.
 type View struct {
