--- a/internal/cwserver/call_test.go
+++ b/internal/cwserver/call_test.go
@@ -106,9 +106,9 @@
 	}
 }
 
-// TestDoubt verifies that after reports which lack calls of this entry VM a
+// TestDistrustOfReports verifies that after reports which lack calls of this entry VM a
 // server's reports count little, and count fully again once they are plausible.
-func TestDoubt(t *testing.T) {
+func TestDistrustOfReports(t *testing.T) {
 	all := servers(2)
 	s, now := all[0], start
 
