--- a/internal/cwserver/call_test.go
+++ b/internal/cwserver/call_test.go
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestLoadFades(t *testing.T) {
+func TestLoadDecays(t *testing.T) {
 	all := servers(2)
 	all[0].SetReport(carobward.Report{At: start, Slots: 4, Running: 6, Queued: 2})
 	all[0].Begin(start)
