--- a/internal/cwserver/call_test.go
+++ b/internal/cwserver/call_test.go
@@ -185,7 +185,7 @@
 	return count
 }
 
-func TestEjectionGrows(t *testing.T) {
+func TestEjectionTimeDoubles(t *testing.T) {
 	s := servers(10)[0]
 	now := start.Add(time.Second)
 
