--- a/internal/cwserver/leave_test.go
+++ b/internal/cwserver/leave_test.go
@@ -30,9 +30,9 @@
 	return all
 }
 
-// TestWhoGetsWork checks which servers may get work at given levels, whether
+// TestDispatchByLevel checks which servers may get work at given levels, whether
 // the levels are known before the VM list or only after it.
-func TestWhoGetsWork(t *testing.T) {
+func TestDispatchByLevel(t *testing.T) {
 	type levels = map[carobward.Address]Level
 
 	for name, test := range map[string]struct {
