--- a/internal/cwserver/leave_test.go
+++ b/internal/cwserver/leave_test.go
@@ -66,10 +66,10 @@
 	}
 }
 
-// TestWordStandsUntilTaken verifies that a server's announcement holds from the
+// TestAnnouncementHoldsUntilTaken verifies that a server's announcement holds from the
 // reply on until SetLevels takes it, whatever other sources report meanwhile,
 // and that a late one of a server that was replaced at its address is ignored.
-func TestWordStandsUntilTaken(t *testing.T) {
+func TestAnnouncementHoldsUntilTaken(t *testing.T) {
 	table := NewTable()
 	table.Update(vmList("a", "b"))
 
