--- a/internal/cwserver/leave_test.go
+++ b/internal/cwserver/leave_test.go
@@ -104,9 +104,9 @@
 	}
 }
 
-// TestPaused verifies that nothing is dispatched once the levels are out of
+// TestNoDispatchOnOutdatedLevels verifies that nothing is dispatched once the levels are out of
 // date, as after a pause of the entry VM.
-func TestPaused(t *testing.T) {
+func TestNoDispatchOnOutdatedLevels(t *testing.T) {
 	table := NewTable()
 	table.Update(vmList("a"))
 
