--- a/internal/cwroute/wait.go
+++ b/internal/cwroute/wait.go
@@ -8,9 +8,9 @@
 	"carobward.example/carobward/internal/cwserver"
 )
 
-// Wait chooses the server with the shortest expected time to a reply, at random
+// LeastTime chooses the server with the shortest expected time to a reply, at random
 // among equal ones. Its zero value compares all servers and takes none for full.
-type Wait struct {
+type LeastTime struct {
 	// Sample is how many servers are drawn at random and compared; zero means
 	// all of them.
 	Sample int
@@ -40,7 +40,7 @@
 )
 
 // ignoreSignals removes the signals in Ignore from a view.
-func (w Wait) ignoreSignals(m *cwserver.Moment, v *cwserver.View) {
+func (w LeastTime) ignoreSignals(m *cwserver.Moment, v *cwserver.View) {
 	if w.Ignore&Reports != 0 {
 		v.Load = float64(v.Running)
 	}
@@ -55,7 +55,7 @@
 const tieTolerance = 0.1
 
 // Choose implements Policy. It also returns nil if all servers are full.
-func (w Wait) Choose(now time.Time, servers, tried []*cwserver.Server, rng *rand.Rand) *cwserver.Server {
+func (w LeastTime) Choose(now time.Time, servers, tried []*cwserver.Server, rng *rand.Rand) *cwserver.Server {
 	if s := w.best(now, servers, tried, rng, false); s != nil {
 		return s
 	}
@@ -64,7 +64,7 @@
 }
 
 // lastResort chooses among the ejected servers if no other one is eligible.
-func (w Wait) lastResort(now time.Time, servers, tried []*cwserver.Server, rng *rand.Rand) *cwserver.Server {
+func (w LeastTime) lastResort(now time.Time, servers, tried []*cwserver.Server, rng *rand.Rand) *cwserver.Server {
 	if len(servers) == 0 {
 		return nil
 	}
@@ -80,7 +80,7 @@
 	return w.best(now, servers, tried, rng, true)
 }
 
-func (w Wait) best(now time.Time, servers, tried []*cwserver.Server, rng *rand.Rand, ejected bool) *cwserver.Server {
+func (w LeastTime) best(now time.Time, servers, tried []*cwserver.Server, rng *rand.Rand, ejected bool) *cwserver.Server {
 	n := len(servers)
 	if n == 0 {
 		return nil
@@ -158,7 +158,7 @@
 }
 
 // isFull reports whether a server should get no more calls.
-func (w Wait) isFull(v *cwserver.View) bool {
+func (w LeastTime) isFull(v *cwserver.View) bool {
 	if w.Queue == 0 {
 		return false
 	}
@@ -175,7 +175,7 @@
 
 // distanceCost is the additional time in nanoseconds of a call to a server in
 // another failure domain.
-func (w Wait) distanceCost(s *cwserver.Server) float64 {
+func (w LeastTime) distanceCost(s *cwserver.Server) float64 {
 	if s.Domain == w.Domain {
 		return 0
 	}
--- a/internal/lab/cwbench/variant.go
+++ b/internal/lab/cwbench/variant.go
@@ -77,13 +77,13 @@
 // Products returns the variants that the product may use, each with one part
 // more than the one before it.
 func Products() []Variant {
-	wait := waits("wait", cwroute.Wait{Far: productFar})
+	wait := waits("wait", cwroute.LeastTime{Far: productFar})
 
 	hedged := wait
 	hedged.Name = "wait-hedge"
 	hedged.Hedge, hedged.Budget = true, true
 
-	queued := waits("product", cwroute.Wait{Far: productFar, Queue: productQueue})
+	queued := waits("product", cwroute.LeastTime{Far: productFar, Queue: productQueue})
 	queued.Hedge, queued.Budget, queued.Queue = true, true, true
 
 	return []Variant{wait, hedged, queued}
@@ -93,25 +93,25 @@
 // one in each.
 func Ablations() []Variant {
 	list := []Variant{
-		waits("all-parts", cwroute.Wait{Far: productFar}),
-		waits("no-reports", cwroute.Wait{Far: productFar, Ignore: cwroute.Reports}),
-		waits("no-latencies", cwroute.Wait{Far: productFar, Ignore: cwroute.Latencies}),
-		waits("own-calls-only", cwroute.Wait{Far: productFar, Ignore: cwroute.Reports | cwroute.Latencies}),
-		waits("no-domains", cwroute.Wait{}),
-		waits("sample-2", cwroute.Wait{Far: productFar, Sample: 2}),
-		waits("sample-5", cwroute.Wait{Far: productFar, Sample: 5}),
+		waits("all-parts", cwroute.LeastTime{Far: productFar}),
+		waits("no-reports", cwroute.LeastTime{Far: productFar, Ignore: cwroute.Reports}),
+		waits("no-latencies", cwroute.LeastTime{Far: productFar, Ignore: cwroute.Latencies}),
+		waits("own-calls-only", cwroute.LeastTime{Far: productFar, Ignore: cwroute.Reports | cwroute.Latencies}),
+		waits("no-domains", cwroute.LeastTime{}),
+		waits("sample-2", cwroute.LeastTime{Far: productFar, Sample: 2}),
+		waits("sample-5", cwroute.LeastTime{Far: productFar, Sample: 5}),
 	}
 	for i := range list {
 		list[i].Hedge, list[i].Budget = true, true
 	}
 
-	unhedged := waits("no-hedges", cwroute.Wait{Far: productFar})
+	unhedged := waits("no-hedges", cwroute.LeastTime{Far: productFar})
 
 	return append(list, unhedged)
 }
 
 // waits returns a variant of the wait policy in the entry VM's domain.
-func waits(name string, w cwroute.Wait) Variant {
+func waits(name string, w cwroute.LeastTime) Variant {
 	policy := func(world *World) cwroute.Policy {
 		one := w
 		one.Domain = world.Domain
