--- a/internal/cwentry/helpers_test.go
+++ b/internal/cwentry/helpers_test.go
@@ -87,7 +87,7 @@
 
 // newForwarder returns a Forwarder with one server.
 func newForwarder(servers carobward.Servers, calls int) *Forwarder {
-	return newForwarderOf(1, calls, cwroute.Pair{}, servers)
+	return newForwarderOf(1, calls, cwroute.TwoChoices{}, servers)
 }
 
 // newForwarderOf returns a Forwarder with count servers.
--- a/internal/cwroute/choose.go
+++ b/internal/cwroute/choose.go
@@ -10,12 +10,12 @@
 	"carobward.example/carobward/internal/cwserver"
 )
 
-// Pair draws two servers at random and chooses the one with fewer calls of this
+// TwoChoices draws two servers at random and chooses the one with fewer calls of this
 // entry VM in flight (the power of two choices).
-type Pair struct{}
+type TwoChoices struct{}
 
 // Choose implements Policy.
-func (Pair) Choose(_ time.Time, servers, tried []*cwserver.Server, rng *rand.Rand) *cwserver.Server {
+func (TwoChoices) Choose(_ time.Time, servers, tried []*cwserver.Server, rng *rand.Rand) *cwserver.Server {
 	first := draw(servers, tried, rng)
 	second := draw(servers, tried, rng)
 
--- a/internal/cwroute/wait_test.go
+++ b/internal/cwroute/wait_test.go
@@ -218,7 +218,7 @@
 func BenchmarkChoose(b *testing.B) {
 	for name, p := range map[string]cwroute.Policy{
 		"scan": cwroute.LeastTime{Queue: 2}, "sample-2": cwroute.LeastTime{Queue: 2, Sample: 2},
-		"sample-5": cwroute.LeastTime{Queue: 2, Sample: 5}, "pair": cwroute.Pair{},
+		"sample-5": cwroute.LeastTime{Queue: 2, Sample: 5}, "pair": cwroute.TwoChoices{},
 	} {
 		for size, services := range map[string]int{"30": 1, "6600-in-220": 220} {
 			b.Run(name+"/"+size, func(b *testing.B) {
--- a/internal/lab/cwbench/variant.go
+++ b/internal/lab/cwbench/variant.go
@@ -57,7 +57,7 @@
 	return []Variant{
 		{Name: nameNaive, Policy: func(*World) cwroute.Policy { return &roundRobin{} }, Tries: naiveTries},
 		{Name: "random", Policy: func(*World) cwroute.Policy { return randomPolicy{} }, Tries: naiveTries},
-		{Name: "pair", Policy: func(*World) cwroute.Policy { return cwroute.Pair{} }, Tries: naiveTries, Cancel: true},
+		{Name: "pair", Policy: func(*World) cwroute.Policy { return cwroute.TwoChoices{} }, Tries: naiveTries, Cancel: true},
 		{Name: nameTruth, Policy: func(w *World) cwroute.Policy { return &truth{world: w} }, Tries: naiveTries, Cancel: true},
 	}
 }
