--- a/internal/cwentry/forward_test.go
+++ b/internal/cwentry/forward_test.go
@@ -23,7 +23,7 @@
 func statusReply(code int) (*carobward.Reply, error) { return &carobward.Reply{Status: code}, nil }
 
 // waitPolicy is the server choice policy of these tests.
-var waitPolicy = cwroute.LeastTime{Queue: 2}
+var waitPolicy = cwroute.LeastTime{MaxPerSlot: 2}
 
 // callerView is the part of a reply that tests compare.
 type callerView struct {
--- a/internal/cwroute/wait.go
+++ b/internal/cwroute/wait.go
@@ -14,9 +14,9 @@
 	// Sample is how many servers are drawn at random and compared; zero means
 	// all of them.
 	Sample int
-	// Queue is the highest expected number of calls per slot of a server; the
+	// MaxPerSlot is the highest expected number of calls per slot of a server; the
 	// server gets no call beyond it. Zero means no limit.
-	Queue float64
+	MaxPerSlot float64
 	// Domain is this entry VM's failure domain, and Far the additional
 	// round-trip time of a call to another one. Servers in Domain are preferred
 	// until they are slower by Far because of their load.
@@ -159,7 +159,7 @@
 
 // isFull reports whether a server should get no more calls.
 func (w LeastTime) isFull(v *cwserver.View) bool {
-	if w.Queue == 0 {
+	if w.MaxPerSlot == 0 {
 		return false
 	}
 
@@ -170,7 +170,7 @@
 	// One call of this entry VM is always allowed. An entry VM whose call ends
 	// is the first to learn of the free slot, so one without any call there
 	// would never get a slot.
-	return v.Running > 0 && v.Slots > 0 && v.Load+1 > v.Slots*w.Queue
+	return v.Running > 0 && v.Slots > 0 && v.Load+1 > v.Slots*w.MaxPerSlot
 }
 
 // distanceCost is the additional time in nanoseconds of a call to a server in
--- a/internal/cwroute/wait_test.go
+++ b/internal/cwroute/wait_test.go
@@ -149,7 +149,7 @@
 			}
 
 			var got [5]bool
-			for i, n := range chosen(cwroute.LeastTime{Queue: 2}, all, tried) {
+			for i, n := range chosen(cwroute.LeastTime{MaxPerSlot: 2}, all, tried) {
 				got[i] = n > 0
 			}
 
@@ -172,7 +172,7 @@
 		}
 	}
 
-	for i, n := range chosen(cwroute.LeastTime{Queue: 2}, all, nil) {
+	for i, n := range chosen(cwroute.LeastTime{MaxPerSlot: 2}, all, nil) {
 		if i < busy && n > 0 || i >= busy && (n < 35 || n > 110) {
 			t.Errorf("server %d was chosen %d times in 1000", i, n)
 		}
@@ -204,7 +204,7 @@
 
 			inDomain := 0
 
-			for i, n := range chosen(cwroute.LeastTime{Queue: 2, Domain: "near", Far: test.far}, all, nil) {
+			for i, n := range chosen(cwroute.LeastTime{MaxPerSlot: 2, Domain: "near", Far: test.far}, all, nil) {
 				inDomain += n * (1 - i%2)
 			}
 
@@ -217,8 +217,8 @@
 
 func BenchmarkChoose(b *testing.B) {
 	for name, p := range map[string]cwroute.Policy{
-		"scan": cwroute.LeastTime{Queue: 2}, "sample-2": cwroute.LeastTime{Queue: 2, Sample: 2},
-		"sample-5": cwroute.LeastTime{Queue: 2, Sample: 5}, "pair": cwroute.TwoChoices{},
+		"scan": cwroute.LeastTime{MaxPerSlot: 2}, "sample-2": cwroute.LeastTime{MaxPerSlot: 2, Sample: 2},
+		"sample-5": cwroute.LeastTime{MaxPerSlot: 2, Sample: 5}, "pair": cwroute.TwoChoices{},
 	} {
 		for size, services := range map[string]int{"30": 1, "6600-in-220": 220} {
 			b.Run(name+"/"+size, func(b *testing.B) {
@@ -260,7 +260,7 @@
 	}
 
 	end := now.Add(time.Second)
-	p := cwroute.LeastTime{Queue: 2}
+	p := cwroute.LeastTime{MaxPerSlot: 2}
 
 	if p.Choose(end, all, nil, source()) != nil {
 		t.Error("a full server was chosen one second later")
--- a/internal/lab/cwbench/variant.go
+++ b/internal/lab/cwbench/variant.go
@@ -83,7 +83,7 @@
 	hedged.Name = "wait-hedge"
 	hedged.Hedge, hedged.Budget = true, true
 
-	queued := waits("product", cwroute.LeastTime{Far: productFar, Queue: productQueue})
+	queued := waits("product", cwroute.LeastTime{Far: productFar, MaxPerSlot: productQueue})
 	queued.Hedge, queued.Budget, queued.Queue = true, true, true
 
 	return []Variant{wait, hedged, queued}
