--- a/internal/cwnode/route.go
+++ b/internal/cwnode/route.go
@@ -10,5 +10,5 @@
 
 // newPolicy returns the policy by which this entry VM chooses servers.
 func newPolicy(s *cwsettings.Settings) cwroute.Policy {
-	return cwroute.LeastTime{MaxPerSlot: queuePerSlot, Domain: s.Domain, Far: s.Route.Far.Std()}
+	return cwroute.LeastTime{MaxPerSlot: queuePerSlot, Domain: s.Domain, CrossDomainTime: s.Route.Far.Std()}
 }
--- a/internal/cwroute/wait.go
+++ b/internal/cwroute/wait.go
@@ -20,8 +20,8 @@
 	// Domain is this entry VM's failure domain, and Far the additional
 	// round-trip time of a call to another one. Servers in Domain are preferred
 	// until they are slower by Far because of their load.
-	Domain carobward.Domain
-	Far    time.Duration
+	Domain          carobward.Domain
+	CrossDomainTime time.Duration
 	// Ignore is the set of signals left out of the choice, to measure what they
 	// contribute.
 	Ignore Knowledge
@@ -180,7 +180,7 @@
 		return 0
 	}
 
-	return float64(w.Far)
+	return float64(w.CrossDomainTime)
 }
 
 // fullSlotsCost is the fraction by which a server with all slots in use costs
--- a/internal/cwroute/wait_test.go
+++ b/internal/cwroute/wait_test.go
@@ -204,7 +204,7 @@
 
 			inDomain := 0
 
-			for i, n := range chosen(cwroute.LeastTime{MaxPerSlot: 2, Domain: "near", Far: test.far}, all, nil) {
+			for i, n := range chosen(cwroute.LeastTime{MaxPerSlot: 2, Domain: "near", CrossDomainTime: test.far}, all, nil) {
 				inDomain += n * (1 - i%2)
 			}
 
--- a/internal/lab/cwbench/variant.go
+++ b/internal/lab/cwbench/variant.go
@@ -77,13 +77,13 @@
 // Products returns the variants that the product may use, each with one part
 // more than the one before it.
 func Products() []Variant {
-	wait := waits("wait", cwroute.LeastTime{Far: productFar})
+	wait := waits("wait", cwroute.LeastTime{CrossDomainTime: productFar})
 
 	hedged := wait
 	hedged.Name = "wait-hedge"
 	hedged.Hedge, hedged.Budget = true, true
 
-	queued := waits("product", cwroute.LeastTime{Far: productFar, MaxPerSlot: productQueue})
+	queued := waits("product", cwroute.LeastTime{CrossDomainTime: productFar, MaxPerSlot: productQueue})
 	queued.Hedge, queued.Budget, queued.Queue = true, true, true
 
 	return []Variant{wait, hedged, queued}
@@ -93,19 +93,19 @@
 // one in each.
 func Ablations() []Variant {
 	list := []Variant{
-		waits("all-parts", cwroute.LeastTime{Far: productFar}),
-		waits("no-reports", cwroute.LeastTime{Far: productFar, Ignore: cwroute.Reports}),
-		waits("no-latencies", cwroute.LeastTime{Far: productFar, Ignore: cwroute.Latencies}),
-		waits("own-calls-only", cwroute.LeastTime{Far: productFar, Ignore: cwroute.Reports | cwroute.Latencies}),
+		waits("all-parts", cwroute.LeastTime{CrossDomainTime: productFar}),
+		waits("no-reports", cwroute.LeastTime{CrossDomainTime: productFar, Ignore: cwroute.Reports}),
+		waits("no-latencies", cwroute.LeastTime{CrossDomainTime: productFar, Ignore: cwroute.Latencies}),
+		waits("own-calls-only", cwroute.LeastTime{CrossDomainTime: productFar, Ignore: cwroute.Reports | cwroute.Latencies}),
 		waits("no-domains", cwroute.LeastTime{}),
-		waits("sample-2", cwroute.LeastTime{Far: productFar, Sample: 2}),
-		waits("sample-5", cwroute.LeastTime{Far: productFar, Sample: 5}),
+		waits("sample-2", cwroute.LeastTime{CrossDomainTime: productFar, Sample: 2}),
+		waits("sample-5", cwroute.LeastTime{CrossDomainTime: productFar, Sample: 5}),
 	}
 	for i := range list {
 		list[i].Hedge, list[i].Budget = true, true
 	}
 
-	unhedged := waits("no-hedges", cwroute.LeastTime{Far: productFar})
+	unhedged := waits("no-hedges", cwroute.LeastTime{CrossDomainTime: productFar})
 
 	return append(list, unhedged)
 }
