--- a/internal/cwroute/wait.go
+++ b/internal/cwroute/wait.go
@@ -24,17 +24,17 @@
 	CrossDomainTime time.Duration
 	// Ignore is the set of signals left out of the choice, to measure what they
 	// contribute.
-	Ignore Knowledge
+	Ignore Signals
 }
 
-// Knowledge is a set of signals about servers.
-type Knowledge uint8
+// Signals is a set of signals about servers.
+type Signals uint8
 
 // The signals.
 const (
 	// Reports are the servers' load reports, which show the calls of other
 	// entry VMs.
-	Reports Knowledge = 1 << iota
+	Reports Signals = 1 << iota
 	// Latencies are slow replies and overdue calls.
 	Latencies
 )
