--- a/internal/cwentry/admission.go
+++ b/internal/cwentry/admission.go
@@ -68,7 +68,7 @@
 }
 
 func (a *admission) wait(deadline time.Time) error {
-	if !cwroute.Any(a.servers(), nil) {
+	if !cwroute.AnyEligible(a.servers(), nil) {
 		return a.forwarder.shedFailure(ErrNoServer, noServersRetry)
 	}
 
--- a/internal/cwroute/recovery.go
+++ b/internal/cwroute/recovery.go
@@ -10,8 +10,8 @@
 // healthy server.
 const healthyFactor = 4
 
-// Any reports whether any server of the list may get a request, full or not.
-func Any(servers, tried []*cwserver.Server) bool {
+// AnyEligible reports whether any server of the list may get a request, full or not.
+func AnyEligible(servers, tried []*cwserver.Server) bool {
 	for _, s := range servers {
 		if eligible(s, tried) {
 			return true
