--- a/internal/cwentry/admission.go
+++ b/internal/cwentry/admission.go
@@ -121,7 +121,7 @@
 func (fw *Forwarder) recoveryDelay(target *carobward.Target) time.Duration {
 	servers := fw.servers.Of(target.Service)
 
-	return jitter(max(cwlimit.MinRetry, cwroute.Recovery(fw.clock.Now(), servers, defaultRetry)))
+	return jitter(max(cwlimit.MinRetry, cwroute.RecoveryTime(fw.clock.Now(), servers, defaultRetry)))
 }
 
 // jitter lengthens a delay by a random amount of up to a half, so that callers
--- a/internal/cwroute/recovery.go
+++ b/internal/cwroute/recovery.go
@@ -21,10 +21,10 @@
 	return false
 }
 
-// Recovery returns the time after which some server is expected to answer: the
+// RecoveryTime returns the time after which some server is expected to answer: the
 // usual latency if one is healthy, else the time until the first ejection ends.
 // It returns fallback if neither is known.
-func Recovery(now time.Time, servers []*cwserver.Server, fallback time.Duration) time.Duration {
+func RecoveryTime(now time.Time, servers []*cwserver.Server, fallback time.Duration) time.Duration {
 	shortest := time.Duration(0)
 
 	for _, s := range servers {
