--- a/internal/cwroute/wait_test.go
+++ b/internal/cwroute/wait_test.go
@@ -66,7 +66,7 @@
 	return counts
 }
 
-func TestWait(t *testing.T) {
+func TestLeastTime(t *testing.T) {
 	begin := func(s *cwserver.Server, n int) {
 		for range n {
 			s.Begin(now)
