--- a/internal/cwroute/wait_test.go
+++ b/internal/cwroute/wait_test.go
@@ -160,9 +160,9 @@
 	}
 }
 
-// TestWaitSpreads verifies that servers with equal costs share the calls, so
+// TestLeastTimeSpreads verifies that servers with equal costs share the calls, so
 // that many entry VMs don't all choose the same one.
-func TestWaitSpreads(t *testing.T) {
+func TestLeastTimeSpreads(t *testing.T) {
 	const busy = 15
 
 	all := table(1, 30).Of(service(0))
