--- a/internal/cwroute/wait_test.go
+++ b/internal/cwroute/wait_test.go
@@ -179,9 +179,9 @@
 	}
 }
 
-// TestWaitPrefersItsDomain verifies that the servers in the own failure domain
+// TestLeastTimePrefersOwnDomain verifies that the servers in the own failure domain
 // get all calls until their load costs more time than the way to another one.
-func TestWaitPrefersItsDomain(t *testing.T) {
+func TestLeastTimePrefersOwnDomain(t *testing.T) {
 	tests := map[string]struct {
 		calls int
 		far   time.Duration
