--- a/internal/cwroute/wait_test.go
+++ b/internal/cwroute/wait_test.go
@@ -243,10 +243,10 @@
 	}
 }
 
-// TestOldNewsOfFullServersFades has all servers report for a second that they
+// TestOldReportsOfFullServersExpire has all servers report for a second that they
 // are full. An entry VM that sends nothing because of that gets no new reports,
 // so it must try again once the last ones are old.
-func TestOldNewsOfFullServersFades(t *testing.T) {
+func TestOldReportsOfFullServersExpire(t *testing.T) {
 	all := table(1, 5).Of(service(0))
 
 	for _, s := range all {
