--- a/internal/cwbudget/budget_test.go
+++ b/internal/cwbudget/budget_test.go
@@ -18,7 +18,7 @@
 		vms := rapid.Int64Range(1, 24).Draw(r, "vms")
 		budget := cwbudget.Cost{
 			Calls: vms + (vms+3)/4 + rapid.Int64Range(0, 200).Draw(r, "calls"),
-			Bytes: (vms+(vms+3)/4)*cwbudget.Unit + rapid.Int64Range(0, 100<<10).Draw(r, "bytes"),
+			Bytes: (vms+(vms+3)/4)*cwbudget.MaxProbeBytes + rapid.Int64Range(0, 100<<10).Draw(r, "bytes"),
 		}
 
 		checkFleet(r, budget, cwspend.New(budget, int(vms), rapid.Uint64().Draw(r, "seed"), cwspend.Account))
--- a/internal/cwbudget/share.go
+++ b/internal/cwbudget/share.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Unit is the largest size of one probe in bytes, sent and received. A budget
+// MaxProbeBytes is the largest size of one probe in bytes, sent and received. A budget
 // that does not allow each entry VM one such probe per second is divided by
 // time.
-const Unit = 1 << 10
+const MaxProbeBytes = 1 << 10
 
 // The turns of a budget that is divided by time: an entry VM may start probes
 // for turnOpen from the start of its turn. Two entry VMs with different turns
@@ -30,25 +30,25 @@
 	size += (size + headroomDivisor - 1) / headroomDivisor
 	b := v.Budget
 
-	if b.Calls < 1 || b.Bytes < Unit {
+	if b.Calls < 1 || b.Bytes < MaxProbeBytes {
 		return share{}
 	}
 
 	limit := Cost{b.Calls / size, b.Bytes / size}
-	if limit.Calls >= 1 && limit.Bytes >= Unit {
+	if limit.Calls >= 1 && limit.Bytes >= MaxProbeBytes {
 		return share{limit: limit, turns: 1}
 	}
 
 	// A power of two, so that the turns of entry VMs that see different sizes
 	// nest within each other.
-	units := min(b.Calls, b.Bytes/Unit)
+	units := min(b.Calls, b.Bytes/MaxProbeBytes)
 	turns := int64(1)
 
 	for size > turns*units {
 		turns *= 2
 	}
 
-	return share{limit: Cost{Calls: 1, Bytes: Unit}, turns: turns, rank: int64(v.Rank)}
+	return share{limit: Cost{Calls: 1, Bytes: MaxProbeBytes}, turns: turns, rank: int64(v.Rank)}
 }
 
 // inTurn reports whether it is this entry VM's turn by its wall clock. If there
--- a/internal/cwbudget/share_test.go
+++ b/internal/cwbudget/share_test.go
@@ -23,12 +23,12 @@
 		want   share
 	}{
 		"a call each":                       {Cost{100, 64 << 10}, 19, share{limit: Cost{4, 2730}, turns: 1}},
-		"fewer calls than entry VMs":        {Cost{10, 64 << 10}, 19, share{limit: Cost{1, Unit}, turns: 4, rank: 7}},
-		"fewer bytes than a probe each":     {Cost{100, 4 << 10}, 19, share{limit: Cost{1, Unit}, turns: 8, rank: 7}},
+		"fewer calls than entry VMs":        {Cost{10, 64 << 10}, 19, share{limit: Cost{1, MaxProbeBytes}, turns: 4, rank: 7}},
+		"fewer bytes than a probe each":     {Cost{100, 4 << 10}, 19, share{limit: Cost{1, MaxProbeBytes}, turns: 8, rank: 7}},
 		"no budget":                         {Cost{0, 64 << 10}, 19, share{}},
 		"no bytes":                          {Cost{100, 100}, 19, share{}},
-		"single entry VM":                   {Cost{1, Unit}, 1, share{limit: Cost{1, Unit}, turns: 2, rank: 7}},
-		"bytes of little more than a probe": {Cost{2, Unit + 384}, 24, share{limit: Cost{1, Unit}, turns: 32, rank: 7}},
+		"single entry VM":                   {Cost{1, MaxProbeBytes}, 1, share{limit: Cost{1, MaxProbeBytes}, turns: 2, rank: 7}},
+		"bytes of little more than a probe": {Cost{2, MaxProbeBytes + 384}, 24, share{limit: Cost{1, MaxProbeBytes}, turns: 32, rank: 7}},
 		"large fleet":                       {Cost{2000, 2 << 20}, 200, share{limit: Cost{8, 8388}, turns: 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -51,10 +51,10 @@
 			at := start.Add(now)
 			a.Tick(at, View{Budget: Cost{10, 64 << 10}, Size: 19, Rank: rank, At: at})
 
-			if a.Reserve(at, Cost{1, Unit}) {
+			if a.Reserve(at, Cost{1, MaxProbeBytes}) {
 				granted++
 
-				a.Settle(at, Cost{1, Unit}, Cost{1, Unit})
+				a.Settle(at, Cost{1, MaxProbeBytes}, Cost{1, MaxProbeBytes})
 			}
 		}
 
@@ -93,7 +93,7 @@
 			a := New()
 			test.ticks(a)
 
-			if got := a.Reserve(start.Add(test.at), Cost{1, Unit}); got != test.want {
+			if got := a.Reserve(start.Add(test.at), Cost{1, MaxProbeBytes}); got != test.want {
 				t.Errorf("granted: %v, want %v", got, test.want)
 			}
 		})
--- a/internal/cwprobe/check.go
+++ b/internal/cwprobe/check.go
@@ -52,7 +52,7 @@
 		return result{check: cwdrain.NoResult, bytes: int64(n)}
 	}
 
-	r := readReply(&io.LimitedReader{R: c, N: cwbudget.Unit - int64(n)})
+	r := readReply(&io.LimitedReader{R: c, N: cwbudget.MaxProbeBytes - int64(n)})
 	r.bytes += int64(n)
 
 	return r
@@ -80,7 +80,7 @@
 		limit = from.N
 	)
 
-	err := resp.ReadLimitBody(bufio.NewReaderSize(from, cwbudget.Unit), cwbudget.Unit)
+	err := resp.ReadLimitBody(bufio.NewReaderSize(from, cwbudget.MaxProbeBytes), cwbudget.MaxProbeBytes)
 	r := result{check: cwdrain.NoResult, bytes: limit - from.N}
 
 	if err != nil {
--- a/internal/cwprobe/prober.go
+++ b/internal/cwprobe/prober.go
@@ -93,7 +93,7 @@
 }
 
 // reservation returns the cost that is reserved for one probe.
-func reservation() cwbudget.Cost { return cwbudget.Cost{Calls: 1, Bytes: cwbudget.Unit} }
+func reservation() cwbudget.Cost { return cwbudget.Cost{Calls: 1, Bytes: cwbudget.MaxProbeBytes} }
 
 // next returns the servers to probe now and reserves the cost of the probes.
 func (p *Prober) next() []*cwserver.Server {
--- a/internal/cwprobe/prober_test.go
+++ b/internal/cwprobe/prober_test.go
@@ -49,7 +49,7 @@
 				t.Errorf("got %s, run %d", got.check, got.report.Run)
 			}
 
-			if got.bytes > cwbudget.Unit {
+			if got.bytes > cwbudget.MaxProbeBytes {
 				t.Errorf("read %d bytes", got.bytes)
 			}
 		})
--- a/internal/lab/cwspend/fleet.go
+++ b/internal/lab/cwspend/fleet.go
@@ -169,7 +169,7 @@
 // spend has an entry VM measure as much as it may.
 func (f *Fleet) spend(v *member, now time.Duration) {
 	at := epoch.Add(now)
-	probe := cwbudget.Cost{Calls: 1, Bytes: cwbudget.Unit}
+	probe := cwbudget.Cost{Calls: 1, Bytes: cwbudget.MaxProbeBytes}
 	report := cwbudget.Cost{Bytes: reportBytes}
 
 	for n := 0; n < eager && v.Reserve(at, probe); n++ {
