--- a/internal/cwbudget/share.go
+++ b/internal/cwbudget/share.go
@@ -73,14 +73,14 @@
 	return time.Second
 }
 
-// LateMost is how far in the future a reservation may be settled.
-const LateMost = 2 * time.Second
+// MaxSettleAhead is how far in the future a reservation may be settled.
+const MaxSettleAhead = 2 * time.Second
 
 // bucketLength and buckets are the dimensions of a window. A sum over a period
 // reads all buckets that overlap with it.
 const (
 	bucketLength = 50 * time.Millisecond
-	buckets      = int((turnLength+LateMost)/bucketLength) + 2
+	buckets      = int((turnLength+MaxSettleAhead)/bucketLength) + 2
 )
 
 // window is a ring of buckets that counts what was spent recently. indexes has
