--- a/internal/cwbudget/ask.go
+++ b/internal/cwbudget/ask.go
@@ -38,7 +38,7 @@
 
 // Tick sets the interval of reports from the number of servers.
 func (r *Reports) Tick(now time.Time, servers int) {
-	limit := r.account.Most(now).Bytes / reportDivisor
+	limit := r.account.Limit(now).Bytes / reportDivisor
 	if limit == 0 {
 		r.interval.Store(int64(time.Hour))
 
--- a/internal/cwbudget/budget.go
+++ b/internal/cwbudget/budget.go
@@ -142,8 +142,8 @@
 	a.total = a.total.Plus(spent)
 }
 
-// Most returns what this entry VM may spend per second now.
-func (a *Account) Most(now time.Time) Cost {
+// Limit returns what this entry VM may spend per second now.
+func (a *Account) Limit(now time.Time) Cost {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 
