--- a/internal/cwbudget/share_test.go
+++ b/internal/cwbudget/share_test.go
@@ -64,9 +64,9 @@
 	}
 }
 
-// TestNothingBeforeOrAfter checks when an account grants nothing: before the
+// TestReserveRefusedUntilReady checks when an account grants nothing: before the
 // other entry VMs count this one, and after a gap in ticks or answers.
-func TestNothingBeforeOrAfter(t *testing.T) {
+func TestReserveRefusedUntilReady(t *testing.T) {
 	view := View{Budget: Cost{100, 64 << 10}, Size: 5}
 	tick := func(a *Account, from, to, seen time.Duration) {
 		for now := from; now <= to; now += time.Second {
