--- a/internal/cwprobe/pick.go
+++ b/internal/cwprobe/pick.go
@@ -11,11 +11,11 @@
 	"carobward.example/carobward/internal/cwserver"
 )
 
-// Mine returns the servers that an entry VM probes, by rendezvous hashing: each
+// Assigned returns the servers that an entry VM probes, by rendezvous hashing: each
 // server is probed by the entry VM with the highest hash of the two. So no two
 // entry VMs probe the same server, and when an entry VM joins or leaves, only
 // the servers that it probes are reassigned.
-func Mine(self carobward.VMID, vms []carobward.VMID, servers []*cwserver.Server) []*cwserver.Server {
+func Assigned(self carobward.VMID, vms []carobward.VMID, servers []*cwserver.Server) []*cwserver.Server {
 	hashes := make([]uint64, len(vms))
 	for i, v := range vms {
 		hashes[i] = hash(string(v))
--- a/internal/cwprobe/prober.go
+++ b/internal/cwprobe/prober.go
@@ -129,7 +129,7 @@
 	}
 
 	p.assignedAt = now
-	p.assigned = Mine(p.options.Self, p.options.VMs(), p.options.Servers.All())
+	p.assigned = Assigned(p.options.Self, p.options.VMs(), p.options.Servers.All())
 	p.prune(p.assigned)
 }
 
--- a/internal/cwprobe/prober_test.go
+++ b/internal/cwprobe/prober_test.go
@@ -109,7 +109,7 @@
 		all := map[carobward.Address]carobward.VMID{}
 
 		for _, v := range vms {
-			mine := Mine(v, vms, servers)
+			mine := Assigned(v, vms, servers)
 			if len(mine) == 0 || len(mine) > 60 {
 				t.Errorf("%s has %d of 600 servers", v, len(mine))
 			}
@@ -146,7 +146,7 @@
 			servers, vms := newFleet(n, max(19, n/33))
 
 			for b.Loop() {
-				Mine("vm-0", vms, servers)
+				Assigned("vm-0", vms, servers)
 			}
 		})
 	}
