--- a/internal/cwnode/measure.go
+++ b/internal/cwnode/measure.go
@@ -36,16 +36,16 @@
 	m.reports = cwbudget.NewReports(m.account, n.clock)
 	m.listed.Store(&listedVMs{})
 	m.prober = cwprobe.New(cwprobe.Options{
-		Self:    n.settings.VM,
-		VMs:     n.knownVMs,
-		Servers: n.servers,
-		News:    n.announcements,
-		Account: m.account,
-		Path:    p.Path,
-		Fresh:   p.Fresh.Std(),
-		Timeout: p.Timeout.Std(),
-		Clock:   n.clock,
-		Log:     log,
+		Self:         n.settings.VM,
+		VMs:          n.knownVMs,
+		Servers:      n.servers,
+		News:         n.announcements,
+		Account:      m.account,
+		Path:         p.Path,
+		MaxReportAge: p.Fresh.Std(),
+		Timeout:      p.Timeout.Std(),
+		Clock:        n.clock,
+		Log:          log,
 	})
 
 	n.publishMeasure()
--- a/internal/cwprobe/prober.go
+++ b/internal/cwprobe/prober.go
@@ -35,8 +35,8 @@
 	Account *cwbudget.Account
 	// Path is the path of the health endpoint.
 	Path string
-	// Fresh is the age of a server's last report from which it is probed.
-	Fresh time.Duration
+	// MaxReportAge is the age of a server's last report from which it is probed.
+	MaxReportAge time.Duration
 	// Timeout bounds one probe.
 	Timeout time.Duration
 	Clock   carobward.Clock
@@ -105,7 +105,7 @@
 
 	var all []*cwserver.Server
 
-	for _, s := range pickDue(now, p.assigned, p.probed, p.options.Fresh) {
+	for _, s := range pickDue(now, p.assigned, p.probed, p.options.MaxReportAge) {
 		if p.inFlight[s.Address] {
 			continue
 		}
--- a/internal/lab/cwspend/live.go
+++ b/internal/lab/cwspend/live.go
@@ -69,7 +69,7 @@
 	table.Update(servers)
 	v.prober = cwprobe.New(cwprobe.Options{
 		Self: self, VMs: func() []carobward.VMID { return []carobward.VMID{self} },
-		Servers: table, Account: v.account, Path: "/healthz", Fresh: 1, Timeout: timeout, Clock: clock, Log: log,
+		Servers: table, Account: v.account, Path: "/healthz", MaxReportAge: 1, Timeout: timeout, Clock: clock, Log: log,
 		News: cwdrain.New(cwdrain.Options{Table: cwdrain.NewTable(), Servers: table, Clock: clock, Log: log}),
 	})
 
