--- a/internal/cwprobe/prober_test.go
+++ b/internal/cwprobe/prober_test.go
@@ -99,10 +99,10 @@
 	}
 }
 
-// TestMine verifies that each server is probed by exactly one entry VM, that the
+// TestAssigned verifies that each server is probed by exactly one entry VM, that the
 // servers are spread evenly, and that the loss of an entry VM reassigns only its
 // own servers.
-func TestMine(t *testing.T) {
+func TestAssigned(t *testing.T) {
 	servers, vms := newFleet(600, 20)
 
 	owners := func(vms []carobward.VMID) map[carobward.Address]carobward.VMID {
