--- a/internal/cwprobe/prober_test.go
+++ b/internal/cwprobe/prober_test.go
@@ -140,7 +140,7 @@
 	}
 }
 
-func BenchmarkMine(b *testing.B) {
+func BenchmarkAssigned(b *testing.B) {
 	for _, n := range []int{30, 600, 6600} {
 		b.Run(fmt.Sprint(n, "servers"), func(b *testing.B) {
 			servers, vms := newFleet(n, max(19, n/33))
