--- a/internal/cwprobe/prober_test.go
+++ b/internal/cwprobe/prober_test.go
@@ -17,9 +17,9 @@
 	"carobward.example/carobward/internal/lab/cwcounter"
 )
 
-// TestCheck checks the outcome of one probe for each kind of reply, and that it
+// TestProbeOnce checks the outcome of one probe for each kind of reply, and that it
 // reads no more than the largest size of a probe.
-func TestCheck(t *testing.T) {
+func TestProbeOnce(t *testing.T) {
 	header := func(s string) *string { return &s }
 
 	for name, test := range map[string]struct {
