--- a/internal/cwprobe/prober_test.go
+++ b/internal/cwprobe/prober_test.go
@@ -73,9 +73,9 @@
 	return carobward.Address(ln.Addr().String())
 }
 
-// TestPick verifies that the servers with the oldest report or probe come first
+// TestPickDue verifies that the servers with the oldest report or probe come first
 // and those with a recent one are left out.
-func TestPick(t *testing.T) {
+func TestPickDue(t *testing.T) {
 	now := time.Now()
 	table := cwserver.NewTable()
 	table.Update([]carobward.VM{{Address: "a"}, {Address: "b"}, {Address: "c"}, {Address: "d"}})
