--- a/internal/cwlookup/carriers.go
+++ b/internal/cwlookup/carriers.go
@@ -5,10 +5,10 @@
 	"carobward.example/carobward/internal/cwrank"
 )
 
-// Base is how many entry VMs of each failure domain serve a target with a low
+// BaseWidth is how many entry VMs of each failure domain serve a target with a low
 // request rate: two, so that after the loss of one there is another one that
 // knows the state of the target's servers.
-const Base = 2
+const BaseWidth = 2
 
 // Carriers returns the entry VMs that are assigned to a target: of each failure
 // domain the first ones by rendezvous weight, as many as width. The fewer they
--- a/internal/cwlookup/carriers_test.go
+++ b/internal/cwlookup/carriers_test.go
@@ -47,12 +47,12 @@
 // place for its targets and the assignment of all other targets is unchanged.
 func TestALostCarrier(t *testing.T) {
 	all := cwcarrier.Peers(19)
-	lost := cwlookup.Carriers(all, "lookup", cwlookup.Base)[0].ID
+	lost := cwlookup.Carriers(all, "lookup", cwlookup.BaseWidth)[0].ID
 	left := cwcarrier.Without(all, lost)
 
 	for i := range 50 {
 		target := cwcarrier.Target(i)
-		want := cwcarrier.IDs(cwlookup.Carriers(all, target, cwlookup.Base))[lost]
+		want := cwcarrier.IDs(cwlookup.Carriers(all, target, cwlookup.BaseWidth))[lost]
 
 		if changed := cwcarrier.Moved(cwlookup.Carriers, all, left, target); changed > 1 || (changed == 1) != want {
 			t.Errorf("%s: %d assigned entry VMs changed, the lost one was among them: %v", target, changed, want)
@@ -88,7 +88,7 @@
 
 	app := cwlookup.Handler(table, 5*time.Second, prefix("p"), cwlookup.NewWidths(table, 3000, 5*time.Second))
 
-	assigned := cwcarrier.IDs(cwlookup.Carriers(all, "lookup", cwlookup.Base))
+	assigned := cwcarrier.IDs(cwlookup.Carriers(all, "lookup", cwlookup.BaseWidth))
 	used := map[string]map[carobward.VMID]bool{}
 
 	for _, query := range []string{"", "&target=lookup", "&target=lookup&width=-1"} {
@@ -150,7 +150,7 @@
 			b.ReportAllocs()
 
 			for range b.N {
-				if len(cwlookup.Choose(cwlookup.Carriers(all, "lookup", cwlookup.Base), "caller", "domain-0")) == 0 {
+				if len(cwlookup.Choose(cwlookup.Carriers(all, "lookup", cwlookup.BaseWidth), "caller", "domain-0")) == 0 {
 					b.Fatal("no address was chosen")
 				}
 			}
--- a/internal/cwlookup/widths.go
+++ b/internal/cwlookup/widths.go
@@ -64,7 +64,7 @@
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 
-	own := max(Base, w.widths[target])
+	own := max(BaseWidth, w.widths[target])
 	if rank < own || rank >= previous {
 		return own
 	}
@@ -103,7 +103,7 @@
 	for target, n := range seen {
 		rate := float64(n) / elapsed.Seconds()
 
-		if width := nextWidth(rate, w.maxRate, max(w.widths[target], w.learned[target]), rankOf(peers, target, &self)); width > Base {
+		if width := nextWidth(rate, w.maxRate, max(w.widths[target], w.learned[target]), rankOf(peers, target, &self)); width > BaseWidth {
 			next[target] = width
 		}
 	}
@@ -116,12 +116,12 @@
 // domain's requests; one that is not within it by its rank but does get a share
 // must be within a larger width that callers know of.
 func nextWidth(rate, maxRate float64, old, rank int) int {
-	shared := max(Base, old, rank+1)
+	shared := max(BaseWidth, old, rank+1)
 	if rate < maxRate/strayDivisor {
-		shared = max(Base, old)
+		shared = max(BaseWidth, old)
 	}
 
-	return max(Base, int(math.Ceil(rate*float64(shared)/maxRate)))
+	return max(BaseWidth, int(math.Ceil(rate*float64(shared)/maxRate)))
 }
 
 // strayDivisor divides maxRate to get the lowest rate that counts as a share of a
--- a/internal/lab/cwcarrier/settle.go
+++ b/internal/lab/cwcarrier/settle.go
@@ -22,7 +22,7 @@
 func Settle(vms, rounds int, rate, most float64) [][]int {
 	near := carriersNear(vms, most)
 	now := time.Unix(0, 0)
-	width := min(cwlookup.Base, len(near))
+	width := min(cwlookup.BaseWidth, len(near))
 	all := make([][]int, rounds)
 
 	for round := range all {
--- a/internal/lab/cwcarrier/spread.go
+++ b/internal/lab/cwcarrier/spread.go
@@ -23,7 +23,7 @@
 	counts := map[carobward.VMID]int{}
 
 	for i := range targets {
-		for _, p := range cwlookup.Carriers(all, Target(i), cwlookup.Base) {
+		for _, p := range cwlookup.Carriers(all, Target(i), cwlookup.BaseWidth) {
 			counts[p.ID]++
 		}
 	}
@@ -40,10 +40,10 @@
 // Moved returns how many carriers of a target no longer carry it once others
 // are there.
 func Moved(choice Choice, before, after []carobward.Peer, target carobward.TargetName) int {
-	still := IDs(choice(after, target, cwlookup.Base))
+	still := IDs(choice(after, target, cwlookup.BaseWidth))
 	changed := 0
 
-	for _, p := range choice(before, target, cwlookup.Base) {
+	for _, p := range choice(before, target, cwlookup.BaseWidth) {
 		if !still[p.ID] {
 			changed++
 		}
@@ -64,7 +64,7 @@
 
 		for i := range targets {
 			changed += Moved(choice, all, left, Target(i))
-			carriers += len(choice(all, Target(i), cwlookup.Base))
+			carriers += len(choice(all, Target(i), cwlookup.BaseWidth))
 		}
 	}
 
