--- a/internal/cwlookup/carriers.go
+++ b/internal/cwlookup/carriers.go
@@ -10,12 +10,12 @@
 // knows the state of the target's servers.
 const BaseWidth = 2
 
-// Carriers returns the entry VMs that are assigned to a target: of each failure
+// AssignedVMs returns the entry VMs that are assigned to a target: of each failure
 // domain the first ones by rendezvous weight, as many as width. The fewer they
 // are, the more of the load on the target's servers is known to each. All entry
 // VMs compute the same assignment as long as they agree on the live peers, and a
 // request to any other entry VM is served, too.
-func Carriers(peers []carobward.Peer, target carobward.TargetName, width int) []carobward.Peer {
+func AssignedVMs(peers []carobward.Peer, target carobward.TargetName, width int) []carobward.Peer {
 	counts := map[carobward.Domain]int{}
 
 	var chosen []carobward.Peer
--- a/internal/cwlookup/carriers_test.go
+++ b/internal/cwlookup/carriers_test.go
@@ -32,7 +32,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			got := map[carobward.Domain]int{}
-			for _, p := range cwlookup.Carriers(cwcarrier.Peers(test.vms), "lookup", test.width) {
+			for _, p := range cwlookup.AssignedVMs(cwcarrier.Peers(test.vms), "lookup", test.width) {
 				got[p.Domain]++
 			}
 
@@ -47,14 +47,14 @@
 // place for its targets and the assignment of all other targets is unchanged.
 func TestALostCarrier(t *testing.T) {
 	all := cwcarrier.Peers(19)
-	lost := cwlookup.Carriers(all, "lookup", cwlookup.BaseWidth)[0].ID
+	lost := cwlookup.AssignedVMs(all, "lookup", cwlookup.BaseWidth)[0].ID
 	left := cwcarrier.Without(all, lost)
 
 	for i := range 50 {
 		target := cwcarrier.Target(i)
-		want := cwcarrier.IDs(cwlookup.Carriers(all, target, cwlookup.BaseWidth))[lost]
+		want := cwcarrier.IDs(cwlookup.AssignedVMs(all, target, cwlookup.BaseWidth))[lost]
 
-		if changed := cwcarrier.Moved(cwlookup.Carriers, all, left, target); changed > 1 || (changed == 1) != want {
+		if changed := cwcarrier.Moved(cwlookup.AssignedVMs, all, left, target); changed > 1 || (changed == 1) != want {
 			t.Errorf("%s: %d assigned entry VMs changed, the lost one was among them: %v", target, changed, want)
 		}
 	}
@@ -88,7 +88,7 @@
 
 	app := cwlookup.Handler(table, 5*time.Second, prefix("p"), cwlookup.NewWidths(table, 3000, 5*time.Second))
 
-	assigned := cwcarrier.IDs(cwlookup.Carriers(all, "lookup", cwlookup.BaseWidth))
+	assigned := cwcarrier.IDs(cwlookup.AssignedVMs(all, "lookup", cwlookup.BaseWidth))
 	used := map[string]map[carobward.VMID]bool{}
 
 	for _, query := range []string{"", "&target=lookup", "&target=lookup&width=-1"} {
@@ -150,7 +150,7 @@
 			b.ReportAllocs()
 
 			for range b.N {
-				if len(cwlookup.Choose(cwlookup.Carriers(all, "lookup", cwlookup.BaseWidth), "caller", "domain-0")) == 0 {
+				if len(cwlookup.Choose(cwlookup.AssignedVMs(all, "lookup", cwlookup.BaseWidth), "caller", "domain-0")) == 0 {
 					b.Fatal("no address was chosen")
 				}
 			}
--- a/internal/cwlookup/handler.go
+++ b/internal/cwlookup/handler.go
@@ -39,7 +39,7 @@
 
 		if target := carobward.TargetName(c.Query("target")); target != "" {
 			width = widths.Of(target, c.QueryInt("width"))
-			peers = Carriers(peers, target, width)
+			peers = AssignedVMs(peers, target, width)
 		}
 
 		use := Choose(peers, c.Query("caller", c.IP()), domain)
--- a/internal/lab/cwcarrier/settle.go
+++ b/internal/lab/cwcarrier/settle.go
@@ -46,7 +46,7 @@
 
 	var near []*cwlookup.Widths
 
-	for _, p := range cwlookup.Carriers(peers, hot, len(peers)) {
+	for _, p := range cwlookup.AssignedVMs(peers, hot, len(peers)) {
 		if p.Domain != peers[0].Domain {
 			continue
 		}
--- a/internal/lab/cwcarrier/spread.go
+++ b/internal/lab/cwcarrier/spread.go
@@ -23,7 +23,7 @@
 	counts := map[carobward.VMID]int{}
 
 	for i := range targets {
-		for _, p := range cwlookup.Carriers(all, Target(i), cwlookup.BaseWidth) {
+		for _, p := range cwlookup.AssignedVMs(all, Target(i), cwlookup.BaseWidth) {
 			counts[p.ID]++
 		}
 	}
@@ -32,7 +32,7 @@
 		s.Least, s.Most = min(s.Least, counts[p.ID]), max(s.Most, counts[p.ID])
 	}
 
-	s.Moved, s.NaiveMoved = moved(cwlookup.Carriers, all, targets), moved(Naive, all, targets)
+	s.Moved, s.NaiveMoved = moved(cwlookup.AssignedVMs, all, targets), moved(Naive, all, targets)
 
 	return s
 }
