--- a/internal/cwlookup/lookup.go
+++ b/internal/cwlookup/lookup.go
@@ -9,8 +9,8 @@
 	"carobward.example/carobward/internal/cwrank"
 )
 
-// Line is one entry VM that a caller may use.
-type Line struct {
+// Endpoint is one entry VM that a caller may use.
+type Endpoint struct {
 	// Address takes the caller's requests.
 	Address carobward.Address `json:"address"`
 	// Lookup takes lookups; its replies have tickets of this entry VM.
@@ -24,7 +24,7 @@
 // Answer is the reply to a lookup: which addresses the caller may use.
 type Answer struct {
 	// Use lists the addresses in the order to try them.
-	Use []Line `json:"use"`
+	Use []Endpoint `json:"use"`
 	// Keep is how long the reply may be kept, in seconds.
 	Keep int `json:"keep"`
 	// Width is how many entry VMs of each failure domain are assigned to the
@@ -46,7 +46,7 @@
 // Choose returns the addresses for a caller, spread by rendezvous hashing: first
 // those in its own failure domain, then one each of other failure domains.
 // Suspect entry VMs come after all live ones; leaving and dead ones are left out.
-func Choose(peers []carobward.Peer, caller string, domain carobward.Domain) []Line {
+func Choose(peers []carobward.Peer, caller string, domain carobward.Domain) []Endpoint {
 	best := rankPeers(peers, caller)
 
 	var near, far []carobward.Peer
@@ -66,9 +66,9 @@
 	chosen := slices.Concat(near, far)
 	slices.SortStableFunc(chosen, func(a, b carobward.Peer) int { return cmp.Compare(a.State, b.State) })
 
-	var use []Line
+	var use []Endpoint
 	for _, p := range chosen {
-		use = append(use, Line{Address: p.Callers, Lookup: p.Lookup, VM: p.ID, Domain: p.Domain})
+		use = append(use, Endpoint{Address: p.Callers, Lookup: p.Lookup, VM: p.ID, Domain: p.Domain})
 	}
 
 	return use
