--- a/internal/cwlookup/carriers_test.go
+++ b/internal/cwlookup/carriers_test.go
@@ -124,7 +124,7 @@
 
 func (p prefix) Prefix() string { return string(p) }
 
-func lookup(t *testing.T, app *fiber.App, uri string) cwlookup.Answer {
+func lookup(t *testing.T, app *fiber.App, uri string) cwlookup.Reply {
 	t.Helper()
 
 	resp, err := app.Test(httptest.NewRequest(http.MethodGet, uri, nil), -1)
@@ -134,7 +134,7 @@
 
 	defer func() { _ = resp.Body.Close() }()
 
-	var a cwlookup.Answer
+	var a cwlookup.Reply
 	if err := json.NewDecoder(resp.Body).Decode(&a); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cwlookup/handler.go
+++ b/internal/cwlookup/handler.go
@@ -50,7 +50,7 @@
 			return fiber.NewError(fiber.StatusServiceUnavailable, "no entry VM can take requests now")
 		}
 
-		return c.JSON(Answer{Use: use, Keep: int(Kept(keep).Seconds()), Width: width, Ticket: tickets.Prefix()})
+		return c.JSON(Reply{Use: use, Keep: int(Kept(keep).Seconds()), Width: width, Ticket: tickets.Prefix()})
 	})
 
 	return app
--- a/internal/cwlookup/lookup.go
+++ b/internal/cwlookup/lookup.go
@@ -21,8 +21,8 @@
 	Domain carobward.Domain `json:"domain"`
 }
 
-// Answer is the reply to a lookup: which addresses the caller may use.
-type Answer struct {
+// Reply is the reply to a lookup: which addresses the caller may use.
+type Reply struct {
 	// Use lists the addresses in the order to try them.
 	Use []Endpoint `json:"use"`
 	// Keep is how long the reply may be kept, in seconds.
--- a/internal/lab/cwload/caller.go
+++ b/internal/lab/cwload/caller.go
@@ -58,7 +58,7 @@
 	for _, l := range c.load.options.Lookup {
 		status, body, err := c.http.GetTimeout(nil, fmt.Sprintf("http://%s/addresses?%s", l, q.Encode()), lookupMost)
 
-		var a cwlookup.Answer
+		var a cwlookup.Reply
 		if err == nil && status == fasthttp.StatusOK && json.Unmarshal(body, &a) == nil && len(a.Use) > 0 {
 			c.use, c.until = a.Use[0].Address, time.Now().Add(time.Duration(a.Keep)*time.Second)
 
