--- a/internal/cwlookup/handler.go
+++ b/internal/cwlookup/handler.go
@@ -15,9 +15,9 @@
 	Prefix() string
 }
 
-// Kept returns how long callers keep a reply, which tells them in whole seconds:
+// KeepTime returns how long callers keep a reply, which tells them in whole seconds:
 // keep rounded down, but at least one second.
-func Kept(keep time.Duration) time.Duration { return max(time.Second, keep.Truncate(time.Second)) }
+func KeepTime(keep time.Duration) time.Duration { return max(time.Second, keep.Truncate(time.Second)) }
 
 // Handler returns the HTTP handler of
 // GET /addresses?caller=ID&domain=NAME&target=NAME&width=N. Without a target the
@@ -50,7 +50,7 @@
 			return fiber.NewError(fiber.StatusServiceUnavailable, "no entry VM can take requests now")
 		}
 
-		return c.JSON(Reply{Use: use, Keep: int(Kept(keep).Seconds()), Width: width, Ticket: tickets.Prefix()})
+		return c.JSON(Reply{Use: use, Keep: int(KeepTime(keep).Seconds()), Width: width, Ticket: tickets.Prefix()})
 	})
 
 	return app
--- a/internal/cwlookup/lookup_test.go
+++ b/internal/cwlookup/lookup_test.go
@@ -57,7 +57,7 @@
 		"with a fraction": {5900 * time.Millisecond, 5 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := cwlookup.Kept(tt.keep); got != tt.want {
+			if got := cwlookup.KeepTime(tt.keep); got != tt.want {
 				t.Errorf("got %v", got)
 			}
 		})
--- a/internal/cwnode/stop.go
+++ b/internal/cwnode/stop.go
@@ -61,7 +61,7 @@
 
 	n.announce(serve)
 	n.data.CloseAfterReply()
-	carobward.Sleep(serve, cwlookup.Kept(n.settings.Keep.Std())+keepMargin)
+	carobward.Sleep(serve, cwlookup.KeepTime(n.settings.Keep.Std())+keepMargin)
 	n.await(serve, idleCloseTimeout, func() bool { return n.data.GetOpenConnectionsCount() == 0 })
 	n.log.Info("New connections are refused.", "running", n.carrier.Running())
 
