--- a/internal/cwlookup/widths.go
+++ b/internal/cwlookup/widths.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// Pace returns the time between two decisions.
-func (w *Widths) Pace() time.Duration { return w.interval }
+// Interval returns the time between two decisions.
+func (w *Widths) Interval() time.Duration { return w.interval }
 
 // Of returns the width of a target for a caller whose last reply had the width
 // previous, or zero. Callers may pass any number, so it is used only if this
--- a/internal/lab/cwcarrier/settle.go
+++ b/internal/lab/cwcarrier/settle.go
@@ -26,7 +26,7 @@
 	all := make([][]int, rounds)
 
 	for round := range all {
-		now = now.Add(near[0].Pace())
+		now = now.Add(near[0].Interval())
 		decide(near, width, now, rate)
 
 		// Callers follow what a carrier answers.
@@ -72,7 +72,7 @@
 				return nil
 			}
 
-			return map[carobward.TargetName]int{hot: int(rate / float64(width) * w.Pace().Seconds())}
+			return map[carobward.TargetName]int{hot: int(rate / float64(width) * w.Interval().Seconds())}
 		})
 	}
 }
