--- a/internal/cwlookup/carriers_test.go
+++ b/internal/cwlookup/carriers_test.go
@@ -18,7 +18,7 @@
 	"carobward.example/carobward/internal/lab/cwcarrier"
 )
 
-func TestCarriers(t *testing.T) {
+func TestAssignedVMs(t *testing.T) {
 	tests := map[string]struct {
 		vms, width int
 		want       map[carobward.Domain]int
