--- a/internal/cwlookup/carriers_test.go
+++ b/internal/cwlookup/carriers_test.go
@@ -43,9 +43,9 @@
 	}
 }
 
-// TestALostCarrier verifies that if an entry VM is lost, one other takes its
+// TestLostVMIsReplaced verifies that if an entry VM is lost, one other takes its
 // place for its targets and the assignment of all other targets is unchanged.
-func TestALostCarrier(t *testing.T) {
+func TestLostVMIsReplaced(t *testing.T) {
 	all := cwcarrier.Peers(19)
 	lost := cwlookup.AssignedVMs(all, "lookup", cwlookup.BaseWidth)[0].ID
 	left := cwcarrier.Without(all, lost)
