--- a/internal/cwlookup/carriers_test.go
+++ b/internal/cwlookup/carriers_test.go
@@ -68,9 +68,9 @@
 	}
 }
 
-// TestWidthsSettle verifies that, while callers follow the widths of a target
+// TestWidthsConverge verifies that, while callers follow the widths of a target
 // with a high request rate, the entry VMs converge to one that suffices.
-func TestWidthsSettle(t *testing.T) {
+func TestWidthsConverge(t *testing.T) {
 	settled := []int{7, 7, 7, 7, 7, 7, 7}
 
 	for i, widths := range cwcarrier.Settle(30, 10, 20000, 3000) {
