--- a/internal/cwlookup/lookup_test.go
+++ b/internal/cwlookup/lookup_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestKept(t *testing.T) {
+func TestKeepTime(t *testing.T) {
 	for name, tt := range map[string]struct{ keep, want time.Duration }{
 		"under a second":  {200 * time.Millisecond, time.Second},
 		"whole seconds":   {5 * time.Second, 5 * time.Second},
