--- a/internal/cwlookup/carriers_test.go
+++ b/internal/cwlookup/carriers_test.go
@@ -142,7 +142,7 @@
 	return a
 }
 
-func BenchmarkCarriers(b *testing.B) {
+func BenchmarkAssignedVMs(b *testing.B) {
 	for _, vms := range []int{19, 200} {
 		b.Run(strconv.Itoa(vms), func(b *testing.B) {
 			all := cwcarrier.Peers(vms)
