--- a/internal/cwbudget/share.go
+++ b/internal/cwbudget/share.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// MaxProbeBytes is the largest size of one probe in bytes, sent and received. A budget
-// that does not allow each entry VM one such probe per second is divided by
-// time.
+// MaxProbeBytes is the largest size of one probe in bytes, sent and received. A
+// budget that does not allow each entry VM one such probe per second is divided
+// by time.
 const MaxProbeBytes = 1 << 10
 
 // The turns of a budget that is divided by time: an entry VM may start probes
--- a/internal/cwlookup/handler.go
+++ b/internal/cwlookup/handler.go
@@ -15,14 +15,14 @@
 	Prefix() string
 }
 
-// KeepTime returns how long callers keep a reply, which tells them in whole seconds:
-// keep rounded down, but at least one second.
+// KeepTime returns how long callers keep a reply, which tells them in whole
+// seconds: keep rounded down, but at least one second.
 func KeepTime(keep time.Duration) time.Duration { return max(time.Second, keep.Truncate(time.Second)) }
 
 // Handler returns the HTTP handler of
-// GET /addresses?caller=ID&domain=NAME&target=NAME&width=N. Without a target the
-// addresses are chosen from all entry VMs. The width is that of the caller's last
-// reply.
+// GET /addresses?caller=ID&domain=NAME&target=NAME&width=N. Without a target
+// the addresses are chosen from all entry VMs. The width is that of the caller's
+// last reply.
 func Handler(table *cwpeer.Table, keep time.Duration, tickets Tickets, widths *Widths) *fiber.App {
 	app := fiber.New(fiber.Config{DisableStartupMessage: true, Immutable: true})
 
--- a/internal/cwlookup/lookup.go
+++ b/internal/cwlookup/lookup.go
@@ -37,15 +37,17 @@
 	Ticket string `json:"ticket,omitempty"`
 }
 
-// The most addresses of the caller's own and of other failure domains in a reply.
+// The most addresses of the caller's own and of other failure domains in a
+// reply.
 const (
 	maxNear = 2
 	maxFar  = 2
 )
 
-// Choose returns the addresses for a caller, spread by rendezvous hashing: first
-// those in its own failure domain, then one each of other failure domains.
-// Suspect entry VMs come after all live ones; leaving and dead ones are left out.
+// Choose returns the addresses for a caller, spread by rendezvous hashing:
+// first those in its own failure domain, then one each of other failure
+// domains. Suspect entry VMs come after all live ones; leaving and dead ones
+// are left out.
 func Choose(peers []carobward.Peer, caller string, domain carobward.Domain) []Endpoint {
 	best := rankPeers(peers, caller)
 
@@ -74,9 +76,9 @@
 	return use
 }
 
-// rankPeers returns the live and suspect peers, sorted by state and then by their
-// rendezvous weight for a key. A peer without a configuration would refuse each
-// request, so it is left out if any other one has a configuration.
+// rankPeers returns the live and suspect peers, sorted by state and then by
+// their rendezvous weight for a key. A peer without a configuration would
+// refuse each request, so it is left out if any other one has a configuration.
 func rankPeers(peers []carobward.Peer, key string) []carobward.Peer {
 	eligible := make([]ranked, 0, len(peers))
 
--- a/internal/cwlookup/lookup_test.go
+++ b/internal/cwlookup/lookup_test.go
@@ -31,7 +31,8 @@
 		"no leaving or dead ones": {[]carobward.Peer{peer("a", "x", leaving), peer("b", "x", dead), peer("c", "y", live)}, []carobward.VMID{"c"}},
 		"none left":               {[]carobward.Peer{peer("a", "x", leaving)}, nil},
 
-		// An entry VM without a configuration is in no reply while another has one.
+		// An entry VM without a configuration is in no reply while another has
+		// one.
 		"other has no configuration":      {[]carobward.Peer{atRevision("a", "x", 3), atRevision("b", "y", 0)}, []carobward.VMID{"a"}},
 		"one lags":                        {[]carobward.Peer{atRevision("a", "x", 3), atRevision("b", "y", 2)}, []carobward.VMID{"a", "b"}},
 		"none has a configuration":        {[]carobward.Peer{atRevision("a", "x", 0), atRevision("b", "y", 0)}, []carobward.VMID{"a", "b"}},
--- a/internal/cwlookup/widths.go
+++ b/internal/cwlookup/widths.go
@@ -124,7 +124,8 @@
 	return max(BaseWidth, int(math.Ceil(rate*float64(shared)/maxRate)))
 }
 
-// strayDivisor divides maxRate to get the lowest rate that counts as a share of a
-// target's requests. A lower one comes from callers with outdated replies or few
-// addresses, so it does not show that this entry VM is assigned to the target.
+// strayDivisor divides maxRate to get the lowest rate that counts as a share of
+// a target's requests. A lower one comes from callers with outdated replies or
+// few addresses, so it does not show that this entry VM is assigned to the
+// target.
 const strayDivisor = 10
--- a/internal/cwlookup/widths_test.go
+++ b/internal/cwlookup/widths_test.go
@@ -9,8 +9,8 @@
 	"carobward.example/carobward/internal/cwpeer"
 )
 
-// TestWidthsBounded verifies that a caller that asks for ever new names of targets
-// cannot make the learned widths grow without bound.
+// TestWidthsBounded verifies that a caller that asks for ever new names of
+// targets cannot make the learned widths grow without bound.
 func TestWidthsBounded(t *testing.T) {
 	all := make([]carobward.Peer, 30)
 	for i := range all {
--- a/internal/cwoperator/api_test.go
+++ b/internal/cwoperator/api_test.go
@@ -103,7 +103,8 @@
 	}
 }
 
-// TestStatusOfSingleVM verifies that an entry VM without peers reports its own state.
+// TestStatusOfSingleVM verifies that an entry VM without peers reports its own
+// state.
 func TestStatusOfSingleVM(t *testing.T) {
 	req := httptest.NewRequest(http.MethodGet, "/status", nil)
 	req.Header.Set(fiber.HeaderAuthorization, "Bearer k")
--- a/internal/cwoperator/config.go
+++ b/internal/cwoperator/config.go
@@ -47,7 +47,8 @@
 	CodeUnknown  Code = "unknown"
 )
 
-// Refused is the reply to a request that was refused or whose outcome is unknown.
+// Refused is the reply to a request that was refused or whose outcome is
+// unknown.
 type Refused struct {
 	// Code is the reason for programs, and Error is the reason for people.
 	Code  Code   `json:"code"`
--- a/internal/cwoperator/status.go
+++ b/internal/cwoperator/status.go
@@ -39,8 +39,8 @@
 // Dead reports whether the entry VM counts as dead.
 func (v *VMStatus) Dead() bool { return !v.Answered && v.State == carobward.PeerDead.String() }
 
-// Has reports whether the entry VM itself reported that a revision or a later one
-// is effective there.
+// Has reports whether the entry VM itself reported that a revision or a later
+// one is effective there.
 func (v *VMStatus) Has(r carobward.Revision) bool {
 	return v.Answered && v.Ready && v.Revision >= r
 }
--- a/internal/cwprobe/assign.go
+++ b/internal/cwprobe/assign.go
@@ -11,10 +11,10 @@
 	"carobward.example/carobward/internal/cwserver"
 )
 
-// Assigned returns the servers that an entry VM probes, by rendezvous hashing: each
-// server is probed by the entry VM with the highest hash of the two. So no two
-// entry VMs probe the same server, and when an entry VM joins or leaves, only
-// the servers that it probes are reassigned.
+// Assigned returns the servers that an entry VM probes, by rendezvous hashing:
+// each server is probed by the entry VM with the highest hash of the two. So no
+// two entry VMs probe the same server, and when an entry VM joins or leaves,
+// only the servers that it probes are reassigned.
 func Assigned(self carobward.VMID, vms []carobward.VMID, servers []*cwserver.Server) []*cwserver.Server {
 	hashes := make([]uint64, len(vms))
 	for i, v := range vms {
@@ -51,8 +51,8 @@
 	return mix(h.Sum64())
 }
 
-// mix is the finalizer of SplitMix64. It spreads the last bytes, in which the ids
-// differ, over the whole hash.
+// mix is the finalizer of SplitMix64. It spreads the last bytes, in which the
+// ids differ, over the whole hash.
 func mix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/internal/cwprobe/prober_test.go
+++ b/internal/cwprobe/prober_test.go
@@ -17,8 +17,8 @@
 	"carobward.example/carobward/internal/lab/cwcounter"
 )
 
-// TestProbeOnce checks the outcome of one probe for each kind of reply, and that it
-// reads no more than the largest size of a probe.
+// TestProbeOnce checks the outcome of one probe for each kind of reply, and
+// that it reads no more than the largest size of a probe.
 func TestProbeOnce(t *testing.T) {
 	header := func(s string) *string { return &s }
 
@@ -73,8 +73,8 @@
 	return carobward.Address(ln.Addr().String())
 }
 
-// TestPickDue verifies that the servers with the oldest report or probe come first
-// and those with a recent one are left out.
+// TestPickDue verifies that the servers with the oldest report or probe come
+// first and those with a recent one are left out.
 func TestPickDue(t *testing.T) {
 	now := time.Now()
 	table := cwserver.NewTable()
@@ -99,9 +99,9 @@
 	}
 }
 
-// TestAssigned verifies that each server is probed by exactly one entry VM, that the
-// servers are spread evenly, and that the loss of an entry VM reassigns only its
-// own servers.
+// TestAssigned verifies that each server is probed by exactly one entry VM,
+// that the servers are spread evenly, and that the loss of an entry VM
+// reassigns only its own servers.
 func TestAssigned(t *testing.T) {
 	servers, vms := newFleet(600, 20)
 
--- a/internal/cwroute/least_time.go
+++ b/internal/cwroute/least_time.go
@@ -8,14 +8,15 @@
 	"carobward.example/carobward/internal/cwserver"
 )
 
-// LeastTime chooses the server with the shortest expected time to a reply, at random
-// among equal ones. Its zero value compares all servers and takes none for full.
+// LeastTime chooses the server with the shortest expected time to a reply, at
+// random among equal ones. Its zero value compares all servers and takes none
+// for full.
 type LeastTime struct {
 	// Sample is how many servers are drawn at random and compared; zero means
 	// all of them.
 	Sample int
-	// MaxPerSlot is the highest expected number of calls per slot of a server; the
-	// server gets no call beyond it. Zero means no limit.
+	// MaxPerSlot is the highest expected number of calls per slot of a server;
+	// the server gets no call beyond it. Zero means no limit.
 	MaxPerSlot float64
 	// Domain is this entry VM's failure domain, and Far the additional
 	// round-trip time of a call to another one. Servers in Domain are preferred
@@ -40,12 +41,12 @@
 )
 
 // ignoreSignals removes the signals in Ignore from a view.
-func (w LeastTime) ignoreSignals(m *cwserver.Moment, v *cwserver.View) {
-	if w.Ignore&Reports != 0 {
+func (l LeastTime) ignoreSignals(m *cwserver.Moment, v *cwserver.View) {
+	if l.Ignore&Reports != 0 {
 		v.Load = float64(v.Running)
 	}
 
-	if w.Ignore&Latencies != 0 {
+	if l.Ignore&Latencies != 0 {
 		v.Latency = m.UsualLatency()
 	}
 }
@@ -55,16 +56,16 @@
 const tieTolerance = 0.1
 
 // Choose implements Policy. It also returns nil if all servers are full.
-func (w LeastTime) Choose(now time.Time, servers, tried []*cwserver.Server, rng *rand.Rand) *cwserver.Server {
-	if s := w.best(now, servers, tried, rng, false); s != nil {
+func (l LeastTime) Choose(now time.Time, servers, tried []*cwserver.Server, rng *rand.Rand) *cwserver.Server {
+	if s := l.best(now, servers, tried, rng, false); s != nil {
 		return s
 	}
 
-	return w.lastResort(now, servers, tried, rng)
+	return l.lastResort(now, servers, tried, rng)
 }
 
 // lastResort chooses among the ejected servers if no other one is eligible.
-func (w LeastTime) lastResort(now time.Time, servers, tried []*cwserver.Server, rng *rand.Rand) *cwserver.Server {
+func (l LeastTime) lastResort(now time.Time, servers, tried []*cwserver.Server, rng *rand.Rand) *cwserver.Server {
 	if len(servers) == 0 {
 		return nil
 	}
@@ -77,18 +78,18 @@
 		}
 	}
 
-	return w.best(now, servers, tried, rng, true)
+	return l.best(now, servers, tried, rng, true)
 }
 
-func (w LeastTime) best(now time.Time, servers, tried []*cwserver.Server, rng *rand.Rand, ejected bool) *cwserver.Server {
+func (l LeastTime) best(now time.Time, servers, tried []*cwserver.Server, rng *rand.Rand, ejected bool) *cwserver.Server {
 	n := len(servers)
 	if n == 0 {
 		return nil
 	}
 
 	count, next := n, rng.IntN(n)
-	if w.Sample > 0 {
-		count = w.Sample
+	if l.Sample > 0 {
+		count = l.Sample
 	}
 
 	m := servers[0].Moment(now)
@@ -106,15 +107,15 @@
 		}
 
 		v := s.View(&m)
-		if w.Ignore != 0 {
-			w.ignoreSignals(&m, &v)
+		if l.Ignore != 0 {
+			l.ignoreSignals(&m, &v)
 		}
 
-		if w.isFull(&v) {
+		if l.isFull(&v) {
 			continue
 		}
 
-		sel.add(s, cost(&v)+w.distanceCost(s))
+		sel.add(s, cost(&v)+l.distanceCost(s))
 
 		if count--; count == 0 {
 			break
@@ -158,8 +159,8 @@
 }
 
 // isFull reports whether a server should get no more calls.
-func (w LeastTime) isFull(v *cwserver.View) bool {
-	if w.MaxPerSlot == 0 {
+func (l LeastTime) isFull(v *cwserver.View) bool {
+	if l.MaxPerSlot == 0 {
 		return false
 	}
 
@@ -170,17 +171,17 @@
 	// One call of this entry VM is always allowed. An entry VM whose call ends
 	// is the first to learn of the free slot, so one without any call there
 	// would never get a slot.
-	return v.Running > 0 && v.Slots > 0 && v.Load+1 > v.Slots*w.MaxPerSlot
+	return v.Running > 0 && v.Slots > 0 && v.Load+1 > v.Slots*l.MaxPerSlot
 }
 
 // distanceCost is the additional time in nanoseconds of a call to a server in
 // another failure domain.
-func (w LeastTime) distanceCost(s *cwserver.Server) float64 {
-	if s.Domain == w.Domain {
+func (l LeastTime) distanceCost(s *cwserver.Server) float64 {
+	if s.Domain == l.Domain {
 		return 0
 	}
 
-	return float64(w.CrossDomainTime)
+	return float64(l.CrossDomainTime)
 }
 
 // fullSlotsCost is the fraction by which a server with all slots in use costs
--- a/internal/cwroute/least_time_test.go
+++ b/internal/cwroute/least_time_test.go
@@ -160,8 +160,8 @@
 	}
 }
 
-// TestLeastTimeSpreads verifies that servers with equal costs share the calls, so
-// that many entry VMs don't all choose the same one.
+// TestLeastTimeSpreads verifies that servers with equal costs share the calls,
+// so that many entry VMs don't all choose the same one.
 func TestLeastTimeSpreads(t *testing.T) {
 	const busy = 15
 
@@ -179,8 +179,9 @@
 	}
 }
 
-// TestLeastTimePrefersOwnDomain verifies that the servers in the own failure domain
-// get all calls until their load costs more time than the way to another one.
+// TestLeastTimePrefersOwnDomain verifies that the servers in the own failure
+// domain get all calls until their load costs more time than the way to another
+// one.
 func TestLeastTimePrefersOwnDomain(t *testing.T) {
 	tests := map[string]struct {
 		calls int
@@ -243,9 +244,9 @@
 	}
 }
 
-// TestOldReportsOfFullServersExpire has all servers report for a second that they
-// are full. An entry VM that sends nothing because of that gets no new reports,
-// so it must try again once the last ones are old.
+// TestOldReportsOfFullServersExpire has all servers report for a second that
+// they are full. An entry VM that sends nothing because of that gets no new
+// reports, so it must try again once the last ones are old.
 func TestOldReportsOfFullServersExpire(t *testing.T) {
 	all := table(1, 5).Of(service(0))
 
@@ -263,10 +264,10 @@
 	p := cwroute.LeastTime{MaxPerSlot: 2}
 
 	if p.Choose(end, all, nil, source()) != nil {
-		t.Error("a full server was chosen one second later")
+		t.Error("a full server was chosen right after the last reports")
 	}
 
 	if p.Choose(end.Add(5*time.Second), all, nil, source()) == nil {
-		t.Error("no server is chosen six seconds later")
+		t.Error("no server is chosen five seconds after the last reports")
 	}
 }
--- a/internal/cwroute/recovery.go
+++ b/internal/cwroute/recovery.go
@@ -10,7 +10,8 @@
 // healthy server.
 const healthyFactor = 4
 
-// AnyEligible reports whether any server of the list may get a request, full or not.
+// AnyEligible reports whether any server of the list may get a request, full or
+// not.
 func AnyEligible(servers, tried []*cwserver.Server) bool {
 	for _, s := range servers {
 		if eligible(s, tried) {
@@ -21,9 +22,9 @@
 	return false
 }
 
-// RecoveryTime returns the time after which some server is expected to answer: the
-// usual latency if one is healthy, else the time until the first ejection ends.
-// It returns fallback if neither is known.
+// RecoveryTime returns the time after which some server is expected to answer:
+// the usual latency if one is healthy, else the time until the first ejection
+// ends. It returns fallback if neither is known.
 func RecoveryTime(now time.Time, servers []*cwserver.Server, fallback time.Duration) time.Duration {
 	shortest := time.Duration(0)
 
--- a/internal/cwroute/two_choices.go
+++ b/internal/cwroute/two_choices.go
@@ -10,8 +10,8 @@
 	"carobward.example/carobward/internal/cwserver"
 )
 
-// TwoChoices draws two servers at random and chooses the one with fewer calls of this
-// entry VM in flight (the power of two choices).
+// TwoChoices draws two servers at random and chooses the one with fewer calls
+// of this entry VM in flight (the power of two choices).
 type TwoChoices struct{}
 
 // Choose implements Policy.
--- a/internal/cwserver/call_test.go
+++ b/internal/cwserver/call_test.go
@@ -75,7 +75,8 @@
 			s := servers(64)[0]
 			test.calls(s)
 
-			// Rounded because the group's average moves a little with each reply.
+			// Rounded because the group's average moves a little with each
+			// reply.
 			got := view(s, test.at).Latency.Round(5 * time.Millisecond)
 			if diff := cmp.Diff(test.want.Round(5*time.Millisecond).String(), got.String()); diff != "" {
 				t.Error(diff)
@@ -106,8 +107,9 @@
 	}
 }
 
-// TestDistrustOfReports verifies that after reports which lack calls of this entry VM a
-// server's reports count little, and count fully again once they are plausible.
+// TestDistrustOfReports verifies that after reports which lack calls of this
+// entry VM a server's reports count little, and count fully again once they are
+// plausible.
 func TestDistrustOfReports(t *testing.T) {
 	all := servers(2)
 	s, now := all[0], start
--- a/internal/cwserver/leave_test.go
+++ b/internal/cwserver/leave_test.go
@@ -66,9 +66,10 @@
 	}
 }
 
-// TestAnnouncementHoldsUntilTaken verifies that a server's announcement holds from the
-// reply on until SetLevels takes it, whatever other sources report meanwhile,
-// and that a late one of a server that was replaced at its address is ignored.
+// TestAnnouncementHoldsUntilTaken verifies that a server's announcement holds
+// from the reply on until SetLevels takes it, whatever other sources report
+// meanwhile, and that a late one of a server that was replaced at its address
+// is ignored.
 func TestAnnouncementHoldsUntilTaken(t *testing.T) {
 	table := NewTable()
 	table.Update(vmList("a", "b"))
@@ -104,8 +105,8 @@
 	}
 }
 
-// TestNoDispatchOnOutdatedLevels verifies that nothing is dispatched once the levels are out of
-// date, as after a pause of the entry VM.
+// TestNoDispatchOnOutdatedLevels verifies that nothing is dispatched once the
+// levels are out of date, as after a pause of the entry VM.
 func TestNoDispatchOnOutdatedLevels(t *testing.T) {
 	table := NewTable()
 	table.Update(vmList("a"))
