--- a/internal/lab/cwbench/arrivals.go
+++ b/internal/lab/cwbench/arrivals.go
@@ -7,17 +7,17 @@
 	"carobward.example/carobward/internal/cwstand"
 )
 
-// arrival is one request as its caller meant to send it.
+// arrival is one request with its intended start.
 type arrival struct {
 	at   time.Duration
 	work time.Duration
 	once bool
-	// spot in [0, 1) says which of the entry VMs the caller uses, however
-	// many carry the target.
-	spot float64
+	// selector, in [0, 1), selects the entry VM that the caller uses, whatever the
+	// number of entry VMs that serve the target.
+	selector float64
 }
 
-// The streams of random numbers that one seed gives.
+// Streams of random numbers that are derived from one seed.
 const (
 	streamArrivals = iota + 1
 	streamFaults
@@ -27,8 +27,8 @@
 
 func random(seed, stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
 
-// arrivals draws the Poisson arrivals of a run. A change of load takes hold
-// with the next arrival.
+// arrivals draws the Poisson arrivals of a run. Each gap depends on the load at the
+// arrival before it, so a change of load takes effect with the next arrival.
 func (s *Scenario) arrivals() []arrival {
 	var list []arrival
 
@@ -43,10 +43,10 @@
 		}
 
 		list = append(list, arrival{
-			at:   at,
-			work: cwstand.Lognormal(s.Work, s.Spread, rng),
-			once: rng.Float64() < s.Once,
-			spot: rng.Float64(),
+			at:       at,
+			work:     cwstand.Lognormal(s.Work, s.Spread, rng),
+			once:     rng.Float64() < s.Once,
+			selector: rng.Float64(),
 		})
 	}
 }
--- a/internal/lab/cwbench/backend.go
+++ b/internal/lab/cwbench/backend.go
@@ -8,29 +8,29 @@
 	"carobward.example/carobward/internal/cwstand"
 )
 
-// outcome is how an attempt ended, as the entry VM sees it.
+// outcome is the result of an attempt as the entry VM sees it.
 type outcome uint8
 
 const (
-	// answered: the whole reply came.
+	// answered: the whole reply arrived.
 	answered outcome = iota
-	// shed: the server refused it before it began.
+	// shed: the server refused the call before starting it.
 	shed
-	// failed: the server failed fast.
+	// failed: the server failed the call at once.
 	failed
-	// timedOut: no reply came in time.
+	// timedOut: no reply arrived in time.
 	timedOut
-	// refused: there was no connection to be had, nothing was sent.
+	// refused: no connection was available, so nothing was sent.
 	refused
-	// cancelled: the entry VM gave it up for another.
+	// cancelled: the entry VM gave up the attempt because the call had ended.
 	cancelled
 )
 
-// quickly is what a server takes to refuse or fail a call.
-const quickly = 100 * time.Microsecond
+// fastReply is the time a server takes to refuse or fail a call.
+const fastReply = 100 * time.Microsecond
 
-// backend is a modelled server: slots, a queue in order of arrival, a speed
-// that changes, reports that may mislead.
+// backend is a simulated server with a number of slots, a FIFO queue, a speed that
+// changes over time, and load reports that may be wrong.
 type backend struct {
 	scenario *Scenario
 	timeline *timeline
@@ -44,7 +44,8 @@
 	counts    cwstand.Counts
 }
 
-// newBackends makes the servers. Their schedules depend on the seed alone.
+// newBackends creates the servers. Their speeds and faults depend on the seed
+// alone.
 func newBackends(s *Scenario, t *timeline) []*backend {
 	list := make([]*backend, s.Servers)
 	order := s.order()
@@ -53,7 +54,7 @@
 		b := &backend{scenario: s, timeline: t, speed: s.speed(i, order)}
 
 		for j := range s.Faults {
-			if f := &s.Faults[j]; f.hits(order[i]) {
+			if f := &s.Faults[j]; f.affects(order[i]) {
 				b.faults = append(b.faults, f)
 			}
 		}
@@ -68,15 +69,16 @@
 	return list
 }
 
-// order draws the places of the servers in the order in which faults hit.
+// order returns, by server, its position in the random order in which faults affect
+// servers.
 func (s *Scenario) order() []int { return random(s.Seed, streamFaults).Perm(s.Servers) }
 
-// speed draws the speed of a server.
+// speed returns the speed of a server over time.
 func (s *Scenario) speed(server int, order []int) *cwstand.Speed {
 	spans := s.Noise.Slowdowns(s.Seed*uint64(s.Servers)+uint64(server), s.end()+s.Timeout)
 
 	for j := range s.Faults {
-		if f := &s.Faults[j]; f.hits(order[server]) {
+		if f := &s.Faults[j]; f.affects(order[server]) {
 			spans = append(spans, f.spans()...)
 		}
 	}
@@ -96,9 +98,9 @@
 	return nil
 }
 
-func (b *backend) has(k FaultKind) bool {
+func (b *backend) hasFault(k FaultKind) bool {
 	for _, f := range b.faults {
-		if f.Kind == k && f.holds(b.timeline.now) {
+		if f.Kind == k && f.contains(b.timeline.now) {
 			return true
 		}
 	}
@@ -106,26 +108,27 @@
 	return false
 }
 
-// expect is the time that one more call of mean work would take now.
-func (b *backend) expect(now time.Duration) float64 {
-	if b.has(FaultFail) || b.has(FaultDrain) {
+// expectedTime returns the time that one more call would take now, in units of the
+// mean work.
+func (b *backend) expectedTime(now time.Duration) float64 {
+	if b.hasFault(FaultFail) || b.hasFault(FaultDrain) {
 		return math.Inf(1)
 	}
 
-	turns := max(1, float64(b.committed+1)/float64(b.scenario.Slots))
+	rounds := max(1, float64(b.committed+1)/float64(b.scenario.Slots))
 
-	return turns / b.speed.Rate(now)
+	return rounds / b.speed.Rate(now)
 }
 
-// arrive takes an attempt from the network.
+// arrive handles an attempt that has reached the server.
 func (b *backend) arrive(a *attempt) {
 	switch {
-	case b.has(FaultFail):
+	case b.hasFault(FaultFail):
 		b.counts.Failed++
-		b.timeline.after(quickly, func() { b.reply(a, failed) })
-	case b.has(FaultDrain) || b.running >= b.scenario.Slots && len(b.queue) >= b.scenario.Queue:
+		b.timeline.after(fastReply, func() { b.reply(a, failed) })
+	case b.hasFault(FaultDrain) || b.running >= b.scenario.Slots && len(b.queue) >= b.scenario.Queue:
 		b.counts.Shed++
-		b.timeline.after(quickly, func() { b.reply(a, shed) })
+		b.timeline.after(fastReply, func() { b.reply(a, shed) })
 	case b.running >= b.scenario.Slots:
 		b.queue = append(b.queue, a)
 	default:
@@ -156,7 +159,7 @@
 	b.reply(a, answered)
 }
 
-// free ends an attempt's use of its slot and starts the next one.
+// free releases the slot of an attempt and starts the next queued one.
 func (b *backend) free(a *attempt) {
 	a.running = false
 	b.running--
@@ -168,7 +171,7 @@
 	}
 }
 
-// cancel hears that nobody waits for an attempt any more.
+// cancel removes an attempt whose reply is not needed.
 func (b *backend) cancel(a *attempt) {
 	if a.replied {
 		return
@@ -189,10 +192,10 @@
 	}
 }
 
-// reply sends the outcome with a report back to the entry VM.
+// reply sends the outcome and a load report back to the entry VM.
 func (b *backend) reply(a *attempt, o outcome) {
 	load := b.reporter.Report(b.timeline.now, cwstand.Load{
-		Slots: b.scenario.Slots, Running: b.running, Queued: len(b.queue), Draining: b.has(FaultDrain),
+		Slots: b.scenario.Slots, Running: b.running, Queued: len(b.queue), Draining: b.hasFault(FaultDrain),
 	})
 
 	a.replied = true
--- a/internal/lab/cwbench/capacity_test.go
+++ b/internal/lab/cwbench/capacity_test.go
@@ -11,12 +11,13 @@
 	"carobward.example/carobward/internal/cwvmlist"
 )
 
-// The sizes for docs/CAPACITY.md: servers in services of thirty.
+// serverCounts are the fleet sizes that docs/CAPACITY.md covers.
 var serverCounts = []int{30, 660, 6600}
 
+// perService is the number of servers in each service.
 const perService = 30
 
-// servers lists so many servers as the VM list has them.
+// servers returns a VM list with a number of servers.
 func servers(count int) []carobward.VM {
 	var list []carobward.VM
 
@@ -31,7 +32,7 @@
 	return list
 }
 
-// BenchmarkTableUpdate is the cost of taking a VM list that has not changed.
+// BenchmarkTableUpdate measures an update with an unchanged VM list.
 func BenchmarkTableUpdate(b *testing.B) {
 	for _, n := range serverCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -46,8 +47,8 @@
 	}
 }
 
-// BenchmarkTableHeap is the heap that a table takes, with a few of our calls
-// out on each server.
+// BenchmarkTableHeap measures the heap of a table in bytes per server, with eight
+// calls in flight on each.
 func BenchmarkTableHeap(b *testing.B) {
 	const calls = 8
 
@@ -90,7 +91,7 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkListParse is the cost of reading the VM list, and its bytes.
+// BenchmarkListParse measures parsing a VM list and reports its size.
 func BenchmarkListParse(b *testing.B) {
 	for _, n := range serverCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/lab/cwbench/doc.go
+++ b/internal/lab/cwbench/doc.go
@@ -1,10 +1,10 @@
-// Package cwbench compares ways to choose servers under load and faults.
+// Package cwbench compares server selection strategies under load and faults.
 //
-// A model drives the decisions of several entry VMs, each with a table of
-// its own and only its own knowledge, against modelled servers under a clock
-// of its own: a discrete-event queueing model, the same for the same seed.
-// Live runs drive entry VMs over sockets against stand-in servers.
+// Most runs are discrete-event simulations: several simulated entry VMs, each with
+// its own table and only the state it can observe, send calls to simulated servers
+// on a simulated clock. A run with the same seed always gives the same result. Live
+// runs drive real entry VMs and stand-in servers over sockets.
 //
-// Arrivals are open-loop and latency counts from the intended start, so that
-// a slow answer delays no later request and hides none.
+// Arrivals are open-loop and latency counts from the intended start, so a slow
+// reply neither delays later requests nor hides their latency.
 package cwbench
--- a/internal/lab/cwbench/entry.go
+++ b/internal/lab/cwbench/entry.go
@@ -13,22 +13,23 @@
 	"carobward.example/carobward/internal/cwstand"
 )
 
-// call is one request on its way.
+// call is one request at an entry VM, with all its attempts.
 type call struct {
-	arrival *arrival
-	entry   *entry
-	tried   []*cwserver.Server
-	out     []*attempt
-	record  *cwretry.TargetState
-	began   time.Duration
-	starts  int
-	done    bool
-	// waiter is its place in the gate's queue, inside tells that it is past.
-	waiter *cwlimit.Waiter
-	inside bool
+	arrival  *arrival
+	entry    *entry
+	tried    []*cwserver.Server
+	inFlight []*attempt
+	record   *cwretry.TargetState
+	began    time.Duration
+	starts   int
+	done     bool
+	// waiter is its place in the queue of the gate. admitted reports whether it has
+	// passed the gate.
+	waiter   *cwlimit.Waiter
+	admitted bool
 }
 
-// target names the class of the call.
+// target returns the target of the call.
 func (c *call) target() carobward.TargetName {
 	if c.arrival.once {
 		return "once"
@@ -37,50 +38,50 @@
 	return "quick"
 }
 
-// attempt is one sending of a call to a server.
+// attempt is one send of a call to a server.
 type attempt struct {
 	call    *call
 	server  int
 	delay   time.Duration
 	settled bool
-	row     cwserver.Call
-	// asked tells that the reply brings a report.
-	asked bool
+	tracked cwserver.Call
+	// wantsReport reports whether the reply carries a load report.
+	wantsReport bool
 
-	// The server's side of it.
+	// State at the server.
 	running, replied, cancelled bool
 }
 
-// entry is a modelled entry VM: its own table, policy and connections.
+// entry is a simulated entry VM with its own table, policy and connections.
 type entry struct {
-	run    *run
-	domain int
-	rows   []*cwserver.Server
-	index  map[*cwserver.Server]int
-	open   []int
-	// next is when the next report of a server is due.
-	next   []time.Duration
-	policy cwroute.Policy
-	rng    *rand.Rand
-	quick  *cwretry.TargetState
-	once   *cwretry.TargetState
-	gate   *gate
+	run         *run
+	domain      int
+	servers     []*cwserver.Server
+	index       map[*cwserver.Server]int
+	connections []int
+	// reportDue is the time from which the next report of each server is requested.
+	reportDue []time.Duration
+	policy    cwroute.Policy
+	rng       *rand.Rand
+	quick     *cwretry.TargetState
+	once      *cwretry.TargetState
+	gate      *gate
 }
 
-// epoch is when the model's time starts for policies. It lies ahead, since a
-// table knows no time before its process began.
+// epoch is the start of the simulated time for policies. It is in the future
+// because a table does not accept times before its process started.
 var epoch = time.Date(2100, time.January, 1, 0, 0, 0, 0, time.UTC)
 
 func newEntry(r *run, number int) *entry {
 	e := &entry{
-		run:    r,
-		domain: number % r.scenario.Domains,
-		index:  map[*cwserver.Server]int{},
-		open:   make([]int, len(r.backends)),
-		next:   make([]time.Duration, len(r.backends)),
-		rng:    random(r.scenario.Seed, streamChoices+uint64(number)<<8),
-		quick:  cwretry.NewTargetState(),
-		once:   cwretry.NewTargetState(),
+		run:         r,
+		domain:      number % r.scenario.Domains,
+		index:       map[*cwserver.Server]int{},
+		connections: make([]int, len(r.backends)),
+		reportDue:   make([]time.Duration, len(r.backends)),
+		rng:         random(r.scenario.Seed, streamChoices+uint64(number)<<8),
+		quick:       cwretry.NewTargetState(),
+		once:        cwretry.NewTargetState(),
 	}
 
 	if r.variant.Queue {
@@ -89,13 +90,13 @@
 
 	table := cwserver.NewTable()
 	table.Update(vmList(r.scenario))
-	e.rows = table.Of(service)
-	e.policy = r.variant.Policy(&World{
-		Domain: carobward.Domain(strconv.Itoa(e.domain)),
-		expect: func(i int) float64 { return r.backends[i].expect(r.timeline.now) },
+	e.servers = table.Of(service)
+	e.policy = r.variant.Policy(&Environment{
+		Domain:       carobward.Domain(strconv.Itoa(e.domain)),
+		expectedTime: func(i int) float64 { return r.backends[i].expectedTime(r.timeline.now) },
 	})
 
-	for i, s := range e.rows {
+	for i, s := range e.servers {
 		e.index[s] = i
 	}
 
@@ -104,7 +105,7 @@
 
 const service carobward.Service = "records"
 
-// vmList lists the modelled servers in their order.
+// vmList returns the simulated servers in order.
 func vmList(s *Scenario) []carobward.VM {
 	var list []carobward.VM
 
@@ -121,8 +122,8 @@
 
 func (e *entry) now() time.Time { return epoch.Add(e.run.timeline.now) }
 
-// take carries a request that has reached the entry VM.
-func (e *entry) take(a *arrival) {
+// accept handles a request that has reached the entry VM.
+func (e *entry) accept(a *arrival) {
 	c := &call{arrival: a, entry: e, record: e.quick}
 	if a.once {
 		c.record = e.once
@@ -145,20 +146,20 @@
 }
 
 func (e *entry) choose(c *call) *cwserver.Server {
-	return e.policy.Choose(e.now(), e.rows, c.tried, e.rng)
+	return e.policy.Choose(e.now(), e.servers, c.tried, e.rng)
 }
 
-// begin makes the first attempt.
+// begin makes the first attempt of a call.
 func (e *entry) begin(c *call, s *cwserver.Server) {
 	c.began = e.run.timeline.now
 	e.send(c, s)
 
 	if e.run.variant.Hedge && !c.arrival.once && !c.done {
-		e.look(c)
+		e.checkHedge(c)
 	}
 }
 
-// send makes an attempt.
+// send makes one attempt of a call.
 func (e *entry) send(c *call, s *cwserver.Server) {
 	a := &attempt{call: c, server: e.index[s]}
 	a.delay = e.run.scenario.delay(e.domain, a.server)
@@ -176,11 +177,11 @@
 		return
 	}
 
-	c.out = append(c.out, a)
+	c.inFlight = append(c.inFlight, a)
 	b := e.run.backends[a.server]
 	b.committed++
-	a.row = s.Begin(e.now())
-	a.asked = e.ask(a.server)
+	a.tracked = s.Begin(e.now())
+	a.wantsReport = e.askForReport(a.server)
 	e.run.timeline.after(cost+a.delay, func() { b.arrive(a) })
 
 	if wait := e.run.variant.Attempt; wait > 0 {
@@ -188,19 +189,21 @@
 	}
 }
 
-// ask tells whether the next reply of a server is to bring a report.
-func (e *entry) ask(server int) bool {
+// askForReport reports whether the next reply of a server should carry a load
+// report, and if so schedules the next one.
+func (e *entry) askForReport(server int) bool {
 	now := e.run.timeline.now
-	if now < e.next[server] {
+	if now < e.reportDue[server] {
 		return false
 	}
 
-	e.next[server] = now + e.run.scenario.reportEvery()
+	e.reportDue[server] = now + e.run.scenario.reportEvery()
 
 	return true
 }
 
-// delay is the one-way delay between an entry VM's domain and a server.
+// delay returns the one-way delay between the failure domain of an entry VM and a
+// server.
 func (s *Scenario) delay(domain, server int) time.Duration {
 	if server%s.Domains == domain {
 		return s.Within
@@ -209,31 +212,33 @@
 	return s.Between
 }
 
-// connect takes an idle connection or opens one, and returns what it costs.
-// The entry VMs that carry the target share the server's connections.
+// connect takes an idle connection or opens one, and returns the time that takes.
+// It returns false if the entry VM has used up its share of the connections of the
+// server, which all entry VMs that serve the target share equally.
 func (e *entry) connect(server int) (time.Duration, bool) {
-	if e.open[server] > int(e.rows[server].Running.Load()) {
+	if e.connections[server] > int(e.servers[server].Running.Load()) {
 		return 0, true
 	}
 
 	b := e.run.backends[server]
-	if e.open[server] >= max(1, b.scenario.Conns/len(e.run.entries)) {
+	if e.connections[server] >= max(1, b.scenario.Conns/len(e.run.entries)) {
 		return 0, false
 	}
 
-	e.open[server]++
+	e.connections[server]++
 	b.counts.Opened++
 
 	return b.scenario.Open, true
 }
 
-// seen is what an outcome tells the table of a server.
-var seen = [...]cwserver.Outcome{
+// tableOutcomes maps the outcome of an attempt to the outcome recorded in the
+// table.
+var tableOutcomes = [...]cwserver.Outcome{
 	answered: cwserver.Replied, shed: cwserver.Refused, failed: cwserver.Failed,
 	timedOut: cwserver.Failed, refused: cwserver.Cancelled, cancelled: cwserver.Cancelled,
 }
 
-// settle takes the end of an attempt with the report that came along.
+// settle handles the end of an attempt and the report in its reply.
 func (e *entry) settle(a *attempt, o outcome, l cwstand.Load) {
 	if a.settled {
 		return
@@ -241,9 +246,9 @@
 
 	e.close(a, o)
 
-	if a.asked {
+	if a.wantsReport {
 		e.run.result.Reports++
-		e.rows[a.server].SetReport(carobward.Report{
+		e.servers[a.server].SetReport(carobward.Report{
 			At: e.now(), Slots: l.Slots, Running: l.Running, Queued: l.Queued, Draining: l.Draining,
 		})
 	}
@@ -261,24 +266,24 @@
 	}
 }
 
-// close ends an attempt at the entry VM.
+// close records the end of an attempt at the entry VM.
 func (e *entry) close(a *attempt, o outcome) {
 	a.settled = true
-	a.row.End(e.now(), seen[o])
+	a.tracked.End(e.now(), tableOutcomes[o])
 
-	for i, other := range a.call.out {
-		if other == a {
-			a.call.out = append(a.call.out[:i], a.call.out[i+1:]...)
+	for i, b := range a.call.inFlight {
+		if b == a {
+			a.call.inFlight = append(a.call.inFlight[:i], a.call.inFlight[i+1:]...)
 
 			break
 		}
 	}
 }
 
-// drop gives an attempt up. Its connection is closed.
-func (e *entry) drop(a *attempt, o outcome) {
+// abandon gives up an attempt and closes its connection.
+func (e *entry) abandon(a *attempt, o outcome) {
 	e.close(a, o)
-	e.open[a.server]--
+	e.connections[a.server]--
 
 	if e.run.variant.Cancel {
 		e.run.timeline.after(a.delay, func() { e.run.backends[a.server].cancel(a) })
@@ -287,13 +292,14 @@
 
 func (e *entry) attemptTimeout(a *attempt) {
 	if !a.settled {
-		e.drop(a, timedOut)
+		e.abandon(a, timedOut)
 		e.retry(a.call, timedOut)
 	}
 }
 
-// look hedges a call once that is due, and else looks again later.
-func (e *entry) look(c *call) {
+// checkHedge sends a hedge for a call if one is due; if not yet, it checks again
+// later.
+func (e *entry) checkHedge(c *call) {
 	if c.done || len(c.tried) != 1 {
 		return
 	}
@@ -303,15 +309,15 @@
 
 	switch {
 	case !due && next > age:
-		e.run.timeline.after(next-age, func() { e.look(c) })
-	case due && e.again(c):
+		e.run.timeline.after(next-age, func() { e.checkHedge(c) })
+	case due && e.resend(c):
 		e.run.result.Hedges++
 	}
 }
 
-// again makes one more attempt, if a server has room and the budget, where
-// the variant has one, allows it.
-func (e *entry) again(c *call) bool {
+// resend makes one more attempt if the policy returns a server and the retry
+// budget, where the variant has one, allows it.
+func (e *entry) resend(c *call) bool {
 	s := e.choose(c)
 	if s == nil || e.run.variant.Budget && !c.record.Budget.Take() {
 		return false
@@ -322,15 +328,15 @@
 	return true
 }
 
-// retry sends a call again if the variant allows it, and fails it if it is
-// nowhere else.
+// retry sends a call again if the variant allows it. Otherwise it fails the call,
+// unless another attempt is in flight.
 func (e *entry) retry(c *call, o outcome) {
-	if c.done || len(c.out) > 0 {
+	if c.done || len(c.inFlight) > 0 {
 		return
 	}
 
 	safe := o == shed || o == refused || e.run.variant.RetryAny || !c.arrival.once
-	if safe && len(c.tried) < e.run.variant.Tries && e.again(c) {
+	if safe && len(c.tried) < e.run.variant.Tries && e.resend(c) {
 		return
 	}
 
@@ -343,7 +349,7 @@
 	}
 }
 
-// finish answers the caller and gives up what is still out.
+// finish answers the caller and abandons the attempts in flight.
 func (e *entry) finish(c *call, o outcome) {
 	if c.done {
 		return
@@ -356,8 +362,8 @@
 		reason = timedOut
 	}
 
-	for len(c.out) > 0 {
-		e.drop(c.out[0], reason)
+	for len(c.inFlight) > 0 {
+		e.abandon(c.inFlight[0], reason)
 	}
 
 	e.run.result.count(c.arrival, o, e.run.timeline.now+e.run.scenario.Client)
--- a/internal/lab/cwbench/events.go
+++ b/internal/lab/cwbench/events.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// event is something that happens at a time in the model.
+// event is a function to run at a simulated time.
 type event struct {
 	at    time.Duration
 	order uint64
@@ -13,15 +13,15 @@
 	return e.at < f.at || e.at == f.at && e.order < f.order
 }
 
-// timeline is a heap of events. Those of the same time happen in the order
-// in which they were added, so that a run can be repeated.
+// timeline is a heap of events. Events at the same time run in the order in which
+// they were added, which makes runs repeatable.
 type timeline struct {
 	now   time.Duration
 	added uint64
 	heap  []event
 }
 
-// after adds an event that happens after a delay.
+// after adds an event that runs after a delay.
 func (t *timeline) after(delay time.Duration, run func()) { t.add(t.now+delay, run) }
 
 func (t *timeline) add(at time.Duration, run func()) {
@@ -39,7 +39,7 @@
 	}
 }
 
-// next lets the first event happen. It returns false if there is none.
+// next runs the earliest event. It returns false if there is none.
 func (t *timeline) next() bool {
 	if len(t.heap) == 0 {
 		return false
@@ -58,7 +58,7 @@
 	return true
 }
 
-// sink moves the event at the top down to its place.
+// sink moves the event at the top down to its place in the heap.
 func (t *timeline) sink() {
 	for i := 0; ; {
 		least := i
--- a/internal/lab/cwbench/gate.go
+++ b/internal/lab/cwbench/gate.go
@@ -7,25 +7,26 @@
 	"carobward.example/carobward/internal/cwserver"
 )
 
-// gate lets calls wait at the entry VM in the product's queue.
+// gate queues calls at the entry VM while no server has room. It uses the queue of
+// the product.
 type gate struct {
 	entry   *entry
 	queue   *cwlimit.Queue
 	waiting map[*cwlimit.Waiter]*call
-	looking bool
+	polling bool
 }
 
-// The gate's bounds, as the product has them.
+// Limits of the gate, the same as those of the product.
 const (
-	gateMost = 1000
-	gateLook = 5 * time.Millisecond
+	maxWaiting = 1000
+	gatePoll   = 5 * time.Millisecond
 )
 
 func newGate(e *entry) *gate {
-	return &gate{entry: e, queue: cwlimit.NewQueue(gateMost), waiting: map[*cwlimit.Waiter]*call{}}
+	return &gate{entry: e, queue: cwlimit.NewQueue(maxWaiting), waiting: map[*cwlimit.Waiter]*call{}}
 }
 
-// enter begins a call, lets it wait or sheds it.
+// enter starts, queues or sheds a call.
 func (g *gate) enter(c *call) {
 	if g.queue.Len() == 0 {
 		if s := g.entry.choose(c); s != nil {
@@ -46,18 +47,19 @@
 
 	c.waiter = w
 	g.waiting[w] = c
-	g.turn()
-	g.look()
+	g.dispatch()
+	g.poll()
 }
 
 func (g *gate) begin(c *call, s *cwserver.Server) {
-	c.inside = true
+	c.admitted = true
 	g.queue.Began(g.entry.now(), c.target())
 	g.entry.begin(c, s)
 }
 
-// turn sheds what is late and begins what finds a server.
-func (g *gate) turn() {
+// dispatch sheds the calls that would end too late and starts queued calls for
+// which there is a server.
+func (g *gate) dispatch() {
 	now := g.entry.now()
 
 	for w := g.queue.Late(now); w != nil; w = g.queue.Late(now) {
@@ -84,29 +86,29 @@
 	return c
 }
 
-// look takes turns for as long as calls wait.
-func (g *gate) look() {
-	if g.looking || g.queue.Len() == 0 {
+// poll calls dispatch at intervals while calls are queued.
+func (g *gate) poll() {
+	if g.polling || g.queue.Len() == 0 {
 		return
 	}
 
-	g.looking = true
+	g.polling = true
 
-	g.entry.run.timeline.after(gateLook, func() {
-		g.looking = false
-		g.turn()
-		g.look()
+	g.entry.run.timeline.after(gatePoll, func() {
+		g.polling = false
+		g.dispatch()
+		g.poll()
 	})
 }
 
-// leave ends a call, wherever it is.
+// leave ends a call, whether it is queued or admitted.
 func (g *gate) leave(c *call) {
 	switch {
 	case c.waiter != nil:
 		g.remove(c.waiter)
-	case c.inside:
-		c.inside = false
+	case c.admitted:
+		c.admitted = false
 		g.queue.Ended(g.entry.now(), c.target(), g.entry.run.timeline.now-c.began)
-		g.turn()
+		g.dispatch()
 	}
 }
--- a/internal/lab/cwbench/live.go
+++ b/internal/lab/cwbench/live.go
@@ -16,47 +16,50 @@
 	"carobward.example/carobward/internal/lab/cwfleet"
 )
 
-// sender sends one request and waits for its end.
+// sender sends one request and returns its outcome.
 type sender func(ctx context.Context, a *arrival, id string) outcome
 
-// live is a run over sockets: one fleet of stand-in servers and entry VMs,
-// which the variants use in turn, a slice of time each, so that noise of the
-// machine hits all alike. The servers' schedules start again with each slice.
-type live struct {
+// liveRun is a run over sockets. All variants use the same stand-in servers and
+// entry VMs, one after the other in short time slices, so that noise of the machine
+// affects all of them alike. The schedules of the servers start again with each
+// slice.
+type liveRun struct {
 	scenario Scenario
-	// fleet runs in this process; it is nil where processes run apart.
-	fleet   *cwfleet.Fleet
-	stands  []*cwstand.Server
-	servers []carobward.Address
-	lookup  []carobward.Address
+	// fleet runs in this process. It is nil if the entry VMs and servers are separate
+	// processes.
+	fleet    *cwfleet.Fleet
+	standIns []*cwstand.Server
+	servers  []carobward.Address
+	lookup   []carobward.Address
 
 	epoch time.Time
 	slice time.Duration
-	// variants that keep connections of their own.
+	// variants is the number of variants, each of which keeps its own connections.
 	variants int
 }
 
-// nameProduct is the variant of the product's own entry VMs.
+// nameProduct is the name of the variant that sends through real entry VMs.
 const nameProduct = "product"
 
-// slicePause parts the slices.
+// slicePause is the pause between slices.
 const slicePause = 700 * time.Millisecond
 
-// liveStart bounds the time until the fleet is ready.
+// liveStart is the timeout for the fleet to become ready.
 const liveStart = 30 * time.Second
 
-// Processes are entry VMs and stand-in servers that run apart.
+// Processes are the addresses of entry VMs and stand-in servers that run as
+// separate processes.
 type Processes struct {
-	// Lookup are the entry VMs' lookup addresses.
+	// Lookup has the lookup addresses of the entry VMs.
 	Lookup []carobward.Address
-	// Servers are the addresses of the stand-in servers.
+	// Servers has the addresses of the stand-in servers.
 	Servers []carobward.Address
 }
 
-// Attached takes variants through the scenario on processes that run apart.
-// The servers behave as they were told at their start; only their number,
-// slots and work of the scenario count, for the rate. The entry VMs must have
-// targets for /sheets/ and /fees/.
+// Attached runs variants through the scenario on separate processes. The servers
+// behave as configured at their start; the number of servers, slots and work of the
+// scenario only set the request rate. The entry VMs must have targets for /sheets/
+// and /fees/.
 func Attached(ctx context.Context, s Scenario, p Processes, variants []Variant, rounds int) ([]*Result, error) {
 	if len(p.Lookup) == 0 || len(p.Servers) == 0 {
 		return nil, errors.New("bench: want addresses of entry VMs and of servers")
@@ -67,20 +70,20 @@
 		return nil, err
 	}
 
-	l := &live{scenario: s, servers: p.Servers, lookup: p.Lookup, slice: s.end() + slicePause, epoch: time.Now()}
+	l := &liveRun{scenario: s, servers: p.Servers, lookup: p.Lookup, slice: s.end() + slicePause, epoch: time.Now()}
 
 	return l.rounds(ctx, variants, rounds)
 }
 
-// Live takes the baselines and the product through the scenario over
-// sockets, as many rounds as told, each with another seed. The baselines send
-// straight to the servers, without the hop over an entry VM.
+// Live runs the baselines and the product through the scenario over sockets, for a
+// number of rounds, each with another seed. The baselines send directly to the
+// servers, without the hop through an entry VM.
 func Live(ctx context.Context, s Scenario, variants []Variant, rounds int) ([]*Result, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
 	}
 
-	l := &live{scenario: s, slice: s.end() + slicePause, variants: len(variants)}
+	l := &liveRun{scenario: s, slice: s.end() + slicePause, variants: len(variants)}
 	if err := l.start(ctx); err != nil {
 		return nil, err
 	}
@@ -90,7 +93,7 @@
 	return l.rounds(ctx, variants, rounds)
 }
 
-func (l *live) rounds(ctx context.Context, variants []Variant, rounds int) ([]*Result, error) {
+func (l *liveRun) rounds(ctx context.Context, variants []Variant, rounds int) ([]*Result, error) {
 	var results []*Result
 
 	var senders []sender
@@ -120,7 +123,7 @@
 	return results, nil
 }
 
-func (l *live) start(ctx context.Context) error {
+func (l *liveRun) start(ctx context.Context) error {
 	s := &l.scenario
 	l.epoch = time.Now()
 	order := s.order()
@@ -146,9 +149,9 @@
 
 	l.fleet = fleet
 	l.lookup = fleet.Lookup()
-	l.stands = fleet.Servers[service]
+	l.standIns = fleet.Servers[service]
 
-	for _, one := range l.stands {
+	for _, one := range l.standIns {
 		l.servers = append(l.servers, one.Address())
 	}
 
@@ -173,13 +176,13 @@
 	return list
 }
 
-// The requests of a live run.
+// Paths of the requests of a live run.
 const (
 	pathQuick = "/sheets/"
 	pathOnce  = "/fees/"
 )
 
-// targets declares the two classes of a scenario.
+// targets declares the two targets of a scenario.
 func targets(s *Scenario) cwconfig.Change {
 	const body = 64 * carobward.Kilobyte
 
@@ -205,9 +208,9 @@
 	return pathQuick + id
 }
 
-// drive sends the arrivals of one slice, which starts with the servers'
-// schedules, and waits until all have ended.
-func (l *live) drive(ctx context.Context, send sender, arrivals []arrival, r *Result) error {
+// drive sends the arrivals of one slice, starting when the schedules of the servers
+// start, and waits until all requests have ended.
+func (l *liveRun) drive(ctx context.Context, send sender, arrivals []arrival, r *Result) error {
 	var (
 		group conc.WaitGroup
 		mutex sync.Mutex
@@ -254,8 +257,8 @@
 	return errors.Trace(ctx.Err())
 }
 
-// sleepUntil returns at a time, or at once if it has passed: a late start
-// counts from when it was meant.
+// sleepUntil waits until a time. It returns at once if the time has passed; the
+// latency of the request still counts from its intended start.
 func sleepUntil(ctx context.Context, at time.Time) error {
 	if left := time.Until(at); left > 0 {
 		t := time.NewTimer(left)
@@ -270,7 +273,7 @@
 	return ctx.Err()
 }
 
-func (l *live) counts() (cwstand.Counts, error) {
+func (l *liveRun) counts() (cwstand.Counts, error) {
 	var sum cwstand.Counts
 
 	for _, a := range l.servers {
--- a/internal/lab/cwbench/live_send.go
+++ b/internal/lab/cwbench/live_send.go
@@ -17,47 +17,48 @@
 	"carobward.example/carobward/pkg/cwcaller"
 )
 
-// LiveVariants returns the baselines and the product, for a live run.
+// LiveVariants returns the variants of a live run: the baselines and the product.
 func LiveVariants() []Variant { return append(Baselines(), Variant{Name: nameProduct}) }
 
-// AttachedVariants returns those that need not see into the servers.
+// AttachedVariants returns the live variants that need no access to the state of
+// the servers.
 func AttachedVariants() []Variant {
 	return slices.DeleteFunc(LiveVariants(), func(v Variant) bool { return v.Name == nameTruth })
 }
 
-// sender returns how a variant sends requests.
-func (l *live) sender(v *Variant) sender {
+// sender returns the function with which a variant sends requests.
+func (l *liveRun) sender(v *Variant) sender {
 	if v.Policy == nil {
 		return productSender(l.scenario.Seed, l.lookup)
 	}
 
-	stacks := make([]*stack, l.scenario.VMs)
-	for i := range stacks {
-		stacks[i] = l.stack(v)
+	baselines := make([]*baselineClient, l.scenario.VMs)
+	for i := range baselines {
+		baselines[i] = l.newBaselineClient(v)
 	}
 
 	return func(ctx context.Context, a *arrival, id string) outcome {
-		return stacks[int(a.spot*float64(len(stacks)))].send(ctx, a, id)
+		return baselines[int(a.selector*float64(len(baselines)))].send(ctx, a, id)
 	}
 }
 
-// callers is how many callers a live run stands for: each asks on its own
-// which addresses to use.
+// callers is the number of callers that a live run simulates. Each looks up the
+// addresses of entry VMs on its own.
 const callers = 64
 
-// productSender sends as callers of the entry VMs do.
+// productSender returns a sender that uses the entry VMs as callers do.
 func productSender(seed uint64, lookup []carobward.Address) sender {
 	var clients []*cwcaller.Client
 
 	for i := range callers {
 		rng := random(seed, uint64(i))
-		mine := make([]carobward.Address, len(lookup))
+		shuffled := make([]carobward.Address, len(lookup))
 
 		for to, from := range rng.Perm(len(lookup)) {
-			mine[to] = lookup[from]
+			shuffled[to] = lookup[from]
 		}
 
-		o := cwcaller.Options{Caller: strconv.Itoa(i), Lookup: mine, Timeout: liveTimeout, Tries: 1}
+		o := cwcaller.Options{Caller: strconv.Itoa(i), Lookup: shuffled, Timeout: liveTimeout, Tries: 1}
 		clients = append(clients, cwcaller.New(o, carobward.SystemClock{}))
 	}
 
@@ -67,20 +68,21 @@
 			Header: carobward.Header{{Name: carobward.HeaderID, Value: id}},
 		}
 
-		reply, err := clients[int(a.spot*callers)].Do(ctx, r)
+		reply, err := clients[int(a.selector*callers)].Do(ctx, r)
 		if reply == nil {
-			return ended(0, err)
+			return outcomeOf(0, err)
 		}
 
-		return ended(reply.Status, err)
+		return outcomeOf(reply.Status, err)
 	}
 }
 
-// liveTimeout bounds a request whose context has no deadline.
+// liveTimeout is the timeout of a request whose context has no deadline.
 const liveTimeout = 10 * time.Second
 
-// ended tells how a request ended.
-func ended(status int, err error) outcome {
+// outcomeOf returns the outcome of a request from the status and error with which
+// it ended.
+func outcomeOf(status int, err error) outcome {
 	switch {
 	case err == nil && status < fasthttp.StatusInternalServerError:
 		return answered
@@ -93,16 +95,16 @@
 	}
 }
 
-// stack is what a baseline has in place of an entry VM: a table, a policy
-// and connections of its own.
-type stack struct {
-	rows   []*cwserver.Server
-	policy cwroute.Policy
-	link   *cwlink.Link
-	tries  int
+// baselineClient replaces an entry VM for a baseline. It has its own table, policy
+// and connections.
+type baselineClient struct {
+	backends []*cwserver.Server
+	policy   cwroute.Policy
+	link     *cwlink.Link
+	tries    int
 }
 
-func (l *live) stack(v *Variant) *stack {
+func (l *liveRun) newBaselineClient(v *Variant) *baselineClient {
 	var list []carobward.VM
 	for _, a := range l.servers {
 		list = append(list, carobward.VM{Address: a, Service: service})
@@ -116,32 +118,33 @@
 		MaxHeaderSize: 4 * carobward.Kilobyte,
 	}
 
-	return &stack{
-		rows:   table.Of(service),
-		policy: v.Policy(&World{expect: l.expect}),
-		link:   cwlink.New(o, carobward.SystemClock{}),
-		tries:  v.Tries,
+	return &baselineClient{
+		backends: table.Of(service),
+		policy:   v.Policy(&Environment{expectedTime: l.expectedTime}),
+		link:     cwlink.New(o, carobward.SystemClock{}),
+		tries:    v.Tries,
 	}
 }
 
-// expect is the time that one more call would take on a server now.
-func (l *live) expect(server int) float64 {
-	s := l.stands[server]
+// expectedTime returns the time that one more call would take on a server now, in
+// units of the mean work.
+func (l *liveRun) expectedTime(server int) float64 {
+	s := l.standIns[server]
 	held := float64(s.Running() + s.Waiting())
-	turns := max(1, (held+1)/float64(l.scenario.Slots))
+	rounds := max(1, (held+1)/float64(l.scenario.Slots))
 
-	return turns / s.Rate()
+	return rounds / s.Rate()
 }
 
 // send tries servers until one answers.
-func (s *stack) send(ctx context.Context, a *arrival, id string) outcome {
+func (s *baselineClient) send(ctx context.Context, a *arrival, id string) outcome {
 	var tried []*cwserver.Server
 
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	last := shed
 
 	for n := range s.tries {
-		to := s.policy.Choose(time.Now(), s.rows, tried, rng)
+		to := s.policy.Choose(time.Now(), s.backends, tried, rng)
 		if to == nil {
 			break
 		}
@@ -156,22 +159,22 @@
 	return last
 }
 
-func (s *stack) attempt(ctx context.Context, to *cwserver.Server, a *arrival, id string) outcome {
+func (s *baselineClient) attempt(ctx context.Context, to *cwserver.Server, a *arrival, id string) outcome {
 	deadline, _ := ctx.Deadline()
 	call := &carobward.Call{
 		ID: carobward.RequestID(id), Method: fasthttp.MethodGet, URI: uri(a, id), Host: "bench",
 		Deadline: deadline, MaxReply: 4 * carobward.Kilobyte,
 	}
 
-	noted := to.Begin(time.Now())
+	tracked := to.Begin(time.Now())
 	reply, err := s.link.Exchange(ctx, to.Address, call)
-	o := ended(status(reply), err)
+	o := outcomeOf(status(reply), err)
 
 	if err == nil && reply.Shed {
 		o = shed
 	}
 
-	noted.End(time.Now(), seen[o])
+	tracked.End(time.Now(), tableOutcomes[o])
 
 	if err == nil {
 		to.SetReport(reply.Report)
@@ -180,7 +183,7 @@
 	return o
 }
 
-// status is that of a reply, or zero if there is none.
+// status returns the status of a reply, or zero if there is no reply.
 func status(r *carobward.Reply) int {
 	if r == nil {
 		return 0
--- a/internal/lab/cwbench/live_test.go
+++ b/internal/lab/cwbench/live_test.go
@@ -7,15 +7,15 @@
 )
 
 func TestLiveRunsOverSockets(t *testing.T) {
-	s := Atlas().at(0.2)
+	s := Atlas().withLoad(0.2)
 	s.VMs, s.Servers, s.Work = 2, 3, 20*time.Millisecond
 	s.Warm, s.Length, s.Timeout = 100*time.Millisecond, 300*time.Millisecond, 5*time.Second
 	s.Once = 0.5
 
 	tests := map[string]func(ctx context.Context) ([]*Result, error){
-		"embedded": func(ctx context.Context) ([]*Result, error) { return Live(ctx, s, LiveVariants()[2:], 1) },
-		"apart": func(ctx context.Context) ([]*Result, error) {
-			l := &live{scenario: s, slice: time.Second, variants: 5}
+		"embedded fleet": func(ctx context.Context) ([]*Result, error) { return Live(ctx, s, LiveVariants()[2:], 1) },
+		"separate processes": func(ctx context.Context) ([]*Result, error) {
+			l := &liveRun{scenario: s, slice: time.Second, variants: 5}
 			if err := l.start(ctx); err != nil {
 				return nil, err
 			}
@@ -35,15 +35,15 @@
 
 			for _, r := range list {
 				if r.Total < 20 || r.Answered != r.Calls {
-					t.Errorf("%s: %d of %d answered, %d in all", r.Variant, r.Answered, r.Calls, r.Total)
+					t.Errorf("%s: %d of %d requests answered, %d including the warm-up", r.Variant, r.Answered, r.Calls, r.Total)
 				}
 
 				if got := r.Servers.Ran; got < int64(r.Total) {
-					t.Errorf("%s: the servers ran %d of %d", r.Variant, got, r.Total)
+					t.Errorf("%s: the servers ran %d of %d requests", r.Variant, got, r.Total)
 				}
 
 				if r.Servers.ReportBytes == 0 {
-					t.Errorf("%s: no report was counted", r.Variant)
+					t.Errorf("%s: the servers counted no report bytes", r.Variant)
 				}
 			}
 		})
@@ -52,6 +52,6 @@
 
 func TestAttachedWantsAddresses(t *testing.T) {
 	if _, err := Attached(context.Background(), Atlas(), Processes{}, nil, 1); err == nil {
-		t.Error("no error without addresses")
+		t.Error("Attached without addresses returned no error")
 	}
 }
--- a/internal/lab/cwbench/plot.go
+++ b/internal/lab/cwbench/plot.go
@@ -17,9 +17,9 @@
 	plotHeight = 6 * vg.Inch
 )
 
-// Plot draws the tails of a scenario's results to a file: latency in
-// milliseconds over the share of requests that took longer. The ending of
-// the file's name says the format, such as .svg or .png.
+// Plot draws the latency tails of the results of a scenario to a file: latency in
+// milliseconds over the share of requests that took longer. The extension of the
+// file name, such as .svg or .png, selects the format.
 func Plot(file, scenario string, results []*Result) error {
 	p := plot.New()
 	p.Title.Text = scenario
@@ -31,7 +31,7 @@
 	return draw(p, file, scenario, results, tail)
 }
 
-// PlotSeries draws the answers a second over the time of the run.
+// PlotSeries draws the whole replies a second over the time of the run.
 func PlotSeries(file, scenario string, results []*Result) error {
 	p := plot.New()
 	p.Title.Text = scenario
@@ -68,7 +68,8 @@
 
 func colour(i int) color.Color { return plotutil.Color(i) }
 
-// tail goes from the fastest half to one request in ten thousand.
+// tail returns the latencies from the fastest request to the slowest one in ten
+// thousand.
 func tail(r *Result) plotter.XYs {
 	const (
 		perDecade = 20
@@ -99,8 +100,8 @@
 	return points
 }
 
-// PlotWorst draws what became of a pattern's requests over the time at which they
-// came.
+// PlotWorst draws the outcomes of the requests of a pattern over their arrival
+// times.
 func PlotWorst(file string, r *WorstResult) error {
 	p := plot.New()
 	p.Title.Text = r.Pattern + ", " + r.Way
@@ -120,7 +121,7 @@
 
 		for j := range r.Series {
 			points = append(points, plotter.XY{
-				X: float64(j) * worstStep.Seconds(), Y: float64(l.count(&r.Series[j])) / worstStep.Seconds(),
+				X: float64(j) * replayStepLength.Seconds(), Y: float64(l.count(&r.Series[j])) / replayStepLength.Seconds(),
 			})
 		}
 
--- a/internal/lab/cwbench/result.go
+++ b/internal/lab/cwbench/result.go
@@ -8,27 +8,27 @@
 	"carobward.example/carobward/internal/cwstand"
 )
 
-// Result is what became of one variant. Only arrivals after the warm-up
-// count, but for the servers' own counts and the series.
+// Result has the figures of one variant. Arrivals during the warm-up count only in
+// the fields that cover the whole run.
 type Result struct {
-	// Scenario and Variant name the run.
+	// Scenario and Variant identify the run.
 	Scenario, Variant string
-	// Calls counts the requests; each ends as Answered, Shed, Failed or
-	// TimedOut.
+	// Calls counts the requests. Each ends as Answered, Shed, Failed or TimedOut.
 	Calls, Answered, Shed, Failed, TimedOut int
-	// Quick and Once hold latencies from the intended start in microseconds.
-	// A request that was not answered counts as the timeout.
+	// Quick and Once hold latencies from the intended start in microseconds. A
+	// request that was not answered counts with at least the timeout.
 	Quick, Once Latency
-	// Attempts counts sendings over the whole run, Extra those after the
-	// first one of a request, Hedges those for a request that was still out.
+	// Attempts counts the sends over the whole run, Extra those after the first send
+	// of a request, Hedges those made while an earlier one was in flight.
 	Attempts, Extra, Hedges int
-	// Reports counts the reports that came with replies, over the whole run.
+	// Reports counts the load reports received with replies, over the whole run.
 	Reports int
 	// Total counts the requests of the whole run.
 	Total int
-	// Servers is what the servers counted over the whole run.
+	// Servers has the counters of the servers over the whole run.
 	Servers cwstand.Counts
-	// Trouble tells how the scenario's stretch of trouble went, if it has one.
+	// Trouble has the figures for Scenario.Trouble, if the scenario has such an
+	// interval.
 	Trouble *Trouble
 	// Series holds the whole run in steps of SeriesStep.
 	Series []Step
@@ -39,8 +39,7 @@
 // Latency is a distribution of latencies in microseconds.
 type Latency struct {
 	P50, P90, P99, P999, Max int64
-	// Calls counts the requests of the class, Answered those that got a whole
-	// answer.
+	// Calls counts the requests of the class, Answered those that got a whole reply.
 	Calls, Answered int
 
 	histogram *hdrhistogram.Histogram
@@ -49,22 +48,22 @@
 // SeriesStep is the length of one step of a series.
 const SeriesStep = 100 * time.Millisecond
 
-// Step is what happened in one step of a run.
+// Step has the counts of one step of a run.
 type Step struct {
-	// Arrived counts requests by their intended start, Answered whole
-	// answers by when they reached the caller, and Lost the rest.
+	// Arrived counts requests by their intended start, Answered whole replies by the
+	// time they reached the caller, and Lost the requests that ended without one.
 	Arrived, Answered, Lost int
-	// Worst is the largest latency of an answer, in microseconds.
+	// Worst is the largest latency of a reply, in microseconds.
 	Worst int64
 }
 
-// The range of latencies in microseconds.
+// Range and precision (significant digits) of latency histograms, in microseconds.
 const (
-	latencyMost   = 600_000_000
+	maxLatency    = 600_000_000
 	latencyDigits = 3
 )
 
-func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, latencyMost, latencyDigits) }
+func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatency, latencyDigits) }
 
 func newResult(s *Scenario, v *Variant) *Result {
 	r := &Result{Scenario: s.Name, Variant: v.Name, scenario: s}
@@ -75,7 +74,7 @@
 	return r
 }
 
-// count takes the end of a request as its caller saw it.
+// count records the end of a request as its caller sees it.
 func (r *Result) count(a *arrival, o outcome, at time.Duration) {
 	took := at - a.at
 	r.Total++
@@ -132,10 +131,10 @@
 		l.Answered++
 	}
 
-	_ = l.histogram.RecordValue(min(took.Microseconds(), latencyMost))
+	_ = l.histogram.RecordValue(min(took.Microseconds(), maxLatency))
 }
 
-// quantiles fills in the figures from the histogram.
+// quantiles computes the quantiles from the histogram.
 func (l *Latency) quantiles() {
 	l.P50 = l.histogram.ValueAtQuantile(50)
 	l.P90 = l.histogram.ValueAtQuantile(90)
@@ -144,7 +143,7 @@
 	l.Max = l.histogram.Max()
 }
 
-// add takes another run of the same scenario and variant.
+// add adds another run of the same scenario and variant.
 func (r *Result) add(o *Result) {
 	r.Calls += o.Calls
 	r.Answered += o.Answered
--- a/internal/lab/cwbench/run.go
+++ b/internal/lab/cwbench/run.go
@@ -4,7 +4,7 @@
 	"github.com/sourcegraph/conc/iter"
 )
 
-// run is one variant on its way through a scenario.
+// run is one simulation of a scenario with one variant.
 type run struct {
 	scenario *Scenario
 	variant  *Variant
@@ -14,9 +14,9 @@
 	result   *Result
 }
 
-// Run takes all variants through the scenario, each with the same arrivals
-// and the same servers. At most as many run at once as parallel says; the
-// results do not depend on it.
+// Run simulates all variants in the scenario, each with the same arrivals and the
+// same servers. Up to parallel variants run at once; the results do not depend on
+// it.
 func Run(s Scenario, variants []Variant, parallel int) ([]*Result, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
@@ -28,9 +28,9 @@
 	return m.Map(variants, func(v *Variant) *Result { return runOne(&s, v, arrivals) }), nil
 }
 
-// RunSuite runs all scenarios of a suite with as many seeds, counted up from
-// the scenarios' own, and adds up the results of each pair of scenario and
-// variant.
+// RunSuite runs all scenarios of a suite with a number of consecutive seeds,
+// starting with the seed of the scenario, and adds up the results of each pair of
+// scenario and variant.
 func RunSuite(s Suite, seeds, parallel int) ([]*Result, error) {
 	var all []*Result
 
@@ -95,8 +95,8 @@
 	return r.result
 }
 
-// arrive adds the first arrival, which adds the next one when it comes, so
-// that the heap stays small.
+// arrive schedules the first arrival. Each arrival schedules the next one, which
+// keeps the heap small.
 func (r *run) arrive(list []arrival) {
 	if len(list) == 0 {
 		return
@@ -105,6 +105,6 @@
 	a := &list[0]
 	r.timeline.add(a.at+r.scenario.Client, func() {
 		r.arrive(list[1:])
-		r.entries[int(a.spot*float64(len(r.entries)))].take(a)
+		r.entries[int(a.selector*float64(len(r.entries)))].accept(a)
 	})
 }
--- a/internal/lab/cwbench/run_test.go
+++ b/internal/lab/cwbench/run_test.go
@@ -23,7 +23,7 @@
 	return got
 }
 
-// short is a scenario that takes little time.
+// short returns a scenario that runs fast.
 func short() Scenario {
 	s := Atlas()
 	s.VMs, s.Servers = 6, 9
@@ -52,11 +52,12 @@
 	}
 
 	if written(3, 1) == written(4, 1) {
-		t.Error("another seed gave the same results")
+		t.Error("seeds 3 and 4 gave the same results")
 	}
 }
 
-// All variants must face the same requests and the same servers.
+// TestVariantsArePaired checks that all variants get the same requests at the same
+// times.
 func TestVariantsArePaired(t *testing.T) {
 	list := results(t, short(), Baselines(), 2)
 	for _, r := range list[1:] {
@@ -68,9 +69,10 @@
 	}
 }
 
-// quiet is one entry VM at no distance from servers that never slow down.
+// quiet returns a scenario with one entry VM, no network delay, and servers that
+// never slow down.
 func quiet(servers, slots int, load float64) Scenario {
-	s := Atlas().at(load)
+	s := Atlas().withLoad(load)
 	s.VMs, s.Domains, s.Servers, s.Slots = 1, 1, servers, slots
 	s.Between, s.Within, s.Client, s.Open = 0, 0, 0, 0
 	s.Noise = cwstand.Noise{}
@@ -80,8 +82,9 @@
 	return s
 }
 
-// The mean wait is known: Pollaczek and Khinchine for one slot, the formula
-// of Lee and Longton on top of Erlang C for several, which is an estimate.
+// TestModelMatchesQueueingTheory compares the mean latency with the theoretical
+// one: the Pollaczek-Khinchine formula for one slot, and for several slots the
+// Lee-Longton approximation on top of Erlang C.
 func TestModelMatchesQueueingTheory(t *testing.T) {
 	tests := map[string]struct {
 		slots     int
@@ -113,7 +116,7 @@
 	}
 }
 
-// erlangC is the share of calls that wait.
+// erlangC returns the share of calls that wait.
 func erlangC(slots int, load float64) float64 {
 	offered := float64(slots) * load
 	term, sum := 1.0, 1.0
@@ -128,12 +131,13 @@
 	return last / (sum + last)
 }
 
-// A stall must show in the latency of every request that was meant to start
-// in it, not only in those that a waiting caller had sent.
+// TestArrivalsAreOpenLoop checks that a stall shows in the latency of every request
+// that was meant to start during it, not only of those that a blocked caller had
+// sent.
 func TestArrivalsAreOpenLoop(t *testing.T) {
 	s := quiet(4, 4, 0.3)
 	s.Length = 5 * time.Second
-	s = s.fault(Fault{Kind: FaultStall, Servers: 4, Stretch: Stretch{From: 3 * time.Second, To: 4 * time.Second}, Factor: math.Inf(1)})
+	s = s.withFault(Fault{Kind: FaultStall, Servers: 4, Interval: Interval{From: 3 * time.Second, To: 4 * time.Second}, Factor: math.Inf(1)})
 	r := results(t, s, Baselines()[3:], 1)[0]
 
 	slow := 0
@@ -143,11 +147,11 @@
 		}
 	}
 
-	// What came in the first x seconds of the stall waits for 1-x seconds and
-	// then for as long as those before it take.
+	// A request that arrives x seconds into the stall waits for 1-x seconds, and then
+	// for the requests before it.
 	want := 0.5 / (1 - s.Load) * s.Load * s.capacity()
 	if math.Abs(float64(slow)-want) > 0.1*want {
-		t.Errorf("requests that waited for half a second or more: got %d, want %.0f", slow, want)
+		t.Errorf("requests that took half a second or more: got %d, want %.0f", slow, want)
 	}
 }
 
@@ -156,30 +160,30 @@
 	s.VMs, s.Servers = 3, 4
 	s.Length = 8 * time.Second
 	s.Faults[0].Servers = s.Servers
-	list := results(t, s, Storms(), 2)
+	list := results(t, s, RetryStorms(), 2)
 
 	if list[0].Trouble.Recovered {
-		t.Errorf("unlimited retries recovered after %s", list[0].Trouble.Recovery)
+		t.Errorf("with unlimited retries, the servers recovered after %s", list[0].Trouble.Recovery)
 	}
 
 	if !list[1].Trouble.Recovered {
-		t.Error("without retries of timeouts it did not recover")
+		t.Error("without retries after timeouts, the servers did not recover")
 	}
 }
 
-// At 120 % the product keeps the servers busy with work in time, and does
-// not starve run-once work.
+// TestProductHoldsGoodputInOverload checks that at 120 % load the product keeps the
+// servers busy with calls that end in time and does not starve run-once calls.
 func TestProductHoldsGoodputInOverload(t *testing.T) {
 	s := overload()
 	s.VMs, s.Servers, s.Length = 3, 4, 10*time.Second
 	r := results(t, s, Products()[2:], 1)[0]
 
 	if share := float64(r.Trouble.Answered) / float64(r.Trouble.Room); share < 0.95 {
-		t.Errorf("answered in trouble: %.2f of what the servers could run", share)
+		t.Errorf("answered during the overload: %.2f of what the servers could run", share)
 	}
 
 	if share := float64(r.Once.Answered) / float64(r.Once.Calls); share < 0.95 {
-		t.Errorf("answered run-once work: %.2f", share)
+		t.Errorf("answered run-once calls: %.2f", share)
 	}
 
 	if r.Shed == 0 || r.TimedOut > r.Shed/10 {
@@ -187,7 +191,7 @@
 	}
 
 	if !r.Trouble.Recovered {
-		t.Error("not back to normal before the end")
+		t.Error("latency did not return to normal before the end of the run")
 	}
 }
 
@@ -200,21 +204,21 @@
 	}{
 		"draining servers shed": {
 			func(s Scenario) Scenario {
-				return s.fault(Fault{Kind: FaultDrain, Servers: 1, Stretch: Stretch{To: s.end()}})
+				return s.withFault(Fault{Kind: FaultDrain, Servers: 1, Interval: Interval{To: s.end()}})
 			},
 			func(r *Result) bool { return r.Servers.Shed > 0 && r.Answered == r.Calls },
 		},
 		"failing servers fail": {
 			func(s Scenario) Scenario {
-				return s.fault(Fault{Kind: FaultFail, Servers: 9, Stretch: Stretch{To: cwstand.Forever}})
+				return s.withFault(Fault{Kind: FaultFail, Servers: 9, Interval: Interval{To: cwstand.Forever}})
 			},
 			func(r *Result) bool { return r.Servers.Began == 0 && r.Failed == r.Calls && r.Attempts == 3*r.Total },
 		},
-		"run-once work is not repeated": {
+		"run-once calls are not retried": {
 			func(s Scenario) Scenario {
 				s.Once = 1
 
-				return s.fault(Fault{Kind: FaultFail, Servers: 9, Stretch: Stretch{To: cwstand.Forever}})
+				return s.withFault(Fault{Kind: FaultFail, Servers: 9, Interval: Interval{To: cwstand.Forever}})
 			},
 			func(r *Result) bool { return r.Attempts == r.Total && r.Failed == r.Calls },
 		},
@@ -226,7 +230,7 @@
 			},
 			func(r *Result) bool { return r.Shed > 0 && r.Answered+r.Shed == r.Calls },
 		},
-		"connections are bounded": {
+		"connections are limited": {
 			func(s Scenario) Scenario {
 				s.Load, s.Queue, s.Conns = 2, 1<<20, 12
 
@@ -253,28 +257,28 @@
 	r := results(t, s, Products()[1:2], 1)[0]
 
 	if share := float64(r.Hedges) / float64(r.Total); share > cwretry.Share+0.01 || share == 0 {
-		t.Errorf("hedges: got %.3f of the calls, want up to %.3f", share, cwretry.Share)
+		t.Errorf("share of hedges: got %.3f of the calls, want above 0 and up to %.3f", share, cwretry.Share)
 	}
 
 	if r.Servers.Cancelled == 0 {
-		t.Error("no loser was cancelled")
+		t.Error("no hedged attempt was cancelled")
 	}
 }
 
 func TestReportsKeepToTheBudget(t *testing.T) {
 	s := short()
 	s.Length = 3 * time.Second
-	s.Measure = 64 << 10
+	s.ReportBudget = 64 << 10
 	product := Products()[2:]
 
 	seconds := (s.end() + s.Timeout).Seconds()
 	first := s.VMs * s.Servers
 
-	if got, most := results(t, s, product, 1)[0].Reports, first+int(seconds*64*1024/2/reportBytes); got <= first || got > most {
-		t.Errorf("reports: got %d, want more than the first %d and up to %d", got, first, most)
+	if got, maxReports := results(t, s, product, 1)[0].Reports, first+int(seconds*64*1024/2/reportBytes); got <= first || got > maxReports {
+		t.Errorf("reports: got %d, want more than the first %d and up to %d", got, first, maxReports)
 	}
 
-	s.Measure = 0
+	s.ReportBudget = 0
 	if r := results(t, s, product, 1)[0]; r.Reports < r.Total {
 		t.Errorf("without a budget: %d reports for %d calls", r.Reports, r.Total)
 	}
--- a/internal/lab/cwbench/scenario.go
+++ b/internal/lab/cwbench/scenario.go
@@ -8,72 +8,76 @@
 	"carobward.example/carobward/internal/cwstand"
 )
 
-// Scenario is what all variants of one run have in common.
+// Scenario has the conditions that all variants of a run share.
 type Scenario struct {
-	// Name tells what it is for.
+	// Name says what the scenario is for.
 	Name string
-	// Seed fixes arrivals, work, schedules and choices.
+	// Seed determines arrivals, work, schedules and random choices.
 	Seed uint64
-	// VMs is the number of entry VMs, Domains that of failure domains. VMs
-	// and servers are spread over the domains in turn.
+	// VMs is the number of entry VMs, Domains the number of failure domains. VMs and
+	// servers are assigned to the domains round-robin.
 	VMs, Domains int
-	// Servers is the number of servers, Slots how many calls each runs.
+	// Servers is the number of servers, Slots the number of calls that each runs at
+	// once.
 	Servers, Slots int
-	// Conns is how many connections a server takes, Open what one costs.
+	// Conns is the number of connections that a server accepts, Open the time to open
+	// one.
 	Conns int
 	Open  time.Duration
-	// Queue is how many calls wait at a server before it sheds.
+	// Queue is the number of calls that wait at a server before it sheds load.
 	Queue int
-	// Between, Within and Client are one-way delays: between failure
-	// domains, inside one, and between caller and entry VM.
+	// Between, Within and Client are one-way network delays: between failure domains,
+	// inside one, and between caller and entry VM.
 	Between, Within, Client time.Duration
-	// Work is the mean time of a call in a slot, Spread the sigma of its
-	// lognormal distribution.
+	// Work is the mean time of a call in a slot, Spread the sigma of its lognormal
+	// distribution.
 	Work   time.Duration
 	Spread float64
-	// Load is the arrival rate as a share of all slots at full speed.
+	// Load is the arrival rate as a share of the capacity of all slots at full speed.
 	Load float64
-	// Surges change the load for a while.
+	// Surges override the load for a time.
 	Surges []Surge
-	// Once is the share of calls that run at most once.
+	// Once is the share of calls that must run at most once.
 	Once float64
-	// Timeout is when a caller's request is given up.
+	// Timeout is the time after which a caller gives up.
 	Timeout time.Duration
-	// Warm is left out of the figures; Length follows it.
+	// Warm is the length of the warm-up, which the figures leave out. Length is the
+	// time after it.
 	Warm, Length time.Duration
-	// Noise slows each server down on its own schedule.
+	// Noise slows down each server on its own schedule.
 	Noise cwstand.Noise
-	// Faults happen besides.
+	// Faults are injected in addition to the noise.
 	Faults []Fault
-	// Trouble is the stretch whose goodput and aftermath are of interest.
-	Trouble Stretch
-	// ReportLag and ReportLie spoil the reports of as many servers as
-	// Misleading says.
+	// Trouble is the interval for which goodput and the time to recover are reported.
+	Trouble Interval
+	// ReportLag and ReportLie make the load reports of the first Misleading servers,
+	// in the order that the seed draws, stale or wrong.
 	ReportLag  time.Duration
 	ReportLie  cwstand.Lie
 	Misleading int
-	// Measure is the operator's budget for measuring in bytes a second. Half
-	// of each entry VM's share is for reports on replies. Zero: each reply
-	// has one.
-	Measure int
+	// ReportBudget is the budget of the operator for load measurements, in bytes a
+	// second. Half of the share of each entry VM is for reports in replies. With
+	// zero, every reply carries a report.
+	ReportBudget int
 }
 
-// Stretch is a stretch of time.
-type Stretch struct{ From, To time.Duration }
+// Interval is a half-open time interval.
+type Interval struct{ From, To time.Duration }
 
-// holds tells whether a time is in the stretch.
-func (s Stretch) holds(at time.Duration) bool { return s.From <= at && at < s.To }
+// contains reports whether a time is in the interval.
+func (s Interval) contains(at time.Duration) bool { return s.From <= at && at < s.To }
 
-// Surge sets another load for a while.
+// Surge sets another load for a time.
 type Surge struct {
-	Stretch
+	Interval
 	Load float64
 }
 
-// loadOf returns the load of the first surge that holds at a time, or the usual one.
+// loadOf returns the load of the first surge that is active at a time, or the usual
+// one.
 func loadOf(surges []Surge, at time.Duration, usual float64) float64 {
 	for _, s := range surges {
-		if s.holds(at) {
+		if s.contains(at) {
 			return s.Load
 		}
 	}
@@ -81,25 +85,25 @@
 	return usual
 }
 
-// FaultKind is what goes wrong.
+// FaultKind is the kind of a fault.
 type FaultKind string
 
-// The faults.
+// Kinds of faults.
 const (
 	// FaultStall stops all work.
 	FaultStall FaultKind = "stall"
-	// FaultSlow makes a straggler, or a server that starts cold.
+	// FaultSlow slows a server down, as for a straggler or during warm-up.
 	FaultSlow FaultKind = "slow"
 	// FaultFail answers each call at once with a failure.
 	FaultFail FaultKind = "fail"
-	// FaultDrain sheds all new work and says so in reports.
+	// FaultDrain sheds all new calls and reports that the server is draining.
 	FaultDrain FaultKind = "drain"
 )
 
-// Fault happens to some servers: in an order that the seed draws, as many as
-// Servers says from First on.
+// Fault affects some of the servers: Servers of them, starting with number First in
+// the order that the seed draws.
 type Fault struct {
-	Stretch
+	Interval
 
 	Kind    FaultKind
 	First   int
@@ -108,10 +112,10 @@
 	Factor float64
 }
 
-// hits tells whether the fault happens to the server at a place in the order.
-func (f *Fault) hits(place int) bool { return f.First <= place && place < f.First+f.Servers }
+// affects reports whether the fault affects the server at an index of the order.
+func (f *Fault) affects(index int) bool { return f.First <= index && index < f.First+f.Servers }
 
-// The sizes that both deployments share.
+// Defaults that both deployments share.
 const (
 	defaultConns   = 250
 	defaultQueue   = 64
@@ -126,12 +130,12 @@
 	defaultVMs     = 19
 )
 
-// Noisy is the slow-down by neighbours that the runs use.
+// Noisy returns the usual slowdown of servers by other load on their machines.
 func Noisy() cwstand.Noise {
 	return cwstand.Noise{Every: 600 * time.Millisecond, For: 60 * time.Millisecond, Factor: 5}
 }
 
-// Atlas returns the flight records of Atlas.
+// Atlas returns the scenario of the flight record service of Atlas.
 func Atlas() Scenario {
 	s := base("atlas")
 	s.Servers, s.Slots = 30, 4
@@ -140,7 +144,7 @@
 	return s
 }
 
-// Pase returns the pass records of Pase Ciudad.
+// Pase returns the scenario of the pass record service of Pase Ciudad.
 func Pase() Scenario {
 	s := base("pase")
 	s.Servers, s.Slots = 25, 6
@@ -160,7 +164,7 @@
 
 const atLeastOne = "at least 1"
 
-// Validate names what is wrong.
+// Validate returns an error that names the first invalid field.
 func (s *Scenario) Validate() error {
 	for _, f := range []struct {
 		name string
@@ -186,28 +190,28 @@
 	return nil
 }
 
-// capacity is the calls a second that all slots carry at full speed.
+// capacity returns the number of calls a second that all slots run at full speed.
 func (s *Scenario) capacity() float64 {
 	return float64(s.Servers*s.Slots) / s.Work.Seconds()
 }
 
-// reportBytes is what a report costs with the question for it.
+// reportBytes is the size of a load report including the request for it.
 const reportBytes = 256
 
-// reportEvery is the least age of a report at which an entry VM asks for the
+// reportEvery returns the minimum age of a report at which an entry VM requests the
 // next one, see cwbudget.Reports.
 func (s *Scenario) reportEvery() time.Duration {
 	const share = 2
 
-	if s.Measure == 0 {
+	if s.ReportBudget == 0 {
 		return 0
 	}
 
-	return time.Duration(s.Servers*s.VMs*reportBytes*share) * time.Second / time.Duration(s.Measure)
+	return time.Duration(s.Servers*s.VMs*reportBytes*share) * time.Second / time.Duration(s.ReportBudget)
 }
 
-// end is when the last arrival comes.
+// end returns the time at which arrivals end.
 func (s *Scenario) end() time.Duration { return s.Warm + s.Length }
 
-// loadAt is the load at a time.
+// loadAt returns the load at a time.
 func (s *Scenario) loadAt(at time.Duration) float64 { return loadOf(s.Surges, at, s.Load) }
--- a/internal/lab/cwbench/suite.go
+++ b/internal/lab/cwbench/suite.go
@@ -12,73 +12,73 @@
 	"carobward.example/carobward/internal/cwstand"
 )
 
-// Suite is a set of scenarios that the same variants run through.
+// Suite is a set of scenarios, each run with the same variants.
 type Suite struct {
-	// Name and Usage tell what it is for.
+	// Name and Usage identify and describe the suite.
 	Name, Usage string
-	// Scenarios are run one after the other.
+	// Scenarios run one after the other.
 	Scenarios []Scenario
 	// Variants are run in each scenario.
 	Variants []Variant
 }
 
-// Suites lists all suites.
+// Suites returns all suites.
 func Suites() []Suite {
 	return []Suite{
 		{
 			Name:  "carriers",
-			Usage: "How many entry VMs carry a target: 19, 6 and 3, at 70 and 85 % of slots.",
+			Usage: "Number of entry VMs that serve a target: 19, 6 and 3, at 70 and 85 % of the capacity.",
 			Scenarios: []Scenario{
-				Atlas().at(lowLoad), Atlas().at(highLoad),
+				Atlas().withLoad(lowLoad), Atlas().withLoad(highLoad),
 			},
-			Variants: slices.Concat(Baselines(), Products(), few(Products()), few(Baselines()[2:3])),
+			Variants: slices.Concat(Baselines(), Products(), withFewCarriers(Products()), withFewCarriers(Baselines()[2:3])),
 		},
 		{
 			Name:  "goals",
-			Usage: "Both deployments at 50, 70 and 85 % of slots, with stragglers.",
+			Usage: "Both deployments at 50, 70 and 85 % of the capacity, with stragglers.",
 			Scenarios: []Scenario{
-				Atlas().at(halfLoad).stragglers(), Atlas().at(lowLoad).stragglers(), Atlas().at(highLoad).stragglers(),
-				Pase().at(halfLoad).stragglers(), Pase().at(lowLoad).stragglers(), Pase().at(highLoad).stragglers(),
+				Atlas().withLoad(halfLoad).stragglers(), Atlas().withLoad(lowLoad).stragglers(), Atlas().withLoad(highLoad).stragglers(),
+				Pase().withLoad(halfLoad).stragglers(), Pase().withLoad(lowLoad).stragglers(), Pase().withLoad(highLoad).stragglers(),
 			},
-			Variants: slices.Concat(Baselines(), Products(), few(Products())),
+			Variants: slices.Concat(Baselines(), Products(), withFewCarriers(Products())),
 		},
 		{
 			Name:      "ablation",
-			Usage:     "The choice of server without one part at a time, at 70 % with stragglers.",
-			Scenarios: []Scenario{Atlas().at(lowLoad).stragglers(), Pase().at(lowLoad).stragglers()},
-			Variants:  slices.Concat(Baselines(), Ablations(), few(Ablations())),
+			Usage:     "Server selection with one part removed at a time, at 70 % of the capacity with stragglers.",
+			Scenarios: []Scenario{Atlas().withLoad(lowLoad).stragglers(), Pase().withLoad(lowLoad).stragglers()},
+			Variants:  slices.Concat(Baselines(), Ablations(), withFewCarriers(Ablations())),
 		},
 		{
 			Name:  "measuring",
-			Usage: "Reports within a budget of 64 KB, 16 KB and 1 KB a second, with stragglers, at 70 %.",
+			Usage: "Load reports with a budget of 64 KB, 16 KB and 1 KB a second, at 70 % of the capacity with stragglers.",
 			Scenarios: []Scenario{
-				Atlas().at(lowLoad).stragglers(), Atlas().measured(64), Atlas().measured(16), Atlas().measured(1),
-				Pase().at(lowLoad).stragglers(), Pase().measured(64), Pase().measured(16), Pase().measured(1),
+				Atlas().withLoad(lowLoad).stragglers(), Atlas().withReportBudget(64), Atlas().withReportBudget(16), Atlas().withReportBudget(1),
+				Pase().withLoad(lowLoad).stragglers(), Pase().withReportBudget(64), Pase().withReportBudget(16), Pase().withReportBudget(1),
 			},
-			Variants: slices.Concat(Baselines(), Products(), few(Products())),
+			Variants: slices.Concat(Baselines(), Products(), withFewCarriers(Products())),
 		},
 		{
 			Name:      "faults",
-			Usage:     "One fault a scenario at 70 % of slots: drains, cold starts, failing fast, bad reports.",
+			Usage:     "One fault in each scenario at 70 % of the capacity: draining, slow warm-up, failing fast, wrong load reports.",
 			Scenarios: faults(),
-			Variants:  slices.Concat(Baselines(), Products(), few(Products())),
+			Variants:  slices.Concat(Baselines(), Products(), withFewCarriers(Products())),
 		},
 		{
 			Name:      "overload",
-			Usage:     "120 % of all slots for five seconds: goodput during it and after.",
+			Usage:     "120 % of the capacity for five seconds: goodput during and after the overload.",
 			Scenarios: []Scenario{overload()},
-			Variants:  slices.Concat(Storms(), Products(), few(Products())),
+			Variants:  slices.Concat(RetryStorms(), Products(), withFewCarriers(Products())),
 		},
 		{
 			Name:      "stall",
-			Usage:     "All servers stand still for one second: time to recover.",
+			Usage:     "All servers stop for one second: time to recover.",
 			Scenarios: []Scenario{stall()},
-			Variants:  slices.Concat(Storms(), Products(), few(Products())),
+			Variants:  slices.Concat(RetryStorms(), Products(), withFewCarriers(Products())),
 		},
 	}
 }
 
-// FindSuite returns a suite by its name.
+// FindSuite returns the suite with a name.
 func FindSuite(name string) (Suite, error) {
 	var names []string
 
@@ -90,10 +90,10 @@
 		names = append(names, s.Name)
 	}
 
-	return Suite{}, errors.Errorf("bench: no suite %q, there are %v", name, names)
+	return Suite{}, errors.Errorf("bench: unknown suite %q; known suites: %v", name, names)
 }
 
-// The loads and the faults of the suites.
+// Loads and fault parameters of the suites.
 const (
 	halfLoad      = 0.5
 	lowLoad       = 0.7
@@ -106,113 +106,115 @@
 	stragglerTime = 2 * time.Second
 )
 
-func (s Scenario) at(load float64) Scenario {
+func (s Scenario) withLoad(load float64) Scenario {
 	s.Load = load
 	s.Name = fmt.Sprintf("%s-%.0f%%", s.Name, percent(int(load*100), 100))
 
 	return s
 }
 
-// named adds to the name.
-func (s Scenario) named(suffix string) Scenario {
+// withSuffix appends a suffix to the name.
+func (s Scenario) withSuffix(suffix string) Scenario {
 	s.Name += "-" + suffix
 
 	return s
 }
 
-// stragglers makes two servers at a time five times slower, others every two
+// stragglers makes two servers at a time five times slower, other ones every two
 // seconds, for the whole run.
 func (s Scenario) stragglers() Scenario {
-	turn := 0
+	round := 0
 
 	for from := time.Duration(0); from < s.end(); from += stragglerTime {
-		first := turn * fewServers % s.Servers
-		s = s.fault(Fault{Kind: FaultSlow, First: first, Servers: fewServers, Stretch: Stretch{From: from, To: from + stragglerTime}, Factor: stragglerSlow})
-		turn++
+		first := round * fewServers % s.Servers
+		s = s.withFault(Fault{Kind: FaultSlow, First: first, Servers: fewServers, Interval: Interval{From: from, To: from + stragglerTime}, Factor: stragglerSlow})
+		round++
 	}
 
-	return s.named("slow")
+	return s.withSuffix("slow")
 }
 
-// measured has reports within a budget of so many kilobytes a second.
-func (s Scenario) measured(kilobytes int) Scenario {
-	s = s.at(lowLoad).stragglers().named(fmt.Sprintf("%dKB", kilobytes))
-	s.Measure = kilobytes * int(carobward.Kilobyte)
+// withReportBudget limits load reports to a budget in kilobytes a second.
+func (s Scenario) withReportBudget(kilobytes int) Scenario {
+	s = s.withLoad(lowLoad).stragglers().withSuffix(fmt.Sprintf("%dKB", kilobytes))
+	s.ReportBudget = kilobytes * int(carobward.Kilobyte)
 
 	return s
 }
 
-func (s Scenario) fault(f Fault) Scenario {
+func (s Scenario) withFault(f Fault) Scenario {
 	s.Faults = append(slices.Clone(s.Faults), f)
 
 	return s
 }
 
-// faults lists one scenario a fault.
+// faults returns one scenario for each fault.
 func faults() []Scenario {
-	base := Atlas().at(lowLoad)
+	base := Atlas().withLoad(lowLoad)
 	from, to := base.Warm+base.Length/4, base.Warm+base.Length/2
 	fault := func(k FaultKind, factor float64) Scenario {
-		return base.fault(Fault{Kind: k, Servers: fewServers, Stretch: Stretch{From: from, To: to}, Factor: factor}).named(string(k))
+		return base.withFault(Fault{Kind: k, Servers: fewServers, Interval: Interval{From: from, To: to}, Factor: factor}).withSuffix(string(k))
 	}
 
 	cold := fault(FaultSlow, coldSlow)
 	cold.Faults[0].From, cold.Faults[0].To = from, from+time.Second
 
-	stale := base.named("stale")
+	stale := base.withSuffix("stale")
 	stale.ReportLag, stale.Misleading = 200*time.Millisecond, base.Servers
 
-	idle := base.named("lie-idle")
+	idle := base.withSuffix("lie-idle")
 	idle.ReportLie, idle.Misleading = cwstand.LieIdle, fewServers
 
-	full := base.named("lie-full")
+	full := base.withSuffix("lie-full")
 	full.ReportLie, full.Misleading = cwstand.LieFull, fewServers
 
 	return []Scenario{
-		base, fault(FaultDrain, 0), fault(FaultFail, 0), cold.named("cold"), stale, idle, full,
+		base, fault(FaultDrain, 0), fault(FaultFail, 0), cold.withSuffix("cold"), stale, idle, full,
 	}
 }
 
-// overload is 120 % of all slots for five seconds, a tenth of it run-once.
+// overload returns a scenario with 120 % of the capacity for five seconds, a tenth
+// of it run-once calls.
 func overload() Scenario {
 	s := troubled("overload", 5*time.Second)
-	s.Surges = []Surge{{Stretch: s.Trouble, Load: overLoad}}
+	s.Surges = []Surge{{Interval: s.Trouble, Load: overLoad}}
 
 	return s
 }
 
-// stall stops all servers for one second.
+// stall returns a scenario in which all servers stop for one second.
 func stall() Scenario {
 	s := troubled("stall", time.Second)
 
-	return s.fault(Fault{Kind: FaultStall, Servers: s.Servers, Stretch: s.Trouble, Factor: math.Inf(1)})
+	return s.withFault(Fault{Kind: FaultStall, Servers: s.Servers, Interval: s.Trouble, Factor: math.Inf(1)})
 }
 
-// troubled has run-once work and servers that let calls wait on all of their
-// connections, as a server does that has no bound of its own.
+// troubled returns a scenario with run-once calls and servers that let calls wait
+// on all of their connections, as a server without a queue limit does.
 func troubled(name string, lasts time.Duration) Scenario {
 	const calm = 3 * time.Second
 
-	s := Atlas().at(lowLoad).named(name)
+	s := Atlas().withLoad(lowLoad).withSuffix(name)
 	s.Once = onceShare
 	s.Queue = s.Conns
-	s.Trouble = Stretch{From: s.Warm + calm, To: s.Warm + calm + lasts}
+	s.Trouble = Interval{From: s.Warm + calm, To: s.Warm + calm + lasts}
 
 	return s
 }
 
-// few returns the variants with six and with three entry VMs a target.
-func few(list []Variant) []Variant {
-	var made []Variant
+// withFewCarriers returns each variant with six and with three entry VMs that serve
+// the target.
+func withFewCarriers(list []Variant) []Variant {
+	var out []Variant
 
 	for _, v := range list {
 		for _, n := range []int{6, 3} {
 			w := v
 			w.Carriers = n
 			w.Name = fmt.Sprintf("%s/%d", v.Name, n)
-			made = append(made, w)
+			out = append(out, w)
 		}
 	}
 
-	return made
+	return out
 }
--- a/internal/lab/cwbench/table.go
+++ b/internal/lab/cwbench/table.go
@@ -9,7 +9,7 @@
 	"github.com/juju/errors"
 )
 
-// WriteTable prints one line a result. Times are in milliseconds.
+// WriteTable prints one line for each result. Times are in milliseconds.
 func WriteTable(to io.Writer, results []*Result) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(w, "scenario\tvariant\tcalls\tanswered %\tp50\tp90\tp99\tp99.9\tonce %\tonce p99\textra %\trepeats\tp99/truth\tnaive/p99\tnaive/p99.9\t")
@@ -26,7 +26,7 @@
 	return errors.Annotate(w.Flush(), "bench")
 }
 
-// WriteMeasuring prints what the servers counted of measuring and of
+// WriteMeasuring prints what load measurements cost the servers, and their
 // connections.
 func WriteMeasuring(to io.Writer, results []*Result) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -41,7 +41,8 @@
 	return errors.Annotate(w.Flush(), "bench")
 }
 
-// WriteTrouble prints how the stretches of trouble went, if there were any.
+// WriteTrouble prints goodput and recovery for the results whose scenario has an
+// interval of trouble.
 func WriteTrouble(to io.Writer, results []*Result) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 
@@ -66,7 +67,7 @@
 	return errors.Annotate(w.Flush(), "bench")
 }
 
-// WriteJSON writes the results for programs to read.
+// WriteJSON writes the results as JSON.
 func WriteJSON(to io.Writer, results []*Result) error {
 	e := json.NewEncoder(to)
 	e.SetIndent("", "  ")
@@ -74,7 +75,7 @@
 	return errors.Annotate(e.Encode(results), "bench")
 }
 
-// find returns the result of a variant in the same scenario, or an empty one.
+// find returns the result of a variant in a scenario, or an empty one.
 func find(results []*Result, scenario, variant string) *Result {
 	for _, r := range results {
 		if r.Scenario == scenario && r.Variant == variant {
@@ -85,7 +86,7 @@
 	return &Result{}
 }
 
-// ratio returns zero where there is nothing to compare with.
+// ratio returns a/b, or zero if b is zero.
 func ratio(a, b int64) float64 {
 	if b == 0 {
 		return 0
--- a/internal/lab/cwbench/trouble.go
+++ b/internal/lab/cwbench/trouble.go
@@ -4,17 +4,16 @@
 	"time"
 )
 
-// Trouble tells how a stretch of trouble went.
+// Trouble has the figures for the interval Scenario.Trouble.
 type Trouble struct {
-	// Answered counts whole answers in the stretch, Room what the servers
-	// could have run in it.
+	// Answered counts the whole replies in the interval, Room the calls that the
+	// servers could have run in it.
 	Answered, Room int
-	// Recovery is the time from the end of the stretch until nothing is lost
-	// any more and no answer is slower than twice the slowest one before the
-	// trouble. With several seeds it is the longest.
+	// Recovery is the time from the end of the interval until no request is lost and
+	// no reply takes longer than twice the slowest one before the trouble. With
+	// several seeds it is the longest.
 	Recovery time.Duration
-	// Recovered tells whether that came before the end of the run, in each
-	// run.
+	// Recovered reports whether every run recovered before its end.
 	Recovered bool
 }
 
@@ -25,7 +24,7 @@
 	t.Recovered = t.Recovered && o.Recovered
 }
 
-// trouble fills in how the stretch of trouble went.
+// trouble computes the figures for Scenario.Trouble.
 func (r *Result) trouble(backends []*backend) {
 	s := r.scenario
 	if s.Trouble.To == 0 {
@@ -50,7 +49,8 @@
 	return r.Series[from/SeriesStep : to/SeriesStep]
 }
 
-// recovery looks for the last step after the trouble that is not normal.
+// recovery finds the last step after the trouble with a lost request or a slow
+// reply, and returns the time until its end.
 func (r *Result) recovery() (time.Duration, bool) {
 	const normal = 2
 
--- a/internal/lab/cwbench/variant.go
+++ b/internal/lab/cwbench/variant.go
@@ -11,61 +11,63 @@
 	"carobward.example/carobward/internal/cwserver"
 )
 
-// Variant is one way for the entry VMs to carry calls.
+// Variant is one way for entry VMs to forward calls.
 type Variant struct {
-	// Name stands in the table.
+	// Name identifies the variant in tables.
 	Name string
-	// Policy makes the policy of one entry VM.
-	Policy func(w *World) cwroute.Policy
-	// Carriers is how many entry VMs carry the target; 0: all of them.
+	// Policy returns the policy of one entry VM.
+	Policy func(w *Environment) cwroute.Policy
+	// Carriers is the number of entry VMs that serve the target; 0 means all of them.
 	Carriers int
-	// Tries is how often a call that failed is sent at most.
+	// Tries is the maximum number of sends of a call.
 	Tries int
-	// RetryAny retries whatever happened, run-once work and timeouts too.
+	// RetryAny retries after any failure, including timeouts and failures of run-once
+	// calls.
 	RetryAny bool
-	// Attempt is the timeout of one attempt; zero: that of the request.
+	// Attempt is the timeout of one attempt; zero means that of the request.
 	Attempt time.Duration
-	// Cancel closes the connection of a call that nobody waits for.
+	// Cancel closes the connection of an abandoned attempt, so that the server stops
+	// its work.
 	Cancel bool
-	// Hedge sends a call that is out for long to a second server.
+	// Hedge sends a call that takes long to a second server.
 	Hedge bool
-	// Budget bounds retries and hedges to a share of all calls.
+	// Budget limits retries and hedges to a share of all calls.
 	Budget bool
-	// Queue lets calls wait at the entry VM, and sheds those that would wait
-	// for too long.
+	// Queue lets calls wait at the entry VM and sheds those that would wait too long.
 	Queue bool
 }
 
-// World is what a policy may see that a real entry VM could not.
-type World struct {
-	// Domain is the entry VM's failure domain.
+// Environment gives a policy access to its failure domain and to the true state of
+// the servers, which a real entry VM cannot see.
+type Environment struct {
+	// Domain is the failure domain of the entry VM.
 	Domain carobward.Domain
 
-	// expect is the time that one more call would take on a server now, in
+	// expectedTime returns the time that one more call would take on a server now, in
 	// any unit.
-	expect func(server int) float64
+	expectedTime func(server int) float64
 }
 
-// The variants that others are compared with.
+// Variants to which the table compares the others.
 const (
 	nameNaive = "naive-round-robin"
 	nameTruth = "truth"
 )
 
-// Baselines returns the variants that stay in the tool to compare with.
+// Baselines returns the variants that serve as a reference.
 func Baselines() []Variant {
 	return []Variant{
-		{Name: nameNaive, Policy: func(*World) cwroute.Policy { return &roundRobin{} }, Tries: naiveTries},
-		{Name: "random", Policy: func(*World) cwroute.Policy { return randomPolicy{} }, Tries: naiveTries},
-		{Name: "pair", Policy: func(*World) cwroute.Policy { return cwroute.TwoChoices{} }, Tries: naiveTries, Cancel: true},
-		{Name: nameTruth, Policy: func(w *World) cwroute.Policy { return &truth{world: w} }, Tries: naiveTries, Cancel: true},
+		{Name: nameNaive, Policy: func(*Environment) cwroute.Policy { return &roundRobin{} }, Tries: naiveTries},
+		{Name: "random", Policy: func(*Environment) cwroute.Policy { return randomPolicy{} }, Tries: naiveTries},
+		{Name: "pair", Policy: func(*Environment) cwroute.Policy { return cwroute.TwoChoices{} }, Tries: naiveTries, Cancel: true},
+		{Name: nameTruth, Policy: func(w *Environment) cwroute.Policy { return &truth{environment: w} }, Tries: naiveTries, Cancel: true},
 	}
 }
 
-// Storms returns the naive variants for overload: each sends a call again
-// after any error and after a timeout of its own, with no limits, and lets
-// servers work on for nobody.
-func Storms() []Variant {
+// RetryStorms returns the naive variants for overload. The first one retries after
+// any error and after a timeout of its own, without a budget; neither cancels
+// abandoned work at the servers.
+func RetryStorms() []Variant {
 	v := Baselines()[0]
 	v.Name = "naive-retry"
 	v.RetryAny = true
@@ -74,45 +76,46 @@
 	return []Variant{v, Baselines()[0]}
 }
 
-// Products returns the variants that the product may use, each with one part
-// more than the one before it.
+// Products returns the variants of the product, each with one part more than the
+// one before: server selection, hedges, queueing.
 func Products() []Variant {
-	wait := waits("wait", cwroute.LeastTime{CrossDomainTime: productFar})
+	wait := waitVariant("wait", cwroute.LeastTime{CrossDomainTime: productFar})
 
 	hedged := wait
 	hedged.Name = "wait-hedge"
 	hedged.Hedge, hedged.Budget = true, true
 
-	queued := waits("product", cwroute.LeastTime{CrossDomainTime: productFar, MaxPerSlot: productQueue})
+	queued := waitVariant("product", cwroute.LeastTime{CrossDomainTime: productFar, MaxPerSlot: productQueue})
 	queued.Hedge, queued.Budget, queued.Queue = true, true, true
 
 	return []Variant{wait, hedged, queued}
 }
 
-// Ablations returns the product's hedged choice with one part less or another
-// one in each.
+// Ablations returns variants of the hedged product, each with one part removed or
+// changed, and one without hedges.
 func Ablations() []Variant {
 	list := []Variant{
-		waits("all-parts", cwroute.LeastTime{CrossDomainTime: productFar}),
-		waits("no-reports", cwroute.LeastTime{CrossDomainTime: productFar, Ignore: cwroute.Reports}),
-		waits("no-latencies", cwroute.LeastTime{CrossDomainTime: productFar, Ignore: cwroute.Latencies}),
-		waits("own-calls-only", cwroute.LeastTime{CrossDomainTime: productFar, Ignore: cwroute.Reports | cwroute.Latencies}),
-		waits("no-domains", cwroute.LeastTime{}),
-		waits("sample-2", cwroute.LeastTime{CrossDomainTime: productFar, Sample: 2}),
-		waits("sample-5", cwroute.LeastTime{CrossDomainTime: productFar, Sample: 5}),
+		waitVariant("all-parts", cwroute.LeastTime{CrossDomainTime: productFar}),
+		waitVariant("no-reports", cwroute.LeastTime{CrossDomainTime: productFar, Ignore: cwroute.Reports}),
+		waitVariant("no-latencies", cwroute.LeastTime{CrossDomainTime: productFar, Ignore: cwroute.Latencies}),
+		waitVariant("own-calls-only", cwroute.LeastTime{CrossDomainTime: productFar, Ignore: cwroute.Reports | cwroute.Latencies}),
+		waitVariant("no-domains", cwroute.LeastTime{}),
+		waitVariant("sample-2", cwroute.LeastTime{CrossDomainTime: productFar, Sample: 2}),
+		waitVariant("sample-5", cwroute.LeastTime{CrossDomainTime: productFar, Sample: 5}),
 	}
 	for i := range list {
 		list[i].Hedge, list[i].Budget = true, true
 	}
 
-	unhedged := waits("no-hedges", cwroute.LeastTime{CrossDomainTime: productFar})
+	unhedged := waitVariant("no-hedges", cwroute.LeastTime{CrossDomainTime: productFar})
 
 	return append(list, unhedged)
 }
 
-// waits returns a variant of the wait policy in the entry VM's domain.
-func waits(name string, w cwroute.LeastTime) Variant {
-	policy := func(world *World) cwroute.Policy {
+// waitVariant returns a variant with the wait policy in the failure domain of the
+// entry VM.
+func waitVariant(name string, w cwroute.LeastTime) Variant {
+	policy := func(world *Environment) cwroute.Policy {
 		one := w
 		one.Domain = world.Domain
 
@@ -122,17 +125,17 @@
 	return Variant{Name: name, Policy: policy, Tries: naiveTries, Cancel: true}
 }
 
-// productFar is what the product expects a call to another failure domain to
-// take longer.
+// productFar is the extra time that the product expects of a call to another
+// failure domain.
 const productFar = 1500 * time.Microsecond
 
-// naiveTimeout is a naive variant's timeout of one attempt.
+// naiveTimeout is the timeout of one attempt of a naive variant.
 const naiveTimeout = 150 * time.Millisecond
 
-// naiveTries is how often a baseline sends a call at most.
+// naiveTries is the maximum number of sends of a call by a baseline.
 const naiveTries = 3
 
-// roundRobin takes the servers in turn, whatever is known of them.
+// roundRobin takes the servers in turn, whatever their state.
 type roundRobin struct{ next atomic.Uint64 }
 
 // Choose implements cwroute.Policy.
@@ -141,13 +144,13 @@
 		return nil
 	}
 
-	// Each entry VM starts somewhere else.
+	// Each entry VM starts at another server.
 	r.next.CompareAndSwap(0, 1+rng.Uint64N(uint64(len(servers))))
 
 	return servers[r.next.Add(1)%uint64(len(servers))]
 }
 
-// randomPolicy takes any server.
+// randomPolicy takes a random server.
 type randomPolicy struct{}
 
 // Choose implements cwroute.Policy.
@@ -159,10 +162,9 @@
 	return servers[rng.IntN(len(servers))]
 }
 
-// truth sees the true state of all servers without delay, and the calls on
-// their way to them: a bound for what any policy can reach without knowing
-// the future.
-type truth struct{ world *World }
+// truth sees the true state of all servers without delay, including the calls on
+// their way to them. It is an upper bound for policies that do not know the future.
+type truth struct{ environment *Environment }
 
 // Choose implements cwroute.Policy.
 func (t *truth) Choose(_ time.Time, servers, tried []*cwserver.Server, rng *rand.Rand) *cwserver.Server {
@@ -176,7 +178,7 @@
 			continue
 		}
 
-		wait := t.world.expect(i)
+		wait := t.environment.expectedTime(i)
 
 		switch {
 		case wait < least:
@@ -202,6 +204,6 @@
 	return false
 }
 
-// productQueue is how many calls a slot the product expects a server to hold
-// at most, as internal/cwnode sets it.
+// productQueue is the maximum number of calls per slot that the product expects a
+// server to hold, as internal/cwnode sets it.
 const productQueue = 2
--- a/internal/lab/cwbench/worst.go
+++ b/internal/lab/cwbench/worst.go
@@ -6,60 +6,67 @@
 	"github.com/juju/errors"
 )
 
-// Pattern is one load at its worst on the servers of one service, as the users'
-// machines show it: requests keep the speed that their server has when they begin,
-// the speed of each machine is drawn anew several times a second, the last slots of
-// a server are slow, and what a full server can't queue is never answered.
+// Pattern is an overload or failure scenario for the servers of one service.
+//
+// The servers behave as those of the users' machines do: a request keeps the speed
+// that its server has at its start, the speed of each machine is drawn again
+// several times a second, the last slots of a server are slow, and requests that a
+// full server cannot queue are never answered.
 type Pattern struct {
 	Name, Usage string
 	Seed        uint64
-	// VMs and Servers share three failure domains. Each server has so many Slots.
+	// VMs and Servers are spread over three failure domains. Each server has Slots
+	// slots.
 	VMs, Servers, Slots int
 	// Work is the mean time of a request on a machine at its usual speed.
 	Work time.Duration
-	// Objective is the time in which an answer is due, Wait the most that a caller
-	// waits; each waits for that or up to WaitSpread, a part of it, less.
+	// Objective is the time within which a reply is due. Wait is the longest time
+	// that a caller waits; each caller waits for Wait less a random part of up to
+	// WaitSpread, a fraction of Wait.
 	Objective, Wait time.Duration
 	WaitSpread      float64
-	// Rate is the number of new requests a second, Surges factors of it.
+	// Rate is the number of new requests a second. Surges multiply it.
 	Rate   float64
 	Surges []Surge
-	// Length is how long requests come.
+	// Length is the time during which new requests arrive.
 	Length time.Duration
-	// Knee is the part of a server's slots above which a request takes KneeFactor
-	// times longer.
+	// Knee is the fraction of the slots of a server above which a new request takes
+	// KneeFactor times longer.
 	Knee, KneeFactor float64
-	// NoiseShare of the machines are NoiseFactor times slower, drawn each
-	// NoiseEvery.
+	// A random NoiseShare of the machines is NoiseFactor times slower. It is drawn
+	// again every NoiseEvery.
 	NoiseShare, NoiseFactor float64
 	NoiseEvery              time.Duration
-	// Slow, Gone and Shed are spells of slow servers, of servers that never answer
-	// and of servers that refuse a share of their requests.
-	Slow, Gone, Shed Spell
-	// Fallen is when all servers of the first failure domain never answer.
-	Fallen Stretch
-	// Dark is when all entry VMs have no power.
-	Dark Stretch
-	// Lean is when a share of the callers go to one failure domain beside those that
-	// do in any case.
-	Lean Spell
+	// Slow makes servers slower, Silent makes them never answer, and Shed makes them
+	// refuse a share of their requests.
+	Slow, Silent, Shed Disturbance
+	// LostDomain is the interval in which no server of the first failure domain
+	// answers.
+	LostDomain Interval
+	// PowerLoss is the interval in which all entry VMs have no power.
+	PowerLoss Interval
+	// Skew sends a share of the callers to the first failure domain; the others are
+	// spread over all of them.
+	Skew Disturbance
 }
 
-// Spell is trouble with a share of the servers, the first ones.
-type Spell struct {
-	Stretch
-	// Share is the share of the servers.
+// Disturbance affects a share of the servers, or of the callers, for a time.
+// Affected servers are the first ones.
+type Disturbance struct {
+	Interval
+	// Share is the share of the servers or callers that are affected.
 	Share float64
-	// Factor is how many times slower they are, or the share that they refuse.
+	// Factor is how many times slower the servers are, or the share of requests that
+	// they refuse.
 	Factor float64
 }
 
-// hits tells whether a server at a place among so many has the trouble.
-func (s *Spell) hits(place, servers int, at time.Duration) bool {
-	return s.holds(at) && float64(place) < s.Share*float64(servers)
+// affects reports whether the server at an index is affected at a time.
+func (s *Disturbance) affects(index, servers int, at time.Duration) bool {
+	return s.contains(at) && float64(index) < s.Share*float64(servers)
 }
 
-// The sizes of the users' lookup service.
+// Sizes and request rate (per second) of the users' lookup service.
 const (
 	patternVMs     = 17
 	patternServers = 18
@@ -68,7 +75,7 @@
 	patternLength  = 10 * time.Second
 )
 
-// pattern returns a calm load, about half of what the servers carry at their usual
+// pattern returns a calm load, about half of what the servers handle at their usual
 // speed.
 func pattern(name, usage string) Pattern {
 	return Pattern{
@@ -79,54 +86,54 @@
 	}
 }
 
-// Patterns lists the loads.
+// Patterns returns all patterns.
 func Patterns() []Pattern {
 	const (
 		from = 3 * time.Second
 		to   = 6 * time.Second
 	)
 
-	trouble := Stretch{From: from, To: to}
+	trouble := Interval{From: from, To: to}
 	burst := func(p Pattern, factor float64) Pattern {
-		p.Surges = []Surge{{Stretch: trouble, Load: factor}}
+		p.Surges = []Surge{{Interval: trouble, Load: factor}}
 
 		return p
 	}
 
-	calm := pattern("calm", "Half of what the servers carry.")
-	one := burst(pattern("burst", "More than the servers carry, for three seconds."), 2.1)
-	two := burst(pattern("bursts", "The same, with a second burst on top of the first."), 2.1)
-	two.Surges = append([]Surge{{Stretch: Stretch{From: from + time.Second, To: from + 2*time.Second}, Load: 3}}, two.Surges...)
+	calm := pattern("calm", "Half of what the servers handle.")
+	one := burst(pattern("burst", "More than the servers handle, for three seconds."), 2.1)
+	two := burst(pattern("bursts", "A burst, with a second one on top of it."), 2.1)
+	two.Surges = append([]Surge{{Interval: Interval{From: from + time.Second, To: from + 2*time.Second}, Load: 3}}, two.Surges...)
 
-	slow := burst(pattern("slow", "A third of the servers five times slower, at a higher load."), 1.5)
-	slow.Slow = Spell{Stretch: trouble, Share: 1.0 / 3, Factor: 5}
+	slow := burst(pattern("slow", "A third of the servers is five times slower, at a higher load."), 1.5)
+	slow.Slow = Disturbance{Interval: trouble, Share: 1.0 / 3, Factor: 5}
 
-	all := pattern("all-slow", "All servers four times slower.")
+	all := pattern("all-slow", "All servers are four times slower.")
 	all.Rate /= 4
-	all.Slow = Spell{Stretch: trouble, Share: 1, Factor: 4}
+	all.Slow = Disturbance{Interval: trouble, Share: 1, Factor: 4}
 
-	gone := burst(pattern("gone", "A fifth of the servers silent, at a higher load."), 1.5)
-	gone.Gone = Spell{Stretch: trouble, Share: 0.2}
+	gone := burst(pattern("gone", "A fifth of the servers does not answer, at a higher load."), 1.5)
+	gone.Silent = Disturbance{Interval: trouble, Share: 0.2}
 
-	shed := pattern("shed", "All servers refuse half of what they are sent.")
-	shed.Shed = Spell{Stretch: trouble, Share: 1, Factor: 0.5}
+	shed := pattern("shed", "All servers refuse half of their requests.")
+	shed.Shed = Disturbance{Interval: trouble, Share: 1, Factor: 0.5}
 
-	dark := burst(pattern("dark", "All entry VMs without power for 0.9 s, and all callers back at once."), 1.6)
-	dark.Dark = Stretch{From: from + time.Second, To: from + 1900*time.Millisecond}
+	dark := burst(pattern("dark", "All entry VMs lose power for 0.9 s; all callers retry at once."), 1.6)
+	dark.PowerLoss = Interval{From: from + time.Second, To: from + 1900*time.Millisecond}
 
-	lean := burst(pattern("lean", "Half of all callers move to one of three failure domains, at a higher load."), 1.3)
-	lean.Lean = Spell{Stretch: trouble, Share: 0.5}
+	lean := burst(pattern("lean", "Half of the callers move to one of three failure domains, at a higher load."), 1.3)
+	lean.Skew = Disturbance{Interval: trouble, Share: 0.5}
 
-	fallen := burst(pattern("fallen", "All servers of one of three failure domains silent, at a higher load."), 1.45)
-	fallen.Fallen = trouble
+	fallen := burst(pattern("fallen", "The servers of one of three failure domains do not answer, at a higher load."), 1.45)
+	fallen.LostDomain = trouble
 
-	single := burst(pattern("single", "Servers of one slot, each crowded by one request, at a higher load."), 1.5)
+	single := burst(pattern("single", "Servers with one slot, each slowed down by a single request, at a higher load."), 1.5)
 	single.Slots, single.Rate, single.KneeFactor = 1, 30, 1.9
 
 	return []Pattern{calm, one, two, slow, all, gone, shed, dark, lean, fallen, single}
 }
 
-// FindPattern returns a pattern by its name.
+// FindPattern returns the pattern with a name.
 func FindPattern(name string) (Pattern, error) {
 	var names []string
 
@@ -138,11 +145,11 @@
 		names = append(names, p.Name)
 	}
 
-	return Pattern{}, errors.Errorf("bench: no pattern %q, there are %v", name, names)
+	return Pattern{}, errors.Errorf("bench: unknown pattern %q; known patterns: %v", name, names)
 }
 
-// Grow makes the pattern that of a fleet of so many entry VMs, with servers and
-// requests in proportion.
+// Grow scales the pattern to a number of entry VMs, with servers and requests in
+// proportion.
 func (p *Pattern) Grow(vms int) {
 	by := float64(vms) / float64(p.VMs)
 	p.VMs = vms
@@ -150,10 +157,10 @@
 	p.Rate *= by
 }
 
-// factor is the load at a time as a factor of the rate.
+// factor returns the load at a time as a multiple of Rate.
 func (p *Pattern) factor(at time.Duration) float64 { return loadOf(p.Surges, at, 1) }
 
-// Validate names what is wrong.
+// Validate returns an error if a size or time of the pattern is out of range.
 func (p *Pattern) Validate() error {
 	if p.VMs < 1 || p.Servers < 1 || p.Slots < 1 || p.Rate <= 0 {
 		return errors.Errorf("bench: %d entry VMs, %d servers of %d slots, %.1f requests a second: want each above 0",
@@ -168,48 +175,54 @@
 	return nil
 }
 
-// Way is a way for entry VMs to give servers to requests.
+// Way is a way for entry VMs to assign requests to servers. The zero value is that
+// of the product; each field changes one part of it.
 type Way struct {
 	Name string
-	// Central has one line over all entry VMs that sees the true state of each
-	// server at once: a ceiling.
+	// Central uses a single queue for all entry VMs that sees the true state of each
+	// server without delay. It is an upper bound.
 	Central bool
-	// Blind takes any server at random.
-	Blind bool
-	// Alone lets each request look for itself, until a fixed part of the objective
-	// is over, and takes whoever waits for less than 0.95 of the longest wait for a
-	// caller that has come back, who gets any server.
+	// Random sends each request to a random server without a health check.
+	Random bool
+	// Alone lets each request check servers on its own for a fixed part of the
+	// objective. A caller that waits for less than 0.95 of the longest wait counts as
+	// one that has retried; after the search time its request takes any server that
+	// answers before the caller gives up.
 	Alone bool
-	// Ageless takes all callers for new, Greedy lets late requests spare no slot,
-	// and Forgetful hands no freed slot over.
-	Ageless, Greedy, Forgetful bool
-	// Restless lets each waiting request look for itself.
-	Restless bool
-	// Homebound looks at servers of other failure domains only where all near ones
-	// have been looked at.
-	Homebound bool
-	// Narrow knows no further servers while the near ones fail.
-	Narrow bool
-	// Reserved keeps most of the bound on extra calls for callers that have come back.
-	Reserved bool
-	// Paceless takes slow servers for a passing state also where all are slow.
-	Paceless bool
+	// NoRetryAge treats every attempt as a first one, NoSparedSlots lets late
+	// requests take the last slots of servers, and NoHandOver does not give freed
+	// slots to waiting requests.
+	NoRetryAge, NoSparedSlots, NoHandOver bool
+	// AllCheck lets every waiting request check servers, not only the first one of
+	// the queue.
+	AllCheck bool
+	// LocalFirst checks servers of other failure domains only after all servers of
+	// the failure domain of the entry VM.
+	LocalFirst bool
+	// NoSpareServers ignores the servers that are added while the near ones fail.
+	NoSpareServers bool
+	// ReserveExtra reserves most of the limit on extra calls for callers that have
+	// retried.
+	ReserveExtra bool
+	// NoSlowdown waits for a faster server also where all servers are slow.
+	NoSlowdown bool
 }
 
-// nameOurs and nameCeiling are the ways that others are compared with.
+// Names of the way of the product and of the upper bound.
 const (
 	nameOurs    = "ours"
 	nameCeiling = "ceiling"
 )
 
-// Ways lists the ways: naive, before turns, ours, ours with one part less each, and
-// the ceiling.
+// Ways returns all ways: a naive one, one in which requests check servers
+// independently, that of the product, that of the product with one part removed or
+// changed in each, and the upper bound.
 func Ways() []Way {
 	return []Way{
-		{Name: "naive", Blind: true}, {Name: "alone", Alone: true}, {Name: nameOurs},
-		{Name: "ageless", Ageless: true}, {Name: "greedy", Greedy: true}, {Name: "forgetful", Forgetful: true},
-		{Name: "restless", Restless: true},
-		{Name: "paceless", Paceless: true}, {Name: "homebound", Homebound: true}, {Name: "narrow", Narrow: true}, {Name: "reserved", Reserved: true},
+		{Name: "naive", Random: true}, {Name: "alone", Alone: true}, {Name: nameOurs},
+		{Name: "ageless", NoRetryAge: true}, {Name: "greedy", NoSparedSlots: true}, {Name: "forgetful", NoHandOver: true},
+		{Name: "restless", AllCheck: true},
+		{Name: "paceless", NoSlowdown: true}, {Name: "homebound", LocalFirst: true}, {Name: "narrow", NoSpareServers: true}, {Name: "reserved", ReserveExtra: true},
 		{Name: nameCeiling, Central: true},
 	}
 }
--- a/internal/lab/cwbench/worst_choice.go
+++ b/internal/lab/cwbench/worst_choice.go
@@ -9,26 +9,27 @@
 	"carobward.example/carobward/internal/cwpick"
 )
 
-// worstChoice is a server with what speaks for it.
-type worstChoice struct {
+// candidate is a server with the expected time and the cost of sending a request to
+// it.
+type candidate struct {
 	view       cwbackend.View
 	time, cost float64
 }
 
-// look looks at servers and decides.
-func (v *worstVM) look(r *worstRequest) {
+// check runs health checks for a request and then decides on it.
+func (v *replayVM) check(r *replayRequest) {
 	if v.run.way.Central {
 		v.decide(r, v.best(r, v.views(), true))
 
 		return
 	}
 
-	v.lookOn(r, nil, maps.Clone(r.tried), cwpick.FirstRound(r.turn.NoRoom))
+	v.checkRound(r, nil, maps.Clone(r.tried), cwpick.FirstRound(r.schedule.NoRoom))
 }
 
-// lookOn makes a round of looks. Best is the best server of those before it, seen has
-// those that are not looked at again.
-func (v *worstVM) lookOn(r *worstRequest, best *worstChoice, seen map[*cwbackend.Server]bool, round int) {
+// checkRound runs one round of health checks. best is the best server of the
+// earlier rounds, seen has the servers that are not checked again.
+func (v *replayVM) checkRound(r *replayRequest, best *candidate, seen map[*cwbackend.Server]bool, round int) {
 	draw := v.draw(seen, round)
 
 	if round == cwpick.MaxRounds || len(draw) == 0 {
@@ -37,7 +38,7 @@
 		return
 	}
 
-	if !v.looks.AllowN(v.run.now(), cwpick.SampleSize) {
+	if !v.checks.AllowN(v.run.now(), cwpick.SampleSize) {
 		if best == nil {
 			best = v.best(r, draw, false)
 		}
@@ -51,20 +52,20 @@
 		seen[draw[i].Server] = true
 	}
 
-	v.run.timeline.after(worstLook, func() {
+	v.run.timeline.after(checkDelay, func() {
 		best = cheaper(best, v.best(r, draw, true))
-		if best != nil && best.cost <= worstGood {
+		if best != nil && best.cost <= goodTime {
 			v.decide(r, best)
 
 			return
 		}
 
-		v.lookOn(r, best, seen, round+1)
+		v.checkRound(r, best, seen, round+1)
 	})
 }
 
-// cheaper returns the one of lower cost.
-func cheaper(a, b *worstChoice) *worstChoice {
+// cheaper returns the candidate with the lower cost.
+func cheaper(a, b *candidate) *candidate {
 	if a == nil || b != nil && b.cost < a.cost {
 		return b
 	}
@@ -72,39 +73,40 @@
 	return a
 }
 
-// draw returns servers to look at in a round.
-func (v *worstVM) draw(seen map[*cwbackend.Server]bool, round int) []cwbackend.View {
-	if v.run.way.Homebound {
+// draw returns the servers to check in a round.
+func (v *replayVM) draw(seen map[*cwbackend.Server]bool, round int) []cwbackend.View {
+	if v.run.way.LocalFirst {
 		round = 0
 	}
 
 	return cwpick.Sample(v.run.rng, v.views(), cwpick.SampleSize, v.domain, seen, round)
 }
 
-// best returns the best of some servers with room, by a look or by what is known.
-func (v *worstVM) best(r *worstRequest, draw []cwbackend.View, looks bool) *worstChoice {
-	var best *worstChoice
+// best returns the best of the drawn servers that has room. If check is set, it runs
+// a health check of each; otherwise it relies on their known state.
+func (v *replayVM) best(r *replayRequest, draw []cwbackend.View, check bool) *candidate {
+	var best *candidate
 
 	for _, view := range draw {
 		view.Report = view.Expected()
 
-		if s := v.servers[view.Address]; looks && s.gone() {
+		if s := v.servers[view.Address]; check && s.silent() {
 			view.Server.RecordHealthCheck(v.run.now(), cwbackend.Silent)
 
 			continue
-		} else if looks {
+		} else if check {
 			view.Report = s.report()
 			view.Server.ApplyReply(&carobward.Reply{Report: view.Report}, cwbackend.ByHealthCheck, v.run.now())
-			v.pace.Add(cwpick.UnloadedTime(&view, v.times.Factors()))
+			v.slowdown.Add(cwpick.UnloadedTime(&view, v.times.Factors()))
 
-			if v.run.way.Central { // It knows what is on its way.
+			if v.run.way.Central { // Includes the requests on their way to the server.
 				view.Report = view.Expected()
 			}
 		}
 
 		c := v.rate(view)
 
-		if v.free(r, &view) > 0 && (best == nil || c.cost < best.cost) {
+		if v.freeSlots(r, &view) > 0 && (best == nil || c.cost < best.cost) {
 			best = c
 		}
 	}
@@ -112,38 +114,40 @@
 	return best
 }
 
-func (v *worstVM) rate(view cwbackend.View) *worstChoice {
-	return &worstChoice{
+func (v *replayVM) rate(view cwbackend.View) *candidate {
+	return &candidate{
 		view: view, time: cwpick.ExpectedTime(&view, v.times.Factors()), cost: cwpick.Cost(&view, v.times.Factors(), v.domain),
 	}
 }
 
-func (v *worstVM) free(r *worstRequest, view *cwbackend.View) int {
-	spared := r.turn.Spares(v.run.now())
-	if v.run.way.Greedy || v.run.way.Alone {
+func (v *replayVM) freeSlots(r *replayRequest, view *cwbackend.View) int {
+	spared := r.schedule.Spares(v.run.now())
+	if v.run.way.NoSparedSlots || v.run.way.Alone {
 		spared = 0
 	}
 
 	return cwpick.FreeSlots(view, 0, 1, spared, v.times.Crowding())
 }
 
-// takes tells whether a request takes the best server that it found.
-func (v *worstVM) takes(r *worstRequest, best *worstChoice, over bool) bool {
+// accepts reports whether a request is sent to the best server found.
+func (v *replayVM) accepts(r *replayRequest, best *candidate, over bool) bool {
 	now := v.run.now()
 
 	if v.run.way.Alone {
-		return best.time <= worstGood || over && v.suitsAlone(r, best.time, now)
+		return best.time <= goodTime || over && v.acceptsAlone(r, best.time, now)
 	}
 
-	return r.turn.Good(best.time) || r.turn.Acceptable(best.time, now)
+	return r.schedule.Good(best.time) || r.schedule.Acceptable(best.time, now)
 }
 
-// suitsAlone is what the way "alone" takes when the time of looking is over.
-func (v *worstVM) suitsAlone(r *worstRequest, took float64, now time.Time) bool {
-	until := r.turn.Due
-	if r.returned {
+// acceptsAlone reports whether a request of the way "alone" accepts a server after
+// its search time: the reply must arrive before it is due or, for a caller that has
+// retried, before the caller gives up.
+func (v *replayVM) acceptsAlone(r *replayRequest, expected float64, now time.Time) bool {
+	until := r.schedule.Due
+	if r.aloneRetried {
 		until = r.until
 	}
 
-	return took*float64(r.turn.Usual) < float64(until.Sub(now))
+	return expected*float64(r.schedule.Usual) < float64(until.Sub(now))
 }
--- a/internal/lab/cwbench/worst_result.go
+++ b/internal/lab/cwbench/worst_result.go
@@ -2,38 +2,40 @@
 
 import "time"
 
-// WorstResult is what became of the requests of one pattern under one way.
+// WorstResult has the outcomes of the requests of one pattern and way.
 type WorstResult struct {
 	Pattern, Way string
-	// Calls counts the requests that came during the trouble or within a second
-	// after it, or all where there is none. Each ends InTime, Late, Refused for good
-	// or Failed; Back counts those that were refused once.
+	// Calls counts the requests that arrived during a disturbance or within a second
+	// after one, or all if the pattern has none. Each ends as InTime, Late, Refused
+	// (for good) or Failed. Back counts the refusals after which the caller retried,
+	// over the whole run.
 	Calls, InTime, Late, Refused, Failed, Back int
-	// Fresh counts those that came while entry VMs ran, FreshInTime those of them
-	// that were answered in time.
+	// Fresh counts the requests that arrived while entry VMs had power, FreshInTime
+	// those of them that were answered in time.
 	Fresh, FreshInTime int
-	// P99 is the time of the slowest answer but one in a hundred.
+	// P99 is the 99th percentile of the time of answered requests.
 	P99 time.Duration
-	// Series holds the whole run in steps of worstStep.
+	// Series holds the whole run in steps of replayStepLength.
 	Series []WorstStep
 
 	took []time.Duration
 }
 
-// WorstStep counts the requests that came in one step of a run by their end.
+// WorstStep counts the requests that arrived in one step of a run, by their
+// outcome.
 type WorstStep struct{ InTime, Late, Refused int }
 
-// worstStep is the length of one step of a series.
-const worstStep = 250 * time.Millisecond
+// replayStepLength is the length of one step of a series.
+const replayStepLength = 250 * time.Millisecond
 
-// counts tells whether a request that came at a time counts: from the first trouble
-// to a while after the last.
-func (w *worst) counts(at time.Duration) bool {
+// counts reports whether a request that arrived at a time counts in the totals: it
+// arrived during a disturbance or shortly after one, or the pattern has none.
+func (w *replay) counts(at time.Duration) bool {
 	p := w.pattern
-	all := []Stretch{p.Slow.Stretch, p.Gone.Stretch, p.Shed.Stretch, p.Dark, p.Lean.Stretch}
+	all := []Interval{p.Slow.Interval, p.Silent.Interval, p.Shed.Interval, p.PowerLoss, p.Skew.Interval}
 
 	for _, s := range p.Surges {
-		all = append(all, s.Stretch)
+		all = append(all, s.Interval)
 	}
 
 	troubled := false
@@ -41,7 +43,7 @@
 	for _, s := range all {
 		troubled = troubled || s.To > 0
 
-		if s.From <= at && at < s.To+worstAfter {
+		if s.From <= at && at < s.To+aftermath {
 			return true
 		}
 	}
@@ -76,8 +78,8 @@
 	}
 }
 
-// RunWorstSeeds runs a pattern with so many seeds, counted up from its own, and adds
-// up the results by way.
+// RunWorstSeeds runs a pattern with a number of consecutive seeds, starting with
+// its own, and adds up the results of each way.
 func RunWorstSeeds(p Pattern, ways []Way, seeds, parallel int) ([]*WorstResult, error) {
 	var sums []*WorstResult
 
@@ -101,7 +103,7 @@
 	return sums, nil
 }
 
-// add adds another run's counts; P99 is the longest one.
+// add adds the counts of another run. P99 is the longest one.
 func (r *WorstResult) add(o *WorstResult) {
 	r.Calls += o.Calls
 	r.InTime += o.InTime
--- a/internal/lab/cwbench/worst_run.go
+++ b/internal/lab/cwbench/worst_run.go
@@ -12,63 +12,67 @@
 	"carobward.example/carobward/internal/cwqueue"
 )
 
-// The figures of the model that patterns share.
+// Parameters that all patterns share.
 const (
-	worstService = carobward.Service("records")
-	// worstWay is the time of the network one way, worstLook that of a look.
-	worstWay  = time.Millisecond
-	worstLook = 3 * time.Millisecond
-	// worstSpread is the spread of work.
-	worstSpread = 0.3
-	// worstRetries is how often a caller comes back.
-	worstRetries = 1
-	// worstLost is when a caller tries again whose opening packet was lost.
-	worstLost = time.Second
-	// worstAfter is how long after trouble requests still count.
-	worstAfter = time.Second
+	replayService = carobward.Service("records")
+	// networkDelay is the one-way delay of the network, checkDelay the time of a
+	// health check.
+	networkDelay = time.Millisecond
+	checkDelay   = 3 * time.Millisecond
+	// workSpread is the sigma of the lognormal distribution of work.
+	workSpread = 0.3
+	// maxRetries is how often a caller retries after a refusal.
+	maxRetries = 1
+	// reconnectDelay is the time after which a caller whose first packet was lost
+	// tries to connect again.
+	reconnectDelay = time.Second
+	// aftermath is the time after a disturbance during which arriving requests still
+	// count.
+	aftermath = time.Second
 )
 
-// worstDomain is the failure domain of a VM or server at a place.
-func worstDomain(place int) carobward.Domain {
-	return carobward.Domain([]string{"a", "b", "c"}[place%3])
+// replayDomain returns the failure domain of the entry VM or server at an index.
+func replayDomain(index int) carobward.Domain {
+	return carobward.Domain([]string{"a", "b", "c"}[index%3])
 }
 
-// worst is one pattern under one way.
-type worst struct {
+// replay is the simulation of one pattern with one way.
+type replay struct {
 	pattern  *Pattern
 	way      *Way
 	timeline timeline
 	rng      *rand.Rand
-	servers  []*worstServer
-	vms      []*worstVM
+	servers  []*replayServer
+	vms      []*replayVM
 	result   *WorstResult
 }
 
-// worstRequest is one caller's request over its attempts.
-type worstRequest struct {
-	run *worst
-	// began is when the caller began, until when it gives up.
+// replayRequest is the request of one caller over all its attempts.
+type replayRequest struct {
+	run *replay
+	// began is the time of the first attempt, until the time at which the caller
+	// gives up.
 	began, until time.Time
 	attempt      int
-	vm           *worstVM
-	turn         cwqueue.Schedule
-	// back tells that the caller has probably come back after a refusal, sends how
-	// often this attempt was sent, tried to which servers.
-	back  bool
-	sends int
-	tried map[*cwbackend.Server]bool
-	// returned is what the way "alone" takes for a caller that has come back.
-	returned bool
-	// parked counts the pauses, so that an old timer does not end a new one.
-	parked int
-	waits  bool
-	done   bool
+	vm           *replayVM
+	schedule     cwqueue.Schedule
+	// retried reports whether the caller has probably retried after a refusal, sends
+	// is the number of sends of this attempt, and tried has the servers that got it.
+	retried bool
+	sends   int
+	tried   map[*cwbackend.Server]bool
+	// aloneRetried is the estimate of the way "alone" whether the caller has retried.
+	aloneRetried bool
+	// parked counts the pauses, so that an old timer does not end a later pause.
+	parked  int
+	waiting bool
+	done    bool
 }
 
 // Turn implements cwqueue.Waiter.
-func (r *worstRequest) Turn() *cwqueue.Schedule { return &r.turn }
+func (r *replayRequest) Turn() *cwqueue.Schedule { return &r.schedule }
 
-// RunWorst runs a pattern under some ways, each with the same requests.
+// RunWorst simulates a pattern with each of the ways and the same new requests.
 func RunWorst(p Pattern, ways []Way, parallel int) ([]*WorstResult, error) {
 	if err := p.Validate(); err != nil {
 		return nil, err
@@ -76,15 +80,15 @@
 
 	m := iter.Mapper[Way, *WorstResult]{MaxGoroutines: parallel}
 
-	return m.Map(ways, func(w *Way) *WorstResult { return newWorst(p, w).run() }), nil
+	return m.Map(ways, func(w *Way) *WorstResult { return newReplay(p, w).run() }), nil
 }
 
-func newWorst(p Pattern, way *Way) *worst {
-	w := &worst{pattern: &p, way: way, rng: random(p.Seed, streamChoices)}
-	w.result = &WorstResult{Pattern: p.Name, Way: way.Name, Series: make([]WorstStep, int(p.Length/worstStep)+1)}
+func newReplay(p Pattern, way *Way) *replay {
+	w := &replay{pattern: &p, way: way, rng: random(p.Seed, streamChoices)}
+	w.result = &WorstResult{Pattern: p.Name, Way: way.Name, Series: make([]WorstStep, int(p.Length/replayStepLength)+1)}
 
 	for i := range p.Servers {
-		w.servers = append(w.servers, &worstServer{run: w, place: i, rng: random(p.Seed+uint64(i), streamSpeeds)})
+		w.servers = append(w.servers, &replayServer{run: w, index: i, rng: random(p.Seed+uint64(i), streamSpeeds)})
 	}
 
 	vms := p.VMs
@@ -93,20 +97,20 @@
 	}
 
 	for i := range vms {
-		w.vms = append(w.vms, newWorstVM(w, i, vms))
+		w.vms = append(w.vms, newReplayVM(w, i, vms))
 	}
 
 	return w
 }
 
-func (w *worst) now() time.Time { return epoch.Add(w.timeline.now) }
+func (w *replay) now() time.Time { return epoch.Add(w.timeline.now) }
 
-func (w *worst) run() *WorstResult {
+func (w *replay) run() *WorstResult {
 	rng := random(w.pattern.Seed, streamArrivals)
 	w.arrive(rng)
 
-	if d := w.pattern.Dark; d.To > 0 {
-		w.timeline.add(d.From, w.darken)
+	if d := w.pattern.PowerLoss; d.To > 0 {
+		w.timeline.add(d.From, w.losePower)
 	}
 
 	for w.timeline.next() {
@@ -121,8 +125,8 @@
 	return w.result
 }
 
-// arrive adds the next new request.
-func (w *worst) arrive(rng *rand.Rand) {
+// arrive schedules the next new request.
+func (w *replay) arrive(rng *rand.Rand) {
 	p := w.pattern
 	gap := rng.ExpFloat64() / (p.Rate * p.factor(w.timeline.now))
 	wait := p.Wait - time.Duration(rng.Float64()*p.WaitSpread*float64(p.Wait))
@@ -132,34 +136,35 @@
 	}
 
 	w.timeline.after(time.Duration(gap*float64(time.Second)), func() {
-		r := &worstRequest{run: w, began: w.now(), until: w.now().Add(wait)}
+		r := &replayRequest{run: w, began: w.now(), until: w.now().Add(wait)}
 		w.connect(r)
 		w.arrive(rng)
 	})
 }
 
-// connect brings a request to an entry VM, later where that has no power.
-func (w *worst) connect(r *worstRequest) {
-	d := w.pattern.Dark
+// connect passes a request to an entry VM, after a delay if the entry VMs have no
+// power.
+func (w *replay) connect(r *replayRequest) {
+	d := w.pattern.PowerLoss
 
 	switch {
 	case !w.now().Before(r.until):
 		w.finish(r, false, false)
-	case d.holds(w.timeline.now):
-		w.timeline.after(worstLost, func() { w.connect(r) })
+	case d.contains(w.timeline.now):
+		w.timeline.after(reconnectDelay, func() { w.connect(r) })
 	default:
 		r.vm = w.pickVM()
-		r.vm.take(r)
+		r.vm.accept(r)
 	}
 }
 
-// pickVM returns the entry VM that a caller chooses: any, or one of the first failure
-// domain for so many callers as lean to it.
-func (w *worst) pickVM() *worstVM {
+// pickVM returns the entry VM that a caller uses: a random one, or one of the first
+// failure domain for the callers that Skew affects.
+func (w *replay) pickVM() *replayVM {
 	v := w.vms[w.rng.IntN(len(w.vms))]
 
-	if l := w.pattern.Lean; l.holds(w.timeline.now) && w.rng.Float64() < l.Share {
-		for !w.way.Central && v.domain != worstDomain(0) {
+	if l := w.pattern.Skew; l.contains(w.timeline.now) && w.rng.Float64() < l.Share {
+		for !w.way.Central && v.domain != replayDomain(0) {
 			v = w.vms[w.rng.IntN(len(w.vms))]
 		}
 	}
@@ -167,25 +172,26 @@
 	return v
 }
 
-// darken loses all that entry VMs know and carry.
-func (w *worst) darken() {
+// losePower discards the state of all entry VMs and fails the requests that they
+// have.
+func (w *replay) losePower() {
 	for i, old := range w.vms {
-		for r := range old.carried {
+		for r := range old.inFlight {
 			w.finish(r, false, false)
 		}
 
-		w.vms[i] = newWorstVM(w, i, len(w.vms))
+		w.vms[i] = newReplayVM(w, i, len(w.vms))
 	}
 }
 
-// refuse tells a caller when to come back, or for good.
-func (w *worst) refuse(r *worstRequest, after time.Duration) {
-	delete(r.vm.carried, r)
+// refuse tells a caller when to retry, or refuses it for good after its last retry.
+func (w *replay) refuse(r *replayRequest, after time.Duration) {
+	delete(r.vm.inFlight, r)
 
-	// Callers wait for a third of the time that they have left at most.
+	// Callers wait for up to a third of the time that they have left.
 	after = min(after, r.until.Sub(w.now())/3)
 
-	if r.attempt >= worstRetries {
+	if r.attempt >= maxRetries {
 		w.finish(r, false, true)
 
 		return
@@ -196,8 +202,8 @@
 	w.timeline.after(after, func() { w.connect(r) })
 }
 
-// finish counts the end of a request.
-func (w *worst) finish(r *worstRequest, answered, refused bool) {
+// finish records the end of a request.
+func (w *replay) finish(r *replayRequest, answered, refused bool) {
 	if r.done {
 		return
 	}
@@ -205,13 +211,13 @@
 	r.done = true
 
 	if r.vm != nil {
-		delete(r.vm.carried, r)
+		delete(r.vm.inFlight, r)
 	}
 
 	took := w.now().Sub(r.began)
 	late := took > w.pattern.Objective
 	at := r.began.Sub(epoch)
-	step := &w.result.Series[int(at/worstStep)]
+	step := &w.result.Series[int(at/replayStepLength)]
 
 	switch {
 	case answered && !late:
@@ -223,6 +229,6 @@
 	}
 
 	if w.counts(at) {
-		w.result.count(took, answered, late, refused, !w.pattern.Dark.holds(at))
+		w.result.count(took, answered, late, refused, !w.pattern.PowerLoss.contains(at))
 	}
 }
--- a/internal/lab/cwbench/worst_server.go
+++ b/internal/lab/cwbench/worst_server.go
@@ -10,84 +10,86 @@
 	"carobward.example/carobward/internal/cwstand"
 )
 
-// worstQueue is how many requests a server queues beyond its slots.
-const worstQueue = 6
+// maxQueued is the number of requests that a server queues beyond its slots.
+const maxQueued = 6
 
-// worstServer is one modelled server of a pattern.
-type worstServer struct {
-	run   *worst
-	place int
+// replayServer is one simulated server.
+type replayServer struct {
+	run   *replay
+	index int
 	busy  int
-	queue []*worstSend
+	queue []*replaySend
 	rng   *rand.Rand
 }
 
-// worstSend is one request at one server.
-type worstSend struct {
-	request *worstRequest
-	server  *worstServer
-	// known is the server as the entry VM knows it, which numbered the send.
+// replaySend is one send of a request to a server.
+type replaySend struct {
+	request *replayRequest
+	server  *replayServer
+	// known is the record of the server at the entry VM, number identifies the send
+	// there.
 	known  *cwbackend.Server
 	number int64
 	at     time.Time
-	// report is what the server said before, refused that it refused the request.
+	// report is the last report of the server before the send. refused reports
+	// whether the server refused the request.
 	report  carobward.Report
 	refused bool
 }
 
-func (s *worstServer) backend() carobward.Backend {
+func (s *replayServer) backend() carobward.Backend {
 	return carobward.Backend{
-		Instance: carobward.Instance(fmt.Sprintf("i-%02d", s.place)), Address: carobward.Address(fmt.Sprintf("s-%02d", s.place)),
-		Service: worstService, Domain: worstDomain(s.place), Slots: s.run.pattern.Slots,
+		Instance: carobward.Instance(fmt.Sprintf("i-%02d", s.index)), Address: carobward.Address(fmt.Sprintf("s-%02d", s.index)),
+		Service: replayService, Domain: replayDomain(s.index), Slots: s.run.pattern.Slots,
 	}
 }
 
-// slowness is how much longer work takes that begins now.
-func (s *worstServer) slowness() float64 {
+// slowness returns the factor by which work that starts now takes longer than usual.
+func (s *replayServer) slowness() float64 {
 	p, at := s.run.pattern, s.run.timeline.now
 	out := 1.0
 
-	if rand.New(rand.NewPCG(p.Seed<<16+uint64(s.place), uint64(at/p.NoiseEvery))).Float64() < p.NoiseShare {
+	if rand.New(rand.NewPCG(p.Seed<<16+uint64(s.index), uint64(at/p.NoiseEvery))).Float64() < p.NoiseShare {
 		out = p.NoiseFactor
 	}
 
-	if p.Slow.hits(s.place, p.Servers, at) {
+	if p.Slow.affects(s.index, p.Servers, at) {
 		out *= p.Slow.Factor
 	}
 
 	return out
 }
 
-func (s *worstServer) gone() bool {
+func (s *replayServer) silent() bool {
 	p, at := s.run.pattern, s.run.timeline.now
 
-	return p.Gone.hits(s.place, p.Servers, at) || p.Fallen.holds(at) && worstDomain(s.place) == worstDomain(0)
+	return p.Silent.affects(s.index, p.Servers, at) || p.LostDomain.contains(at) && replayDomain(s.index) == replayDomain(0)
 }
 
-func (s *worstServer) report() carobward.Report {
+func (s *replayServer) report() carobward.Report {
 	return carobward.Report{At: s.run.now(), Running: s.busy, Queued: len(s.queue), Slots: s.run.pattern.Slots, Slowness: s.slowness()}
 }
 
-// take gets a request.
-func (s *worstServer) take(q *worstSend) {
+// accept handles a request that has reached the server.
+func (s *replayServer) accept(q *replaySend) {
 	p := s.run.pattern
 
 	switch {
-	case s.gone():
-	case p.Shed.hits(s.place, p.Servers, s.run.timeline.now) && s.rng.Float64() < p.Shed.Factor:
+	case s.silent():
+	case p.Shed.affects(s.index, p.Servers, s.run.timeline.now) && s.rng.Float64() < p.Shed.Factor:
 		q.refused = true
-		s.run.timeline.after(worstWay, func() { q.request.vm.ended(q, s.report()) })
+		s.run.timeline.after(networkDelay, func() { q.request.vm.sendEnded(q, s.report()) })
 	case s.busy < p.Slots:
 		s.begin(q)
-	case len(s.queue) < worstQueue:
+	case len(s.queue) < maxQueued:
 		s.queue = append(s.queue, q)
 	}
 }
 
-func (s *worstServer) begin(q *worstSend) {
+func (s *replayServer) begin(q *replaySend) {
 	p := s.run.pattern
 	s.busy++
-	took := float64(cwstand.Lognormal(p.Work, worstSpread, s.rng)) * s.slowness()
+	took := float64(cwstand.Lognormal(p.Work, workSpread, s.rng)) * s.slowness()
 
 	if float64(s.busy) > p.Knee*float64(p.Slots) {
 		took *= p.KneeFactor
@@ -96,7 +98,7 @@
 	s.run.timeline.after(time.Duration(took), func() { s.end(q) })
 }
 
-func (s *worstServer) end(q *worstSend) {
+func (s *replayServer) end(q *replaySend) {
 	s.busy--
 
 	if len(s.queue) > 0 {
@@ -105,7 +107,7 @@
 		s.begin(next)
 	}
 
-	if r := s.report(); !s.gone() {
-		s.run.timeline.after(worstWay, func() { q.request.vm.ended(q, r) })
+	if r := s.report(); !s.silent() {
+		s.run.timeline.after(networkDelay, func() { q.request.vm.sendEnded(q, r) })
 	}
 }
--- a/internal/lab/cwbench/worst_test.go
+++ b/internal/lab/cwbench/worst_test.go
@@ -7,17 +7,16 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-// manySeeds is how many seeds a comparison of two near ones adds up, fewSeeds one of
-// those far apart.
+// Number of seeds to add up: manySeeds where the compared ways give similar results,
+// fewSeeds where they differ clearly.
 const (
 	manySeeds = 6
 	fewSeeds  = 3
 )
 
-// shares runs a pattern under some ways and returns the shares of its requests, by
-// way: in time of all and of those that came while entry VMs ran, and refused for
-// good. VMs changes the number of entry VMs where it is not zero, fleet that of
-// servers and requests with it.
+// shares runs a pattern with some ways and returns the shares of its requests by
+// way. vms, if not zero, replaces the number of entry VMs only; fleet, if not zero,
+// scales servers and requests in proportion to that number of entry VMs.
 func shares(t *testing.T, name string, vms, fleet, seeds int, names ...string) map[string]share {
 	t.Helper()
 
@@ -60,17 +59,19 @@
 	return out
 }
 
-// share has the shares of a pattern's requests that ended so.
+// share has shares of the requests of a pattern: answered in time, answered in time
+// of those that arrived while entry VMs had power, and refused for good.
 type share struct{ inTime, fresh, refused float64 }
 
-// TestWorst replays loads at their worst. Turns serve more in time than requests
-// that each look for themselves, and most of what a line over all entry VMs with
-// perfect sight would; the calm load is served whole.
+// TestWorst checks that under overload and failures the product answers more
+// requests in time than requests that each check servers independently, and nearly
+// as many as a single queue with perfect knowledge of all servers. A calm load is
+// answered almost completely.
 func TestWorst(t *testing.T) {
 	for name, c := range map[string]struct {
-		// more is the least share of requests more in time than alone, near the
-		// least part of what the ceiling has in time.
-		more, near float64
+		// more is the minimum gain over the way "alone" in the share of requests in
+		// time, ratio the minimum ratio to the upper bound.
+		more, ratio float64
 	}{
 		"calm":   {-0.01, 0.98},
 		"burst":  {0.12, 0.82},
@@ -89,37 +90,38 @@
 			got := shares(t, name, 0, 0, fewSeeds, "alone", nameOurs, nameCeiling)
 			ours, alone, ceiling := got[nameOurs].fresh, got["alone"].fresh, got[nameCeiling].fresh
 
-			if ours < alone+c.more || ours < c.near*ceiling {
-				t.Errorf("%.3f in time, %.3f alone, %.3f at the ceiling", ours, alone, ceiling)
+			if ours < alone+c.more || ours < c.ratio*ceiling {
+				t.Errorf("in time: %.3f, alone %.3f, upper bound %.3f", ours, alone, ceiling)
 			}
 		})
 	}
 }
 
-// TestWorstParts replays for each part of the decisions the load that it answers,
-// with and without it.
+// TestWorstParts runs for each part of the server selection the pattern that needs
+// it, with and without that part.
 func TestWorstParts(t *testing.T) {
 	for name, c := range map[string]struct {
 		pattern, without string
 		vms, fleet       int
-		// more is the least share of requests more in time, fewer of fewer refused.
+		// more is the minimum gain in the share of requests in time, fewer the minimum
+		// drop in the share of refused requests.
 		more, fewer float64
 	}{
-		"servers that refuse use the bound":  {"shed", "reserved", 0, 0, 0.02, 0.02},
-		"the same in a fleet of hundreds":    {"shed", "reserved", 0, 472, 0.02, 0.02},
-		"others help out a failure domain":   {"lean", "homebound", 0, 127, 0.02, -1},
-		"others serve for a lost domain":     {"fallen", "narrow", 0, 0, 0.002, 0},
-		"who has come back is known":         {"dark", "ageless", 0, 0, 0.05, -1},
-		"late requests spare a slot":         {"dark", "greedy", 0, 0, 0.05, -1},
-		"freed slots are handed over":        {"bursts", "forgetful", 4, 0, 0.02, -1},
-		"only the first in line looks":       {"bursts", "restless", 0, 0, 0.02, -1},
-		"where all are slow, late is enough": {"all-slow", "paceless", 0, 0, -1, 0.2},
+		"refused requests may use all extra calls": {"shed", "reserved", 0, 0, 0.02, 0.02},
+		"refused requests in a fleet of hundreds":  {"shed", "reserved", 0, 472, 0.02, 0.02},
+		"other domains help a crowded one":         {"lean", "homebound", 0, 127, 0.02, -1},
+		"spare servers replace a lost domain":      {"fallen", "narrow", 0, 0, 0.002, 0},
+		"retries are recognized":                   {"dark", "ageless", 0, 0, 0.05, -1},
+		"late requests leave a slot free":          {"dark", "greedy", 0, 0, 0.05, -1},
+		"freed slots go to waiting requests":       {"bursts", "forgetful", 4, 0, 0.02, -1},
+		"only the first in the queue checks":       {"bursts", "restless", 0, 0, 0.02, -1},
+		"slow servers are accepted where all are":  {"all-slow", "paceless", 0, 0, -1, 0.2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 
 			seeds := manySeeds
-			if c.fleet > 0 { // Many requests a seed.
+			if c.fleet > 0 { // One seed has enough requests.
 				seeds = 1
 			}
 
@@ -127,17 +129,18 @@
 			ours, without := got[nameOurs], got[c.without]
 
 			if ours.fresh < without.fresh+c.more {
-				t.Errorf("%.3f in time, %.3f without", ours.fresh, without.fresh)
+				t.Errorf("in time: %.3f, without the part %.3f", ours.fresh, without.fresh)
 			}
 
 			if ours.refused > without.refused-c.fewer {
-				t.Errorf("%.3f refused, %.3f without", ours.refused, without.refused)
+				t.Errorf("refused: %.3f, without the part %.3f", ours.refused, without.refused)
 			}
 		})
 	}
 }
 
-// TestWorstRepeats wants a run to be the same each time, whatever runs beside it.
+// TestWorstRepeats checks that a run gives the same result each time, whatever runs
+// in parallel.
 func TestWorstRepeats(t *testing.T) {
 	p, err := FindPattern("dark")
 	if err != nil {
@@ -159,26 +162,26 @@
 	}
 }
 
-// TestPatternErrors has patterns that make no sense.
+// TestPatternErrors checks that unknown and invalid patterns are rejected.
 func TestPatternErrors(t *testing.T) {
 	if _, err := FindPattern("none"); err == nil {
-		t.Error("a pattern that there is not")
+		t.Error("FindPattern of an unknown pattern returned no error")
 	}
 
 	for name, change := range map[string]func(*Pattern){
-		"no servers":        func(p *Pattern) { p.Servers = 0 },
-		"no load":           func(p *Pattern) { p.Rate = 0 },
-		"no work":           func(p *Pattern) { p.Work = 0 },
-		"a wait too short":  func(p *Pattern) { p.Wait = p.Objective / 2 },
-		"no end of noise":   func(p *Pattern) { p.NoiseEvery = 0 },
-		"more than callers": func(p *Pattern) { p.VMs = -1 },
+		"no servers":                   func(p *Pattern) { p.Servers = 0 },
+		"no load":                      func(p *Pattern) { p.Rate = 0 },
+		"no work":                      func(p *Pattern) { p.Work = 0 },
+		"wait shorter than objective":  func(p *Pattern) { p.Wait = p.Objective / 2 },
+		"no noise interval":            func(p *Pattern) { p.NoiseEvery = 0 },
+		"negative number of entry VMs": func(p *Pattern) { p.VMs = -1 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := Patterns()[0]
 			change(&p)
 
 			if _, err := RunWorst(p, Ways()[:1], 1); err == nil {
-				t.Error("it ran")
+				t.Error("an invalid pattern returned no error")
 			}
 		})
 	}
--- a/internal/lab/cwbench/worst_vm.go
+++ b/internal/lab/cwbench/worst_vm.go
@@ -15,57 +15,62 @@
 	"carobward.example/carobward/internal/cwretry"
 )
 
-// The measures of the entry VMs, as those of the product.
+// Parameters of the entry VMs, the same as those of the product.
 const (
-	worstGood = 1.75
-	// worstLooks is the number of looks that a server gets a second, worstSave the
-	// seconds for which they can be saved up.
-	worstLooks = 54
-	worstSave  = 4
-	// worstAttempts is the most servers that one attempt of a caller is sent to.
-	worstAttempts = 2
-	// worstExtraShare and worstExtraSpan bound the calls beyond the first of each
-	// attempt: in each span a share of the attempts, and as many on top as come new
-	// in worstExtraFree without a surge, over all entry VMs.
-	worstExtraShare = 0.18
-	worstExtraSpan  = 10 * time.Second
-	worstExtraFree  = 0.3
-	// worstLeft is the time that must be left for another send, in usual times.
-	worstLeft = 0.5
-	// The way "alone" looks for aloneRoom of the objective, each alonePause, tells
-	// callers to come back after aloneBack, and takes those that wait for less than
-	// aloneWait of the longest wait for some that have come back.
-	aloneRoom  = 0.18
-	alonePause = 30 * time.Millisecond
-	aloneBack  = 250 * time.Millisecond
-	aloneWait  = 0.95
+	// goodTime is the expected time, in usual response times, up to which a server is
+	// accepted without checking others.
+	goodTime = 1.75
+	// checksPerServer is the maximum number of health checks that a server gets a
+	// second from all entry VMs. checkBurst is the number of seconds for which unused
+	// checks accumulate.
+	checksPerServer = 54
+	checkBurst      = 4
+	// maxSends is the maximum number of sends of one attempt of a caller.
+	maxSends = 2
+	// extraShare and extraWindow limit extra calls: in each window, they may be a
+	// share of the attempts, plus as many as new requests arrive in extraFree seconds
+	// without a surge, over all entry VMs.
+	extraShare  = 0.18
+	extraWindow = 10 * time.Second
+	extraFree   = 0.3
+	// minTimeLeft is the time that must be left for another send, in usual response
+	// times.
+	minTimeLeft = 0.5
+	// Parameters of the way "alone". Its requests search for the fraction aloneSearch
+	// of the objective, with a check every alonePause. Refused callers retry after
+	// aloneRetryAfter. A caller that waits for less than aloneRetryRatio of the
+	// longest wait counts as one that has retried.
+	aloneSearch     = 0.18
+	alonePause      = 30 * time.Millisecond
+	aloneRetryAfter = 250 * time.Millisecond
+	aloneRetryRatio = 0.95
 )
 
-// worstVM is one entry VM.
-type worstVM struct {
-	run     *worst
-	domain  carobward.Domain
-	table   *cwbackend.Table
-	servers map[carobward.Address]*worstServer
-	line    cwqueue.Queue[*worstRequest]
-	pace    cwqueue.Slowdown
-	waits   cwattempt.Waits
-	longest time.Duration
-	times   *cwpick.Times
-	looks   *rate.Limiter
-	extra   *cwretry.Window
-	slack   float64
-	carried map[*worstRequest]bool
+// replayVM is one simulated entry VM.
+type replayVM struct {
+	run      *replay
+	domain   carobward.Domain
+	table    *cwbackend.Table
+	servers  map[carobward.Address]*replayServer
+	queue    cwqueue.Queue[*replayRequest]
+	slowdown cwqueue.Slowdown
+	waits    cwattempt.Waits
+	longest  time.Duration
+	times    *cwpick.Times
+	checks   *rate.Limiter
+	extra    *cwretry.Window
+	extraMin float64
+	inFlight map[*replayRequest]bool
 }
 
-func newWorstVM(w *worst, place, vms int) *worstVM {
+func newReplayVM(w *replay, index, vms int) *replayVM {
 	name := func(i int) cwbackend.VM {
-		return cwbackend.VM{ID: carobward.VMID(rune('A' + i)), Domain: worstDomain(i)}
+		return cwbackend.VM{ID: carobward.VMID(rune('A' + i)), Domain: replayDomain(i)}
 	}
 
-	v := &worstVM{
-		run: w, domain: worstDomain(place), table: cwbackend.New(name(place)), times: cwpick.NewTimes(),
-		servers: map[carobward.Address]*worstServer{}, carried: map[*worstRequest]bool{},
+	v := &replayVM{
+		run: w, domain: replayDomain(index), table: cwbackend.New(name(index)), times: cwpick.NewTimes(),
+		servers: map[carobward.Address]*replayServer{}, inFlight: map[*replayRequest]bool{},
 	}
 
 	var list []carobward.Backend
@@ -79,7 +84,7 @@
 		var neighbours []carobward.VMID
 
 		for i := range vms {
-			if vm := name(i); i != place && vm.Domain == v.domain {
+			if vm := name(i); i != index && vm.Domain == v.domain {
 				neighbours = append(neighbours, vm.ID)
 			}
 		}
@@ -91,18 +96,18 @@
 		v.servers[one.backend().Address] = one
 	}
 
-	most := worstLooks * float64(len(w.servers)) / float64(vms)
-	v.looks = rate.NewLimiter(rate.Limit(most), int(worstSave*most)+cwpick.SampleSize)
+	perSecond := checksPerServer * float64(len(w.servers)) / float64(vms)
+	v.checks = rate.NewLimiter(rate.Limit(perSecond), int(checkBurst*perSecond)+cwpick.SampleSize)
 
-	v.extra = cwretry.NewWindow(worstExtraShare, worstExtraSpan, w.now())
-	v.slack = worstExtraFree * w.pattern.Rate / float64(vms)
+	v.extra = cwretry.NewWindow(extraShare, extraWindow, w.now())
+	v.extraMin = extraFree * w.pattern.Rate / float64(vms)
 
 	return v
 }
 
-func (v *worstVM) views() []cwbackend.View {
-	list := v.table.Views(worstService, v.run.now(), v.times.Usual(v.run.pattern.Objective))
-	if v.run.way.Narrow {
+func (v *replayVM) views() []cwbackend.View {
+	list := v.table.Views(replayService, v.run.now(), v.times.Usual(v.run.pattern.Objective))
+	if v.run.way.NoSpareServers {
 		list = slices.DeleteFunc(list, func(view cwbackend.View) bool { return view.Spare })
 	}
 
@@ -110,139 +115,140 @@
 		list[i].Idle = true
 	}
 
-	// The table has no order; a run that can be repeated needs one.
+	// The table has no fixed order; sorting makes runs repeatable.
 	slices.SortFunc(list, func(a, b cwbackend.View) int { return cmp.Compare(a.Address, b.Address) })
 
 	return list
 }
 
-// take gets a request of a caller.
-func (v *worstVM) take(r *worstRequest) {
+// accept handles a request of a caller.
+func (v *replayVM) accept(r *replayRequest) {
 	now, p := v.run.now(), v.run.pattern
 	left := r.until.Sub(now)
-	v.carried[r] = true
+	v.inFlight[r] = true
 	v.waits.Add(left)
 	v.longest = max(v.longest, left)
 
 	var age time.Duration
-	if way := v.run.way; !way.Ageless && !way.Alone {
+	if way := v.run.way; !way.NoRetryAge && !way.Alone {
 		age = v.waits.Age(left)
 	}
 
 	r.sends, r.tried = 0, map[*cwbackend.Server]bool{}
 	v.extra.Request(now)
-	r.returned = float64(left) < aloneWait*float64(v.longest)
-	r.turn = cwqueue.Schedule{
+	r.aloneRetried = float64(left) < aloneRetryRatio*float64(v.longest)
+	r.schedule = cwqueue.Schedule{
 		Arrived: now, Due: now.Add(p.Objective - age), Deadline: r.until, Objective: p.Objective,
-		Usual: v.times.Usual(p.Objective), Slowdown: v.paceNow(),
+		Usual: v.times.Usual(p.Objective), Slowdown: v.currentSlowdown(),
 	}
-	r.back = age > 0
-	v.line.Join(r)
-	v.turn(r)
+	r.retried = age > 0
+	v.queue.Join(r)
+	v.dispatch(r)
 }
 
-func (v *worstVM) paceNow() float64 {
-	if v.run.way.Paceless {
+func (v *replayVM) currentSlowdown() float64 {
+	if v.run.way.NoSlowdown {
 		return 1
 	}
 
-	return v.pace.Now()
+	return v.slowdown.Now()
 }
 
-// turn lets a request look if it is its turn, or waits.
-func (v *worstVM) turn(r *worstRequest) {
+// dispatch runs health checks for a request if it may check now, refuses it if it
+// has waited too long, and otherwise parks it.
+func (v *replayVM) dispatch(r *replayRequest) {
 	w := v.run
 
 	switch {
 	case r.done || r.vm != v:
-	case w.way.Blind:
+	case w.way.Random:
 		views := v.views()
-		v.send(r, &worstChoice{view: views[w.rng.IntN(len(views))]})
+		v.send(r, &candidate{view: views[w.rng.IntN(len(views))]})
 	case !w.now().Before(r.until):
-		v.line.Leave(r)
+		v.queue.Leave(r)
 		w.finish(r, false, false)
-	case w.way.Alone || w.way.Restless || v.line.MayCheck(r, w.now()):
-		v.look(r)
-	case r.turn.ShouldRefuse(w.now()):
-		v.line.Leave(r)
-		w.refuse(r, r.turn.RetryAfter())
+	case w.way.Alone || w.way.AllCheck || v.queue.MayCheck(r, w.now()):
+		v.check(r)
+	case r.schedule.ShouldRefuse(w.now()):
+		v.queue.Leave(r)
+		w.refuse(r, r.schedule.RetryAfter())
 	default:
 		v.park(r, false)
 	}
 }
 
-// decide sends a request, refuses it or lets it wait.
-func (v *worstVM) decide(r *worstRequest, best *worstChoice) {
+// decide sends, refuses or parks a request after its health checks.
+func (v *replayVM) decide(r *replayRequest, best *candidate) {
 	w := v.run
 	now := w.now()
 
-	if r.done || r.vm != v || !v.carried[r] || !slices.Contains(w.vms, v) {
+	if r.done || r.vm != v || !v.inFlight[r] || !slices.Contains(w.vms, v) {
 		return
 	}
 
-	r.turn.Slowdown = v.paceNow()
-	over, after := r.turn.ShouldRefuse(now), r.turn.RetryAfter()
+	r.schedule.Slowdown = v.currentSlowdown()
+	over, after := r.schedule.ShouldRefuse(now), r.schedule.RetryAfter()
 
 	if w.way.Alone {
-		over = now.Sub(r.turn.Arrived) >= time.Duration(aloneRoom*float64(w.pattern.Objective))
-		after = aloneBack
+		over = now.Sub(r.schedule.Arrived) >= time.Duration(aloneSearch*float64(w.pattern.Objective))
+		after = aloneRetryAfter
 	}
 
 	switch {
-	case best != nil && v.takes(r, best, over):
+	case best != nil && v.accepts(r, best, over):
 		v.send(r, best)
 	case over:
-		v.line.Leave(r)
+		v.queue.Leave(r)
 		w.refuse(r, after)
 	default:
 		v.park(r, true)
 	}
 }
 
-// park lets a request wait until it is offered a server or the pause is over. Looked
-// tells that a look for it was in vain.
-func (v *worstVM) park(r *worstRequest, looked bool) {
+// park lets a request wait until it gets a freed slot or its pause ends. looked
+// reports whether health checks for it just found no suitable server.
+func (v *replayVM) park(r *replayRequest, checked bool) {
 	r.parked++
-	r.waits = true
-	r.turn.NoRoom = r.turn.NoRoom || looked
-	parked, pause := r.parked, r.turn.CheckInterval()
+	r.waiting = true
+	r.schedule.NoRoom = r.schedule.NoRoom || checked
+	parked, pause := r.parked, r.schedule.CheckInterval()
 
 	switch {
 	case v.run.way.Central:
-		pause = worstLook
+		pause = checkDelay
 	case v.run.way.Alone:
 		pause = alonePause
 	}
 
 	v.run.timeline.after(pause, func() {
-		if r.waits && r.parked == parked {
-			r.waits = false
-			v.turn(r)
+		if r.waiting && r.parked == parked {
+			r.waiting = false
+			v.dispatch(r)
 		}
 	})
 }
 
-func (v *worstVM) send(r *worstRequest, c *worstChoice) {
+func (v *replayVM) send(r *replayRequest, c *candidate) {
 	w := v.run
-	v.line.Leave(r)
+	v.queue.Leave(r)
 
-	r.waits = false
+	r.waiting = false
 	r.sends++
 	r.tried[c.view.Server] = true
-	q := &worstSend{request: r, server: v.servers[c.view.Address], known: c.view.Server, at: w.now(), report: c.view.Report}
+	q := &replaySend{request: r, server: v.servers[c.view.Address], known: c.view.Server, at: w.now(), report: c.view.Report}
 	q.number = c.view.Server.Begin(q.at, func() {})
 
-	w.timeline.after(worstWay, func() { q.server.take(q) })
+	w.timeline.after(networkDelay, func() { q.server.accept(q) })
 	w.timeline.after(r.until.Sub(w.now()), func() { w.finish(r, false, false) })
 
-	if next, ok := v.line.First(w.now(), func(*worstRequest) bool { return true }); ok && next.waits && !w.way.Alone {
-		next.waits = false
-		w.timeline.after(0, func() { v.turn(next) })
+	if next, ok := v.queue.First(w.now(), func(*replayRequest) bool { return true }); ok && next.waiting && !w.way.Alone {
+		next.waiting = false
+		w.timeline.after(0, func() { v.dispatch(next) })
 	}
 }
 
-// ended gets the end of a send.
-func (v *worstVM) ended(q *worstSend, report carobward.Report) {
+// sendEnded handles the reply to a send.
+func (v *replayVM) sendEnded(q *replaySend, report carobward.Report) {
 	w, r := v.run, q.request
 	if !slices.Contains(w.vms, v) {
 		return
@@ -253,14 +259,14 @@
 	if q.refused {
 		server.End(q.number, w.now(), cwbackend.Refused)
 
-		if !v.again(r) {
-			w.refuse(r, r.turn.RetryAfterRefusal())
+		if !v.mayResend(r) {
+			w.refuse(r, r.schedule.RetryAfterRefusal())
 
 			return
 		}
 
-		v.line.Join(r)
-		v.turn(r)
+		v.queue.Join(r)
+		v.dispatch(r)
 
 		return
 	}
@@ -270,40 +276,40 @@
 	v.times.Learn(w.pattern.Objective, w.now().Sub(q.at), q.report.Slowness, cwpick.Crowded(&q.report, w.pattern.Slots), false)
 	w.finish(r, true, false)
 
-	if !w.way.Forgetful && !w.way.Alone && !w.way.Blind {
+	if !w.way.NoHandOver && !w.way.Alone && !w.way.Random {
 		v.handOver(server, report)
 	}
 }
 
-// again tells whether a request that was refused goes to another server.
-func (v *worstVM) again(r *worstRequest) bool {
+// mayResend reports whether a refused request is sent to another server.
+func (v *replayVM) mayResend(r *replayRequest) bool {
 	now := v.run.now()
 	left := r.until.Sub(now)
 
-	if r.sends >= worstAttempts || float64(left) < worstLeft*float64(r.turn.Usual) {
+	if r.sends >= maxSends || float64(left) < minTimeLeft*float64(r.schedule.Usual) {
 		return false
 	}
 
-	claim := cwretry.ClaimOf(carobward.NotRun, r.back)
-	if v.run.way.Reserved && !r.back {
+	claim := cwretry.ClaimOf(carobward.NotRun, r.retried)
+	if v.run.way.ReserveExtra && !r.retried {
 		claim = cwretry.Overdue
 	}
 
-	return v.extra.Take(now, v.slack, claim)
+	return v.extra.Take(now, v.extraMin, claim)
 }
 
-// handOver gives a freed slot to the next in the line.
-func (v *worstVM) handOver(s *cwbackend.Server, report carobward.Report) {
+// handOver gives a freed slot to the next request of the queue.
+func (v *replayVM) handOver(s *cwbackend.Server, report carobward.Report) {
 	now := v.run.now()
 	view := s.View(now, v.times.Usual(v.run.pattern.Objective))
 	view.Report = report
 	c := v.rate(view)
 
-	next, ok := v.line.First(now, func(r *worstRequest) bool {
-		return r.waits && r.turn.Good(c.time) && v.free(r, &view) > 0
+	next, ok := v.queue.First(now, func(r *replayRequest) bool {
+		return r.waiting && r.schedule.Good(c.time) && v.freeSlots(r, &view) > 0
 	})
 	if ok {
-		next.waits = false
+		next.waiting = false
 		v.send(next, c)
 	}
 }
--- a/internal/lab/cwbench/write_test.go
+++ b/internal/lab/cwbench/write_test.go
@@ -37,7 +37,7 @@
 
 	for _, r := range list {
 		if !strings.Contains(b.String(), r.Variant) {
-			t.Errorf("no line of %s in\n%s", r.Variant, &b)
+			t.Errorf("table has no line for %s:\n%s", r.Variant, &b)
 		}
 	}
 }
