--- a/cmd/carobward/bench_worst.go
+++ b/cmd/carobward/bench_worst.go
@@ -80,7 +80,7 @@
 	share := func(n, of int) float64 { return 100 * float64(n) / float64(max(1, of)) }
 	_, _ = fmt.Fprintf(w, "%s\t%s\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%d\t\n", r.Pattern, r.Way, r.Calls,
 		share(r.InTime, r.Calls), share(r.FreshInTime, r.Fresh), share(r.Late, r.Calls), share(r.Refused, r.Calls),
-		share(r.Failed, r.Calls), share(r.Back, r.Calls), r.P99.Milliseconds())
+		share(r.Failed, r.Calls), share(r.Retried, r.Calls), r.P99.Milliseconds())
 }
 
 // ways returns the ways that the flags select, or all if they select none.
--- a/internal/lab/cwbench/worst_result.go
+++ b/internal/lab/cwbench/worst_result.go
@@ -7,9 +7,9 @@
 	Pattern, Way string
 	// Calls counts the requests that arrived during a disturbance or within a second
 	// after one, or all if the pattern has none. Each ends as InTime, Late, Refused
-	// (for good) or Failed. Back counts the refusals after which the caller retried,
+	// (for good) or Failed. Retried counts the refusals after which the caller retried,
 	// over the whole run.
-	Calls, InTime, Late, Refused, Failed, Back int
+	Calls, InTime, Late, Refused, Failed, Retried int
 	// Fresh counts the requests that arrived while entry VMs had power, FreshInTime
 	// those of them that were answered in time.
 	Fresh, FreshInTime int
@@ -110,7 +110,7 @@
 	r.Late += o.Late
 	r.Refused += o.Refused
 	r.Failed += o.Failed
-	r.Back += o.Back
+	r.Retried += o.Retried
 	r.Fresh += o.Fresh
 	r.FreshInTime += o.FreshInTime
 	r.P99 = max(r.P99, o.P99)
--- a/internal/lab/cwbench/worst_run.go
+++ b/internal/lab/cwbench/worst_run.go
@@ -198,7 +198,7 @@
 	}
 
 	r.attempt++
-	w.result.Back++
+	w.result.Retried++
 	w.timeline.after(after, func() { w.connect(r) })
 }
 
