--- a/cmd/carobward/bench_worst.go
+++ b/cmd/carobward/bench_worst.go
@@ -76,7 +76,7 @@
 	return errors.Annotate(w.Flush(), "bench worst")
 }
 
-func printWorst(w *tabwriter.Writer, r *cwbench.WorstResult) {
+func printWorst(w *tabwriter.Writer, r *cwbench.ReplayResult) {
 	share := func(n, of int) float64 { return 100 * float64(n) / float64(max(1, of)) }
 	_, _ = fmt.Fprintf(w, "%s\t%s\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%d\t\n", r.Pattern, r.Way, r.Calls,
 		share(r.InTime, r.Calls), share(r.FreshInTime, r.Fresh), share(r.Late, r.Calls), share(r.Refused, r.Calls),
@@ -152,7 +152,7 @@
 }
 
 // plot writes a plot of each result of one pattern to a file.
-func (c *benchWorstCommand) plot(results []*cwbench.WorstResult) error {
+func (c *benchWorstCommand) plot(results []*cwbench.ReplayResult) error {
 	if c.Plot == "" {
 		return nil
 	}
--- a/internal/lab/cwbench/plot.go
+++ b/internal/lab/cwbench/plot.go
@@ -102,7 +102,7 @@
 
 // PlotWorst draws the outcomes of the requests of a pattern over their arrival
 // times.
-func PlotWorst(file string, r *WorstResult) error {
+func PlotWorst(file string, r *ReplayResult) error {
 	p := plot.New()
 	p.Title.Text = r.Pattern + ", " + r.Way
 	p.X.Label.Text = "s"
--- a/internal/lab/cwbench/worst_result.go
+++ b/internal/lab/cwbench/worst_result.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// WorstResult has the outcomes of the requests of one pattern and way.
-type WorstResult struct {
+// ReplayResult has the outcomes of the requests of one pattern and way.
+type ReplayResult struct {
 	Pattern, Way string
 	// Calls counts the requests that arrived during a disturbance or within a second
 	// after one, or all if the pattern has none. Each ends as InTime, Late, Refused
@@ -51,7 +51,7 @@
 	return !troubled
 }
 
-func (r *WorstResult) count(took time.Duration, answered, late, refused, fresh bool) {
+func (r *ReplayResult) count(took time.Duration, answered, late, refused, fresh bool) {
 	r.Calls++
 
 	if fresh {
@@ -80,8 +80,8 @@
 
 // RunWorstSeeds runs a pattern with a number of consecutive seeds, starting with
 // its own, and adds up the results of each way.
-func RunWorstSeeds(p Pattern, ways []Way, seeds, parallel int) ([]*WorstResult, error) {
-	var sums []*WorstResult
+func RunWorstSeeds(p Pattern, ways []Way, seeds, parallel int) ([]*ReplayResult, error) {
+	var sums []*ReplayResult
 
 	for range max(1, seeds) {
 		list, err := RunWorst(p, ways, parallel)
@@ -104,7 +104,7 @@
 }
 
 // add adds the counts of another run. P99 is the longest one.
-func (r *WorstResult) add(o *WorstResult) {
+func (r *ReplayResult) add(o *ReplayResult) {
 	r.Calls += o.Calls
 	r.InTime += o.InTime
 	r.Late += o.Late
--- a/internal/lab/cwbench/worst_run.go
+++ b/internal/lab/cwbench/worst_run.go
@@ -44,7 +44,7 @@
 	rng      *rand.Rand
 	servers  []*replayServer
 	vms      []*replayVM
-	result   *WorstResult
+	result   *ReplayResult
 }
 
 // replayRequest is the request of one caller over all its attempts.
@@ -73,19 +73,19 @@
 func (r *replayRequest) Turn() *cwqueue.Schedule { return &r.schedule }
 
 // RunWorst simulates a pattern with each of the ways and the same new requests.
-func RunWorst(p Pattern, ways []Way, parallel int) ([]*WorstResult, error) {
+func RunWorst(p Pattern, ways []Way, parallel int) ([]*ReplayResult, error) {
 	if err := p.Validate(); err != nil {
 		return nil, err
 	}
 
-	m := iter.Mapper[Way, *WorstResult]{MaxGoroutines: parallel}
+	m := iter.Mapper[Way, *ReplayResult]{MaxGoroutines: parallel}
 
-	return m.Map(ways, func(w *Way) *WorstResult { return newReplay(p, w).run() }), nil
+	return m.Map(ways, func(w *Way) *ReplayResult { return newReplay(p, w).run() }), nil
 }
 
 func newReplay(p Pattern, way *Way) *replay {
 	w := &replay{pattern: &p, way: way, rng: random(p.Seed, streamChoices)}
-	w.result = &WorstResult{Pattern: p.Name, Way: way.Name, Series: make([]WorstStep, int(p.Length/replayStepLength)+1)}
+	w.result = &ReplayResult{Pattern: p.Name, Way: way.Name, Series: make([]WorstStep, int(p.Length/replayStepLength)+1)}
 
 	for i := range p.Servers {
 		w.servers = append(w.servers, &replayServer{run: w, index: i, rng: random(p.Seed+uint64(i), streamSpeeds)})
@@ -105,7 +105,7 @@
 
 func (w *replay) now() time.Time { return epoch.Add(w.timeline.now) }
 
-func (w *replay) run() *WorstResult {
+func (w *replay) run() *ReplayResult {
 	rng := random(w.pattern.Seed, streamArrivals)
 	w.arrive(rng)
 
--- a/internal/lab/cwbench/worst_test.go
+++ b/internal/lab/cwbench/worst_test.go
@@ -157,7 +157,7 @@
 		t.Fatal(err)
 	}
 
-	if diff := cmp.Diff(first, second, cmpopts.IgnoreUnexported(WorstResult{})); diff != "" {
+	if diff := cmp.Diff(first, second, cmpopts.IgnoreUnexported(ReplayResult{})); diff != "" {
 		t.Error(diff)
 	}
 }
