--- a/internal/lab/cwbench/plot.go
+++ b/internal/lab/cwbench/plot.go
@@ -111,11 +111,11 @@
 
 	for i, l := range []struct {
 		name  string
-		count func(*WorstStep) int
+		count func(*ReplayStep) int
 	}{
-		{"in time", func(s *WorstStep) int { return s.InTime }},
-		{"late", func(s *WorstStep) int { return s.Late }},
-		{"refused", func(s *WorstStep) int { return s.Refused }},
+		{"in time", func(s *ReplayStep) int { return s.InTime }},
+		{"late", func(s *ReplayStep) int { return s.Late }},
+		{"refused", func(s *ReplayStep) int { return s.Refused }},
 	} {
 		var points plotter.XYs
 
--- a/internal/lab/cwbench/worst_result.go
+++ b/internal/lab/cwbench/worst_result.go
@@ -16,14 +16,14 @@
 	// P99 is the 99th percentile of the time of answered requests.
 	P99 time.Duration
 	// Series holds the whole run in steps of replayStepLength.
-	Series []WorstStep
+	Series []ReplayStep
 
 	took []time.Duration
 }
 
-// WorstStep counts the requests that arrived in one step of a run, by their
+// ReplayStep counts the requests that arrived in one step of a run, by their
 // outcome.
-type WorstStep struct{ InTime, Late, Refused int }
+type ReplayStep struct{ InTime, Late, Refused int }
 
 // replayStepLength is the length of one step of a series.
 const replayStepLength = 250 * time.Millisecond
--- a/internal/lab/cwbench/worst_run.go
+++ b/internal/lab/cwbench/worst_run.go
@@ -85,7 +85,7 @@
 
 func newReplay(p Pattern, way *Way) *replay {
 	w := &replay{pattern: &p, way: way, rng: random(p.Seed, streamChoices)}
-	w.result = &ReplayResult{Pattern: p.Name, Way: way.Name, Series: make([]WorstStep, int(p.Length/replayStepLength)+1)}
+	w.result = &ReplayResult{Pattern: p.Name, Way: way.Name, Series: make([]ReplayStep, int(p.Length/replayStepLength)+1)}
 
 	for i := range p.Servers {
 		w.servers = append(w.servers, &replayServer{run: w, index: i, rng: random(p.Seed+uint64(i), streamSpeeds)})
