--- a/internal/lab/cwbench/worst_result.go
+++ b/internal/lab/cwbench/worst_result.go
@@ -84,7 +84,7 @@
 	var sums []*ReplayResult
 
 	for range max(1, seeds) {
-		list, err := RunWorst(p, ways, parallel)
+		list, err := Replay(p, ways, parallel)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/lab/cwbench/worst_run.go
+++ b/internal/lab/cwbench/worst_run.go
@@ -72,8 +72,8 @@
 // Turn implements cwqueue.Waiter.
 func (r *replayRequest) Turn() *cwqueue.Schedule { return &r.schedule }
 
-// RunWorst simulates a pattern with each of the ways and the same new requests.
-func RunWorst(p Pattern, ways []Way, parallel int) ([]*ReplayResult, error) {
+// Replay simulates a pattern with each of the ways and the same new requests.
+func Replay(p Pattern, ways []Way, parallel int) ([]*ReplayResult, error) {
 	if err := p.Validate(); err != nil {
 		return nil, err
 	}
--- a/internal/lab/cwbench/worst_test.go
+++ b/internal/lab/cwbench/worst_test.go
@@ -147,12 +147,12 @@
 		t.Fatal(err)
 	}
 
-	first, err := RunWorst(p, Ways()[:3], 3)
+	first, err := Replay(p, Ways()[:3], 3)
 	if err != nil {
 		t.Fatal(err)
 	}
 
-	second, err := RunWorst(p, Ways()[:3], 1)
+	second, err := Replay(p, Ways()[:3], 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -180,7 +180,7 @@
 			p := Patterns()[0]
 			change(&p)
 
-			if _, err := RunWorst(p, Ways()[:1], 1); err == nil {
+			if _, err := Replay(p, Ways()[:1], 1); err == nil {
 				t.Error("an invalid pattern returned no error")
 			}
 		})
