--- a/cmd/carobward/bench_worst.go
+++ b/cmd/carobward/bench_worst.go
@@ -59,7 +59,7 @@
 	_, _ = fmt.Fprintln(w, "pattern\tway\trequests\tin time %\tof fresh %\tlate %\trefused %\tfailed %\trefused once %\tp99 ms\t")
 
 	for _, p := range patterns {
-		results, err := cwbench.RunWorstSeeds(p, ways, c.Seeds, c.Parallel)
+		results, err := cwbench.ReplaySeeds(p, ways, c.Seeds, c.Parallel)
 		if err != nil {
 			return err
 		}
--- a/internal/lab/cwbench/worst_result.go
+++ b/internal/lab/cwbench/worst_result.go
@@ -78,9 +78,9 @@
 	}
 }
 
-// RunWorstSeeds runs a pattern with a number of consecutive seeds, starting with
+// ReplaySeeds runs a pattern with a number of consecutive seeds, starting with
 // its own, and adds up the results of each way.
-func RunWorstSeeds(p Pattern, ways []Way, seeds, parallel int) ([]*ReplayResult, error) {
+func ReplaySeeds(p Pattern, ways []Way, seeds, parallel int) ([]*ReplayResult, error) {
 	var sums []*ReplayResult
 
 	for range max(1, seeds) {
--- a/internal/lab/cwbench/worst_test.go
+++ b/internal/lab/cwbench/worst_test.go
@@ -43,7 +43,7 @@
 		}
 	}
 
-	sums, err := RunWorstSeeds(p, ways, seeds, len(ways))
+	sums, err := ReplaySeeds(p, ways, seeds, len(ways))
 	if err != nil {
 		t.Fatal(err)
 	}
