--- a/cmd/carobward/bench_worst.go
+++ b/cmd/carobward/bench_worst.go
@@ -158,7 +158,7 @@
 	}
 
 	for _, r := range results {
-		if err := cwbench.PlotWorst(filepath.Join(c.Plot, r.Pattern+"-"+r.Way+".svg"), r); err != nil {
+		if err := cwbench.PlotReplay(filepath.Join(c.Plot, r.Pattern+"-"+r.Way+".svg"), r); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/cwbench/plot.go
+++ b/internal/lab/cwbench/plot.go
@@ -100,9 +100,9 @@
 	return points
 }
 
-// PlotWorst draws the outcomes of the requests of a pattern over their arrival
+// PlotReplay draws the outcomes of the requests of a pattern over their arrival
 // times.
-func PlotWorst(file string, r *ReplayResult) error {
+func PlotReplay(file string, r *ReplayResult) error {
 	p := plot.New()
 	p.Title.Text = r.Pattern + ", " + r.Way
 	p.X.Label.Text = "s"
