--- a/internal/lab/cwbench/worst_test.go
+++ b/internal/lab/cwbench/worst_test.go
@@ -63,11 +63,11 @@
 // of those that arrived while entry VMs had power, and refused for good.
 type share struct{ inTime, fresh, refused float64 }
 
-// TestWorst checks that under overload and failures the product answers more
+// TestReplay checks that under overload and failures the product answers more
 // requests in time than requests that each check servers independently, and nearly
 // as many as a single queue with perfect knowledge of all servers. A calm load is
 // answered almost completely.
-func TestWorst(t *testing.T) {
+func TestReplay(t *testing.T) {
 	for name, c := range map[string]struct {
 		// more is the minimum gain over the way "alone" in the share of requests in
 		// time, ratio the minimum ratio to the upper bound.
