--- a/internal/lab/cwbench/worst_test.go
+++ b/internal/lab/cwbench/worst_test.go
@@ -97,9 +97,9 @@
 	}
 }
 
-// TestWorstParts runs for each part of the server selection the pattern that needs
+// TestReplayParts runs for each part of the server selection the pattern that needs
 // it, with and without that part.
-func TestWorstParts(t *testing.T) {
+func TestReplayParts(t *testing.T) {
 	for name, c := range map[string]struct {
 		pattern, without string
 		vms, fleet       int
