--- a/internal/lab/cwbench/worst_test.go
+++ b/internal/lab/cwbench/worst_test.go
@@ -139,9 +139,9 @@
 	}
 }
 
-// TestWorstRepeats checks that a run gives the same result each time, whatever runs
+// TestReplayRepeats checks that a run gives the same result each time, whatever runs
 // in parallel.
-func TestWorstRepeats(t *testing.T) {
+func TestReplayRepeats(t *testing.T) {
 	p, err := FindPattern("dark")
 	if err != nil {
 		t.Fatal(err)
