--- a/internal/lab/cwcarrier/fleet.go
+++ b/internal/lab/cwcarrier/fleet.go
@@ -1,6 +1,6 @@
-// Package cwcarrier models which entry VMs carry which targets: how evenly
-// targets spread, what moves when an entry VM is lost, and what width a hot
-// target comes to as callers follow the answers.
+// Package cwassignment models which entry VMs are assigned to which targets:
+// how evenly targets are distributed, what moves when an entry VM is lost, and
+// how the width of a hot target develops as callers follow the lookup replies.
 package cwcarrier
 
 import (
@@ -11,14 +11,16 @@
 	"carobward.example/carobward"
 )
 
-// domains is the number of failure domains that entry VMs lie in, in turn.
+// domains is the number of failure domains, to which entry VMs are assigned in
+// turn.
 const domains = 3
 
-// Choice returns the entry VMs that carry a target, width in each failure
-// domain. cwlookup.Carriers is one.
+// Choice returns the entry VMs assigned to a target, width of them in each
+// failure domain. cwlookup.AssignedVMs is one.
 type Choice func(peers []carobward.Peer, target carobward.TargetName, width int) []carobward.Peer
 
-// Peers returns so many entry VMs in three failure domains in turn.
+// Peers returns a number of entry VMs, spread over three failure domains in
+// turn.
 func Peers(n int) []carobward.Peer {
 	all := make([]carobward.Peer, n)
 	for i := range all {
@@ -36,7 +38,7 @@
 // Target returns the name of the target with a number.
 func Target(i int) carobward.TargetName { return carobward.TargetName(fmt.Sprintf("target-%d", i)) }
 
-// Without returns the entry VMs but for one.
+// Without returns the entry VMs except one.
 func Without(all []carobward.Peer, lost carobward.VMID) []carobward.Peer {
 	return slices.DeleteFunc(slices.Clone(all), func(p carobward.Peer) bool { return p.ID == lost })
 }
@@ -51,8 +53,8 @@
 	return all
 }
 
-// Naive chooses by the hash of the target's name and the number of entry VMs
-// in each failure domain: the usual first try.
+// Naive chooses by the hash of the target's name modulo the number of entry VMs
+// in each failure domain, the simplest method.
 func Naive(peers []carobward.Peer, target carobward.TargetName, width int) []carobward.Peer {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(target))
@@ -64,10 +66,10 @@
 
 	var chosen []carobward.Peer
 
-	for _, there := range byDomain {
-		first := int(h.Sum64() % uint64(len(there)))
-		for i := range min(width, len(there)) {
-			chosen = append(chosen, there[(first+i)%len(there)])
+	for _, candidates := range byDomain {
+		first := int(h.Sum64() % uint64(len(candidates)))
+		for i := range min(width, len(candidates)) {
+			chosen = append(chosen, candidates[(first+i)%len(candidates)])
 		}
 	}
 
--- a/internal/lab/cwcarrier/settle.go
+++ b/internal/lab/cwcarrier/settle.go
@@ -8,30 +8,31 @@
 	"carobward.example/carobward/internal/cwpeer"
 )
 
-// hot is the target whose width is looked at, and keep how long callers keep
-// an answer.
+// hot is the target whose width is observed. keep is how long callers cache a
+// lookup reply.
 const (
 	hot  = carobward.TargetName("hot")
 	keep = 5 * time.Second
 )
 
-// Settle lets the callers of one failure domain follow the widths of a hot
-// target with a rate, where one entry VM should carry at most so much, both in
-// requests a second. For each round of decisions it returns the width by each
-// entry VM that carries the target then.
-func Settle(vms, rounds int, rate, most float64) [][]int {
-	near := carriersNear(vms, most)
+// Settle simulates callers of one failure domain that follow the width of a hot
+// target. The target gets rate requests per second, and one entry VM should
+// serve at most the given maximum of them. For each round of decisions it
+// returns the width that each entry VM then assigned to the target has decided
+// on.
+func Settle(vms, rounds int, rate, maxPerVM float64) [][]int {
+	local := localWidths(vms, maxPerVM)
 	now := time.Unix(0, 0)
-	width := min(cwlookup.BaseWidth, len(near))
+	width := min(cwlookup.BaseWidth, len(local))
 	all := make([][]int, rounds)
 
 	for round := range all {
-		now = now.Add(near[0].Interval())
-		decide(near, width, now, rate)
+		now = now.Add(local[0].Interval())
+		decide(local, width, now, rate)
 
-		// Callers follow what a carrier answers.
-		width = min(len(near), near[0].Of(hot, 0))
-		for _, w := range near[:width] {
+		// Callers follow the reply of an entry VM assigned to the target.
+		width = min(len(local), local[0].Of(hot, 0))
+		for _, w := range local[:width] {
 			all[round] = append(all[round], w.Of(hot, 0))
 		}
 	}
@@ -39,12 +40,12 @@
 	return all
 }
 
-// carriersNear returns the widths that the entry VMs of one failure domain
-// keep, in the order in which they carry the target.
-func carriersNear(vms int, most float64) []*cwlookup.Widths {
+// localWidths returns the widths kept by the entry VMs of one failure domain,
+// in the order in which they are assigned to the target.
+func localWidths(vms int, maxPerVM float64) []*cwlookup.Widths {
 	peers := Peers(vms)
 
-	var near []*cwlookup.Widths
+	var local []*cwlookup.Widths
 
 	for _, p := range cwlookup.AssignedVMs(peers, hot, len(peers)) {
 		if p.Domain != peers[0].Domain {
@@ -53,16 +54,16 @@
 
 		table := cwpeer.NewTable(p)
 		table.Replace(peers)
-		near = append(near, cwlookup.NewWidths(table, most, keep))
+		local = append(local, cwlookup.NewWidths(table, maxPerVM, keep))
 	}
 
-	return near
+	return local
 }
 
-// decide has the first width carriers see an equal part of the rate each, and
-// all of them decide anew.
-func decide(near []*cwlookup.Widths, width int, now time.Time, rate float64) {
-	for i, w := range near {
+// decide gives each of the first width entry VMs an equal share of the rate,
+// and lets all of them decide on the width again.
+func decide(local []*cwlookup.Widths, width int, now time.Time, rate float64) {
+	for i, w := range local {
 		if i < width {
 			w.Of(hot, width)
 		}
--- a/internal/lab/cwcarrier/spread.go
+++ b/internal/lab/cwcarrier/spread.go
@@ -5,17 +5,19 @@
 	"carobward.example/carobward/internal/cwlookup"
 )
 
-// Spread is how targets spread over entry VMs.
+// Distribution is how targets are distributed over entry VMs.
 type Spread struct {
 	VMs, Targets int
-	// Least and Most are the targets that one entry VM carries.
+	// Min and Max are the smallest and largest number of targets that one entry
+	// VM is assigned to.
 	Least, Most int
-	// Moved is the share of all carriers that change when one entry VM is
-	// lost, on average over all, with the lost one itself among them.
+	// Moved is the share of all assignments that change when one entry VM is
+	// lost, including those of the lost one, on average over the lost VMs.
 	Moved, NaiveMoved float64
 }
 
-// MeasureSpread returns how so many targets spread over so many entry VMs.
+// MeasureDistribution returns how a number of targets is distributed over a
+// number of entry VMs.
 func MeasureSpread(vms, targets int) Spread {
 	all := Peers(vms)
 	s := Spread{VMs: vms, Targets: targets, Least: targets}
@@ -37,8 +39,8 @@
 	return s
 }
 
-// Moved returns how many carriers of a target no longer carry it once others
-// are there.
+// Moved returns how many entry VMs are assigned to a target before, but not
+// after, a change of the fleet.
 func Moved(choice Choice, before, after []carobward.Peer, target carobward.TargetName) int {
 	still := IDs(choice(after, target, cwlookup.BaseWidth))
 	changed := 0
@@ -52,21 +54,21 @@
 	return changed
 }
 
-// losses bounds the entry VMs that are lost in turn.
-const losses = 20
+// maxLosses bounds the number of entry VMs that are lost, one at a time.
+const maxLosses = 20
 
-// moved returns the share of carriers that a lost entry VM changes.
+// moved returns the share of assignments that change when an entry VM is lost.
 func moved(choice Choice, all []carobward.Peer, targets int) float64 {
-	changed, carriers := 0, 0
+	changed, assigned := 0, 0
 
-	for _, lost := range all[:min(len(all), losses)] {
-		left := Without(all, lost.ID)
+	for _, lost := range all[:min(len(all), maxLosses)] {
+		remaining := Without(all, lost.ID)
 
 		for i := range targets {
-			changed += Moved(choice, all, left, Target(i))
-			carriers += len(choice(all, Target(i), cwlookup.BaseWidth))
+			changed += Moved(choice, all, remaining, Target(i))
+			assigned += len(choice(all, Target(i), cwlookup.BaseWidth))
 		}
 	}
 
-	return float64(changed) / float64(max(1, carriers))
+	return float64(changed) / float64(max(1, assigned))
 }
--- a/internal/lab/cwcarrier/table.go
+++ b/internal/lab/cwcarrier/table.go
@@ -8,7 +8,7 @@
 	"github.com/juju/errors"
 )
 
-// WriteSpread writes a table of how targets spread.
+// WriteDistribution writes a table of the distributions.
 func WriteSpread(out io.Writer, all []Spread) error {
 	const percent = 100
 
@@ -23,7 +23,8 @@
 	return errors.Annotate(w.Flush(), "carriers")
 }
 
-// WriteSettle writes the widths of each round, of the carriers in their order.
+// WriteSettle writes the widths of each round, by entry VM in the order of
+// assignment.
 func WriteSettle(out io.Writer, vms int, rounds [][]int) error {
 	for i, widths := range rounds {
 		if _, err := fmt.Fprintf(out, "%d VMs, round %d: widths %v\n", vms, i, widths); err != nil {
