--- a/internal/lab/cwcost/cost.go
+++ b/internal/lab/cwcost/cost.go
@@ -1,4 +1,4 @@
-// Package cwcost reads what a process has used of the machine.
+// Package cwcost reads the processor time and memory that processes use.
 package cwcost
 
 import (
@@ -13,14 +13,15 @@
 
 // Cost is what a process has used so far.
 type Cost struct {
-	// Processor is the time on a processor.
+	// Processor is the processor time, user and system.
 	Processor time.Duration
-	// Resident is the memory now, in bytes.
+	// Resident is the current resident memory, in bytes.
 	Resident int64
 }
 
-// The fields of proc(5)'s stat after the program's name, from zero, and the
-// time of the kernel's clock tick as programs see it.
+// The indexes of fields in /proc/PID/stat, from zero at the first field after
+// the program's name, and the length of a kernel clock tick as programs see it,
+// see proc(5).
 const (
 	statUser   = 11
 	statSystem = 12
@@ -28,7 +29,7 @@
 	clockTick  = 10 * time.Millisecond
 )
 
-// Of reads what a process has used.
+// Of returns what a process has used.
 func Of(pid int) (Cost, error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -55,7 +56,7 @@
 	}, nil
 }
 
-// Sum adds up what processes have used.
+// Sum returns the sum of what processes have used.
 func Sum(pids []int) (Cost, error) {
 	var sum Cost
 
--- a/internal/lab/cwcost/cost_test.go
+++ b/internal/lab/cwcost/cost_test.go
@@ -7,11 +7,11 @@
 	"carobward.example/carobward/internal/cwtest"
 )
 
-// TestSum watches this process work, twice over.
+// TestSum reads the cost of this process once, and twice in a sum.
 func TestSum(t *testing.T) {
 	me := os.Getpid()
 
-	cwtest.Wait(t, "a processor time that grows", func() bool {
+	cwtest.Wait(t, "the processor time to grow", func() bool {
 		one, err := Of(me)
 		if err != nil {
 			t.Fatal(err)
@@ -23,6 +23,6 @@
 	})
 
 	if _, err := Of(0); err == nil {
-		t.Error("a cost of no process")
+		t.Error("no error for process 0")
 	}
 }
