--- a/internal/lab/cwcounter/counter.go
+++ b/internal/lab/cwcounter/counter.go
@@ -1,5 +1,5 @@
-// Package cwcounter is a stand-in of servers that answers health checks and
-// counts what they cost in each second.
+// Package cwcounter is a stand-in for servers that answers health checks and
+// counts their cost per second.
 package cwcounter
 
 import (
@@ -15,26 +15,26 @@
 	"carobward.example/carobward/internal/cwbudget"
 )
 
-// Counter counts at all its listeners together. Make it by New.
+// Counter counts the requests of all its listeners. Create it with New.
 type Counter struct {
 	status atomic.Int64
-	// report is what each answer says, if anything.
+	// report is the load report on each reply, if any.
 	report atomic.Pointer[string]
 
-	mutex sync.Mutex
-	seen  []arrival
-	all   []*fasthttp.Server
-	group sync.WaitGroup
+	mutex    sync.Mutex
+	arrivals []arrival
+	servers  []*fasthttp.Server
+	group    sync.WaitGroup
 }
 
-// arrival is one request with its bytes both ways.
+// arrival is one request, with the bytes of request and reply.
 type arrival struct {
 	at    time.Time
 	bytes int64
 }
 
-// New returns a counter whose answers have a status and, unless it is nil, a
-// report.
+// New returns a counter whose replies have a status and, unless it is nil, a
+// load report.
 func New(status int, report *string) *Counter {
 	c := &Counter{}
 	c.status.Store(int64(status))
@@ -43,7 +43,7 @@
 	return c
 }
 
-// Listen starts one server on the loopback device and returns its address.
+// Listen starts one server on the loopback interface and returns its address.
 func (c *Counter) Listen() (carobward.Address, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -55,17 +55,17 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 
-	c.all = append(c.all, s)
+	c.servers = append(c.servers, s)
 
 	c.group.Go(func() { _ = s.Serve(ln) })
 
 	return carobward.Address(ln.Addr().String()), nil
 }
 
-// Close stops all servers and waits for their ends.
+// Close stops all servers and waits until they have ended.
 func (c *Counter) Close() {
 	c.mutex.Lock()
-	all := c.all
+	all := c.servers
 	c.mutex.Unlock()
 
 	for _, s := range all {
@@ -90,7 +90,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 
-	c.seen = append(c.seen, arrival{time.Now(), bytes})
+	c.arrivals = append(c.arrivals, arrival{time.Now(), bytes})
 }
 
 // Worst returns the most calls and the most bytes within any second.
@@ -102,11 +102,11 @@
 
 	first := 0
 
-	for _, a := range c.seen {
+	for _, a := range c.arrivals {
 		sum = sum.Plus(cwbudget.Cost{Calls: 1, Bytes: a.bytes})
 
-		for a.at.Sub(c.seen[first].at) >= time.Second {
-			sum = sum.Minus(cwbudget.Cost{Calls: 1, Bytes: c.seen[first].bytes})
+		for a.at.Sub(c.arrivals[first].at) >= time.Second {
+			sum = sum.Minus(cwbudget.Cost{Calls: 1, Bytes: c.arrivals[first].bytes})
 			first++
 		}
 
@@ -121,5 +121,5 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 
-	return len(c.seen)
+	return len(c.arrivals)
 }
