--- a/internal/lab/cwfee/compare.go
+++ b/internal/lab/cwfee/compare.go
@@ -10,18 +10,18 @@
 	"carobward.example/carobward"
 )
 
-// tries bounds how often a caller sends a request.
-const tries = 6
+// maxAttempts bounds how often a caller sends one request.
+const maxAttempts = 6
 
-// patience bounds how long a caller waits for one answer.
-const patience = time.Minute
+// replyTimeout is how long a caller waits for one reply.
+const replyTimeout = time.Minute
 
-// Sender charges one fee and returns what its caller believes.
+// Sender charges one fee and returns the verdict that the caller is left with.
 type Sender func(f *Fleet, rng *rand.Rand, body string) carobward.Verdict
 
-// Naive sends again after any error, without tickets.
+// Naive retries after any error, without tickets.
 func Naive(f *Fleet, rng *rand.Rand, body string) carobward.Verdict {
-	for range tries {
+	for range maxAttempts {
 		c := &carobward.Call{Method: fasthttp.MethodPost, URI: feeURI, Body: []byte(body)}
 		if _, err := f.At(rng.IntN(f.Size())).Exchange(c); err == nil {
 			return carobward.Ran
@@ -31,13 +31,13 @@
 	return carobward.Unknown
 }
 
-// Ticketed sends again with the ticket that the last reply named.
+// Ticketed retries with the ticket that the last reply named.
 func Ticketed(f *Fleet, rng *rand.Rand, body string) carobward.Verdict {
 	ticket := f.At(rng.IntN(f.Size())).Owner.Prefix() + ".1"
 	last := carobward.Unknown
 
-	for range tries {
-		_, next, err := f.Send(rng.IntN(f.Size()), body, ticket, patience)
+	for range maxAttempts {
+		_, next, err := f.Send(rng.IntN(f.Size()), body, ticket, replyTimeout)
 		if err == nil {
 			return carobward.Ran
 		}
@@ -48,25 +48,25 @@
 	return last
 }
 
-// Count is what became of a number of fees.
+// Count sums up what became of a number of fees.
 type Count struct {
-	// Told counts the verdicts that callers were left with.
+	// Verdicts counts the verdicts that callers were left with.
 	Told map[carobward.Verdict]int
 	// Runs counts all runs, Twice the fees that ran more than once, and Wrong
-	// the verdicts that do not agree with the runs.
+	// the verdicts that contradict the number of runs.
 	Runs, Twice, Wrong int
 }
 
-// The fleet of a comparison: one request in faultOneIn to a server has a
-// drawn fault, or none.
+// The fleet of a comparison: one of faultOneIn requests to a server draws a
+// fault, which may be NoFault.
 const (
 	compareVMs = 3
 	faultOneIn = 4
 )
 
-// Compare charges fees one after the other through servers that shed and lose
-// requests and replies. The faults follow from the seed, the fee and the
-// number of its attempts, so that they are the same for each sender.
+// Compare charges fees one after the other through servers that shed requests
+// and lose requests and replies. A fault depends only on the seed, the fee and
+// the number of the attempt, so that each sender meets the same faults.
 func Compare(seed uint64, fees int, send Sender) (Count, error) {
 	f, err := New(compareVMs, Quick())
 	if err != nil {
@@ -79,7 +79,7 @@
 			return Fine
 		}
 
-		return Fault(r.IntN(int(faults)))
+		return Fault(r.IntN(int(faultCount)))
 	}
 
 	rng := rand.New(rand.NewPCG(seed, seed))
@@ -93,7 +93,7 @@
 	return c, f.Stop()
 }
 
-// add counts one fee.
+// add counts one fee, which ended with a verdict after a number of runs.
 func (c *Count) add(v carobward.Verdict, runs int) {
 	c.Told[v]++
 	c.Runs += runs
--- a/internal/lab/cwfee/compare_test.go
+++ b/internal/lab/cwfee/compare_test.go
@@ -6,26 +6,26 @@
 	"carobward.example/carobward"
 )
 
-// TestAgainstNaive runs the same faults of servers against callers that try
-// again after any error, and against ours: the naive ones are charged twice.
+// TestAgainstNaive subjects callers that retry after any error and callers with
+// tickets to the same server faults. Only the former may be charged twice.
 func TestAgainstNaive(t *testing.T) {
 	const fees = 2000
 
 	for seed := range uint64(3) {
 		naive, err := Compare(seed, fees, Naive)
 		if err != nil || naive.Twice == 0 {
-			t.Errorf("seed %d: the naive callers were not charged twice, so the faults prove nothing: %v, %+v", seed, err, naive)
+			t.Errorf("seed %d: no naive caller was charged twice, so the faults prove nothing: %v, %+v", seed, err, naive)
 		}
 
 		ours, err := Compare(seed, fees, Ticketed)
 		if err != nil || ours.Twice > 0 || ours.Wrong > 0 || ours.Told[carobward.Ran] == 0 {
-			t.Errorf("seed %d: %v, %+v", seed, err, ours)
+			t.Errorf("seed %d: tickets: %v, %+v", seed, err, ours)
 		}
 	}
 }
 
-// TestWays compares the ways of running work at most once under the same
-// kills and the same outage of the store.
+// TestStrategies compares the strategies for running work at most once under
+// the same VM crashes and the same outage of the store.
 func TestWays(t *testing.T) {
 	for _, w := range Ways() {
 		if c, _ := w.Weigh(1, 20_000); (c.Twice == 0) != w.Once {
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestRecordCost holds the accounted cost of records against the heap, at
-// sizes just past and just before the map grows.
+// TestRecordCost checks that the accounted cost of records is at least the heap
+// that they take, at sizes just before and just after the map grows.
 func TestRecordCost(t *testing.T) {
 	for _, records := range []int{10_000, 28_000, 29_000, 50_000} {
 		if heap, accounted, err := RecordCost(records); err != nil || heap > accounted {
--- a/internal/lab/cwfee/fleet.go
+++ b/internal/lab/cwfee/fleet.go
@@ -1,7 +1,7 @@
-// Package cwfee charges fees, which must not repeat, in small models of entry
-// VMs with faults: a fleet of real owners of tickets in one process, and a
-// model in counted time of the ways that were weighed. It compares tickets
-// with callers that send again after any error.
+// Package cwonce charges fees, which must run at most once, in small models of
+// entry VMs with faults: a fleet of real ticket owners in one process, and a
+// simulation in virtual time of several strategies. It compares tickets with
+// callers that retry after any error.
 package cwfee
 
 import (
@@ -19,33 +19,33 @@
 	"carobward.example/carobward/internal/cwticket"
 )
 
-// errFault is the cause of each failure that a fault makes.
-const errFault = errors.ConstError("fee: the fault that was asked for")
+// errFault is the cause of each failure that an injected fault makes.
+const errFault = errors.ConstError("fee: injected fault")
 
-// feeURI is where fees are charged.
+// feeURI is the path to which fees are charged.
 const feeURI = "/fees"
 
-// Fault is what happens to one message or one request to a server.
+// Fault is what happens to one message or to one request to a server.
 type Fault uint8
 
 // The faults.
 const (
 	Fine      Fault = iota
-	LostCall        // It does not arrive.
-	LostReply       // It is done, but the answer is lost.
-	LateCall        // It arrives after the sender has given up.
-	Shed            // A server refuses it, not run.
-	faults
+	LostCall        // The call does not arrive.
+	LostReply       // The call is done, but the reply is lost.
+	LateCall        // The call arrives after the sender has given up.
+	Shed            // A server refuses the call without running it.
+	faultCount
 )
 
-// Options are the bounds and the pace of each owner.
+// Options are the limits and the timing parameters of each ticket owner.
 type Options struct {
 	Limits cwticket.Options
 	Pace   cwowner.Params
 }
 
-// Quick are options with which silence shows within milliseconds, and with
-// which a hand-over takes many parts.
+// Quick returns options with which an unresponsive owner is detected within
+// milliseconds and a handover takes many parts.
 func Quick() Options {
 	return Options{
 		Limits: cwticket.Options{Horizon: time.Hour, Records: 10_000, Bytes: 10 * carobward.Megabyte},
@@ -59,7 +59,8 @@
 	}
 }
 
-// Roomy are options for measuring: the usual pace, and more room than is used.
+// Roomy returns options for measurements: the default timing, and limits that
+// are never reached.
 func Roomy() Options {
 	return Options{
 		Limits: cwticket.Options{Horizon: time.Hour, Records: 1 << 40, Bytes: 1 << 50},
@@ -69,28 +70,29 @@
 
 // Fleet is a set of entry VMs in one process, with faults between them.
 type Fleet struct {
-	// Message draws the fault of one message between VMs, Request of one to
-	// a server, from its body and the number of its attempts so far.
+	// Message draws the fault of one message between VMs. Request draws the
+	// fault of one request to a server, given its body and the number of
+	// attempts so far.
 	Message func() Fault
 	Request func(body string, attempt int) Fault
 	// Work draws how long a run takes.
 	Work func() time.Duration
-	// Ran is told of each run.
+	// Ran is called for each run.
 	Ran func(body, ticket string, serial int)
 
-	options  Options
-	mutex    sync.Mutex
-	vms      []*VM
-	all      []*VM
-	next     carobward.Incarnation
-	failed   error
-	attempts map[string]int
-	runs     map[string]int
-	serial   int
-	late     sync.WaitGroup
+	options    Options
+	mutex      sync.Mutex
+	vms        []*VM
+	started    []*VM
+	next       carobward.Incarnation
+	failed     error
+	attempts   map[string]int
+	runs       map[string]int
+	serial     int
+	background sync.WaitGroup
 }
 
-// New starts a fleet of entry VMs, without faults.
+// New starts a fleet of entry VMs without faults.
 func New(size int, o Options) (*Fleet, error) {
 	f := &Fleet{
 		options: o, attempts: map[string]int{}, runs: map[string]int{}, vms: make([]*VM, size),
@@ -106,8 +108,8 @@
 	return f, f.failed
 }
 
-// Replace starts a new run of a VM on the same address. The old one is gone.
-// If the new one fails to start, Stop says why.
+// Replace kills a VM and starts a new one at the same address. If the new one
+// fails to start, Stop returns the error.
 func (f *Fleet) Replace(i int) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -134,10 +136,10 @@
 
 	v.Owner, v.service = o, cwowner.NewService(o, v)
 	f.vms[i] = v
-	f.all = append(f.all, v)
+	f.started = append(f.started, v)
 }
 
-// At returns the run of a VM that is there now.
+// At returns the current VM with an index.
 func (f *Fleet) At(i int) *VM {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -145,7 +147,7 @@
 	return f.vms[i]
 }
 
-// Size returns how many VMs there are.
+// Size returns the number of VMs.
 func (f *Fleet) Size() int { return len(f.vms) }
 
 // Runs returns how often a fee was charged.
@@ -156,32 +158,32 @@
 	return f.runs[body]
 }
 
-// TickAll lets the time pass at each owner.
+// TickAll calls Tick of each owner.
 func (f *Fleet) TickAll() {
 	for i := range f.vms {
 		f.At(i).Owner.Tick(time.Now())
 	}
 }
 
-// Stop ends all VMs that ever were, waits for what was late, and returns why a
-// replacement failed to start.
+// Stop stops all VMs that were ever started, waits for calls still in flight,
+// and returns the error of a replacement that failed to start.
 func (f *Fleet) Stop() error {
 	for i := range f.vms {
 		close(f.At(i).killed)
 	}
 
-	for _, v := range f.all {
+	for _, v := range f.started {
 		v.Owner.Stop()
 	}
 
-	f.late.Wait()
+	f.background.Wait()
 
 	return f.failed
 }
 
-// Send sends a request to a VM as a caller does. Once the VM is gone, or the
-// caller's patience, the outcome is unknown.
-func (f *Fleet) Send(i int, body, ticket string, patience time.Duration) (*cwticket.Outcome, string, error) {
+// Send sends a request to a VM as a caller does. The outcome is unknown once
+// the VM is killed or the timeout has passed.
+func (f *Fleet) Send(i int, body, ticket string, timeout time.Duration) (*cwticket.Outcome, string, error) {
 	type answer struct {
 		outcome *cwticket.Outcome
 		next    string
@@ -192,12 +194,12 @@
 	done := make(chan answer, 1)
 	unknown := carobward.NewFailure(carobward.Unknown, fasthttp.StatusBadGateway, time.Millisecond, errFault)
 
-	f.late.Add(1)
+	f.background.Add(1)
 
 	go func() {
-		defer f.late.Done()
+		defer f.background.Done()
 
-		if v.pass() != nil {
+		if v.waitRunning() != nil {
 			return
 		}
 
@@ -215,7 +217,7 @@
 		return a.outcome, a.next, a.err
 	case <-v.killed:
 		return nil, ticket, unknown
-	case <-time.After(patience):
+	case <-time.After(timeout):
 		return nil, ticket, unknown
 	}
 }
--- a/internal/lab/cwfee/handover.go
+++ b/internal/lab/cwfee/handover.go
@@ -11,11 +11,12 @@
 	"carobward.example/carobward/internal/cwticket"
 )
 
-// answerSize is the size of the answers that HandOver hands over, in bytes.
+// answerSize is the body size of each outcome that HandOver hands over, in
+// bytes.
 const answerSize = 256
 
-// HandOver returns how long one owner takes to hand a number of outcomes over
-// to another, with answers of 256 bytes and without a network.
+// HandOver returns how long one owner takes to hand over a number of outcomes
+// to another, with bodies of 256 bytes and without a network.
 func HandOver(outcomes int) (time.Duration, error) {
 	f, err := New(2, Roomy())
 	if err != nil {
--- a/internal/lab/cwfee/history.go
+++ b/internal/lab/cwfee/history.go
@@ -7,20 +7,21 @@
 	"carobward.example/carobward"
 )
 
-// Operation is one of a history: a run on a server, or a caller's request and
-// what it was told.
+// Operation is one entry of a history: a run on a server, or a caller's request
+// with the verdict that it received.
 type Operation struct {
-	// Client numbers who sent it; runs have noClient.
+	// Client numbers the sender; runs have noClient.
 	Client int
-	// Fee names the work, which may go through several tickets.
+	// Fee names the work, which may be tried with several tickets.
 	Fee, Ticket string
-	// Run tells that this is a run, not a request.
+	// Run reports whether this is a run, not a request.
 	Run bool
-	// Verdict is what a request was told.
+	// Verdict is what the caller of a request was told.
 	Verdict carobward.Verdict
-	// Serial numbers the runs. A request that ran has that of its answer.
+	// Serial numbers the runs. A request that ran has the serial of the run
+	// that answered it.
 	Serial int
-	// From and To are when it began and ended, from the start.
+	// From and To are when it began and ended, since the start of the history.
 	From, To time.Duration
 }
 
@@ -34,7 +35,7 @@
 	all   []Operation
 }
 
-// add adds an operation that ends now.
+// add records an operation that ends now.
 func (h *history) add(o Operation, from time.Time) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -43,9 +44,9 @@
 	h.all = append(h.all, o)
 }
 
-// Tally counts a history's answers, and what in it breaks the promise: fees
-// that ran twice, answers of another run than the one that was, and tickets
-// that ran though they were answered not-run.
+// Tally counts the verdicts of a history and its violations of at-most-once:
+// fees that ran twice, replies of another run than the last, and tickets that
+// ran although the caller was told not-run.
 func Tally(all []Operation) Count {
 	c := Count{Told: map[carobward.Verdict]int{}}
 	runs, by := map[string]int{}, map[string]Operation{}
--- a/internal/lab/cwfee/play.go
+++ b/internal/lab/cwfee/play.go
@@ -12,74 +12,76 @@
 	"carobward.example/carobward"
 )
 
-// Trouble is what happens to an entry VM in a play.
+// Disruption is what happens to an entry VM during a simulation.
 type Trouble uint8
 
-// The troubles.
+// The disruptions.
 const (
-	Killed   Trouble = iota // It is replaced on the same address.
-	Frozen                  // It stands still for a while.
-	Left                    // It leaves gracefully, with a hand-over.
-	Troubles                // How many there are.
+	Killed   Trouble = iota // The VM is replaced at the same address.
+	Frozen                  // The VM is paused for a while.
+	Left                    // The VM leaves gracefully, with a handover.
+	Troubles                // The number of disruptions.
 )
 
-// Script says what happens in a play.
+// Script describes what happens in a simulation.
 type Script struct {
 	Seed uint64
-	// Troubles come one after the other.
+	// Disruptions happen one after the other.
 	Troubles []Trouble
-	// OneIn is how many messages and requests there are to one with a drawn
-	// fault, or none.
+	// OneIn is the number of messages and requests of which, on average, one
+	// draws a fault, which may be NoFault.
 	OneIn int
 }
 
-// The bounds of a drawn script.
+// The bounds of a random script.
 const (
-	troublesMost          = 6
-	oneInLeast, oneInMost = 2, 12
+	maxDisruptions     = 6
+	minOneIn, maxOneIn = 2, 12
 )
 
-// Draw draws a script.
+// RandomScript draws a script.
 func Draw(rng *rand.Rand) Script {
-	s := Script{Seed: rng.Uint64(), OneIn: oneInLeast + rng.IntN(oneInMost-oneInLeast+1)}
-	for range rng.IntN(troublesMost + 1) {
+	s := Script{Seed: rng.Uint64(), OneIn: minOneIn + rng.IntN(maxOneIn-minOneIn+1)}
+	for range rng.IntN(maxDisruptions + 1) {
 		s.Troubles = append(s.Troubles, Trouble(rng.IntN(int(Troubles))))
 	}
 
 	return s
 }
 
-// The make-up of a play.
+// The parameters of a simulation.
 const (
-	playVMs      = 3
-	playClients  = 4
-	playFees     = 5 // Of each client.
-	playPatience = 20 * time.Millisecond
-	copyOneIn    = 4 // Requests that are sent twice at once.
+	simVMs         = 3
+	simClients     = 4
+	simFees        = 5 // Per client.
+	simTimeout     = 20 * time.Millisecond
+	duplicateOneIn = 4 // One of so many requests is sent twice at once.
 )
 
-// The random sources of a play, by stream; clients have those from 1 on.
+// The random streams of a simulation; clients have those from 1 on.
 const (
-	faultStream   = 0
-	troubleStream = 99
+	faultStream      = 0
+	disruptionStream = 99
 )
 
-// The steps in which a play draws its times.
+// The ranges of the random times, in milliseconds. Work takes a random number
+// below workRange less workOffset, and at least 0.
 const (
-	workSpread, workNone      = 10, 4
-	pauseSpread, lengthSpread = 4, 8
+	workRange, workOffset   = 10, 4
+	pauseRange, lengthRange = 4, 8
 )
 
-// Play lets clients charge fees at once through faults and troubles, and
-// returns what ran and what they were told.
+// Simulate lets clients charge fees concurrently through faults and
+// disruptions. It returns the runs and the clients' requests with their
+// verdicts.
 func Play(s Script) ([]Operation, error) {
-	f, err := New(playVMs, Quick())
+	f, err := New(simVMs, Quick())
 	if err != nil {
 		return nil, err
 	}
 
 	h := &history{start: time.Now()}
-	f.draw(s, h)
+	f.drawFaults(s, h)
 
 	ticking, stop := context.WithCancel(context.Background())
 
@@ -92,12 +94,12 @@
 		}
 	})
 
-	for id := range playClients {
+	for id := range simClients {
 		c := &client{fleet: f, history: h, id: id, rng: rand.New(rand.NewPCG(s.Seed, uint64(id+1)))}
 		clients.Go(c.run)
 	}
 
-	f.trouble(s)
+	f.disrupt(s)
 	clients.Wait()
 	stop()
 	ticks.Wait()
@@ -105,8 +107,8 @@
 	return h.all, f.Stop()
 }
 
-// draw sets the faults and the time that runs take, and notes each run.
-func (f *Fleet) draw(s Script, h *history) {
+// drawFaults sets the faults and the duration of runs, and records each run.
+func (f *Fleet) drawFaults(s Script, h *history) {
 	var mutex sync.Mutex
 
 	rng := rand.New(rand.NewPCG(s.Seed, faultStream))
@@ -118,7 +120,7 @@
 			return Fine
 		}
 
-		return Fault(rng.IntN(int(faults)))
+		return Fault(rng.IntN(int(faultCount)))
 	}
 
 	f.Message = fault
@@ -127,29 +129,29 @@
 		mutex.Lock()
 		defer mutex.Unlock()
 
-		return time.Duration(max(0, rng.IntN(workSpread)-workNone)) * time.Millisecond
+		return time.Duration(max(0, rng.IntN(workRange)-workOffset)) * time.Millisecond
 	}
 	f.Ran = func(fee, ticket string, serial int) {
 		h.add(Operation{Client: noClient, Fee: fee, Ticket: ticket, Run: true, Serial: serial}, time.Now())
 	}
 }
 
-// trouble makes the troubles of a script happen, each to a drawn VM.
-func (f *Fleet) trouble(s Script) {
-	rng := rand.New(rand.NewPCG(s.Seed, troubleStream))
-	pause := func(spread int) time.Duration { return time.Duration(rng.IntN(spread)) * time.Millisecond }
+// disrupt applies the disruptions of a script, each to a random VM.
+func (f *Fleet) disrupt(s Script) {
+	rng := rand.New(rand.NewPCG(s.Seed, disruptionStream))
+	pause := func(limit int) time.Duration { return time.Duration(rng.IntN(limit)) * time.Millisecond }
 
 	for _, t := range s.Troubles {
-		<-time.After(pause(pauseSpread))
+		<-time.After(pause(pauseRange))
 
 		i := rng.IntN(f.Size())
-		length := pause(lengthSpread)
+		length := pause(lengthRange)
 
 		switch t {
 		case Frozen:
-			thaw := f.At(i).Freeze()
+			resume := f.At(i).Freeze()
 			<-time.After(length)
-			thaw()
+			resume()
 		case Left:
 			f.leave(i, length)
 		default:
@@ -158,13 +160,13 @@
 	}
 }
 
-// leave lets a VM hand over, if it can, and then replaces it.
-func (f *Fleet) leave(i int, pause time.Duration) {
-	ctx, cancel := context.WithTimeout(context.Background(), playPatience)
+// leave lets a VM hand over if it can, and then replaces it.
+func (f *Fleet) leave(i int, delay time.Duration) {
+	ctx, cancel := context.WithTimeout(context.Background(), simTimeout)
 	defer cancel()
 
 	_ = f.At(i).Owner.HandOver(ctx)
-	<-time.After(pause)
+	<-time.After(delay)
 	f.Replace(i)
 }
 
@@ -177,57 +179,58 @@
 }
 
 func (c *client) run() {
-	for n := range playFees {
+	for n := range simFees {
 		c.charge(n)
 	}
 }
 
-// charge charges a fee. After an unknown it goes to another entry VM with the
-// same ticket, unless the only request with it is known not to have run; now
-// and then it sends two at once.
+// charge charges a fee. After an unknown verdict it retries through a random
+// entry VM with the same ticket, unless the only request with that ticket is
+// known not to have run. Now and then it sends the request twice at once.
 func (c *client) charge(n int) {
 	fee := fmt.Sprintf("fee %d-%d", c.id, n)
-	ticket, doubt := "", false
+	ticket, mayHaveRun := "", false
 
-	for range tries {
+	for range maxAttempts {
 		if ticket == "" {
-			ticket = c.fleet.At(c.any()).Owner.Prefix() + fmt.Sprintf(".%d", n)
+			ticket = c.fleet.At(c.randomVM()).Owner.Prefix() + fmt.Sprintf(".%d", n)
 		}
 
-		if c.rng.IntN(copyOneIn) == 0 {
-			doubt = true
-			c.copy(fee, ticket)
+		if c.rng.IntN(duplicateOneIn) == 0 {
+			mayHaveRun = true
+			c.sendDuplicate(fee, ticket)
 		}
 
-		next, verdict, attempt := c.request(c.id, c.any(), fee, ticket)
+		next, verdict, attempt := c.request(c.id, c.randomVM(), fee, ticket)
 
 		switch {
 		case verdict == carobward.Ran:
 			return
 		case verdict == carobward.NotRun:
-			ticket, doubt = next, false
-		case attempt == carobward.NotRun && !doubt:
+			ticket, mayHaveRun = next, false
+		case attempt == carobward.NotRun && !mayHaveRun:
 			ticket = ""
 		default:
-			doubt = true
+			mayHaveRun = true
 		}
 	}
 }
 
-// any draws an entry VM.
-func (c *client) any() int { return c.rng.IntN(c.fleet.Size()) }
+// randomVM draws the index of an entry VM.
+func (c *client) randomVM() int { return c.rng.IntN(c.fleet.Size()) }
 
-// copy sends a request that nobody waits for, as another client.
-func (c *client) copy(fee, ticket string) {
-	to := c.any()
+// sendDuplicate sends a request whose reply nobody waits for, as another
+// client.
+func (c *client) sendDuplicate(fee, ticket string) {
+	to := c.randomVM()
 
-	c.fleet.late.Go(func() { c.request(c.id+playFees, to, fee, ticket) })
+	c.fleet.background.Go(func() { c.request(c.id+simFees, to, fee, ticket) })
 }
 
-// request sends one request and notes what it was told.
+// request sends one request and records its verdict.
 func (c *client) request(id, to int, fee, ticket string) (next string, verdict, attempt carobward.Verdict) {
 	from := time.Now()
-	outcome, next, err := c.fleet.Send(to, fee, ticket, playPatience)
+	outcome, next, err := c.fleet.Send(to, fee, ticket, simTimeout)
 
 	o := Operation{Client: id, Fee: fee, Ticket: ticket, Verdict: carobward.Ran}
 
--- a/internal/lab/cwfee/record.go
+++ b/internal/lab/cwfee/record.go
@@ -11,11 +11,11 @@
 	"carobward.example/carobward/internal/cwticket"
 )
 
-// recordAnswer is the answer in each record that RecordCost makes.
+// recordAnswer is the body in each record that RecordCost makes.
 const recordAnswer = "launch 17 charged"
 
-// RecordCost returns the heap that a number of records of tickets takes, and
-// what the budget counts for them, in bytes. Each has an answer of 17 bytes.
+// RecordCost returns the heap that a number of ticket records takes, and what
+// the budget accounts for them, in bytes. Each record has a body of 17 bytes.
 // Nothing else may use the heap meanwhile.
 func RecordCost(records int) (heap, accounted int64, err error) {
 	now := time.Now()
--- a/internal/lab/cwfee/vm.go
+++ b/internal/lab/cwfee/vm.go
@@ -14,21 +14,21 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// VM is one run of an entry VM.
+// VM is one incarnation of an entry VM.
 type VM struct {
-	// Owner is the one under trial.
+	// Owner is the ticket owner under test.
 	Owner *cwowner.Owner
 
 	fleet   *Fleet
 	peer    carobward.Peer
 	service *cwowner.Service
 	killed  chan struct{}
-	frozen  atomic.Pointer[chan struct{}]
+	paused  atomic.Pointer[chan struct{}]
 }
 
-// pass blocks while the VM is frozen and fails once it has been killed.
-func (v *VM) pass() error {
-	if c := v.frozen.Load(); c != nil {
+// waitRunning blocks while the VM is paused and fails once it has been killed.
+func (v *VM) waitRunning() error {
+	if c := v.paused.Load(); c != nil {
 		select {
 		case <-*c:
 		case <-v.killed:
@@ -43,23 +43,23 @@
 	}
 }
 
-// Freeze stops the VM until the returned function is called.
+// Pause pauses the VM until the returned function is called.
 func (v *VM) Freeze() func() {
 	c := make(chan struct{})
-	if !v.frozen.CompareAndSwap(nil, &c) {
+	if !v.paused.CompareAndSwap(nil, &c) {
 		return func() {}
 	}
 
 	return func() {
-		v.frozen.Store(nil)
+		v.paused.Store(nil)
 		close(c)
 	}
 }
 
-// Self is the Peers of the owner.
+// Self implements carobward.Peers.
 func (v *VM) Self() carobward.Peer { return v.peer }
 
-// All is the Peers of the owner.
+// All implements carobward.Peers.
 func (v *VM) All() []carobward.Peer {
 	v.fleet.mutex.Lock()
 	defer v.fleet.mutex.Unlock()
@@ -75,7 +75,7 @@
 	return all
 }
 
-// Call is the Caller of the owner: messages to the peers, with their faults.
+// Call sends a message of the owner to a peer, subject to faults.
 func (v *VM) Call(ctx context.Context, to carobward.Address, method string, in, out proto.Message) error {
 	var peer *VM
 
@@ -93,16 +93,16 @@
 	done := make(chan error, 1)
 	reply := out.ProtoReflect().New().Interface()
 
-	v.fleet.late.Add(1)
+	v.fleet.background.Add(1)
 
 	go func() {
-		defer v.fleet.late.Done()
+		defer v.fleet.background.Done()
 
 		if kind == LateCall {
 			<-ctx.Done()
 		}
 
-		if err := peer.pass(); err != nil {
+		if err := peer.waitRunning(); err != nil {
 			done <- err
 
 			return
@@ -128,7 +128,8 @@
 	}
 }
 
-// dispatch does what net/rpc does, whose methods of this service never fail.
+// dispatch calls the method as net/rpc would. The methods of this service never
+// fail.
 func (v *VM) dispatch(method string, in, out proto.Message) {
 	switch method {
 	case "Owner.Carry":
@@ -142,8 +143,8 @@
 	}
 }
 
-// RunOnce sends a call to the server, whose only failure after which it is
-// sent again is a proved not-run.
+// RunOnce sends a call to the server, and a second time only if the first is
+// proved not to have run.
 func (v *VM) RunOnce(_ context.Context, _ carobward.RequestID, c *carobward.Call) (*cwticket.Outcome, error) {
 	for range 2 {
 		answer, err := v.Exchange(c)
@@ -158,7 +159,7 @@
 // Exchange sends a call to the server once.
 func (v *VM) Exchange(c *carobward.Call) (*cwticket.Outcome, error) {
 	unknown := carobward.NewFailure(carobward.Unknown, fasthttp.StatusBadGateway, time.Millisecond, errFault)
-	if v.pass() != nil {
+	if v.waitRunning() != nil {
 		return nil, unknown
 	}
 
@@ -189,7 +190,7 @@
 		<-time.After(pause)
 	}
 
-	if kind == LostReply || kind == LateCall || v.pass() != nil {
+	if kind == LostReply || kind == LateCall || v.waitRunning() != nil {
 		return nil, unknown
 	}
 
