--- a/internal/lab/cwfleet/fleet.go
+++ b/internal/lab/cwfleet/fleet.go
@@ -1,5 +1,5 @@
-// Package cwfleet runs a small platform, servers and entry VMs in one
-// process, on loopback, for the demo and for experiments over sockets.
+// Package cwfleet runs a small stand-in platform, servers and entry VMs in one
+// process on loopback, for the demo and for experiments over sockets.
 package cwfleet
 
 import (
@@ -22,36 +22,37 @@
 
 // Service is a group of stand-in servers.
 type Service struct {
-	// Name is the service.
+	// Name is the name of the service.
 	Name carobward.Service
 	// Count is the number of servers.
 	Count int
-	// Options returns those of one server.
+	// Options returns the options of one server.
 	Options func(number int) cwstand.ServerOptions
 }
 
-// stopMost bounds a graceful stop beyond the keep time. The whole fleet stops
-// at once, so that there is nobody to hand over to.
-const stopMost = 2 * time.Second
+// stopGrace is the time for a graceful stop in addition to Keep. It is short
+// because the whole fleet stops at once, so that there is no successor for a
+// handover.
+const stopGrace = 2 * time.Second
 
 // Options describe a fleet.
 type Options struct {
-	// Name starts the names of the entry VMs.
+	// Name is the prefix of the entry VMs' names.
 	Name string
-	// Domains are the failure domains. VMs and servers are spread over them
-	// in turn.
+	// Domains are the failure domains, to which entry VMs and servers are
+	// assigned in turn.
 	Domains []carobward.Domain
 	// VMs is the number of entry VMs.
 	VMs int
 	// Services are the stand-in servers.
 	Services []Service
-	// Keep is how long callers keep an answer.
+	// Keep is how long callers cache a lookup reply.
 	Keep time.Duration
 }
 
 // Fleet is a running fleet.
 type Fleet struct {
-	// Platform is the stand-in for the platform.
+	// Platform is the stand-in platform.
 	Platform *cwstand.Platform
 	// Nodes are the entry VMs.
 	Nodes []*cwnode.Node
@@ -77,7 +78,7 @@
 	f := &Fleet{Platform: cwstand.NewPlatform(ln), Servers: map[carobward.Service][]*cwstand.Server{}, stop: stop}
 
 	for _, s := range o.Services {
-		if err := f.serve(&o, s); err != nil {
+		if err := f.startServers(&o, s); err != nil {
 			f.Close()
 
 			return nil, err
@@ -85,7 +86,7 @@
 	}
 
 	for i := range o.VMs {
-		if err := f.node(ctx, &o, i); err != nil {
+		if err := f.startNode(ctx, &o, i); err != nil {
 			f.Close()
 
 			return nil, err
@@ -111,7 +112,7 @@
 	f.Platform.Close()
 }
 
-func (f *Fleet) serve(o *Options, s Service) error {
+func (f *Fleet) startServers(o *Options, s Service) error {
 	for i := range s.Count {
 		ln, err := net.Listen("tcp", anyPort)
 		if err != nil {
@@ -128,7 +129,7 @@
 
 func (o *Options) domain(number int) carobward.Domain { return o.Domains[number%len(o.Domains)] }
 
-func (f *Fleet) node(ctx context.Context, o *Options, number int) error {
+func (f *Fleet) startNode(ctx context.Context, o *Options, number int) error {
 	s := cwsettings.Defaults()
 	s.VM = carobward.VMID(fmt.Sprintf("%s-%d", o.Name, number+1))
 	s.Domain = o.domain(number)
@@ -136,7 +137,7 @@
 	s.Store.URL = f.Platform.URL()
 	s.List.URL = f.Platform.URL() + cwstand.ListPath
 	s.Keep = carobward.Duration(o.Keep)
-	s.Stop = carobward.Duration(o.Keep + stopMost)
+	s.Stop = carobward.Duration(o.Keep + stopGrace)
 	s.Log = "error"
 
 	if err := s.Validate(); err != nil {
@@ -166,8 +167,8 @@
 	return list
 }
 
-// Apply makes a change and waits until it is in force on each entry VM and
-// all see each other.
+// Apply makes a change and waits until it is effective on each entry VM and all
+// of them see each other.
 func (f *Fleet) Apply(ctx context.Context, change cwconfig.Change) error {
 	r, err := f.Nodes[0].Apply(ctx, change)
 	if err != nil {
