--- a/internal/lab/cwhop/hop.go
+++ b/internal/lab/cwhop/hop.go
@@ -1,5 +1,6 @@
-// Package cwhop measures what the hop by way of an entry VM adds to a call:
-// pairs of a direct call and one by way of it, in one run.
+// Package cwhop measures the latency and processor time that forwarding through
+// an entry VM adds to a call. It makes pairs of calls, one direct and one
+// through the entry VM, in the same run.
 package cwhop
 
 import (
@@ -20,48 +21,52 @@
 
 // Options describe one run.
 type Options struct {
-	// Server is called directly, Entry is the callers' address of an entry
-	// VM that has only this server for the path.
+	// Server is the address of the server, which is called directly. Entry is
+	// the callers' address of an entry VM that has only this server for the
+	// path.
 	Server, Entry carobward.Address
 	Path          string
-	// Rate is the number of pairs a second, open-loop, so that a slow call
-	// holds up none after it; Pairs is how many are made.
+	// Rate is the number of pairs per second, in an open loop: a slow call does
+	// not delay the calls after it. Pairs is the number of pairs.
 	Rate, Pairs int
 	// PIDs are the processes whose cost is measured.
 	PIDs []int
 }
 
-// Times are those of calls from when they were due.
+// Times are the response times of calls, from the moment at which each call was
+// due.
 type Times struct {
 	P50, P99 time.Duration
-	// Failed counts the calls without an answer of status 200.
+	// Failed is the number of calls without a reply of status 200.
 	Failed int64
 }
 
-// Result is what a run has measured.
+// Result is the result of a run.
 type Result struct {
 	Direct, Entry Times
-	// Call is the processor time a pair, Extra that without the idle share.
+	// Call is the processor time per pair, Extra the same without the idle
+	// share.
 	Call, Extra time.Duration
-	// Idle is the share of a core that the processes take without calls.
+	// Idle is the share of a core that the processes use without calls.
 	Idle float64
-	// Resident is their memory at the end, in bytes.
+	// Resident is their resident memory at the end, in bytes.
 	Resident int64
 }
 
 const (
-	callMost = 10 * time.Second
-	digits   = 3
-	// warmCalls open the connections; their times are forgotten.
-	warmCalls = 200
-	warmMost  = 30 * time.Second
-	warmPause = 10 * time.Millisecond
-	// idleLook is how long the processes are watched without calls.
-	idleLook = 2 * time.Second
+	callTimeout = 10 * time.Second
+	digits      = 3
+	// warmupCalls is the number of calls that open the connections; their times
+	// are discarded.
+	warmupCalls   = 200
+	warmupTimeout = 30 * time.Second
+	warmupDelay   = 10 * time.Millisecond
+	// idleTime is how long the processes are observed without calls.
+	idleTime = 2 * time.Second
 	p50, p99 = 50, 99
 )
 
-// ErrSilent tells that no call was answered before the run.
+// ErrNoAnswer is returned if no call is answered during the warm-up.
 const ErrSilent = errors.ConstError("no answer")
 
 // client makes calls to one address.
@@ -80,11 +85,11 @@
 	return &client{
 		http:  &fasthttp.Client{MaxIdemponentCallAttempts: 1, MaxConnsPerHost: conns},
 		url:   fmt.Sprintf("http://%s%s", address, path),
-		times: hdrhistogram.New(1, int64(callMost), digits),
+		times: hdrhistogram.New(1, int64(callTimeout), digits),
 	}
 }
 
-// call makes one call that was due at a time, and counts from then.
+// call makes one call and counts its time from when it was due.
 func (c *client) call(due time.Time) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -93,7 +98,7 @@
 	req.SetRequestURI(c.url)
 	req.Header.Set(carobward.HeaderID, "hop")
 
-	if err := c.http.DoTimeout(req, resp, callMost); err != nil || resp.StatusCode() != fasthttp.StatusOK {
+	if err := c.http.DoTimeout(req, resp, callTimeout); err != nil || resp.StatusCode() != fasthttp.StatusOK {
 		c.failed.Add(1)
 
 		return
@@ -102,20 +107,20 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 
-	_ = c.times.RecordValue(min(int64(time.Since(due)), int64(callMost)))
+	_ = c.times.RecordValue(min(int64(time.Since(due)), int64(callTimeout)))
 }
 
-// warmUp opens connections and forgets the times.
+// warmUp opens connections and discards the times.
 func (c *client) warmUp() error {
-	for end := time.Now().Add(warmMost); c.times.TotalCount() == 0; c.call(time.Now()) {
+	for end := time.Now().Add(warmupTimeout); c.times.TotalCount() == 0; c.call(time.Now()) {
 		if time.Now().After(end) {
 			return errors.Annotatef(ErrSilent, "hop: %s", c.url)
 		}
 
-		<-time.After(warmPause)
+		<-time.After(warmupDelay)
 	}
 
-	for range warmCalls {
+	for range warmupCalls {
 		c.call(time.Now())
 	}
 
@@ -148,7 +153,7 @@
 		return Result{}, err
 	}
 
-	<-time.After(idleLook)
+	<-time.After(idleTime)
 
 	begun, err := cwcost.Sum(o.PIDs)
 	if err != nil {
@@ -166,7 +171,7 @@
 	}
 
 	used, pairs := end.Processor-begun.Processor, time.Duration(o.Pairs)
-	idle := float64(begun.Processor-before.Processor) / float64(idleLook)
+	idle := float64(begun.Processor-before.Processor) / float64(idleTime)
 
 	return Result{
 		Direct: direct.result(), Entry: entry.result(), Idle: idle, Resident: end.Resident,
@@ -181,12 +186,12 @@
 
 	defer group.Wait()
 
-	pace := time.Second / time.Duration(o.Rate*len(clients))
+	interval := time.Second / time.Duration(o.Rate*len(clients))
 	due := time.Now()
 
 	for range o.Pairs {
 		for _, c := range clients {
-			due = due.Add(pace)
+			due = due.Add(interval)
 
 			select {
 			case <-ctx.Done():
--- a/internal/lab/cwhop/hop_test.go
+++ b/internal/lab/cwhop/hop_test.go
@@ -9,8 +9,8 @@
 	"carobward.example/carobward/internal/cwstand"
 )
 
-// TestMeasure takes a slow server for the entry VM: the difference shows, and
-// no call is lost.
+// TestMeasure uses a slow server in place of the entry VM. The difference must
+// show, and no call may fail.
 func TestMeasure(t *testing.T) {
 	serve := func(work time.Duration) *cwstand.Server {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -35,7 +35,7 @@
 		t.Errorf("got %+v", r)
 	}
 
-	if got := quick.Ran() + slow.Ran(); got < 2*(warmCalls+50) {
+	if got := quick.Ran() + slow.Ran(); got < 2*(warmupCalls+50) {
 		t.Errorf("%d calls ran", got)
 	}
 }
