--- a/internal/lab/cwleave/cost.go
+++ b/internal/lab/cwleave/cost.go
@@ -2,40 +2,43 @@
 
 import "time"
 
-// Cost is what the news cost one entry VM, both ways, in calls and in bytes of
-// the messages.
+// Cost is what the gossip about leaving servers costs one entry VM, in calls
+// and in bytes of the messages in both directions.
 type Cost struct {
 	VMs int
-	// IdleCalls and IdleBytes are those of a second without a change.
+	// IdleCalls and IdleBytes are the cost per second without a change.
 	IdleCalls, IdleBytes float64
 	// Calls and Bytes are what one leaving server adds.
 	Calls, Bytes float64
-	// Last is the time from an operator's word to the last new work.
+	// Last is the time from an operator's drain request to the last new request
+	// to the server.
 	Last time.Duration
 }
 
-// costWindow is the time over which idle cost and that of a leave are counted.
+// costWindow is the period over which the idle cost and the cost of a leave are
+// counted.
 const costWindow = 10 * time.Second
 
 // Measure returns the cost in a fleet without faults.
 func Measure(seed uint64, vms int) Cost {
 	f := New(seed, vms, false)
-	f.until(signAt, stale(f))
+	f.until(signalAt, staleList(f))
 
-	idleCalls, idleBytes := f.spend()
-	operator(f)
+	idleCalls, idleBytes := f.measure()
+	drainByOperator(f)
 
-	sign := f.now
-	calls, bytes := f.spend()
+	begin := f.now
+	calls, bytes := f.measure()
 	seconds := costWindow.Seconds()
 
-	return Cost{vms, idleCalls / seconds, idleBytes / seconds, calls - idleCalls, bytes - idleBytes, f.last - sign}
+	return Cost{vms, idleCalls / seconds, idleBytes / seconds, calls - idleCalls, bytes - idleBytes, f.last - begin}
 }
 
-// spend runs the fleet for the window and returns what each entry VM spent.
-func (f *Fleet) spend() (calls, bytes float64) {
+// measure runs the fleet for costWindow and returns the mean calls and bytes
+// per entry VM.
+func (f *Fleet) measure() (calls, bytes float64) {
 	f.calls, f.bytes = 0, 0
-	f.until(f.now+costWindow, stale(f))
+	f.until(f.now+costWindow, staleList(f))
 
 	vms := float64(len(f.vms))
 
--- a/internal/lab/cwleave/fleet.go
+++ b/internal/lab/cwleave/fleet.go
@@ -1,6 +1,7 @@
-// Package cwleave models a fleet of entry VMs that tell each other which
-// server leaves, over a network that loses messages and cuts ways, and notes
-// when the server last got new work. The same seed gives the same fleet.
+// Package cwleave simulates entry VMs that tell each other which server is
+// leaving, over a network with lost messages and blocked directions, and
+// records when that server last gets a new request. The same seed gives the
+// same fleet.
 package cwleave
 
 import (
@@ -18,54 +19,56 @@
 // Leaver is the address of the server that leaves.
 const Leaver = carobward.Address("10.1.0.1:80")
 
-// The model's rules.
+// The parameters of the model.
 const (
 	service = "records"
 	servers = 30
-	// stepEvery is the model's step.
-	stepEvery = cwdrain.TickInterval
-	// listEvery is the time between two reads of the VM list.
-	listEvery = time.Second
-	// signAt is when the first sign that the server leaves is seen.
-	signAt = 4900 * time.Millisecond
+	// stepTime is the length of a step of the model.
+	stepTime = cwdrain.TickInterval
+	// listInterval is the interval between two reads of the VM list.
+	listInterval = time.Second
+	// signalAt is when the first entry VM learns that the server leaves.
+	signalAt = 4900 * time.Millisecond
 	// runUntil is the end of a run.
 	runUntil = 22 * time.Second
-	// lossPart of all messages is lost each way, and cutPart of all ways
-	// between two entry VMs is cut for good, in a fleet with faults.
-	lossPart = 0.1
-	cutPart  = 0.2
+	// In a fleet with faults, lossShare of all messages is lost in each
+	// direction, and blockedShare of all directions between two entry VMs is
+	// blocked throughout.
+	lossShare    = 0.1
+	blockedShare = 0.2
 )
 
-// way is one direction between two entry VMs.
-type way struct{ from, to carobward.Address }
+// direction is the direction from one entry VM to another.
+type direction struct{ from, to carobward.Address }
 
-// List returns the VM list that the entry VM at a place reads now.
+// List returns the VM list that the entry VM with an index reads now.
 type List func(i int) []carobward.VM
 
-// Fleet is a fleet over its network.
+// Fleet is a fleet and its network.
 type Fleet struct {
 	clock   *clock
 	vms     []*vm
 	address map[carobward.Address]*vm
 	rng     *rand.Rand
-	cut     map[way]bool
+	blocked map[direction]bool
 	loss    float64
 	now     time.Duration
 	list    []carobward.VM
-	// last is when the leaving server last got new work.
+	// last is when the leaving server last got a new request.
 	last time.Duration
-	// calls and bytes are those of the news since they were last taken.
+	// calls and bytes count the gossip since they were last reset.
 	calls, bytes int
 }
 
-// New draws a fleet of so many entry VMs. With faults, some are frozen around
-// the sign, join after it or can't be called, messages are lost and ways cut.
+// New returns a random fleet with a number of entry VMs. With faults, some are
+// paused around the signal, join after it or can't be called by peers, messages
+// are lost and directions blocked.
 func New(seed uint64, vms int, faults bool) *Fleet {
 	f := &Fleet{
 		clock:   &clock{time.Unix(4_000_000_000, 0)},
 		rng:     rand.New(rand.NewPCG(seed, 2)),
 		address: map[carobward.Address]*vm{},
-		cut:     map[way]bool{},
+		blocked: map[direction]bool{},
 	}
 
 	for i := range servers {
@@ -76,7 +79,7 @@
 	for i := range vms {
 		v := newVM(i, f.clock, rand.New(rand.NewPCG(f.rng.Uint64(), 3)))
 		if faults && i > 0 {
-			v.draw(i, f.rng)
+			v.drawFault(i, f.rng)
 		}
 
 		f.vms = append(f.vms, v)
@@ -84,31 +87,31 @@
 	}
 
 	if faults {
-		f.fail()
+		f.addNetworkFaults()
 	}
 
 	return f
 }
 
-// fail has the network lose messages and cuts ways.
-func (f *Fleet) fail() {
-	f.loss = lossPart
+// addNetworkFaults sets the message loss and blocks directions.
+func (f *Fleet) addNetworkFaults() {
+	f.loss = lossShare
 
 	for _, from := range f.vms {
 		for _, to := range f.vms {
-			f.cut[way{from.address, to.address}] = f.rng.Float64() < cutPart
+			f.blocked[direction{from.address, to.address}] = f.rng.Float64() < blockedShare
 		}
 	}
 }
 
-// LastWork runs the fleet with a sign that the server leaves, and returns the
-// time from it to the last new work that the server got.
-func (f *Fleet) LastWork(list List, sign func(*Fleet)) time.Duration {
-	f.until(signAt, list)
-	sign(f)
+// LastWork runs the fleet with a signal that the server leaves, and returns the
+// time from the signal to the last new request to the server.
+func (f *Fleet) LastWork(list List, signal func(*Fleet)) time.Duration {
+	f.until(signalAt, list)
+	signal(f)
 	f.until(runUntil, list)
 
-	return f.last - signAt
+	return f.last - signalAt
 }
 
 func (f *Fleet) until(end time.Duration, list List) {
@@ -117,11 +120,11 @@
 	}
 }
 
-// step has each entry VM give out work, in the worst place before its tick,
-// and then tick.
+// step lets each entry VM dispatch a request if it may, both before and after
+// its tick.
 func (f *Fleet) step(list List) {
-	f.now += stepEvery
-	f.clock.now = f.clock.now.Add(stepEvery)
+	f.now += stepTime
+	f.clock.now = f.clock.now.Add(stepTime)
 
 	for i, v := range f.vms {
 		if !v.runs(f.now) {
@@ -130,13 +133,13 @@
 
 		f.dispatch(v)
 
-		if f.now%listEvery == 0 {
+		if f.now%listInterval == 0 {
 			l := list(i)
 			v.Listed(l)
 			v.servers.Update(l)
 		}
 
-		v.Tick(func(s *cwdrain.Gossip) { f.tell(v, s) })
+		v.Tick(func(s *cwdrain.Gossip) { f.gossip(v, s) })
 		f.dispatch(v)
 	}
 }
@@ -147,8 +150,8 @@
 	}
 }
 
-// tell sends what one entry VM has to tell to others.
-func (f *Fleet) tell(v *vm, s *cwdrain.Gossip) {
+// gossip sends the announcements of one entry VM to others.
+func (f *Fleet) gossip(v *vm, s *cwdrain.Gossip) {
 	var peers []carobward.Address
 
 	for _, p := range f.vms {
@@ -166,15 +169,15 @@
 	}
 }
 
-// send returns the answer to one message, or nil if either was lost.
+// send returns the reply to one message, or nil if either was lost.
 func (f *Fleet) send(v *vm, s cwdrain.Message) *cwwire.News {
 	to := f.address[s.To]
 	answer := &cwwire.News{}
-	lost := !to.runs(f.now) || to.deaf || f.cut[way{v.address, s.To}] || f.rng.Float64() < f.loss
+	lost := !to.runs(f.now) || to.unreachable || f.blocked[direction{v.address, s.To}] || f.rng.Float64() < f.loss
 
 	if !lost {
 		_ = to.Service().Exchange(s.News, answer)
-		lost = f.cut[way{s.To, v.address}] && !v.deaf || f.rng.Float64() < f.loss
+		lost = f.blocked[direction{s.To, v.address}] && !v.unreachable || f.rng.Float64() < f.loss
 	}
 
 	f.calls++
--- a/internal/lab/cwleave/table.go
+++ b/internal/lab/cwleave/table.go
@@ -9,16 +9,16 @@
 	"github.com/juju/errors"
 )
 
-// Last is the longest time from the first sign to the last new work, in fleets
-// with faults.
+// Last is the longest time from the signal to the last new request to the
+// server, in fleets with faults.
 type Last struct {
 	VMs  int
 	Sign string
 	Time time.Duration
 }
 
-// Worst returns the longest times over so many seeds: those of each sign, and
-// that of a balancer by the VM list alone with a lag.
+// Worst returns the longest times over a number of seeds: one for each signal,
+// and one for a balancer that relies on a VM list with a lag.
 func Worst(first, seeds uint64, vms int, lag time.Duration) []Last {
 	runs := Signs()
 	all := make([]Last, 0, len(runs)+1)
--- a/internal/lab/cwleave/vm.go
+++ b/internal/lab/cwleave/vm.go
@@ -12,7 +12,7 @@
 	"carobward.example/carobward/internal/cwserver"
 )
 
-// clock is the time of the model.
+// clock is the virtual time of the model.
 type clock struct{ now time.Time }
 
 // Now returns the model's time.
@@ -25,10 +25,10 @@
 	news    *cwdrain.Table
 	servers *cwserver.Table
 	address carobward.Address
-	// deaf tells that no peer can call it, though it can call them.
-	deaf           bool
-	joined         time.Duration
-	frozen, thawed time.Duration
+	// unreachable reports whether no peer can call it, though it can call them.
+	unreachable     bool
+	joined          time.Duration
+	paused, resumed time.Duration
 }
 
 func newVM(i int, c *clock, rng *rand.Rand) *vm {
@@ -47,39 +47,40 @@
 
 // The faults of entry VMs.
 const (
-	// kinds is the number of kinds of entry VM: there all the time, frozen,
-	// joining, and one that no peer can call.
-	kinds = 4
-	// frozenBefore is how long before the sign a freeze begins at most.
-	frozenBefore = 2 * time.Second
-	// frozenMost is the longest freeze.
-	frozenMost = 15 * time.Second
-	// joinedMost is when the last entry VM joins at most.
-	joinedMost = 20 * time.Second
+	// kindCount is the number of kinds of entry VM: without a fault, paused,
+	// joining, and unreachable for its peers.
+	kindCount = 4
+	// maxPauseLead bounds how long before the signal a pause begins.
+	maxPauseLead = 2 * time.Second
+	// maxPause bounds the length of a pause.
+	maxPause = 15 * time.Second
+	// maxJoin bounds when an entry VM joins.
+	maxJoin = 20 * time.Second
 )
 
-// draw draws the fault of the entry VM at a place.
-func (v *vm) draw(i int, rng *rand.Rand) {
-	switch i % kinds {
+// drawFault draws the fault of the entry VM with an index.
+func (v *vm) drawFault(i int, rng *rand.Rand) {
+	switch i % kindCount {
 	case 1:
-		v.frozen = signAt - upTo(rng, frozenBefore)
-		v.thawed = v.frozen + upTo(rng, frozenMost)
+		v.paused = signalAt - upTo(rng, maxPauseLead)
+		v.resumed = v.paused + upTo(rng, maxPause)
 	case 2:
-		v.joined = upTo(rng, joinedMost)
+		v.joined = upTo(rng, maxJoin)
 	case 3:
-		v.deaf = true
+		v.unreachable = true
 	}
 }
 
-func upTo(rng *rand.Rand, most time.Duration) time.Duration {
-	return time.Duration(rng.Int64N(int64(most)))
+func upTo(rng *rand.Rand, limit time.Duration) time.Duration {
+	return time.Duration(rng.Int64N(int64(limit)))
 }
 
 func (v *vm) runs(at time.Duration) bool {
-	return at >= v.joined && (at < v.frozen || at >= v.thawed)
+	return at >= v.joined && (at < v.paused || at >= v.resumed)
 }
 
-// leaver returns the server that leaves, or nil while it is not known.
+// leaver returns the server that leaves, or nil if this entry VM does not have
+// it.
 func (v *vm) leaver() *cwserver.Server {
 	for _, s := range v.servers.Of(service) {
 		if s.Address == Leaver {
