--- a/internal/lab/cwload/caller.go
+++ b/internal/lab/cwload/caller.go
@@ -13,15 +13,15 @@
 	"carobward.example/carobward/internal/cwlookup"
 )
 
-// caller is one caller, whose workers share its answer and connections.
+// caller is one caller, whose workers share its lookup reply and connections.
 type caller struct {
 	load *Load
 	name string
 	http *fasthttp.Client
 
-	mutex sync.Mutex
-	use   carobward.Address
-	until time.Time
+	mutex   sync.Mutex
+	target  carobward.Address
+	expires time.Time
 }
 
 func (c *caller) work(charge bool) {
@@ -34,7 +34,7 @@
 
 		to := c.address()
 		if to == "" {
-			<-time.After(rest)
+			<-time.After(retryDelay)
 
 			continue
 		}
@@ -43,26 +43,26 @@
 	}
 }
 
-// address returns the first address of the answer that is held, or of a new
-// one if that has run out.
+// address returns the first address of the cached lookup reply, or of a new one
+// if that has expired. It returns "" if no lookup succeeds.
 func (c *caller) address() carobward.Address {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 
-	if time.Now().Before(c.until) {
-		return c.use
+	if time.Now().Before(c.expires) {
+		return c.target
 	}
 
 	q := url.Values{"domain": {string(c.load.options.Domain)}, "caller": {c.name}}
 
 	for _, l := range c.load.options.Lookup {
-		status, body, err := c.http.GetTimeout(nil, fmt.Sprintf("http://%s/addresses?%s", l, q.Encode()), lookupMost)
+		status, body, err := c.http.GetTimeout(nil, fmt.Sprintf("http://%s/addresses?%s", l, q.Encode()), lookupTimeout)
 
 		var a cwlookup.Reply
 		if err == nil && status == fasthttp.StatusOK && json.Unmarshal(body, &a) == nil && len(a.Use) > 0 {
-			c.use, c.until = a.Use[0].Address, time.Now().Add(time.Duration(a.Keep)*time.Second)
+			c.target, c.expires = a.Use[0].Address, time.Now().Add(time.Duration(a.Keep)*time.Second)
 
-			return c.use
+			return c.target
 		}
 	}
 
@@ -84,13 +84,13 @@
 
 	req.SetRequestURI(fmt.Sprintf("http://%s%s", to, path))
 
-	err := c.http.DoTimeout(req, resp, requestMost)
+	err := c.http.DoTimeout(req, resp, requestTimeout)
 
 	switch {
 	case err != nil:
-		c.load.cut(fmt.Sprintf("%s: %v", to, err))
+		c.load.fail(fmt.Sprintf("%s: %v", to, err))
 	case resp.StatusCode() != fasthttp.StatusOK:
-		c.load.cut(fmt.Sprintf("%s: %d %s", to, resp.StatusCode(), resp.Body()))
+		c.load.fail(fmt.Sprintf("%s: %d %s", to, resp.StatusCode(), resp.Body()))
 	default:
 		c.load.answered(carobward.VMID(resp.Header.Peek(carobward.HeaderVM)), charge)
 	}
--- a/internal/lab/cwload/load.go
+++ b/internal/lab/cwload/load.go
@@ -1,5 +1,5 @@
-// Package cwload puts constant load on entry VMs, as callers do that hold
-// address answers for as long as they may and never try again.
+// Package cwload generates constant load on entry VMs, from callers that cache
+// lookup replies for as long as they may and never retry.
 package cwload
 
 import (
@@ -16,46 +16,47 @@
 
 // Options describe the load.
 type Options struct {
-	// Lookup are the lookup addresses that are asked in turn.
+	// Lookup are the lookup addresses, which are tried in order.
 	Lookup []carobward.Address
 	// Domain is the failure domain of the callers.
 	Domain carobward.Domain
-	// Callers is their number, each with its own answer and connections,
-	// and Workers how many requests each has out at once.
+	// Callers is the number of callers, each with a lookup reply and
+	// connections of its own. Workers is the number of concurrent requests of
+	// each.
 	Callers, Workers int
-	// Read is the path that is read, Charge the one that every other worker
-	// posts to.
+	// Read is the path that is read. Charge is the path to which every other
+	// worker posts.
 	Read, Charge string
 }
 
-// The times of a caller.
+// The timeouts of a caller.
 const (
-	// idleMost is how long a caller keeps an idle connection. It does not
+	// idleTimeout is how long a caller keeps an idle connection. It does not
 	// notice that the other side has closed one.
-	idleMost    = 2 * time.Second
-	dialMost    = time.Second
-	lookupMost  = time.Second
-	requestMost = 10 * time.Second
-	// rest is the pause after all lookups have failed.
-	rest = 10 * time.Millisecond
+	idleTimeout    = 2 * time.Second
+	dialTimeout    = time.Second
+	lookupTimeout  = time.Second
+	requestTimeout = 10 * time.Second
+	// retryDelay is the delay after all lookups have failed.
+	retryDelay = 10 * time.Millisecond
 )
 
-// firstMost bounds the causes that are kept.
-const firstMost = 3
+// maxCauses bounds the recorded causes of failures.
+const maxCauses = 3
 
-// Counts are what has become of the requests.
+// Counts are the outcomes of the requests.
 type Counts struct {
-	// By counts the requests that each entry VM has answered.
+	// ByVM counts the requests that each entry VM has answered.
 	By map[carobward.VMID]int
-	// Charged counts the answered ones that charged.
+	// Charged counts the answered requests that charged.
 	Charged int64
-	// Cut counts those without a whole reply with status 200, First has the
-	// causes of the first ones.
+	// Failed counts the requests without a whole reply of status 200. Causes
+	// has the causes of the first ones.
 	Cut   int
 	First []string
 }
 
-// Load is load that is being put on.
+// Load generates load from Start until Stop.
 type Load struct {
 	options Options
 	stop    chan struct{}
@@ -67,16 +68,16 @@
 	counts Counts
 }
 
-// Start begins the load. Stop ends it.
+// Start begins the load.
 func Start(o Options) *Load {
 	l := &Load{options: o, stop: make(chan struct{}), counts: Counts{By: map[carobward.VMID]int{}}}
 
 	for i := range o.Callers {
 		c := &caller{load: l, name: fmt.Sprintf("caller-%d", i), http: &fasthttp.Client{
 			MaxIdemponentCallAttempts: 1,
-			MaxIdleConnDuration:       idleMost,
+			MaxIdleConnDuration:       idleTimeout,
 			RetryIfErr:                func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
-			Dial:                      func(a string) (net.Conn, error) { return net.DialTimeout("tcp", a, dialMost) },
+			Dial:                      func(a string) (net.Conn, error) { return net.DialTimeout("tcp", a, dialTimeout) },
 		}}
 
 		for w := range o.Workers {
@@ -87,7 +88,8 @@
 	return l
 }
 
-// Stop ends the load, after the requests that are out. It may be called again.
+// Stop ends the load once the requests in flight have ended. It may be called
+// again.
 func (l *Load) Stop() {
 	l.once.Do(func() { close(l.stop) })
 	l.group.Wait()
@@ -101,7 +103,7 @@
 	return l.counts.By[vm]
 }
 
-// Counts returns what has become of the requests, after Stop.
+// Counts returns the outcomes of the requests. Call it after Stop.
 func (l *Load) Counts() Counts {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -119,14 +121,14 @@
 	return fmt.Sprint("launch ", l.sent)
 }
 
-// cut counts a request without a whole reply.
-func (l *Load) cut(cause string) {
+// fail counts a request without a whole reply.
+func (l *Load) fail(cause string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 
 	l.counts.Cut++
 
-	if len(l.counts.First) < firstMost {
+	if len(l.counts.First) < maxCauses {
 		l.counts.First = append(l.counts.First, cause)
 	}
 }
