--- a/internal/lab/cwnetwork/experiment.go
+++ b/internal/lab/cwnetwork/experiment.go
@@ -10,51 +10,52 @@
 	"carobward.example/carobward"
 )
 
-// The lengths of the parts of an experiment.
+// The lengths of the phases of an experiment.
 const (
-	// settleSoon is for today's sizes, settleMost for any.
-	settleSoon = time.Minute
-	settleMost = 3 * time.Minute
-	quiet      = 2 * time.Minute
-	watched    = time.Minute
-	crashMost  = time.Minute
-	cutLong    = time.Minute
-	healWatch  = 10 * time.Second
-	healMost   = 2 * time.Minute
-	domainLong = 20 * time.Second
-	day        = 24 * time.Hour
+	// smallSettleTimeout suits the usual fleet sizes, settleTimeout any size.
+	smallSettleTimeout = time.Minute
+	settleTimeout      = 3 * time.Minute
+	settleTime         = 2 * time.Minute
+	measureTime        = time.Minute
+	detectionTimeout   = time.Minute
+	partitionTime      = time.Minute
+	healTime           = 10 * time.Second
+	healTimeout        = 2 * time.Minute
+	domainLossTime     = 20 * time.Second
+	day                = 24 * time.Hour
 )
 
-// What is lost at once: one region of so many, one failure domain of so many.
+// How many regions and failure domains there are, of which one is lost at once.
 const (
 	regions = 8
 	domains = 16
 )
 
-// Cost is what membership costs in a fleet of a size, in bytes a second that
-// a VM sends on average, headers of UDP and IP counted, and how long it takes
-// until a crash is known.
+// Cost is the cost of membership in a fleet of one size: the bytes per second
+// that a VM sends on average, including UDP and IP headers, and the time until
+// a crash is detected.
 type Cost struct {
 	VMs int
-	// Calm is with nothing happening, Restarts with VMs replaced.
+	// Calm is the cost while nothing happens, Restarts while VMs are replaced.
 	Calm, Restarts float64
-	// First, All and Known are the times after a crash until one suspects,
-	// all suspect and all know.
+	// First, All and Known are the times after a crash until one VM suspects
+	// it, all suspect it and all consider the crashed VM dead.
 	First, All, Known time.Duration
 }
 
-// Measure measures the cost, with so many restarts a day in the whole fleet.
+// Measure measures the cost, with a number of restarts per day in the whole
+// fleet.
 func Measure(size, restarts int, seed uint64) (Cost, error) {
 	c := Cost{VMs: size}
 
-	n, err := Settled(size, seed, settleMost)
+	n, err := Settled(size, seed, settleTimeout)
 	if err != nil {
 		return c, err
 	}
 
-	n.Run(quiet, nil)
-	c.Calm = n.rate(watched, 0)
-	c.Restarts = n.rate(watched, day/time.Duration(restarts))
+	n.Run(settleTime, nil)
+	c.Calm = n.rate(measureTime, 0)
+	c.Restarts = n.rate(measureTime, day/time.Duration(restarts))
 	n.VMs[0].Down = true
 
 	crashed := n.Now
@@ -64,11 +65,11 @@
 		count int
 		took  *time.Duration
 	}{
-		{"one suspects", carobward.PeerSuspect, 1, &c.First},
-		{"all suspect", carobward.PeerSuspect, size - 1, &c.All},
-		{"all know", carobward.PeerDead, size - 1, &c.Known},
+		{"one VM suspects the crash", carobward.PeerSuspect, 1, &c.First},
+		{"all VMs suspect the crash", carobward.PeerSuspect, size - 1, &c.All},
+		{"all VMs consider the crashed VM dead", carobward.PeerDead, size - 1, &c.Known},
 	} {
-		if _, err := n.Until(crashMost, step.what, func() bool { return n.Doubt(0, step.state) >= step.count }); err != nil {
+		if _, err := n.Until(detectionTimeout, step.what, func() bool { return n.Doubt(0, step.state) >= step.count }); err != nil {
 			return c, err
 		}
 
@@ -78,7 +79,7 @@
 	return c, nil
 }
 
-// WriteCosts writes a table of the cost against the fleet's size.
+// WriteCosts writes a table of the cost by fleet size.
 func WriteCosts(w io.Writer, sizes []int, restarts int, seed uint64) error {
 	_, _ = fmt.Fprintf(w, "%5s %10s %10s %9s %9s %9s\n", "VMs", "calm B/s", "busy B/s", "first s", "all s", "known s")
 
@@ -97,32 +98,33 @@
 	return nil
 }
 
-// Parts are the bytes a VM sends on average in the worst second: after a
-// region has been cut off for a minute, after that is over and after a
-// failure domain is lost; and the time until all see all again.
+// Peaks has the bytes that a VM sends on average in the worst second: while a
+// region is cut off for a minute, after the partition has healed, and after a
+// failure domain is lost; and the time after the partition until all VMs see
+// each other again.
 type Parts struct {
 	VMs               int
 	Cut, Healed, Lost float64
 	Whole             time.Duration
 }
 
-// MeasureParts measures the worst seconds of rare events.
+// MeasurePeaks measures the worst seconds of rare events.
 func MeasureParts(size int, seed uint64) (Parts, error) {
 	p := Parts{VMs: size}
 
-	n, err := Settled(size, seed, settleMost)
+	n, err := Settled(size, seed, settleTimeout)
 	if err != nil {
 		return p, err
 	}
 
 	n.Cut = func(from, to int) bool { return (from%regions == 2) != (to%regions == 2) }
-	p.Cut = n.worst(cutLong)
-	n.Cut = none
+	p.Cut = n.peak(partitionTime)
+	n.Cut = noBlock
 
 	begin := n.Now
-	p.Healed = n.worst(healWatch)
+	p.Healed = n.peak(healTime)
 
-	if _, err := n.Until(healMost, "all see all", n.Whole); err != nil {
+	if _, err := n.Until(healTimeout, "all VMs see each other", n.Whole); err != nil {
 		return p, err
 	}
 
@@ -132,12 +134,12 @@
 		v.Down = i%domains == 3
 	}
 
-	p.Lost = n.worst(domainLong)
+	p.Lost = n.peak(domainLossTime)
 
 	return p, nil
 }
 
-// WriteParts writes a table of the worst seconds.
+// WritePeaks writes a table of the worst seconds.
 func WriteParts(w io.Writer, sizes []int, seed uint64) error {
 	_, _ = fmt.Fprintf(w, "%5s %10s %10s %10s %9s\n", "VMs", "cut B/s", "healed B/s", "lost B/s", "whole s")
 
@@ -155,8 +157,8 @@
 	return nil
 }
 
-// WriteFaults writes a table of the false deaths, ours and those of the naive
-// version, under the same faults and seeds.
+// WriteFaults writes a table of the false deaths of the product and of the
+// naive version, under the same faults and seeds.
 func WriteFaults(w io.Writer, size, seeds int) error {
 	_, _ = fmt.Fprintf(w, "%5s %6s  fault, %d VMs\n", "ours", "naive", size)
 
@@ -174,11 +176,11 @@
 	return nil
 }
 
-// Compare counts the false deaths of ours and of the naive version over the
-// seeds from zero.
+// Compare counts the false deaths of the product and of the naive version over
+// the seeds from zero.
 func (f *Fault) Compare(size, seeds int) (ours, naive int, err error) {
 	for seed := range uint64(seeds) {
-		n, err := Settled(size, seed, settleSoon)
+		n, err := Settled(size, seed, smallSettleTimeout)
 		if err != nil {
 			return 0, 0, err
 		}
--- a/internal/lab/cwnetwork/experiment_test.go
+++ b/internal/lab/cwnetwork/experiment_test.go
@@ -7,7 +7,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestSameSeedSameTable writes each table twice.
+// TestSameSeedSameTable writes each table twice with the same seed and compares
+// them.
 func TestSameSeedSameTable(t *testing.T) {
 	table := func() string {
 		var b strings.Builder
--- a/internal/lab/cwnetwork/fault.go
+++ b/internal/lab/cwnetwork/fault.go
@@ -7,86 +7,86 @@
 	"carobward.example/carobward"
 )
 
-// Fault is a fault under which no VM that runs may be taken for dead.
+// Fault is a fault under which no running VM may be considered dead.
 type Fault struct {
 	Name string
-	// Run puts a settled network through it and counts the false deaths.
+	// Run applies the fault to a settled network and counts the false deaths.
 	Run func(n *Network) int
 }
 
-// The lengths of the faults.
+// The durations of the faults and of the periods after them.
 const (
-	lossLong = 40 * time.Second
-	pairLong = 20 * time.Second
-	deafLong = 14 * time.Second
-	// brief is longer than the naive version's timeout.
-	brief    = 5500 * time.Millisecond
-	after    = 20 * time.Second
-	resumed  = 10 * time.Second
-	lossHigh = 0.3
+	lossTime      = 40 * time.Second
+	pairTime      = 20 * time.Second
+	isolationTime = 14 * time.Second
+	// briefOutage is longer than the naive version's timeout.
+	briefOutage  = 5500 * time.Millisecond
+	recoveryTime = 20 * time.Second
+	resumeTime   = 10 * time.Second
+	highLoss     = 0.3
 )
 
-// The places that the faults strike.
+// The indexes of the VMs that the faults affect.
 const (
-	frozen = 3
-	faulty = 5
+	pausedVM = 3
+	faultyVM = 5
 )
 
-// Faults returns the faults that membership must bear.
+// Faults returns the faults that membership must tolerate.
 func Faults() []Fault {
 	return []Fault{
 		{"loss of 30 %", func(n *Network) int {
-			n.Loss = lossHigh
+			n.Loss = highLoss
 
-			return n.FalseDeaths(lossLong)
+			return n.FalseDeaths(lossTime)
 		}},
 		{"one-way cut of a pair", func(n *Network) int {
 			n.Cut = func(from, to int) bool { return from == 1 && to == 2 }
 
-			return n.FalseDeaths(pairLong)
+			return n.FalseDeaths(pairTime)
 		}},
 		{"loss of 30 %, and one VM hears nobody for 14 s", func(n *Network) int {
-			// It is rightly taken for dead, since it answers nobody; but it
-			// must not bury the others.
-			n.Loss = lossHigh
+			// The isolated VM is rightly considered dead, since it answers
+			// nobody, but it must not consider the others dead.
+			n.Loss = highLoss
 
-			return n.cutFor(deafLong, func(_, to int) bool { return to == faulty }, faulty)
+			return n.blockFor(isolationTime, func(_, to int) bool { return to == faultyVM }, faultyVM)
 		}},
 		{"nobody hears one VM for 5.5 s", func(n *Network) int {
-			return n.cutFor(brief, func(from, _ int) bool { return from == faulty })
+			return n.blockFor(briefOutage, func(from, _ int) bool { return from == faultyVM })
 		}},
 		{"freeze of 5.5 s", func(n *Network) int {
-			v := n.VMs[frozen]
+			v := n.VMs[pausedVM]
 			v.Frozen = true
-			count := n.FalseDeaths(brief)
+			count := n.FalseDeaths(briefOutage)
 			v.Frozen = false
 
-			return count + n.FalseDeaths(resumed)
+			return count + n.FalseDeaths(resumeTime)
 		}},
 	}
 }
 
-// cutFor counts the false deaths during a cut and after it.
-func (n *Network) cutFor(d time.Duration, cut func(from, to int) bool, but ...int) int {
-	n.Cut = cut
-	count := n.FalseDeaths(d, but...)
-	n.Cut = none
+// blockFor counts the false deaths during and after a partition.
+func (n *Network) blockFor(d time.Duration, blocked func(from, to int) bool, except ...int) int {
+	n.Cut = blocked
+	count := n.FalseDeaths(d, except...)
+	n.Cut = noBlock
 
-	return count + n.FalseDeaths(after, but...)
+	return count + n.FalseDeaths(recoveryTime, except...)
 }
 
-// lookEvery is the number of steps between two looks, which cost more than
-// the steps.
-const lookEvery = 4
+// checkSteps is the number of steps between two checks, because a check costs
+// more than a step.
+const checkSteps = 4
 
-// FalseDeaths counts how often a VM that runs is taken for dead by another
-// in a time, but for some.
-func (n *Network) FalseDeaths(d time.Duration, but ...int) int {
-	count, looks := 0, 0
+// FalseDeaths runs the network for a while and counts how often a running VM
+// considers another running VM dead, except the VMs with the given indexes.
+func (n *Network) FalseDeaths(d time.Duration, except ...int) int {
+	count, steps := 0, 0
 	dead := map[[2]int]bool{}
 
 	n.Run(d, func() {
-		if looks++; looks%lookEvery > 0 {
+		if steps++; steps%checkSteps > 0 {
 			return
 		}
 
@@ -97,7 +97,7 @@
 
 			for _, p := range v.Actor.Peers() {
 				j := n.byAddr[p.Peers]
-				now := p.State == carobward.PeerDead && !n.VMs[j].Down && !slices.Contains(but, j)
+				now := p.State == carobward.PeerDead && !n.VMs[j].Down && !slices.Contains(except, j)
 
 				if now && !dead[[2]int{i, j}] {
 					count++
--- a/internal/lab/cwnetwork/measure.go
+++ b/internal/lab/cwnetwork/measure.go
@@ -8,32 +8,34 @@
 	"carobward.example/carobward"
 )
 
-// ErrLate tells that something took longer than its bound.
-const ErrLate = errors.ConstError("too late")
+// ErrTimeout is returned if a condition is not met in time.
+const ErrLate = errors.ConstError("timeout")
 
-// Settled returns a network of machines that have met within a time.
-func Settled(size int, seed uint64, most time.Duration) (*Network, error) {
+// Settled returns a network of membership machines that have all discovered
+// each other, or an error if that takes too long.
+func Settled(size int, seed uint64, timeout time.Duration) (*Network, error) {
 	n := New(size, seed, Machine)
-	_, err := n.Until(most, "the fleet has met", n.Whole)
+	_, err := n.Until(timeout, "all VMs have discovered each other", n.Whole)
 
 	return n, err
 }
 
-// Until runs the network until ok and returns how long that took, ErrLate if
-// it took more than most.
-func (n *Network) Until(most time.Duration, what string, ok func() bool) (time.Duration, error) {
-	for begin := n.Now; n.Now.Sub(begin) < most; {
+// RunUntil runs the network until ok and returns how long that took, or
+// ErrTimeout if it took too long.
+func (n *Network) Until(timeout time.Duration, what string, ok func() bool) (time.Duration, error) {
+	for begin := n.Now; n.Now.Sub(begin) < timeout; {
 		if ok() {
 			return n.Now.Sub(begin), nil
 		}
 
-		n.Run(lookEvery*Step, nil)
+		n.Run(checkSteps*Step, nil)
 	}
 
-	return 0, errors.Annotatef(ErrLate, "network: not within %v: %s", most, what)
+	return 0, errors.Annotatef(ErrLate, "network: not within %v: %s", timeout, what)
 }
 
-// Doubt counts who sees a VM in a state or one that overrides it.
+// CountState counts the VMs that see a VM in a state or in one that overrides
+// it.
 func (n *Network) Doubt(of int, state carobward.PeerState) int {
 	count := 0
 
@@ -46,7 +48,8 @@
 	return count
 }
 
-// rate returns the bytes a second and VM, while a VM is replaced each every.
+// rate returns the bytes per second and VM. If every is positive, a random VM
+// is replaced at that interval.
 func (n *Network) rate(d, every time.Duration) float64 {
 	before := n.bytes
 
@@ -65,8 +68,8 @@
 	return float64(n.bytes-before) / d.Seconds() / float64(len(n.VMs))
 }
 
-// worst returns the bytes a VM in the worst second.
-func (n *Network) worst(d time.Duration) float64 {
+// peak returns the bytes per VM in the worst second.
+func (n *Network) peak(d time.Duration) float64 {
 	most := 0.0
 	for range d / time.Second {
 		most = max(most, n.rate(time.Second, 0))
--- a/internal/lab/cwnetwork/naive.go
+++ b/internal/lab/cwnetwork/naive.go
@@ -8,8 +8,8 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// naive is the simplest membership: each tells all, and who was not heard
-// for a fixed time is dead.
+// naive is the simplest membership: each VM sends heartbeats to all others, and
+// considers dead each one from which it has received nothing for a fixed time.
 type naive struct {
 	self  carobward.Peer
 	peers map[carobward.VMID]carobward.Peer
@@ -17,11 +17,12 @@
 }
 
 const (
-	naiveEvery   = time.Second
-	naiveTimeout = 5 * time.Second
+	naiveInterval = time.Second
+	naiveTimeout  = 5 * time.Second
 )
 
-// Naive returns a member of the naive fleet, which knows all from the start.
+// Naive returns a member of a naive fleet, which knows all members from the
+// start.
 func Naive(i int, n *Network) Actor {
 	a := &naive{self: Self(i, 1), peers: map[carobward.VMID]carobward.Peer{}}
 	for j := range n.VMs {
@@ -42,7 +43,7 @@
 		}
 	}
 
-	if now.Sub(a.sent) < naiveEvery {
+	if now.Sub(a.sent) < naiveInterval {
 		return nil
 	}
 
--- a/internal/lab/cwnetwork/network.go
+++ b/internal/lab/cwnetwork/network.go
@@ -1,5 +1,5 @@
-// Package cwnetwork is a network in memory that carries datagrams between
-// membership machines, with loss, cuts and freezes, and the experiments on it.
+// Package cwnetwork is an in-memory network between membership machines, with
+// packet loss, partitions and paused VMs, and the experiments on it.
 package cwnetwork
 
 import (
@@ -14,65 +14,71 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// The pace of the network.
+// The parameters of the network.
 const (
-	// Step is the time that each datagram takes, and between two ticks.
+	// Step is the transit time of each datagram and the interval between two
+	// ticks.
 	Step = 50 * time.Millisecond
-	// overhead are the bytes of tag, UDP and IP headers.
+	// overhead is the size of authentication tag, UDP header and IP header, in
+	// bytes.
 	overhead = 16 + 8 + 20
-	// inboxMost is what a frozen VM's socket holds.
-	inboxMost = 500
+	// maxInbox is the number of datagrams that the socket of a paused VM
+	// buffers.
+	maxInbox = 500
 )
 
-// Actor is what the network drives: a machine or the naive version.
+// Actor is what the network drives: a membership machine or the naive version.
 type Actor interface {
 	Tick(now time.Time) []cwmember.Message
 	Receive(now time.Time, from carobward.Address, d *cwwire.Datagram) []cwmember.Message
 	Peers() []carobward.Peer
 }
 
-// Envelope is a datagram on its way between two places.
+// Envelope is a datagram in flight between the VMs at two indexes.
 type Envelope struct {
 	From, To int
 	Datagram *cwwire.Datagram
 }
 
-// VM is one place of the network; the actor in it may be replaced.
+// VM is one VM of the network, whose actor may be replaced.
 type VM struct {
 	Actor Actor
-	// Down has it receive nothing, Frozen receive what fits when it resumes.
+	// A VM that is Down receives nothing. A Paused one receives what its socket
+	// has buffered once it resumes.
 	Down   bool
 	Frozen bool
 	inbox  []Envelope
 }
 
-// Machine returns the machine in this place, nil if another actor is.
+// Machine returns the VM's membership machine, or nil if its actor is another
+// one.
 func (v *VM) Machine() *cwmember.Machine {
 	m, _ := v.Actor.(*cwmember.Machine)
 
 	return m
 }
 
-// Network carries datagrams between actors in memory, by a seed.
+// Network carries datagrams between actors in memory. The same seed gives the
+// same run.
 type Network struct {
-	// Now is the network's own time.
+	// Now is the network's virtual time.
 	Now time.Time
 	VMs []*VM
-	// Loss is the share of datagrams that are lost.
+	// Loss is the fraction of datagrams that are lost.
 	Loss float64
-	// Cut tells whether datagrams from one to another are lost.
+	// Blocked reports whether datagrams from one VM to another are dropped.
 	Cut func(from, to int) bool
 
-	rng    *rand.Rand
-	byAddr map[carobward.Address]int
-	flying []Envelope
-	bytes  int
+	rng      *rand.Rand
+	byAddr   map[carobward.Address]int
+	inFlight []Envelope
+	bytes    int
 }
 
-// ID returns the id of the VM at a place.
+// ID returns the id of the VM with an index.
 func ID(i int) carobward.VMID { return carobward.VMID(fmt.Sprintf("vm-%03d", i)) }
 
-// Self returns what the VM at a place tells of itself.
+// Self returns the peer entry of the VM with an index.
 func Self(i int, incarnation carobward.Incarnation) carobward.Peer {
 	at := func(port int) carobward.Address {
 		return carobward.Address(fmt.Sprintf("10.%d.%d.%d:%d", i%8, i/250, i%250+1, port))
@@ -84,10 +90,11 @@
 	}
 }
 
-// New returns a network of so many VMs, filled place by place.
+// New returns a network with a number of VMs, whose actors are created in the
+// order of their indexes.
 func New(size int, seed uint64, create func(i int, n *Network) Actor) *Network {
 	n := &Network{
-		Now: time.Unix(1_000_000, 0), rng: rand.New(rand.NewPCG(seed, 1)), byAddr: map[carobward.Address]int{}, Cut: none,
+		Now: time.Unix(1_000_000, 0), rng: rand.New(rand.NewPCG(seed, 1)), byAddr: map[carobward.Address]int{}, Cut: noBlock,
 	}
 
 	for i := range size {
@@ -102,15 +109,15 @@
 	return n
 }
 
-// none is the cut of a network that is whole.
-func none(int, int) bool { return false }
+// noBlock is the Blocked function of a network without a partition.
+func noBlock(int, int) bool { return false }
 
-// Machine returns a newcomer that has the others as seeds.
+// Machine returns a new membership machine that has all VMs as seeds.
 func Machine(i int, n *Network) Actor {
 	return NewMachine(n, i, carobward.Incarnation(n.Now.UnixNano()+int64(i)))
 }
 
-// NewMachine is Machine with an incarnation of choice.
+// NewMachine is like Machine but with the given incarnation.
 func NewMachine(n *Network, i int, incarnation carobward.Incarnation) *cwmember.Machine {
 	m := cwmember.New(Self(i, incarnation), cwmember.Defaults(), rand.New(rand.NewPCG(n.rng.Uint64(), 2)))
 
@@ -124,15 +131,16 @@
 	return m
 }
 
-// Run lets time pass, with a look at the end of each Step.
-func (n *Network) Run(d time.Duration, look func()) {
+// Run lets time pass and calls observe, unless it is nil, at the end of each
+// Step.
+func (n *Network) Run(d time.Duration, observe func()) {
 	for end := n.Now.Add(d); n.Now.Before(end); {
 		n.Now = n.Now.Add(Step)
 
-		flying := n.flying
-		n.flying = nil
+		inFlight := n.inFlight
+		n.inFlight = nil
 
-		for _, e := range flying {
+		for _, e := range inFlight {
 			n.Deliver(e)
 		}
 
@@ -142,8 +150,8 @@
 			}
 		}
 
-		if look != nil {
-			look()
+		if observe != nil {
+			observe()
 		}
 	}
 }
@@ -163,7 +171,7 @@
 	}
 }
 
-// pull has a machine ask another for all that it knows, if it wants to.
+// pull lets a machine fetch the full state of another if it asks for that.
 func (n *Network) pull(i int, m *cwmember.Machine) {
 	to, pull := m.TakePull()
 	if !pull {
@@ -178,19 +186,19 @@
 	}
 }
 
-// reaches tells whether a call from one to another would get through.
+// reaches reports whether a call from one VM to another would get through.
 func (n *Network) reaches(from, to int) bool {
 	return !n.VMs[to].Down && !n.VMs[to].Frozen && !n.Cut(from, to)
 }
 
-// Deliver hands a datagram to the VM that it is for.
+// Deliver hands a datagram to its destination.
 func (n *Network) Deliver(e Envelope) {
 	v := n.VMs[e.To]
 
 	switch {
 	case v.Down:
 	case v.Frozen:
-		if len(v.inbox) < inboxMost {
+		if len(v.inbox) < maxInbox {
 			v.inbox = append(v.inbox, e)
 		}
 	default:
@@ -198,19 +206,19 @@
 	}
 }
 
-// Send puts datagrams on their way, but for those that are lost.
+// Send puts datagrams in flight, except those that are lost.
 func (n *Network) Send(from int, all []cwmember.Message) {
 	for _, m := range all {
 		n.bytes += proto.Size(m.Datagram) + overhead
 
 		to, ok := n.byAddr[m.To]
 		if ok && !n.Cut(from, to) && n.rng.Float64() >= n.Loss {
-			n.flying = append(n.flying, Envelope{from, to, m.Datagram})
+			n.inFlight = append(n.inFlight, Envelope{from, to, m.Datagram})
 		}
 	}
 }
 
-// State is how one VM sees another.
+// State returns one VM as another sees it.
 func (n *Network) State(viewer, of int) (carobward.Peer, bool) {
 	for _, p := range n.VMs[viewer].Actor.Peers() {
 		if p.ID == ID(of) {
@@ -221,7 +229,7 @@
 	return carobward.Peer{}, false
 }
 
-// Suspicions counts those that were raised by anyone.
+// Suspicions returns the number of suspicions raised by all VMs.
 func (n *Network) Suspicions() int {
 	count := 0
 	for _, v := range n.VMs {
@@ -231,7 +239,8 @@
 	return count
 }
 
-// Whole tells whether all VMs that run see each other live and none else.
+// Converged reports whether all running VMs see exactly the running VMs as
+// live.
 func (n *Network) Whole() bool {
 	for i, v := range n.VMs {
 		if v.Down {
