--- a/internal/lab/cwpoison/doc.go
+++ b/internal/lab/cwpoison/doc.go
@@ -1,25 +1,28 @@
-// Package cwpoison replays requests that end the servers which run them, and servers
-// that end by themselves, against the product's rule of quarantine. Servers, callers and
-// the time until all entry VMs know are modelled, so that the same seed gives the same
-// figures: how many servers end, and how many innocent requests are refused for it.
+// Package cwpoison simulates requests that crash the servers which run them,
+// and servers that crash by themselves, against the product's quarantine.
+// Servers, callers and the delay until all entry VMs have received an
+// announcement are modelled, so that the same seed gives the same figures: how
+// many servers crash, and how many innocent requests are refused.
 package cwpoison
 
 import "time"
 
-// Pattern is what happens to the servers.
+// Pattern describes the crashes of a simulation.
 type Pattern struct {
 	Name string
-	// Culprits are the requests that end servers, each sent again Every so often.
+	// Culprits is the number of requests that crash servers. Each of them is
+	// sent again at an interval.
 	Culprits int
 	Every    time.Duration
-	// Crashes is how often a Share of the servers ends by itself.
+	// Crashes is how often a random share of the servers crashes by itself.
 	Crashes int
 	Share   float64
-	// Popular is the share of the requests that are the same charge of many callers.
+	// Popular is the share of requests that are the same charge, sent by many
+	// callers.
 	Popular float64
 }
 
-// Patterns are those of the bench.
+// Patterns are the patterns of the simulation.
 var Patterns = []Pattern{
 	{Name: "culprit", Culprits: 1, Every: 70 * time.Millisecond},
 	{Name: "five", Culprits: 5, Every: 300 * time.Millisecond},
@@ -30,16 +33,17 @@
 	{Name: "both", Culprits: 1, Every: 150 * time.Millisecond, Crashes: 4, Share: 0.2, Popular: 0.3},
 }
 
-// Way is a rule with or without some of its parts.
+// Variant is the quarantine rule with or without some of its parts.
 type Way struct {
 	Name string
-	// Holds tells that requests are quarantined at all, Shares that entry VMs share
-	// what they see, Callers that a request is of one caller, Clears that an answer
-	// clears it.
+	// Quarantine is whether requests are quarantined at all, Shared whether
+	// entry VMs tell each other what they see, PerCaller whether the caller is
+	// part of a request's fingerprint, and Clears whether an answer clears a
+	// request.
 	Holds, Shares, Callers, Clears bool
 }
 
-// Ways are those of the bench, the product's first.
+// Variants are the variants that are compared, the product's first.
 var Ways = []Way{
 	{"ours", true, true, true, true},
 	{"each for itself", true, false, true, true},
@@ -48,13 +52,14 @@
 	{"none", false, false, false, false},
 }
 
-// Result is what became of the requests.
+// Result counts the outcomes of the requests.
 type Result struct {
-	// Ended are the servers that culprits ended, Late the sends of culprits that came
-	// more than lateTime after the third end.
+	// Crashed is the number of servers that culprits crashed, Late the number
+	// of sends of culprits later than lateTime after the third crash.
 	Ended, Late int
-	// Innocent are the other requests, Cut those that ended without an answer,
-	// Full those for which no server had room, Refused those that were quarantined.
+	// Innocent is the number of other requests, Aborted of those that ended
+	// without an answer, Full of those for which no server had room, and
+	// Refused of those that were quarantined.
 	Innocent, Cut, Full, Refused int
 }
 
--- a/internal/lab/cwpoison/run.go
+++ b/internal/lab/cwpoison/run.go
@@ -10,40 +10,42 @@
 	"carobward.example/carobward/internal/cwquarantine"
 )
 
-// The figures of the model.
+// The parameters of the model.
 const (
 	// runTime is the length of a run.
 	runTime = 30 * time.Second
-	// slots, workTime and load are those of servers: requests at once, the time of one,
-	// and the share of the slots in use.
+	// A server runs up to slots requests at once, each for workTime. load is
+	// the share of the slots in use.
 	slots    = 4
 	workTime = 250 * time.Millisecond
 	load     = 0.5
-	// fatalTime is how long a server lives that runs a culprit, downTime how long it is
-	// down: as in the incident that the rule answers.
+	// fatalTime is how long a server survives after it has begun to run a
+	// culprit, and downTime how long it is down after a crash. Both are those
+	// of the incident that the quarantine guards against.
 	fatalTime = 60 * time.Millisecond
 	downTime  = 3200 * time.Millisecond
-	// spreadLeast and spreadMost bound the time until another entry VM knows: 0.58 s in
-	// the middle and 1.61 s at most among 472.
-	spreadLeast = 200 * time.Millisecond
-	spreadMost  = 1600 * time.Millisecond
-	// lateTime is how long after the third end sends count as late.
+	// minDelay and maxDelay bound the delay until another entry VM has received
+	// an announcement: in a fleet of 472 the median is 0.58 s and the maximum
+	// 1.61 s.
+	minDelay = 200 * time.Millisecond
+	maxDelay = 1600 * time.Millisecond
+	// lateTime is how long after the third crash sends of the culprit begin to
+	// count as late.
 	lateTime = 4 * time.Second
-	// sendsMost bounds the sends of one request.
-	sendsMost = 2
-	// callers is the number of callers.
-	callers = 200
-	// safeShare is the share of requests that may be sent again.
+	// maxSends bounds how often one request is sent.
+	maxSends = 2
+	callers  = 200
+	// safeShare is the share of requests that are safe to send again.
 	safeShare = 0.55
 )
 
-// epoch is the model's zero.
+// epoch is the zero of the model's time.
 var epoch = time.UnixMilli(0)
 
-// event is something that happens at a time.
+// event is a function that is called at a time.
 type event struct {
 	at time.Duration
-	// number keeps events of one time in their order.
+	// number keeps the order of events at the same time.
 	number int
 	do     func()
 }
@@ -58,8 +60,8 @@
 
 // Push implements heap.Interface.
 func (e *events) Push(x any) {
-	if one, ok := x.(event); ok {
-		*e = append(*e, one)
+	if item, ok := x.(event); ok {
+		*e = append(*e, item)
 	}
 }
 
@@ -74,28 +76,28 @@
 
 // server is a modelled server.
 type server struct {
-	name   carobward.Instance
-	starts int
-	down   bool
-	out    map[*request]bool
+	name     carobward.Instance
+	starts   int
+	down     bool
+	inFlight map[*request]bool
 }
 
 // request is one attempt of a caller.
 type request struct {
-	vm      int
-	call    carobward.Call
-	caller  string
-	print   cwquarantine.Fingerprint
-	safe    bool
-	culprit bool
-	sends   int
-	// crashes are those that are not shared yet.
+	vm          int
+	call        carobward.Call
+	caller      string
+	fingerprint cwquarantine.Fingerprint
+	safe        bool
+	culprit     bool
+	sends       int
+	// crashes are the crashes that other entry VMs have not been told yet.
 	crashes []cwquarantine.Crash
 }
 
 // run is one run of the model.
 type run struct {
-	way     Way
+	variant Way
 	pattern Pattern
 	random  *rand.Rand
 	now     time.Duration
@@ -104,17 +106,18 @@
 	tables  []*cwquarantine.Table
 	servers []*server
 	trials  map[string]bool
-	// third is when the third server ended under each culprit, ends their number.
-	third  map[string]time.Duration
-	ends   map[string]int
-	result Result
+	// thirdCrash has the time of the third crash that each culprit caused,
+	// crashes the number of its crashes.
+	thirdCrash map[string]time.Duration
+	crashes    map[string]int
+	result     Result
 }
 
-// Run replays a pattern on a fleet.
-func Run(w Way, p Pattern, vms, servers int, seed uint64) Result {
+// Run simulates a pattern on a fleet.
+func Run(v Way, p Pattern, vms, servers int, seed uint64) Result {
 	r := &run{
-		way: w, pattern: p, random: rand.New(rand.NewPCG(seed, 1)), trials: map[string]bool{},
-		third: map[string]time.Duration{}, ends: map[string]int{},
+		variant: v, pattern: p, random: rand.New(rand.NewPCG(seed, 1)), trials: map[string]bool{},
+		thirdCrash: map[string]time.Duration{}, crashes: map[string]int{},
 	}
 
 	for range vms {
@@ -122,7 +125,7 @@
 	}
 
 	for n := range servers {
-		r.servers = append(r.servers, &server{name: carobward.Instance(fmt.Sprint("s-", n)), out: map[*request]bool{}})
+		r.servers = append(r.servers, &server{name: carobward.Instance(fmt.Sprint("s-", n)), inFlight: map[*request]bool{}})
 	}
 
 	r.plan()
@@ -147,13 +150,13 @@
 	heap.Push(&r.queue, event{r.now + d, r.number, do})
 }
 
-// plan begins the arrivals and the ends of servers.
+// plan schedules the first arrivals and the crashes.
 func (r *run) plan() {
 	gap := time.Duration(float64(workTime) / (load * slots * float64(len(r.servers))))
 	r.after(gap, func() { r.arrive(gap) })
 
 	for n := range r.pattern.Culprits {
-		r.after(time.Second+time.Duration(n)*time.Second, func() { r.again(fmt.Sprint("/culprit/", n)) })
+		r.after(time.Second+time.Duration(n)*time.Second, func() { r.sendCulprit(fmt.Sprint("/culprit/", n)) })
 	}
 
 	for n := range r.pattern.Crashes {
@@ -161,7 +164,7 @@
 	}
 }
 
-// arrive has an innocent request come, and the next one after it.
+// arrive sends an innocent request and schedules the next one.
 func (r *run) arrive(gap time.Duration) {
 	r.after(gap, func() { r.arrive(gap) })
 
@@ -174,29 +177,30 @@
 		uri, safe = "/fees/17", false
 	}
 
-	r.begin(uri, fmt.Sprint(r.random.IntN(callers)), safe, false)
+	r.sendNew(uri, fmt.Sprint(r.random.IntN(callers)), safe, false)
 }
 
-// again has a culprit come, and come again.
-func (r *run) again(uri string) {
-	r.after(r.pattern.Every, func() { r.again(uri) })
-	r.begin(uri, "culprit", true, true)
+// sendCulprit sends a culprit and schedules it again.
+func (r *run) sendCulprit(uri string) {
+	r.after(r.pattern.Every, func() { r.sendCulprit(uri) })
+	r.sendNew(uri, "culprit", true, true)
 }
 
-func (r *run) begin(uri, caller string, safe, culprit bool) {
+func (r *run) sendNew(uri, caller string, safe, culprit bool) {
 	q := &request{vm: r.random.IntN(len(r.tables)), caller: caller, safe: safe, culprit: culprit, call: carobward.Call{Method: "GET", URI: uri}}
 
-	if !r.way.Callers {
+	if !r.variant.Callers {
 		caller = ""
 	}
 
-	q.print = cwquarantine.FingerprintOf(&q.call, caller)
+	q.fingerprint = cwquarantine.FingerprintOf(&q.call, caller)
 	r.send(q)
 }
 
-// send sends a request to a server, unless it is quarantined or none has room.
+// send sends a request to a server, unless it is quarantined or no server has
+// room.
 func (r *run) send(q *request) {
-	if r.way.Holds && r.isHeld(q) {
+	if r.variant.Holds && r.isQuarantined(q) {
 		if !q.culprit {
 			r.result.Refused++
 		}
@@ -214,7 +218,7 @@
 	}
 
 	q.sends++
-	s.out[q] = true
+	s.inFlight[q] = true
 	starts := s.starts
 
 	if !q.culprit {
@@ -223,7 +227,7 @@
 		return
 	}
 
-	if at, ok := r.third[q.call.URI]; ok && r.now > at+lateTime {
+	if at, ok := r.thirdCrash[q.call.URI]; ok && r.now > at+lateTime {
 		r.result.Late++
 	}
 
@@ -233,40 +237,42 @@
 		}
 
 		r.result.Ended++
-		r.ends[q.call.URI]++
+		r.crashes[q.call.URI]++
 
-		if r.ends[q.call.URI] == 3 {
-			r.third[q.call.URI] = r.now
+		if r.crashes[q.call.URI] == 3 {
+			r.thirdCrash[q.call.URI] = r.now
 		}
 
 		r.crash(s)
 	})
 }
 
-// isHeld tells whether a request is refused. One entry VM of all makes a trial.
-func (r *run) isHeld(q *request) bool {
-	d := r.tables[q.vm].Decide(q.print, r.time())
+// isQuarantined reports whether a request is refused. If a trial of a
+// quarantined request is due, one entry VM of the fleet sends it.
+func (r *run) isQuarantined(q *request) bool {
+	d := r.tables[q.vm].Decide(q.fingerprint, r.time())
 	if !d.Quarantined || d.Trial.Number == 0 || !r.hasRoom() {
 		return d.Quarantined
 	}
 
 	key := fmt.Sprint(d.Trial.Fingerprint, d.Trial.Number)
-	if r.way.Shares && r.trials[key] {
+	if r.variant.Shares && r.trials[key] {
 		return true
 	}
 
 	r.trials[key] = true
-	q.sends = sendsMost
+	q.sends = maxSends
 	d.Trial.At = r.time()
-	r.spread(q.vm, func(table *cwquarantine.Table) { table.AddTrial(d.Trial) })
+	r.announce(q.vm, func(table *cwquarantine.Table) { table.AddTrial(d.Trial) })
 
 	return false
 }
 
-// hasRoom tells whether a request would be sent: a trial is asked for right before that.
+// hasRoom reports whether any server has a free slot. A trial is decided on
+// only right before the request would be sent.
 func (r *run) hasRoom() bool {
 	for _, s := range r.servers {
-		if !s.down && len(s.out) < slots {
+		if !s.down && len(s.inFlight) < slots {
 			return true
 		}
 	}
@@ -274,7 +280,8 @@
 	return false
 }
 
-// choose returns a server with a free slot, the freest of two drawn, or any.
+// choose returns a server with a free slot: the less loaded of two from a
+// random position on, or any other. It returns nil if no server has one.
 func (r *run) choose() *server {
 	var best *server
 
@@ -282,7 +289,7 @@
 
 	for n := range r.servers {
 		s := r.servers[(start+n)%len(r.servers)]
-		if !s.down && len(s.out) < slots && (best == nil || len(s.out) < len(best.out)) {
+		if !s.down && len(s.inFlight) < slots && (best == nil || len(s.inFlight) < len(best.inFlight)) {
 			best = s
 		}
 
@@ -294,20 +301,20 @@
 	return best
 }
 
-// answer ends a request at a server that still runs.
+// answer ends a request at a server that has not crashed since.
 func (r *run) answer(s *server, starts int, q *request) {
 	if s.starts != starts || s.down {
 		return
 	}
 
-	delete(s.out, q)
+	delete(s.inFlight, q)
 
-	if r.way.Holds && r.way.Clears && r.tables[q.vm].MayContain(&q.call) {
-		r.spread(q.vm, func(table *cwquarantine.Table) { table.Answered(q.print) })
+	if r.variant.Holds && r.variant.Clears && r.tables[q.vm].MayContain(&q.call) {
+		r.announce(q.vm, func(table *cwquarantine.Table) { table.Answered(q.fingerprint) })
 	}
 }
 
-// crashSome ends a share of the servers at once.
+// crashSome crashes a share of the servers at once.
 func (r *run) crashSome() {
 	for _, s := range r.servers {
 		if !s.down && r.random.Float64() < r.pattern.Share {
@@ -316,11 +323,11 @@
 	}
 }
 
-// crash ends a server and what is in flight there, and starts it again later.
+// crash crashes a server with its requests in flight, and restarts it later.
 func (r *run) crash(s *server) {
 	s.down = true
-	out := s.out
-	s.out = map[*request]bool{}
+	out := s.inFlight
+	s.inFlight = map[*request]bool{}
 
 	r.after(downTime, func() {
 		s.down = false
@@ -328,21 +335,22 @@
 	})
 
 	for _, q := range sorted(out) {
-		r.broken(s, q)
+		r.aborted(s, q)
 	}
 }
 
-// broken is what an entry VM does after a send that broke off.
-func (r *run) broken(s *server, q *request) {
-	if r.way.Holds {
-		c := cwquarantine.Crash{Fingerprint: q.print, Server: s.name, Start: carobward.Start(s.starts), At: r.time()}
+// aborted handles a request in flight on a server that crashed, as its entry VM
+// does.
+func (r *run) aborted(s *server, q *request) {
+	if r.variant.Holds {
+		c := cwquarantine.Crash{Fingerprint: q.fingerprint, Server: s.name, Start: carobward.Start(s.starts), At: r.time()}
 		r.tables[q.vm].AddCrash(c, r.time())
 		q.crashes = append(q.crashes, c)
 	}
 
-	known := r.tables[q.vm].Crashes(q.print, r.time())
+	known := r.tables[q.vm].Crashes(q.fingerprint, r.time())
 
-	if q.safe && q.sends < sendsMost && known < cwquarantine.ResendThreshold {
+	if q.safe && q.sends < maxSends && known < cwquarantine.ResendThreshold {
 		r.send(q)
 
 		return
@@ -353,21 +361,22 @@
 	}
 
 	for _, c := range q.crashes {
-		r.spread(q.vm, func(table *cwquarantine.Table) { table.AddCrash(c, r.time()) })
+		r.announce(q.vm, func(table *cwquarantine.Table) { table.AddCrash(c, r.time()) })
 	}
 }
 
-// spread changes the table of an entry VM now, and of all others once they know.
-func (r *run) spread(from int, change func(*cwquarantine.Table)) {
+// announce changes the table of an entry VM now, and those of all others after
+// a delay.
+func (r *run) announce(from int, change func(*cwquarantine.Table)) {
 	change(r.tables[from])
 
-	if !r.way.Shares {
+	if !r.variant.Shares {
 		return
 	}
 
 	for i, t := range r.tables {
 		if i != from {
-			r.after(spreadLeast+time.Duration(r.random.Int64N(int64(spreadMost-spreadLeast))), func() { change(t) })
+			r.after(minDelay+time.Duration(r.random.Int64N(int64(maxDelay-minDelay))), func() { change(t) })
 		}
 	}
 }
