--- a/internal/lab/cwspend/fleet.go
+++ b/internal/lab/cwspend/fleet.go
@@ -1,7 +1,7 @@
-// Package cwspend models a fleet of entry VMs that measure whenever they may,
-// and counts at the servers what that costs. The views of the entry VMs lag,
-// differ and flap; entry VMs join, leave and freeze. The same seed gives the
-// same fleet.
+// Package cwspend simulates a fleet of entry VMs that spend as much on health
+// probes and load reports as the measurement budget allows, and counts the cost
+// at the servers. The entry VMs' views of the fleet lag, differ and flap; entry
+// VMs join, leave and pause. The same seed gives the same fleet.
 package cwspend
 
 import (
@@ -12,37 +12,41 @@
 	"carobward.example/carobward/internal/cwbudget"
 )
 
-// The model's rules.
+// The parameters of the model.
 const (
-	// stepEvery is the model's step.
-	stepEvery = 100 * time.Millisecond
-	// runFor is the length of a run.
-	runFor = 45 * time.Second
-	// lagMost is how far a view lags at most.
-	lagMost = 3 * time.Second
-	// frozenMost is the longest freeze.
-	frozenMost = 20 * time.Second
-	// probeMost and reportMost bound when a probe and a report end.
-	probeMost  = 500 * time.Millisecond
-	reportMost = 2 * time.Second
-	// reportBytes is the cost of a report on a reply.
+	// stepTime is the length of a step of the model.
+	stepTime = 100 * time.Millisecond
+	// runTime is the length of a run.
+	runTime = 45 * time.Second
+	// maxLag bounds how far an entry VM's view lags.
+	maxLag = 3 * time.Second
+	// maxPause bounds how long an entry VM is paused.
+	maxPause = 20 * time.Second
+	// maxProbeTime and maxReportTime bound the time until a probe and a report
+	// end.
+	maxProbeTime  = 500 * time.Millisecond
+	maxReportTime = 2 * time.Second
+	// reportBytes is the size of a load report on a reply.
 	reportBytes = 160
-	// eager bounds what an entry VM asks for at one step.
-	eager = 1000
-	// flaps is one in how many steps a source shows half of the fleet only.
-	flaps = 4
-	// Shares of the fleet are seen in fifths: all of it, or one less.
+	// maxPerStep bounds the measurements of one kind that an entry VM starts in
+	// one step.
+	maxPerStep = 1000
+	// flapOneIn: in one of so many steps an entry VM sees half of the fleet
+	// only.
+	flapOneIn = 4
+	// fifths is the denominator of the share of the fleet that an entry VM
+	// sees: five fifths or four.
 	fifths = 5
-	// kinds is the number of kinds of entry VM: there all the time, joining,
-	// leaving and frozen.
-	kinds = 4
+	// kindCount is the number of kinds of entry VM: present all the time,
+	// joining, leaving and pausing.
+	kindCount = 4
 )
 
-// epoch is the time at which each model begins.
+// epoch is the time at which each run begins.
 var epoch = time.Unix(1_700_000_000, 0)
 
-// spending is a measurement that has not ended.
-type spending struct {
+// measurement is a probe or a report that has not ended.
+type measurement struct {
 	end  time.Duration
 	cost cwbudget.Cost
 }
@@ -51,26 +55,26 @@
 type member struct {
 	Spender
 
-	joined, left  time.Duration
-	frozen, until time.Duration
-	lag           time.Duration
-	share         int // fifths of the fleet that it sees
-	open          []spending
+	joined, left            time.Duration
+	pausedFrom, pausedUntil time.Duration
+	lag                     time.Duration
+	share                   int // the fifths of the fleet that it sees
+	pending                 []measurement
 }
 
-func (v *member) there(at time.Duration) bool { return v.joined <= at && at < v.left }
+func (v *member) present(at time.Duration) bool { return v.joined <= at && at < v.left }
 
 func (v *member) runs(at time.Duration) bool {
-	return v.there(at) && (at < v.frozen || at >= v.until)
+	return v.present(at) && (at < v.pausedFrom || at >= v.pausedUntil)
 }
 
-// arrival is what the servers count.
+// arrival is a measurement as the servers count it.
 type arrival struct {
 	at   time.Duration
 	cost cwbudget.Cost
 }
 
-// Fleet is a fleet at peak.
+// Fleet is a simulated fleet.
 type Fleet struct {
 	budget  cwbudget.Cost
 	members []*member
@@ -78,21 +82,22 @@
 	counted []arrival
 }
 
-// New draws a fleet of so many entry VMs, each with a spender of its own.
+// New returns a random fleet with a number of entry VMs, each with a spender of
+// its own.
 func New(budget cwbudget.Cost, vms int, seed uint64, spender func() Spender) *Fleet {
 	f := &Fleet{budget: budget, rng: rand.New(rand.NewPCG(seed, 1))}
 
 	for i := range vms {
-		v := &member{Spender: spender(), left: runFor, lag: f.upTo(lagMost), share: fifths - 1 + f.rng.IntN(2)}
+		v := &member{Spender: spender(), left: runTime, lag: f.upTo(maxLag), share: fifths - 1 + f.rng.IntN(2)}
 
-		switch i % kinds {
+		switch i % kindCount {
 		case 1:
-			v.joined = f.upTo(runFor)
+			v.joined = f.upTo(runTime)
 		case 2:
-			v.left = f.upTo(runFor)
+			v.left = f.upTo(runTime)
 		case 3:
-			v.frozen = f.upTo(runFor)
-			v.until = v.frozen + f.upTo(frozenMost)
+			v.pausedFrom = f.upTo(runTime)
+			v.pausedUntil = v.pausedFrom + f.upTo(maxPause)
 		}
 
 		f.members = append(f.members, v)
@@ -101,17 +106,18 @@
 	return f
 }
 
-// SeeAll has each entry VM see the whole fleet, late only.
+// SeeAll lets each entry VM see the whole fleet, though still with a lag and
+// flapping.
 func (f *Fleet) SeeAll() {
 	for _, v := range f.members {
 		v.share = fifths
 	}
 }
 
-// Run runs the fleet and returns the most that the servers counted within any
-// second. A fleet runs once.
+// Run runs the fleet and returns the highest cost that the servers counted
+// within any second. A fleet can run only once.
 func (f *Fleet) Run() cwbudget.Cost {
-	for now := time.Duration(0); now < runFor; now += stepEvery {
+	for now := time.Duration(0); now < runTime; now += stepTime {
 		f.step(now)
 	}
 
@@ -125,7 +131,7 @@
 		}
 
 		seen := max(1, (max(1, f.size(now-v.lag))*v.share+fifths-1)/fifths)
-		if f.rng.IntN(flaps) == 0 {
+		if f.rng.IntN(flapOneIn) == 0 {
 			seen = max(1, seen/2)
 		}
 
@@ -141,7 +147,7 @@
 	n := 0
 
 	for _, v := range f.members {
-		if v.there(at) {
+		if v.present(at) {
 			n++
 		}
 	}
@@ -149,7 +155,7 @@
 	return n
 }
 
-// rank returns the place of a member among those that it sees.
+// rank returns the position of a member among those present at a time.
 func (f *Fleet) rank(of *member, at time.Duration) int {
 	n := 0
 
@@ -158,7 +164,7 @@
 			return n
 		}
 
-		if v.there(at) {
+		if v.present(at) {
 			n++
 		}
 	}
@@ -166,34 +172,35 @@
 	return n
 }
 
-// spend has an entry VM measure as much as it may.
+// spend lets an entry VM measure as much as its spender allows.
 func (f *Fleet) spend(v *member, now time.Duration) {
 	at := epoch.Add(now)
 	probe := cwbudget.Cost{Calls: 1, Bytes: cwbudget.MaxProbeBytes}
 	report := cwbudget.Cost{Bytes: reportBytes}
 
-	for n := 0; n < eager && v.Reserve(at, probe); n++ {
-		f.begin(v, now, probe, probeMost)
+	for n := 0; n < maxPerStep && v.Reserve(at, probe); n++ {
+		f.begin(v, now, probe, maxProbeTime)
 	}
 
-	for n := 0; n < eager && v.ReserveReport(at, report.Bytes); n++ {
-		f.begin(v, now, report, reportMost)
+	for n := 0; n < maxPerStep && v.ReserveReport(at, report.Bytes); n++ {
+		f.begin(v, now, report, maxReportTime)
 	}
 }
 
-// begin has the servers count the cost at some time before its end.
-func (f *Fleet) begin(v *member, now time.Duration, c cwbudget.Cost, most time.Duration) {
-	end := now + f.upTo(most)
+// begin starts a measurement, which the servers count at a random time before
+// its end.
+func (f *Fleet) begin(v *member, now time.Duration, c cwbudget.Cost, limit time.Duration) {
+	end := now + f.upTo(limit)
 	f.counted = append(f.counted, arrival{now + f.upTo(end-now), c})
-	v.open = append(v.open, spending{end, c})
+	v.pending = append(v.pending, measurement{end, c})
 }
 
-func (f *Fleet) upTo(most time.Duration) time.Duration {
-	return time.Duration(f.rng.Int64N(int64(most) + 1))
+func (f *Fleet) upTo(limit time.Duration) time.Duration {
+	return time.Duration(f.rng.Int64N(int64(limit) + 1))
 }
 
 func (f *Fleet) finish(v *member, now time.Duration) {
-	v.open = slices.DeleteFunc(v.open, func(s spending) bool {
+	v.pending = slices.DeleteFunc(v.pending, func(s measurement) bool {
 		if s.end > now {
 			return false
 		}
@@ -204,7 +211,7 @@
 	})
 }
 
-// worst returns the most that the servers counted within any second.
+// worst returns the highest cost that the servers counted within any second.
 func (f *Fleet) worst() cwbudget.Cost {
 	slices.SortFunc(f.counted, func(a, b arrival) int { return int(a.at - b.at) })
 
--- a/internal/lab/cwspend/live.go
+++ b/internal/lab/cwspend/live.go
@@ -17,9 +17,9 @@
 	"carobward.example/carobward/internal/lab/cwcounter"
 )
 
-// Live is a fleet of entry VMs that probe servers over sockets as much as they
-// may. Each takes itself for the only one that probes, so that all of them
-// probe all servers.
+// Live is a fleet of entry VMs that probe servers over sockets as often as they
+// may. Each considers itself the only prober, so that all of them probe all
+// servers.
 type Live struct {
 	*cwcounter.Counter
 
@@ -27,7 +27,7 @@
 	vms    []*liveVM
 }
 
-// liveVM is what of an entry VM probes.
+// liveVM is the part of an entry VM that sends health probes.
 type liveVM struct {
 	prober  *cwprobe.Prober
 	account *cwbudget.Account
@@ -76,8 +76,8 @@
 	return v
 }
 
-// Run has the entry VMs probe until ctx ends. They see fleets that are up to
-// one smaller or greater than it is.
+// Run lets the entry VMs probe until ctx ends. The fleet sizes that they see
+// are up to one too small or too large.
 func (l *Live) Run(ctx context.Context) {
 	var group conc.WaitGroup
 
@@ -92,7 +92,7 @@
 }
 
 func (v *liveVM) tick(ctx context.Context, budget cwbudget.Cost, size, rank int) {
-	ticker := time.NewTicker(stepEvery)
+	ticker := time.NewTicker(stepTime)
 	defer ticker.Stop()
 
 	for ctx.Err() == nil {
@@ -107,10 +107,10 @@
 	}
 }
 
-// Pause has one entry VM tick no more.
+// Pause stops the ticks of one entry VM's account.
 func (l *Live) Pause(i int) { l.vms[i].paused.Store(true) }
 
-// Total returns what the entry VMs themselves have counted.
+// Total returns the cost that the entry VMs themselves have counted.
 func (l *Live) Total() cwbudget.Cost {
 	var total cwbudget.Cost
 	for _, v := range l.vms {
--- a/internal/lab/cwspend/naive.go
+++ b/internal/lab/cwspend/naive.go
@@ -6,8 +6,8 @@
 	"carobward.example/carobward/internal/cwbudget"
 )
 
-// Spender decides what one entry VM may spend on measuring.
-// cwbudget.Account is one.
+// Spender decides what one entry VM may spend on measurements. cwbudget.Account
+// implements it.
 type Spender interface {
 	Tick(now time.Time, v cwbudget.View)
 	Reserve(now time.Time, c cwbudget.Cost) bool
@@ -18,8 +18,9 @@
 // Account returns the spender that entry VMs use.
 func Account() Spender { return cwbudget.New() }
 
-// Bucket returns the naive spender: the budget divided by this entry VM's own
-// view, as a token bucket that holds a second of it.
+// Bucket returns the naive spender: a token bucket that is filled at the budget
+// divided by the fleet size that this entry VM sees, and holds the whole budget
+// of one second.
 func Bucket() Spender { return &bucket{} }
 
 type bucket struct {
@@ -27,14 +28,14 @@
 	calls, bytes float64
 }
 
-// Tick fills the bucket for the time since the last one, pauses too.
+// Tick fills the bucket for the time since the last tick, pauses included.
 func (b *bucket) Tick(now time.Time, v cwbudget.View) {
 	if !b.filled.IsZero() {
-		part := now.Sub(b.filled).Seconds() / float64(v.Size)
+		share := now.Sub(b.filled).Seconds() / float64(v.Size)
 		calls, bytes := float64(v.Budget.Calls), float64(v.Budget.Bytes)
 
-		b.calls = min(calls, b.calls+part*calls)
-		b.bytes = min(bytes, b.bytes+part*bytes)
+		b.calls = min(calls, b.calls+share*calls)
+		b.bytes = min(bytes, b.bytes+share*bytes)
 	}
 
 	b.filled = now
@@ -52,10 +53,11 @@
 	return true
 }
 
-// ReserveReport takes the bytes of a report.
+// ReserveReport takes the bytes of a report out of the bucket if it holds as
+// many.
 func (b *bucket) ReserveReport(now time.Time, bytes int64) bool {
 	return b.Reserve(now, cwbudget.Cost{Bytes: bytes})
 }
 
-// Settle does nothing: what was taken is spent.
+// Settle does nothing: what was reserved counts as spent.
 func (b *bucket) Settle(time.Time, cwbudget.Cost, cwbudget.Cost) {}
--- a/internal/lab/cwspend/table.go
+++ b/internal/lab/cwspend/table.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// Write writes a table of the worst seconds against the budget.
+// WriteTable writes a table of the worst seconds, and the budget.
 func Write(out io.Writer, budget cwbudget.Cost, all []Worst) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 
