--- a/internal/lab/cwspread/change.go
+++ b/internal/lab/cwspread/change.go
@@ -7,7 +7,8 @@
 	"carobward.example/carobward/internal/cwconfig"
 )
 
-// Target returns a valid target whose service tells who made it.
+// Target returns a valid target whose service is the id of the change that made
+// it.
 func Target(name carobward.TargetName, service carobward.Service) carobward.Target {
 	return carobward.Target{
 		Name: name, Service: service, Promise: carobward.Quick,
@@ -16,8 +17,8 @@
 	}
 }
 
-// Put returns a change, upon a base, that puts targets by these names. Their
-// service is the change's id.
+// Put returns a change, based on a revision, that puts targets with these
+// names. Their service is the id of the change.
 func Put(id, author string, base int, names ...string) cwconfig.Change {
 	c := cwconfig.Change{ID: carobward.ChangeID(id), Author: author, Base: carobward.Revision(base)}
 	for _, n := range names {
--- a/internal/lab/cwspread/clock.go
+++ b/internal/lab/cwspread/clock.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Clock is a clock that stands until it is advanced.
+// Clock is a clock that stands still until it is advanced.
 type Clock struct {
 	mutex sync.Mutex
 	now   time.Time
 }
 
-// NewClock returns a clock that stands at a time.
+// NewClock returns a clock that shows a time.
 func NewClock(now time.Time) *Clock { return &Clock{now: now} }
 
-// Now returns the time that the clock shows.
+// Now returns the clock's time.
 func (c *Clock) Now() time.Time {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -22,7 +22,7 @@
 	return c.now
 }
 
-// Advance moves the clock on.
+// Advance moves the clock forward.
 func (c *Clock) Advance(d time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/lab/cwspread/cost.go
+++ b/internal/lab/cwspread/cost.go
@@ -16,23 +16,24 @@
 	"carobward.example/carobward/internal/lab/cwstore"
 )
 
-// Cost is what one change of one target costs where each of so many services
-// has one target. Times and bytes are means of one change.
+// Cost is what a change of one target costs in a configuration in which each
+// service has one target. Times and bytes are means per change.
 type Cost struct {
 	Services int
-	// Taking is the processor time of an entry VM that has the change in
-	// force, as wall clock of a single goroutine, and Allocated its heap.
+	// ApplyTime is the time that an entry VM takes to apply the change, as wall
+	// clock time of a single goroutine. Allocated is the heap that it
+	// allocates, in bytes.
 	Taking    time.Duration
 	Allocated uint64
-	// Making is the same time at the writer.
+	// WriteTime is the time that the writer takes.
 	Making time.Duration
-	// Whole is the configuration as JSON, Change the change, and Head what a
-	// watcher of the store reads for it, in bytes.
+	// ConfigBytes is the size of the configuration as JSON, ChangeBytes that of
+	// the change, and HeadBytes what a watcher of the store reads for it.
 	Whole, Change, Head int
 }
 
-// large returns a change that puts one target for each service.
-func large(services int) cwconfig.Change {
+// largeChange returns a change that puts one target for each service.
+func largeChange(services int) cwconfig.Change {
 	change := Put("large", author, 0)
 	for i := range services {
 		change.Put = append(change.Put, Target(carobward.TargetName(fmt.Sprint("target-", i)), carobward.Service(fmt.Sprint("service-", i))))
@@ -41,20 +42,20 @@
 	return change
 }
 
-// Measure takes and makes so many changes.
+// Measure applies and writes a number of changes and returns their mean cost.
 func Measure(services, changes int) (Cost, error) {
 	cost := Cost{Services: services}
 
-	if err := cost.take(changes); err != nil {
+	if err := cost.measureApply(changes); err != nil {
 		return cost, err
 	}
 
-	return cost, cost.write(changes)
+	return cost, cost.measureWrite(changes)
 }
 
-// take replays a change again and again.
-func (c *Cost) take(changes int) error {
-	config, _, err := (&cwconfig.Config{}).With(large(c.Services))
+// measureApply replays the same change repeatedly.
+func (c *Cost) measureApply(changes int) error {
+	config, _, err := (&cwconfig.Config{}).With(largeChange(c.Services))
 	if err != nil {
 		return err
 	}
@@ -86,12 +87,12 @@
 	return nil
 }
 
-// write makes changes one after the other at one writer.
-func (c *Cost) write(changes int) error {
+// measureWrite makes changes one after the other through one writer.
+func (c *Cost) measureWrite(changes int) error {
 	ctx, store := context.Background(), cwstore.New()
 	writer := cwconfig.NewWriter(store, cwconfig.NewHolder())
 
-	if _, err := writer.Apply(ctx, large(c.Services)); err != nil {
+	if _, err := writer.Apply(ctx, largeChange(c.Services)); err != nil {
 		return err
 	}
 
@@ -122,15 +123,15 @@
 	return nil
 }
 
-// size returns the bytes of a value as JSON.
+// size returns the length of a value as JSON, in bytes.
 func size(v any) int {
 	raw, _ := json.Marshal(v)
 
 	return len(raw)
 }
 
-// WriteCosts measures with so many changes for each number of services and
-// prints one line each.
+// WriteCosts measures the cost for each number of services, with a number of
+// changes each, and prints one line each.
 func WriteCosts(to io.Writer, services []int, changes int) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(w, "services\ttaking it ms\tallocated B\tmaking it ms\twhole B\tchange B\thead B\t")
@@ -148,5 +149,5 @@
 	return errors.Annotate(w.Flush(), "spread")
 }
 
-// millis are the milliseconds of a second.
+// millis is the number of milliseconds in a second.
 const millis = 1000
--- a/internal/lab/cwspread/fleet.go
+++ b/internal/lab/cwspread/fleet.go
@@ -1,7 +1,7 @@
-// Package cwspread measures how a change of the configuration spreads over
-// many entry VMs. It runs the product's writers and syncers, over a store in
-// memory and direct calls in place of net/rpc, both with faults, and over
-// loopback.
+// Package cwspread measures how a configuration change propagates to many entry
+// VMs. It runs the real writers and syncers, either over an in-memory store and
+// direct calls instead of net/rpc, both with injected faults, or over loopback
+// sockets.
 package cwspread
 
 import (
@@ -18,9 +18,10 @@
 )
 
 const (
-	// domains is how many failure domains a fleet has.
+	// domains is the number of failure domains of a fleet.
 	domains = 3
-	// subnet is how many entry VMs share the first parts of their addresses.
+	// subnet is the number of entry VMs whose addresses share the first three
+	// octets.
 	subnet = 250
 )
 
@@ -29,22 +30,23 @@
 
 // Fleet is a set of entry VMs over fakes of the store and of net/rpc.
 type Fleet struct {
-	// Store is the one that the entry VMs share.
+	// Store is the store that the entry VMs share.
 	Store *cwstore.Store
-	// Order has the addresses of the entry VMs in the order they came.
+	// Addresses has the addresses of the entry VMs in the order in which they
+	// were added.
 	Order []carobward.Address
-	// Cut has the directions in which no call passes. Set it only while no
-	// syncer runs.
+	// Blocked has the directions in which no call gets through. Set it only
+	// while no syncer runs.
 	Cut map[Link]bool
 
 	clock carobward.Clock
 	mutex sync.Mutex
 	vms   map[carobward.Address]*VM
-	// bytes is what all exchanges took.
+	// bytes is the total size of all exchanges.
 	bytes int
 }
 
-// New returns a fleet of so many entry VMs that go by a clock.
+// New returns a fleet of a number of entry VMs that use a clock.
 func New(vms int, clock carobward.Clock) *Fleet {
 	f := &Fleet{Store: cwstore.New(), Cut: map[Link]bool{}, clock: clock, vms: map[carobward.Address]*VM{}}
 	for range vms {
@@ -54,7 +56,7 @@
 	return f
 }
 
-// Add returns a new entry VM that reaches the given store.
+// Add adds an entry VM that uses the given store.
 func (f *Fleet) Add(store carobward.Store) *VM {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -72,7 +74,7 @@
 	return v
 }
 
-// At returns an entry VM by its number, from zero.
+// At returns the entry VM with an index, from zero.
 func (f *Fleet) At(i int) *VM {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -80,7 +82,7 @@
 	return f.vms[f.Order[i]]
 }
 
-// Join lets each entry VM join the fleet and tells whether all could.
+// Join lets each entry VM join the fleet and reports whether all succeeded.
 func (f *Fleet) Join() bool {
 	for i := range f.Order {
 		if !f.At(i).Syncer.Join(context.Background(), true) {
@@ -91,7 +93,7 @@
 	return true
 }
 
-// Gossip lets each entry VM ask each other.
+// Gossip lets each entry VM query every other.
 func (f *Fleet) Gossip() {
 	for i := range f.Order {
 		for _, to := range f.Order {
@@ -102,15 +104,15 @@
 	}
 }
 
-// Freeze takes the store from all entry VMs that watch it, and stops their
-// answers to peers. It returns the numbers of the others.
+// PauseWatchers makes all calls to the store hang on entry VMs that watch it,
+// and all calls of peers to these VMs. It returns the indexes of the other VMs.
 func (f *Fleet) Freeze() []int {
-	var well []int
+	var running []int
 
 	for i := range f.Order {
 		v := f.At(i)
 		if !cwconfig.IsWatcher(v.self, v.All()) {
-			well = append(well, i)
+			running = append(running, i)
 
 			continue
 		}
@@ -118,11 +120,11 @@
 		v.Store.Store, v.Deaf = cwstore.Frozen{}, true
 	}
 
-	return well
+	return running
 }
 
-// Start runs the syncers until the returned function is called, which waits
-// for their end.
+// Start runs the syncers. The returned function stops them and waits until they
+// have ended.
 func (f *Fleet) Start() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 
@@ -139,7 +141,7 @@
 	}
 }
 
-// sent returns the bytes of all exchanges so far.
+// sent returns the total size of all exchanges so far, in bytes.
 func (f *Fleet) sent() int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/lab/cwspread/loopback.go
+++ b/internal/lab/cwspread/loopback.go
@@ -19,20 +19,20 @@
 )
 
 const (
-	// storePrefix is where entry VMs keep their keys, see cwsettings.
+	// storePrefix is the prefix of the entry VMs' keys, see cwsettings.
 	storePrefix = "carobward/"
-	// storeTimeout bounds a call of the store.
+	// storeTimeout bounds one call to the store.
 	storeTimeout = time.Second
-	// pause parts two changes.
-	pause = 300 * time.Millisecond
+	// changeDelay is the delay between two changes.
+	changeDelay = 300 * time.Millisecond
 )
 
 // applyFunc makes a change.
 type applyFunc func(context.Context, cwconfig.Change) (carobward.Revision, error)
 
-// Loopback makes changes one after the other on whole entry VMs in this
-// process, with net/rpc between them and the stand-in platform over HTTP, in
-// one of the cases Well, Quiet and Outage. Bytes and calls are not counted.
+// MeasureLoopback makes changes one after the other on complete entry VMs in
+// this process, with net/rpc between them and the stand-in platform over HTTP.
+// The case is ViaEntryVM, StoreOnly or Outage. Bytes and calls are not counted.
 func Loopback(c Case, vms, changes int) (Result, error) {
 	result := Result{Case: "loopback " + string(c), VMs: vms}
 
@@ -58,14 +58,14 @@
 	began := time.Now()
 
 	for i := range changes {
-		took, err := once(f, apply, c, i)
+		took, err := loopbackChange(f, apply, c, i)
 		if err != nil {
 			return result, err
 		}
 
 		result.Took = append(result.Took, took)
 
-		time.Sleep(pause)
+		time.Sleep(changeDelay)
 	}
 
 	result.Span = time.Since(began)
@@ -74,9 +74,9 @@
 	return result, nil
 }
 
-// once makes one change and returns the time from its acceptance until it is
-// in force on each entry VM.
-func once(f *cwfleet.Fleet, apply applyFunc, c Case, base int) (time.Duration, error) {
+// loopbackChange makes one change and returns the time from its acceptance
+// until it is effective on each entry VM.
+func loopbackChange(f *cwfleet.Fleet, apply applyFunc, c Case, base int) (time.Duration, error) {
 	revision, err := apply(context.Background(), Put(fmt.Sprint("c", base), author, base, fee))
 	if err != nil {
 		return 0, err
@@ -88,10 +88,10 @@
 	return await(f.Nodes, revision, 1)
 }
 
-// await waits until a revision is in force on each of the entry VMs and each
-// sees so many live ones, and returns how long it took.
+// await waits until a revision is effective on each of the entry VMs and each
+// sees at least a number of live peers. It returns how long that took.
 func await(nodes []*cwnode.Node, r carobward.Revision, live int) (time.Duration, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), settleMost)
+	ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
 	defer cancel()
 
 	began := time.Now()
--- a/internal/lab/cwspread/measure.go
+++ b/internal/lab/cwspread/measure.go
@@ -12,41 +12,43 @@
 	"carobward.example/carobward/internal/cwconfig"
 )
 
-// Case is a way that a change reaches the fleet.
+// Case is the way in which a change reaches the fleet.
 type Case string
 
 // The cases.
 const (
-	// Well: the change is made by way of an entry VM.
+	// ViaEntryVM: the change is made through an entry VM.
 	Well Case = "well"
-	// Quiet: a writer makes it that tells only the store.
+	// StoreOnly: the change is written to the store by a writer that notifies
+	// no entry VM.
 	Quiet Case = "quiet"
-	// FrozenWatchers is Quiet with all watchers of the store frozen, which
-	// the others don't notice.
+	// PausedWatchers is StoreOnly while all watchers of the store are paused
+	// without being detected by the others.
 	FrozenWatchers Case = "frozen"
-	// Outage: the store is gone once it has accepted the change. It is tried
-	// over loopback only.
+	// Outage: the store goes down once it has accepted the change. This case
+	// runs over loopback only.
 	Outage Case = "outage"
 	// Idle: nothing is changed.
 	Idle Case = "idle"
 )
 
 const (
-	// settleMost bounds the wait for a fleet or for a change.
-	settleMost = time.Minute
-	// settlePoll is the time between two looks.
-	settlePoll = time.Millisecond
+	// settleTimeout bounds the wait for a fleet to be ready or for a change to
+	// be effective.
+	settleTimeout = time.Minute
+	// settleInterval is the interval between two checks.
+	settleInterval = time.Millisecond
 )
 
-// author is who makes the changes.
+// author is the author of the changes.
 const author = "ana"
 
-// errNobody tells that a case leaves no entry VM to measure.
-const errNobody = errors.ConstError("spread: every entry VM watches the store, so that none is left")
+// errNoVM is returned if a case leaves no entry VM to measure.
+const errNoVM = errors.ConstError("spread: every entry VM watches the store, so that none is left")
 
-// fleet starts a fleet in a case and waits until those of its entry VMs are
-// ready that are well.
-func (c Case) fleet(vms int) (f *Fleet, well []*VM, stop func(), err error) {
+// fleet starts a fleet in a case and waits until its entry VMs that are not
+// paused are ready.
+func (c Case) fleet(vms int) (f *Fleet, running []*VM, stop func(), err error) {
 	f = New(vms, carobward.SystemClock{})
 
 	numbers := make([]int, vms)
@@ -59,35 +61,35 @@
 	}
 
 	for _, i := range numbers {
-		well = append(well, f.At(i))
+		running = append(running, f.At(i))
 	}
 
-	if len(well) == 0 {
-		return nil, nil, nil, errNobody
+	if len(running) == 0 {
+		return nil, nil, nil, errNoVM
 	}
 
 	stop = f.Start()
 
-	if err := settle(well, func(v *VM) bool { return v.Syncer.Condition().Ready }); err != nil {
+	if err := settle(running, func(v *VM) bool { return v.Syncer.Condition().Ready }); err != nil {
 		stop()
 
 		return nil, nil, nil, err
 	}
 
-	return f, well, stop, nil
+	return f, running, stop, nil
 }
 
 // settle waits until ok is true of each entry VM.
 func settle(all []*VM, ok func(*VM) bool) error {
-	ctx, cancel := context.WithTimeout(context.Background(), settleMost)
+	ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
 	defer cancel()
 
 	for _, v := range all {
 		for !ok(v) {
 			select {
 			case <-ctx.Done():
-				return errors.Errorf("spread: %s is not up to date after %s", v.self.ID, settleMost)
-			case <-time.After(settlePoll):
+				return errors.Errorf("spread: %s is not up to date after %s", v.self.ID, settleTimeout)
+			case <-time.After(settleInterval):
 			}
 		}
 	}
@@ -95,13 +97,13 @@
 	return nil
 }
 
-// Spread makes so many changes, each as soon as the one before is in force,
-// in one of the cases Well, Quiet and FrozenWatchers.
+// MeasurePropagation makes a number of changes, each as soon as the previous
+// one is effective. The case is ViaEntryVM, StoreOnly or PausedWatchers.
 func Spread(c Case, vms, changes int) (Result, error) {
 	result := Result{Case: string(c), VMs: vms, Counted: true}
 
-	f, well, stop, err := c.fleet(vms)
-	if errors.Is(err, errNobody) {
+	f, running, stop, err := c.fleet(vms)
+	if errors.Is(err, errNoVM) {
 		result.Counted = false
 
 		return result, nil
@@ -113,7 +115,7 @@
 
 	defer stop()
 
-	writer := well[0].Writer
+	writer := running[0].Writer
 	if c != Well {
 		writer = cwconfig.NewWriter(f.Store, cwconfig.NewHolder())
 	}
@@ -121,7 +123,7 @@
 	began, bytes, calls := time.Now(), f.sent(), f.Store.Calls()
 
 	for i := range changes {
-		took, err := inForce(writer, well, i)
+		took, err := measureChange(writer, running, i)
 		if err != nil {
 			return result, err
 		}
@@ -135,9 +137,9 @@
 	return result, nil
 }
 
-// inForce makes one change and returns the time until it is in force on all
-// of the entry VMs.
-func inForce(writer *cwconfig.Writer, all []*VM, base int) (time.Duration, error) {
+// measureChange makes one change and returns the time until it is effective on
+// all of the entry VMs.
+func measureChange(writer *cwconfig.Writer, all []*VM, base int) (time.Duration, error) {
 	began := time.Now()
 
 	revision, err := writer.Apply(context.Background(), Put(fmt.Sprint("c", base), author, base, fee))
@@ -150,7 +152,7 @@
 	return time.Since(began), err
 }
 
-// Rest lets a fleet run for a while without any change.
+// MeasureIdle lets a fleet run for a while without any change.
 func Rest(ctx context.Context, vms int, span time.Duration) (Result, error) {
 	result := Result{Case: string(Idle), VMs: vms, Counted: true}
 
--- a/internal/lab/cwspread/naive.go
+++ b/internal/lab/cwspread/naive.go
@@ -9,19 +9,19 @@
 	"carobward.example/carobward/internal/lab/cwstore"
 )
 
-// naiveKey is where a naive fleet keeps its configuration.
+// naiveKey is the key of the configuration of a naive fleet.
 const naiveKey carobward.Key = "config"
 
-// naive is a fleet in which each entry VM polls the store and takes what it
-// reads, and a change is read, changed and written until a reply says so; the
-// last writer wins.
+// naive is a fleet in which each entry VM polls the store and applies whatever
+// it reads. A change modifies the configuration that the operator saw and
+// writes it at the store's newest index, so that the last writer wins.
 type naive struct {
 	store *cwstore.Store
 	vms   []map[string]string
 	seen  map[int]map[string]string
 }
 
-// NewNaive returns the naive system with so many entry VMs.
+// NewNaive returns a naive system with a number of entry VMs.
 func NewNaive(vms int) System {
 	return &naive{store: cwstore.New(), vms: make([]map[string]string, vms), seen: map[int]map[string]string{}}
 }
@@ -30,7 +30,7 @@
 
 func (n *naive) size() int { return len(n.vms) }
 
-// read returns what the store has and whether it answers.
+// read returns the content of the store and whether the store answers.
 func (n *naive) read() (map[string]string, carobward.StoreIndex, bool) {
 	e, err := n.store.Get(context.Background(), naiveKey)
 	all := map[string]string{}
@@ -39,7 +39,7 @@
 	return all, e.Index, err == nil
 }
 
-func (n *naive) look(vm int) {
+func (n *naive) view(vm int) {
 	n.seen[vm] = map[string]string{}
 	maps.Copy(n.seen[vm], n.vms[vm])
 }
@@ -53,7 +53,7 @@
 	all[name] = value
 	raw, _ := json.Marshal(all)
 
-	// A store that answers at all is taken to have written: last write wins.
+	// The write replaces whatever the store has now.
 	_, index, ok := n.read()
 
 	return ok && n.store.Swap(context.Background(), naiveKey, raw, index) == nil
--- a/internal/lab/cwspread/operators.go
+++ b/internal/lab/cwspread/operators.go
@@ -17,66 +17,70 @@
 	"carobward.example/carobward/internal/lab/cwstore"
 )
 
-// Kind is what an operator was told of a change.
+// Outcome is what an operator was told about a change.
 type Kind string
 
-// The kinds.
+// The outcomes.
 const (
-	// Accepted: the change is in force or will be.
+	// Accepted: the change is effective or will be.
 	Accepted Kind = "accepted"
-	// Unknown: it may have been accepted.
+	// Unknown: the change may have been accepted.
 	Unknown Kind = "unknown"
-	// Conflicting: another one changed the same; nothing was changed.
-	Conflicting Kind = "conflict"
-	// Down: the store did not answer, or others were faster; nothing was
+	// Conflicting: another change of the same target came first; nothing was
 	// changed.
+	Conflicting Kind = "conflict"
+	// Down: the store did not answer, or concurrent writers won each time;
+	// nothing was changed.
 	Down Kind = "down"
-	// Failed is anything else; the operator's change was refused.
+	// Failed is any other error; the change was refused.
 	Failed Kind = "failed"
 )
 
 // Attempt is a change that one of several operators tried to make.
 type Attempt struct {
-	// Operator numbers the operator.
+	// Operator is the operator's number.
 	Operator int
-	// ID and Target name the change and the target that it puts.
+	// ID is the id of the change, Target the target that it puts.
 	ID     carobward.ChangeID
 	Target carobward.TargetName
 	// Base is the revision that the operator saw.
 	Base carobward.Revision
-	// Kind is what the operator was told.
+	// Outcome is what the operator was told.
 	Kind Kind
-	// Revision is the one that the change was accepted as.
+	// Revision is the revision as which the change was accepted.
 	Revision carobward.Revision
 	// Other is the change that a conflict named.
 	Other carobward.ChangeID
-	// Call and Return are when the attempt began and ended, from the start.
+	// Call and Return are when the attempt began and ended, since the start of
+	// the run.
 	Call, Return time.Duration
 }
 
-// The size of a run of operators.
+// The parameters of a run of operators.
 const (
-	operators    = 4
-	attempts     = 8
-	shared       = 3
-	patienceStep = 20 * time.Millisecond
+	operatorCount = 4
+	attemptsEach  = 8
+	targetCount   = 3
+	timeoutStep   = 20 * time.Millisecond
 )
 
-// Of faultOf calls so many are lost, dropped or don't reach the store.
+// A random number below faultRange decides the fault of a call: below faultLost
+// the reply is lost, below faultDropped the write, and below faultDown the call
+// does not reach the store.
 const (
-	faultOf      = 20
+	faultRange   = 20
 	faultLost    = 4
 	faultDropped = faultLost + 2
 	faultDown    = faultDropped + 1
 )
 
-// Operators lets concurrent operators change a few targets, each by way of an
+// RunOperators lets concurrent operators change a few targets, each through an
 // entry VM of its own, while replies and writes are lost and calls don't reach
-// the store. It returns the attempts and the store with its faults ended. The
-// seed sets the faults; the order in which the operators meet them is not
-// fixed.
+// the store. It returns the attempts and the store, whose faults have ended.
+// The seed determines the faults, but not the order in which the operators meet
+// them.
 func Operators(seed uint64) ([]Attempt, *cwstore.Store) {
-	f := New(operators, carobward.SystemClock{})
+	f := New(operatorCount, carobward.SystemClock{})
 	f.Store.Fault = faulty(rand.New(rand.NewPCG(seed, 1)))
 
 	var (
@@ -87,9 +91,9 @@
 
 	began := time.Now()
 
-	for who := range operators {
+	for who := range operatorCount {
 		group.Go(func() {
-			for i := range attempts {
+			for i := range attemptsEach {
 				a := f.At(who).attempt(who, i, began)
 
 				mutex.Lock()
@@ -106,10 +110,10 @@
 	return all, f.Store
 }
 
-// faulty returns faults at random. The store calls it under its mutex.
+// faulty returns random faults. The store calls the function under its mutex.
 func faulty(rng *rand.Rand) func(bool, carobward.Key) cwstore.Fault {
 	return func(write bool, _ carobward.Key) cwstore.Fault {
-		switch n := rng.IntN(faultOf); {
+		switch n := rng.IntN(faultRange); {
 		case write && n < faultLost:
 			return cwstore.Lost
 		case write && n < faultDropped:
@@ -126,24 +130,24 @@
 func (v *VM) attempt(who, number int, began time.Time) Attempt {
 	a := Attempt{
 		Operator: who, ID: carobward.ChangeID(fmt.Sprintf("c%d-%d", who, number)),
-		Target: carobward.TargetName(fmt.Sprint("t", (who+number)%shared)), Base: v.Holder.Revision(),
+		Target: carobward.TargetName(fmt.Sprint("t", (who+number)%targetCount)), Base: v.Holder.Revision(),
 	}
 
-	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(number%shared)*patienceStep)
+	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(number%targetCount)*timeoutStep)
 	defer cancel()
 
 	a.Call = time.Since(began)
 	revision, err := v.Writer.Apply(ctx, Put(string(a.ID), fmt.Sprint("operator-", who), int(a.Base), string(a.Target)))
 	a.Return = time.Since(began)
-	a.told(revision, err)
+	a.setOutcome(revision, err)
 
 	v.Syncer.Poll(context.Background())
 
 	return a
 }
 
-// told notes what the operator was told.
-func (a *Attempt) told(revision carobward.Revision, err error) {
+// setOutcome records what the operator was told.
+func (a *Attempt) setOutcome(revision carobward.Revision, err error) {
 	var conflict *cwconfig.Conflict
 
 	switch {
@@ -160,14 +164,14 @@
 	}
 }
 
-// WriteOperators runs Operators with so many seeds, counted up, and prints
-// how many of the attempts had which outcome.
+// WriteOperators runs RunOperators with consecutive seeds and prints how many
+// of the attempts had which outcome.
 func WriteOperators(to io.Writer, seed uint64, seeds int) error {
-	kinds := []Kind{Accepted, Unknown, Conflicting, Down, Failed}
+	outcomes := []Kind{Accepted, Unknown, Conflicting, Down, Failed}
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprint(w, "seed\tattempts\t")
 
-	for _, k := range kinds {
+	for _, k := range outcomes {
 		_, _ = fmt.Fprintf(w, "%s\t", k)
 	}
 
@@ -181,7 +185,7 @@
 
 		_, _ = fmt.Fprintf(w, "\n%d\t%d\t", seed+i, len(all))
 
-		for _, k := range kinds {
+		for _, k := range outcomes {
 			_, _ = fmt.Fprintf(w, "%d\t", count[k])
 		}
 	}
--- a/internal/lab/cwspread/result.go
+++ b/internal/lab/cwspread/result.go
@@ -10,25 +10,26 @@
 	"github.com/juju/errors"
 )
 
-// Result is what one case showed on a fleet of one size.
+// Result is the measurement of one case on a fleet of one size.
 type Result struct {
-	// Case names it.
+	// Case is the name of the case.
 	Case string
 	// VMs is the number of entry VMs.
 	VMs int
-	// Took has the time of each change until it was in force on the last entry
-	// VM that is well, in ascending order: from the start of its write, over
-	// loopback from its acceptance. It is empty where nothing was changed.
+	// Took has, in ascending order, the time of each change until it was
+	// effective on the last entry VM that is not paused: from the start of its
+	// write, or over loopback from its acceptance. It is empty if nothing was
+	// changed.
 	Took []time.Duration
 	// Span is the length of the measurement.
 	Span time.Duration
-	// Bytes are those of all exchanges between the entry VMs, without the
-	// transport's own.
+	// Bytes is the size of all exchanges between the entry VMs, without the
+	// transport's overhead.
 	Bytes int
-	// Calls are those of the store that have ended; a waiting watch counts at
-	// its end.
+	// Calls is the number of store calls that have ended; a watch counts when
+	// it returns.
 	Calls int
-	// Counted tells that Bytes and Calls are known.
+	// Counted reports whether Bytes and Calls are known.
 	Counted bool
 }
 
@@ -36,10 +37,10 @@
 	none       = "-"
 	percentage = 100
 	median     = 50
-	ninety     = 90
+	ninetieth  = 90
 )
 
-// quantile returns the time that so many percent of the changes stay below.
+// quantile returns a percentile of the times, in seconds.
 func (r *Result) quantile(percent int) string {
 	if len(r.Took) == 0 {
 		return none
@@ -48,7 +49,7 @@
 	return fmt.Sprintf("%.3f", r.Took[min(len(r.Took)*percent/percentage, len(r.Took)-1)].Seconds())
 }
 
-// perChange returns the bytes of a change for each entry VM.
+// perChange returns the bytes per change and entry VM.
 func (r *Result) perChange() string {
 	if len(r.Took) == 0 || !r.Counted {
 		return none
@@ -57,7 +58,7 @@
 	return fmt.Sprintf("%.0f", float64(r.Bytes)/float64(len(r.Took)*r.VMs))
 }
 
-// perSecond returns an amount a second.
+// perSecond returns an amount per second of the measurement.
 func (r *Result) perSecond(amount float64) string {
 	if !r.Counted {
 		return none
@@ -66,7 +67,7 @@
 	return fmt.Sprintf("%.1f", amount/r.Span.Seconds())
 }
 
-// WriteTable prints one line a result. Times are in seconds.
+// WriteTable prints one line per result. Times are in seconds.
 func WriteTable(to io.Writer, results []Result) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(w, "case\tVMs\tchanges\tin force p50 s\tp90 s\tmax s\tB/change/VM\tB/s/VM\tstore calls/s\t")
@@ -74,15 +75,15 @@
 	for i := range results {
 		r := &results[i]
 		_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t\n",
-			r.Case, r.VMs, len(r.Took), r.quantile(median), r.quantile(ninety), r.quantile(percentage),
+			r.Case, r.VMs, len(r.Took), r.quantile(median), r.quantile(ninetieth), r.quantile(percentage),
 			r.perChange(), r.perSecond(float64(r.Bytes)/float64(r.VMs)), r.perSecond(float64(r.Calls)))
 	}
 
 	return errors.Annotate(w.Flush(), "spread")
 }
 
-// WriteScenarios takes the naive version and the product through all
-// scenarios and prints what is wrong in the end.
+// WriteScenarios runs all scenarios on the naive system and on the product, and
+// prints what is wrong at their end.
 func WriteScenarios(to io.Writer) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "scenario\tnaive\tproduct\t")
--- a/internal/lab/cwspread/scenario.go
+++ b/internal/lab/cwspread/scenario.go
@@ -18,9 +18,8 @@
 	second = "two"
 )
 
-// Scenario takes a System through faults. It returns what is wrong at its
-// end, such as a value that some entry VM should have and has not; empty for
-// nothing.
+// Scenario subjects a System to faults. It returns what is wrong at the end,
+// such as an entry VM that lacks a value, or "" if nothing is.
 type Scenario func(s System) string
 
 // Scenarios returns the scenarios by name.
@@ -42,13 +41,13 @@
 
 	saved := s.platform().Save()
 
-	s.look(1)
+	s.view(1)
 	s.change(1, fee, second)
 	s.settle()
 	s.platform().Restore(saved)
 	s.settle()
 
-	return wanted(s, fee, second)
+	return missing(s, fee, second)
 }
 
 func emptyStore(s System) string {
@@ -59,12 +58,12 @@
 	s.platform().Restore(saved)
 	s.settle()
 
-	return wanted(s, fee, first)
+	return missing(s, fee, first)
 }
 
 func oneTarget(s System) string {
-	s.look(0)
-	s.look(1)
+	s.view(0)
+	s.view(1)
 
 	one, two := s.change(0, fee, first), s.change(1, fee, second)
 	s.settle()
@@ -73,33 +72,33 @@
 		return "both were told that theirs is accepted"
 	}
 
-	return wanted(s, fee, first)
+	return missing(s, fee, first)
 }
 
 func twoTargets(s System) string {
-	s.look(0)
-	s.look(1)
+	s.view(0)
+	s.view(1)
 	s.change(0, fee, first)
 	s.change(1, gate, second)
 	s.settle()
 
-	return wanted(s, fee, first) + wanted(s, gate, second)
+	return missing(s, fee, first) + missing(s, gate, second)
 }
 
 func lostReply(s System) string {
-	s.look(0)
+	s.view(0)
 
 	s.platform().Fault = cwstore.Script("l", ".")
 	s.change(0, fee, first)
 	s.platform().Fault = nil
 
 	s.settle()
-	s.look(1)
+	s.view(1)
 	s.change(1, fee, second)
 	s.change(0, fee, first)
 	s.settle()
 
-	return wanted(s, fee, second)
+	return missing(s, fee, second)
 }
 
 func outage(s System) string {
@@ -108,7 +107,7 @@
 	s.platform().Fault = cwstore.Script("d", "d")
 	s.settle()
 
-	return wanted(s, fee, first)
+	return missing(s, fee, first)
 }
 
 func newcomer(s System) string {
@@ -120,11 +119,11 @@
 		return "the newcomer refuses although its peers know"
 	}
 
-	return wanted(s, fee, first)
+	return missing(s, fee, first)
 }
 
-// wanted tells which entry VMs lack a value.
-func wanted(s System, name, value string) string {
+// missing returns which entry VMs lack a value.
+func missing(s System, name, value string) string {
 	var wrong []string
 
 	for i := range s.size() {
--- a/internal/lab/cwspread/system.go
+++ b/internal/lab/cwspread/system.go
@@ -9,18 +9,19 @@
 	"carobward.example/carobward/internal/lab/cwstore"
 )
 
-// System is a fleet that a Scenario takes through faults.
+// System is a fleet that a Scenario subjects to faults.
 type System interface {
-	// change sets a target to a value by way of one entry VM, for an operator
-	// who saw it there before, and tells whether it was accepted.
+	// change sets a target to a value through one entry VM, on behalf of an
+	// operator who viewed the configuration there before. It reports whether
+	// the change was accepted.
 	change(vm int, target, value string) bool
-	// look lets an operator see the configuration at one entry VM.
-	look(vm int)
-	// settle lets each entry VM read the store and meet its peers.
+	// view lets an operator read the configuration at one entry VM.
+	view(vm int)
+	// settle lets each entry VM read the store and exchange with its peers.
 	settle()
-	// join adds an entry VM. It tells whether that serves.
+	// join adds an entry VM and reports whether it becomes ready.
 	join() bool
-	// value returns what an entry VM has in force for a target.
+	// value returns an entry VM's effective value of a target.
 	value(vm int, target string) string
 	// size returns the number of entry VMs.
 	size() int
@@ -28,10 +29,10 @@
 	platform() *cwstore.Store
 }
 
-// product is a System of the product's own parts.
+// product is a System made of the product's own components.
 type product struct {
 	*Fleet
-	// base is the revision that the operator at each entry VM saw.
+	// base has the revision that the operator at each entry VM saw.
 	base map[int]carobward.Revision
 }
 
@@ -42,7 +43,7 @@
 
 func (p *product) size() int { return len(p.Order) }
 
-func (p *product) look(vm int) { p.base[vm] = p.At(vm).Holder.Revision() }
+func (p *product) view(vm int) { p.base[vm] = p.At(vm).Holder.Revision() }
 
 func (p *product) change(vm int, name, value string) bool {
 	c := Put(value, fmt.Sprint("operator-", vm), int(p.base[vm]), name)
@@ -63,7 +64,7 @@
 
 func (p *product) value(vm int, name string) string { return valueOf(p.At(vm).Holder.Config(), name) }
 
-// valueOf returns the service of a target, "" for none.
+// valueOf returns the service of a target, or "" if there is none.
 func valueOf(c *cwconfig.Config, name string) string {
 	for i := range c.Set.Targets {
 		if string(c.Set.Targets[i].Name) == name {
--- a/internal/lab/cwspread/vm.go
+++ b/internal/lab/cwspread/vm.go
@@ -12,20 +12,21 @@
 	"carobward.example/carobward/internal/lab/cwstore"
 )
 
-// errCut tells that the direction between two entry VMs is cut.
-const errCut = errors.ConstError("spread: cut")
+// errBlocked is returned for calls in a direction that is blocked.
+const errBlocked = errors.ConstError("spread: the direction between the entry VMs is blocked")
 
-// VM is one entry VM of a fleet. It is its own carobward.Peers and cwpeer.Calls.
+// VM is one entry VM of a fleet. It implements carobward.Peers and cwpeer.Calls
+// for itself.
 type VM struct {
-	// Store is what the entry VM reaches as the store.
+	// Store is the store that the entry VM uses.
 	Store *cwstore.Switch
-	// Holder has the configuration in force.
+	// Holder has the effective configuration.
 	Holder *cwconfig.Holder
-	// Writer makes changes by way of this entry VM.
+	// Writer makes changes through this entry VM.
 	Writer *cwconfig.Writer
 	// Syncer keeps the configuration up to date.
 	Syncer *cwconfig.Syncer
-	// Deaf is whether it lets those wait who call it.
+	// Unresponsive reports whether calls of peers to this VM hang.
 	Deaf bool
 
 	fleet *Fleet
@@ -35,8 +36,8 @@
 // Self returns the entry VM as a peer.
 func (v *VM) Self() carobward.Peer { return v.self }
 
-// All returns the peers. It knows the revisions of those that a call would
-// reach.
+// All returns this VM and the peers that it can reach, with their current
+// revisions.
 func (v *VM) All() []carobward.Peer {
 	f := v.fleet
 
@@ -57,18 +58,18 @@
 	return all
 }
 
-// Call exchanges with a peer. Request and reply are encoded on the way, as
-// over net/rpc, and their bytes counted.
+// Call makes an exchange with a peer. Request and reply are encoded as over
+// net/rpc, and their bytes are counted.
 func (v *VM) Call(ctx context.Context, to carobward.Address, _ string, in, out proto.Message) error {
-	o, cut := v.reach(to)
+	o, blocked := v.reach(to)
 	if o != nil && o.Deaf {
 		<-ctx.Done()
 
 		return ctx.Err()
 	}
 
-	if cut {
-		return errCut
+	if blocked {
+		return errBlocked
 	}
 
 	raw, err := proto.Marshal(in)
@@ -95,8 +96,8 @@
 	return errors.Annotate(proto.Unmarshal(back, out), "spread")
 }
 
-// reach returns the entry VM at an address and whether no call passes to it
-// and back.
+// reach returns the entry VM at an address and whether calls to it are blocked
+// in either direction.
 func (v *VM) reach(to carobward.Address) (*VM, bool) {
 	f := v.fleet
 
@@ -108,7 +109,7 @@
 	return o, o == nil || f.Cut[Link{v.self.Peers, to}] || f.Cut[Link{to, v.self.Peers}]
 }
 
-// count adds to the bytes of all exchanges.
+// count adds to the size of all exchanges.
 func (f *Fleet) count(bytes int) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -116,8 +117,8 @@
 	f.bytes += bytes
 }
 
-// Apply makes a change by way of this entry VM, as the operators' API does.
-// Once is whether it gives up after one try.
+// Apply makes a change through this entry VM, as the operators' API does. With
+// once it gives up after one try.
 func (v *VM) Apply(change cwconfig.Change, once bool) (carobward.Revision, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
