--- a/internal/lab/cwstore/script.go
+++ b/internal/lab/cwstore/script.go
@@ -6,12 +6,13 @@
 	"carobward.example/carobward"
 )
 
-// faults are the letters of a Script.
+// faults maps the letters of a Script to faults.
 var faults = map[byte]Fault{'.': Well, 'd': Down, 'l': Lost, 'x': Dropped}
 
-// Script returns a Store's Fault that deals these faults to the writes and to
-// the reads in turn, and the last one to all later ones. A letter is a fault:
-// "." for Well, "d" for Down, "l" for Lost, "x" for Dropped.
+// Script returns a function for Store.Fault that applies one fault after the
+// other to the writes and, separately, to the reads. The last one applies to
+// all later calls. A letter is a fault: "." for NoFault, "d" for Down, "l" for
+// Lost, "x" for Dropped.
 func Script(writes, reads string) func(write bool, key carobward.Key) Fault {
 	next := map[bool]string{true: writes, false: reads}
 
@@ -25,28 +26,27 @@
 	}
 }
 
-// Switch is a Store that another one can be put in place of, while no call is
-// under way.
+// Switch is a Store that can be replaced by another while no call is in flight.
 type Switch struct{ carobward.Store }
 
-// Frozen is a store whose calls return only when their context ends.
+// Hanging is a store whose calls return only when their context ends.
 type Frozen struct{}
 
-// Get waits and fails.
+// Get fails once ctx ends.
 func (Frozen) Get(ctx context.Context, _ carobward.Key) (carobward.Entry, error) {
 	<-ctx.Done()
 
 	return carobward.Entry{}, carobward.ErrStoreDown
 }
 
-// Swap waits and fails.
+// Swap fails once ctx ends.
 func (Frozen) Swap(ctx context.Context, _ carobward.Key, _ []byte, _ carobward.StoreIndex) error {
 	<-ctx.Done()
 
 	return carobward.ErrStoreDown
 }
 
-// Watch waits and fails.
+// Watch fails once ctx ends.
 func (f Frozen) Watch(ctx context.Context, key carobward.Key, _ carobward.StoreIndex) (carobward.Entry, error) {
 	return f.Get(ctx, key)
 }
--- a/internal/lab/cwstore/store.go
+++ b/internal/lab/cwstore/store.go
@@ -1,5 +1,5 @@
-// Package cwstore is a carobward.Store in memory whose calls can fail, for
-// experiments and tests that need no platform.
+// Package cwstore is an in-memory carobward.Store with injected faults, for
+// experiments and tests without a platform.
 package cwstore
 
 import (
@@ -15,19 +15,19 @@
 
 // The faults of a call.
 const (
-	// Well: the call goes well.
+	// NoFault: the call succeeds.
 	Well Fault = iota
 	// Down: the call does not reach the store.
 	Down
 	// Lost: a write takes effect, but its reply is lost.
 	Lost
-	// Dropped: a write is lost, and its writer can't tell.
+	// Dropped: a write does not take effect, but the writer can't tell.
 	Dropped
 )
 
-// Store is a carobward.Store in memory.
+// Store is an in-memory carobward.Store.
 type Store struct {
-	// Fault, if set, decides the fate of each call.
+	// Fault, if set, decides the fault of each call.
 	Fault func(write bool, key carobward.Key) Fault
 
 	mutex   sync.Mutex
@@ -43,7 +43,7 @@
 	return &Store{index: 1, entries: map[carobward.Key]carobward.Entry{}, changed: make(chan struct{})}
 }
 
-// fault counts a call and returns its fate. The caller holds the mutex.
+// fault counts a call and returns its fault. The caller holds the mutex.
 func (s *Store) fault(write bool, key carobward.Key) Fault {
 	s.calls++
 
@@ -114,7 +114,7 @@
 	s.changed = make(chan struct{})
 }
 
-// Put writes a value whatever the index.
+// Put writes a value unconditionally.
 func (s *Store) Put(key carobward.Key, value []byte) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -122,7 +122,8 @@
 	s.put(key, value)
 }
 
-// Calls counts the reads and writes, and the watches that have ended.
+// Calls returns the number of reads and writes, and of the watches that have
+// ended.
 func (s *Store) Calls() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -138,7 +139,7 @@
 	return append([][]byte(nil), s.written...)
 }
 
-// Watch waits until the key's index passes after, or until ctx ends.
+// Watch waits until the key's index exceeds after, or until ctx ends.
 func (s *Store) Watch(ctx context.Context, key carobward.Key, after carobward.StoreIndex) (carobward.Entry, error) {
 	for {
 		s.mutex.Lock()
@@ -157,7 +158,7 @@
 	}
 }
 
-// Save returns all values, for Restore.
+// Save returns all entries, for Restore.
 func (s *Store) Save() map[carobward.Key]carobward.Entry {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -165,7 +166,7 @@
 	return maps.Clone(s.entries)
 }
 
-// Restore brings saved values back.
+// Restore replaces all entries by saved ones.
 func (s *Store) Restore(saved map[carobward.Key]carobward.Entry) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
