--- a/internal/lab/cwtrial/idle.go
+++ b/internal/lab/cwtrial/idle.go
@@ -14,16 +14,16 @@
 	"carobward.example/carobward/internal/cwstand"
 )
 
-// Idle sends calls with a pause before each to a server that closes each
-// connection at any time within twice the pause after a reply.
+// Idle makes calls, with a pause before each, to a server that closes each
+// connection at a random time within twice the pause after a reply.
 type Idle struct {
-	// OneWay is the time of the network one way, Pause the caller's pause.
+	// OneWay is the network latency in one direction, Pause the caller's pause.
 	OneWay, Pause time.Duration
 	Calls         int
 	Seed          uint64
 }
 
-// IdleResult is what came of the calls of one way.
+// IdleResult sums up the calls made in one way.
 type IdleResult struct {
 	Way             string
 	Calls           int
@@ -31,8 +31,8 @@
 	Conns           int64
 }
 
-// Run tries both ways beside each other, each with a server of its own: warm
-// connections with a look before use, and a fresh connection a call.
+// Run tries two ways concurrently, each with a server of its own: reused
+// connections that are checked before use, and a new connection per call.
 func (i Idle) Run() ([]IdleResult, error) {
 	results := []IdleResult{{Way: "look before use"}, {Way: "fresh connection"}}
 	failed := make([]error, len(results))
@@ -80,7 +80,7 @@
 		one := NewCall("one")
 		one.Fresh = fresh
 
-		// The time to connect is one way there and back.
+		// Connecting takes one round trip.
 		if fresh {
 			time.Sleep(2 * i.OneWay)
 		}
@@ -109,7 +109,8 @@
 	}
 }
 
-// closing answers and closes the connection some time after.
+// closing returns a script that answers and closes the connection some time
+// later.
 func (i Idle) closing() cwstand.Script {
 	var mutex sync.Mutex
 
--- a/internal/lab/cwtrial/play.go
+++ b/internal/lab/cwtrial/play.go
@@ -13,7 +13,7 @@
 	"carobward.example/carobward/internal/cwstand"
 )
 
-// Fault is what must never happen.
+// Fault is something that must never happen to a call.
 type Fault string
 
 // The faults.
@@ -23,16 +23,17 @@
 	FaultRan   Fault = "not-run, but it began"
 )
 
-// Play has callers send calls to one server that works through a list of acts.
+// Play lets callers make calls to one server that works through a list of acts.
 type Play struct {
 	Acts []cwstand.Act
-	// Calls is the number of calls of each of the callers.
+	// Callers is the number of concurrent callers, Calls the number of calls of
+	// each.
 	Callers, Calls int
 }
 
-// Run plays over a way and counts the faults; those that did not happen are
-// left out.
-func (p Play) Run(w Way) (map[Fault]int, error) {
+// Run makes the calls with a Sender and counts the faults, without those that
+// did not happen.
+func (p Play) Run(send Way) (map[Fault]int, error) {
 	ln, err := listen()
 	if err != nil {
 		return nil, err
@@ -53,10 +54,10 @@
 		group.Go(func() {
 			for n := range p.Calls {
 				id := fmt.Sprintf("c%d-%d", g, n)
-				a := w(s.Address(), id)
+				a := send(s.Address(), id)
 
 				mutex.Lock()
-				judge(faults, a, id, actor.Began(id))
+				countFaults(faults, a, id, actor.Began(id))
 				mutex.Unlock()
 			}
 		})
@@ -70,8 +71,8 @@
 	return faults, nil
 }
 
-// judge counts the faults of one answer.
-func judge(faults map[Fault]int, a Answer, id string, began int) {
+// countFaults counts the faults of one answer.
+func countFaults(faults map[Fault]int, a Answer, id string, began int) {
 	if a.Whole && a.Body != cwstand.BodyOf(id) {
 		faults[FaultBody]++
 	}
@@ -81,21 +82,21 @@
 	}
 }
 
-// Score is what came of one way in all plays.
+// Score is the result of one client in all plays.
 type Score struct {
 	Way    string
 	Calls  int
 	Faults map[Fault]int
 }
 
-// Compare plays seeded lists of acts, counted up from a first seed, over the
-// product's link and over the HTTP library's client. Each play starts with no
-// connections.
+// Compare runs random lists of acts, with consecutive seeds, against the
+// product's link and against the HTTP library's client. Each play starts
+// without open connections.
 func Compare(first uint64, seeds, calls int) ([]Score, error) {
 	scores := []Score{{Way: "link", Faults: map[Fault]int{}}, {Way: "library", Faults: map[Fault]int{}}}
 
 	for i := range seeds {
-		list := draw(first + uint64(i))
+		list := randomActs(first + uint64(i))
 
 		for j := range scores {
 			if err := scores[j].play(list, calls); err != nil {
@@ -111,12 +112,12 @@
 	l := NewLink()
 	defer l.Close()
 
-	w := Ours(l)
+	send := Ours(l)
 	if s.Way == "library" {
-		w = Naive(&fasthttp.Client{})
+		send = Naive(&fasthttp.Client{})
 	}
 
-	faults, err := Play{Acts: list, Callers: 1, Calls: calls}.Run(w)
+	faults, err := Play{Acts: list, Callers: 1, Calls: calls}.Run(send)
 	if err != nil {
 		return err
 	}
@@ -129,13 +130,13 @@
 	return nil
 }
 
-// draw returns the acts of a seed.
-func draw(seed uint64) []cwstand.Act {
-	const least, most = 2, 8
+// randomActs returns the list of acts of a seed.
+func randomActs(seed uint64) []cwstand.Act {
+	const minActs, maxActs = 2, 8
 
 	r := rand.New(rand.NewPCG(seed, 0))
 	all := cwstand.Acts()
-	list := make([]cwstand.Act, least+r.IntN(most-least+1))
+	list := make([]cwstand.Act, minActs+r.IntN(maxActs-minActs+1))
 
 	for i := range list {
 		list[i] = all[r.IntN(len(all))]
--- a/internal/lab/cwtrial/trial.go
+++ b/internal/lab/cwtrial/trial.go
@@ -1,5 +1,6 @@
-// Package cwtrial tries the carrying of calls against servers that misbehave
-// over sockets: what is delivered, what is sent twice, what is left unknown.
+// Package cwtrial tests forwarding of calls to servers that misbehave on their
+// connections: which answers are delivered, which calls are sent twice, and
+// which are left with an unknown verdict.
 package cwtrial
 
 import (
@@ -12,29 +13,29 @@
 	"carobward.example/carobward/internal/cwlink"
 )
 
-// The link of a trial.
+// The options of the link.
 const (
-	linkConns  = 8
-	linkKeep   = time.Minute
-	linkDial   = time.Second
-	linkHeader = 4 * carobward.Kilobyte
-	// replyMost bounds the body of a reply in bytes.
-	replyMost = 64
-	// callMost bounds the time of one call.
-	callMost = time.Minute
+	linkConns       = 8
+	linkIdleTimeout = time.Minute
+	linkDialTimeout = time.Second
+	linkMaxHeader   = 4 * carobward.Kilobyte
+	// maxReply bounds the body of a reply, in bytes.
+	maxReply = 64
+	// callTimeout bounds one call.
+	callTimeout = time.Minute
 )
 
 // NewLink returns a link with few connections.
 func NewLink() *cwlink.Link {
-	o := cwlink.Options{MaxConns: linkConns, IdleTimeout: linkKeep, DialTimeout: linkDial, MaxHeaderSize: linkHeader}
+	o := cwlink.Options{MaxConns: linkConns, IdleTimeout: linkIdleTimeout, DialTimeout: linkDialTimeout, MaxHeaderSize: linkMaxHeader}
 
 	return cwlink.New(o, carobward.SystemClock{})
 }
 
-// NewCall returns a call with a deadline far away.
+// NewCall returns a call with a deadline far in the future.
 func NewCall(id carobward.RequestID) *carobward.Call {
 	return &carobward.Call{
-		ID: id, Method: "GET", URI: "/a?b=c", Host: "h", Deadline: time.Now().Add(callMost), MaxReply: replyMost,
+		ID: id, Method: "GET", URI: "/a?b=c", Host: "h", Deadline: time.Now().Add(callTimeout), MaxReply: maxReply,
 	}
 }
 
--- a/internal/lab/cwtrial/way.go
+++ b/internal/lab/cwtrial/way.go
@@ -9,17 +9,17 @@
 	"carobward.example/carobward/internal/cwlink"
 )
 
-// Answer is what a call came to. Without a whole body it has a verdict.
+// Answer is the result of a call: a whole body, or else a verdict.
 type Answer struct {
 	Body    string
 	Whole   bool
 	Verdict carobward.Verdict
 }
 
-// Way sends one call to a server.
+// Sender sends one call to a server.
 type Way func(to carobward.Address, id string) Answer
 
-// Ours carries calls by a Link.
+// ViaLink sends calls through a Link.
 func Ours(l *cwlink.Link) Way {
 	return func(to carobward.Address, id string) Answer {
 		reply, err := l.Exchange(context.Background(), to, NewCall(carobward.RequestID(id)))
@@ -35,7 +35,8 @@
 	}
 }
 
-// Naive carries calls by the HTTP library's client with its own settings.
+// ViaLibrary sends calls through the HTTP library's client with its default
+// settings.
 func Naive(c *fasthttp.Client) Way {
 	return func(to carobward.Address, id string) Answer {
 		req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
@@ -45,7 +46,7 @@
 		req.SetRequestURI("http://" + string(to) + "/")
 		req.Header.Set(carobward.HeaderID, id)
 
-		if err := c.DoTimeout(req, resp, callMost); err != nil || resp.StatusCode() != fasthttp.StatusOK {
+		if err := c.DoTimeout(req, resp, callTimeout); err != nil || resp.StatusCode() != fasthttp.StatusOK {
 			return Answer{Verdict: carobward.Unknown}
 		}
 
