--- a/internal/cwowner/owner_test.go
+++ b/internal/cwowner/owner_test.go
@@ -122,7 +122,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newFleet(t, 2, cwfee.Quick())
+			f := newFleet(t, 2, cwfee.FastOptions())
 
 			ticket := f.owner(0).Prefix() + ".1"
 
@@ -165,7 +165,7 @@
 func TestRunningWork(t *testing.T) {
 	for name, at := range map[string]int{"at the owner": 0, "at another VM": 1} {
 		t.Run(name, func(t *testing.T) {
-			f := newFleet(t, 2, cwfee.Quick())
+			f := newFleet(t, 2, cwfee.FastOptions())
 
 			started, release := make(chan struct{}), make(chan struct{})
 			f.Ran = func(string, string, int) { close(started); <-release }
@@ -201,7 +201,7 @@
 // TestPanicLeavesUnknown checks the verdict after the work panicked before its
 // outcome was recorded.
 func TestPanicLeavesUnknown(t *testing.T) {
-	f := newFleet(t, 1, cwfee.Quick())
+	f := newFleet(t, 1, cwfee.FastOptions())
 
 	o := f.owner(0)
 	ticket := o.Prefix() + ".1"
@@ -236,7 +236,7 @@
 		"unknown": {cwfee.LostReply, carobward.Unknown, carobward.Unknown},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newFleet(t, 2, cwfee.Quick())
+			f := newFleet(t, 2, cwfee.FastOptions())
 
 			f.Request = func(string, int) cwfee.Fault { return test.fault }
 
@@ -261,7 +261,7 @@
 // TestRefuse checks that an entry VM that rejects a request because of overload
 // reports not-run only if it owns the ticket and started no work with it.
 func TestRefuse(t *testing.T) {
-	f := newFleet(t, 2, cwfee.Quick())
+	f := newFleet(t, 2, cwfee.FastOptions())
 
 	used, unused := f.owner(0).Prefix()+".1", f.owner(0).Prefix()+".1"
 	f.send(t, 0, "fee", used)
@@ -292,7 +292,7 @@
 // the next. New entry VMs, which no announcement has reached yet, must find
 // them too.
 func TestOutcomesSurviveHandovers(t *testing.T) {
-	f := newFleet(t, 3, cwfee.Quick())
+	f := newFleet(t, 3, cwfee.FastOptions())
 
 	var tickets []string
 
@@ -330,7 +330,7 @@
 // The new run knows nothing of that request, so its reply must not set the
 // verdict.
 func TestOwnerReplacedDuringWork(t *testing.T) {
-	f := newFleet(t, 2, cwfee.Quick())
+	f := newFleet(t, 2, cwfee.FastOptions())
 
 	started, release := make(chan struct{}), make(chan struct{})
 	f.Ran = func(string, string, int) { close(started); <-release }
@@ -356,7 +356,7 @@
 // TestCanceledRequestIsNoTimeout checks that a request that is canceled early does
 // not mark the owner that it was forwarded to as unresponsive.
 func TestCanceledRequestIsNoTimeout(t *testing.T) {
-	f := newFleet(t, 2, cwfee.Quick())
+	f := newFleet(t, 2, cwfee.FastOptions())
 
 	ticket := f.owner(0).Prefix() + ".1"
 	resume := f.At(0).Freeze()
@@ -369,7 +369,7 @@
 		t.Errorf("got %v", err)
 	}
 
-	pace := cwfee.Quick().Pace
+	pace := cwfee.FastOptions().Pace
 	pace.Backoff = time.Hour
 	f.owner(1).SetParams(pace)
 	resume()
--- a/internal/lab/cwfee/compare.go
+++ b/internal/lab/cwfee/compare.go
@@ -68,7 +68,7 @@
 // and lose requests and replies. A fault depends only on the seed, the fee and
 // the number of the attempt, so that each sender meets the same faults.
 func Compare(seed uint64, fees int, send Sender) (Count, error) {
-	f, err := New(compareVMs, Quick())
+	f, err := New(compareVMs, FastOptions())
 	if err != nil {
 		return Count{}, err
 	}
--- a/internal/lab/cwfee/fleet.go
+++ b/internal/lab/cwfee/fleet.go
@@ -44,9 +44,9 @@
 	Pace   cwowner.Params
 }
 
-// Quick returns options with which an unresponsive owner is detected within
+// FastOptions returns options with which an unresponsive owner is detected within
 // milliseconds and a handover takes many parts.
-func Quick() Options {
+func FastOptions() Options {
 	return Options{
 		Limits: cwticket.Options{Horizon: time.Hour, Records: 10_000, Bytes: 10 * carobward.Megabyte},
 		Pace: cwowner.Params{
--- a/internal/lab/cwfee/play.go
+++ b/internal/lab/cwfee/play.go
@@ -75,7 +75,7 @@
 // disruptions. It returns the runs and the clients' requests with their
 // verdicts.
 func Play(s Script) ([]Operation, error) {
-	f, err := New(simVMs, Quick())
+	f, err := New(simVMs, FastOptions())
 	if err != nil {
 		return nil, err
 	}
