--- a/internal/cwowner/bench_test.go
+++ b/internal/cwowner/bench_test.go
@@ -14,7 +14,7 @@
 // BenchmarkDo measures what a ticket adds to a request: issued on arrival, sent by
 // the caller, replayed, and forwarded to the owner without a network.
 func BenchmarkDo(b *testing.B) {
-	f := newFleet(b, 2, cwfee.Roomy())
+	f := newFleet(b, 2, cwfee.UnlimitedOptions())
 	o, other := f.owner(0), f.owner(1)
 
 	prefix := o.Prefix()
--- a/internal/lab/cwfee/fleet.go
+++ b/internal/lab/cwfee/fleet.go
@@ -59,9 +59,9 @@
 	}
 }
 
-// Roomy returns options for measurements: the default timing, and limits that
+// UnlimitedOptions returns options for measurements: the default timing, and limits that
 // are never reached.
-func Roomy() Options {
+func UnlimitedOptions() Options {
 	return Options{
 		Limits: cwticket.Options{Horizon: time.Hour, Records: 1 << 40, Bytes: 1 << 50},
 		Pace:   cwowner.DefaultParams(),
--- a/internal/lab/cwfee/handover.go
+++ b/internal/lab/cwfee/handover.go
@@ -18,7 +18,7 @@
 // HandOver returns how long one owner takes to hand over a number of outcomes
 // to another, with bodies of 256 bytes and without a network.
 func HandOver(outcomes int) (time.Duration, error) {
-	f, err := New(2, Roomy())
+	f, err := New(2, UnlimitedOptions())
 	if err != nil {
 		return 0, err
 	}
