--- a/internal/cwowner/owner_test.go
+++ b/internal/cwowner/owner_test.go
@@ -231,7 +231,7 @@
 		want  carobward.Verdict
 		retry carobward.Verdict
 	}{
-		"ran":     {cwfee.Fine, carobward.Ran, carobward.Ran},
+		"ran":     {cwfee.NoFault, carobward.Ran, carobward.Ran},
 		"not run": {cwfee.Shed, carobward.NotRun, carobward.Ran},
 		"unknown": {cwfee.LostReply, carobward.Unknown, carobward.Unknown},
 	} {
@@ -245,7 +245,7 @@
 				t.Errorf("got %+v, ticket %q", got, next)
 			}
 
-			f.Request = func(string, int) cwfee.Fault { return cwfee.Fine }
+			f.Request = func(string, int) cwfee.Fault { return cwfee.NoFault }
 
 			if got, _ := f.send(t, 1, "fee", next); got.Verdict != test.retry {
 				t.Errorf("retry: %+v", got)
--- a/internal/lab/cwfee/compare.go
+++ b/internal/lab/cwfee/compare.go
@@ -76,7 +76,7 @@
 	f.Request = func(body string, attempt int) Fault {
 		r := rand.New(rand.NewPCG(seed, uint64(len(body)*attempt)+hash(body)))
 		if r.IntN(faultOneIn) > 0 {
-			return Fine
+			return NoFault
 		}
 
 		return Fault(r.IntN(int(faultCount)))
--- a/internal/lab/cwfee/fleet.go
+++ b/internal/lab/cwfee/fleet.go
@@ -30,7 +30,7 @@
 
 // The faults.
 const (
-	Fine      Fault = iota
+	NoFault   Fault = iota
 	LostCall        // The call does not arrive.
 	LostReply       // The call is done, but the reply is lost.
 	LateCall        // The call arrives after the sender has given up.
@@ -96,8 +96,8 @@
 func New(size int, o Options) (*Fleet, error) {
 	f := &Fleet{
 		options: o, attempts: map[string]int{}, runs: map[string]int{}, vms: make([]*VM, size),
-		Message: func() Fault { return Fine },
-		Request: func(string, int) Fault { return Fine },
+		Message: func() Fault { return NoFault },
+		Request: func(string, int) Fault { return NoFault },
 		Ran:     func(string, string, int) {},
 		Work:    func() time.Duration { return 0 },
 	}
--- a/internal/lab/cwfee/play.go
+++ b/internal/lab/cwfee/play.go
@@ -117,7 +117,7 @@
 		defer mutex.Unlock()
 
 		if rng.IntN(s.OneIn) > 0 {
-			return Fine
+			return NoFault
 		}
 
 		return Fault(rng.IntN(int(faultCount)))
