--- a/internal/cwowner/owner_test.go
+++ b/internal/cwowner/owner_test.go
@@ -369,7 +369,7 @@
 		t.Errorf("got %v", err)
 	}
 
-	pace := cwfee.FastOptions().Pace
+	pace := cwfee.FastOptions().Params
 	pace.Backoff = time.Hour
 	f.owner(1).SetParams(pace)
 	resume()
--- a/internal/lab/cwfee/fleet.go
+++ b/internal/lab/cwfee/fleet.go
@@ -41,7 +41,7 @@
 // Options are the limits and the timing parameters of each ticket owner.
 type Options struct {
 	Limits cwticket.Options
-	Pace   cwowner.Params
+	Params cwowner.Params
 }
 
 // FastOptions returns options with which an unresponsive owner is detected within
@@ -49,7 +49,7 @@
 func FastOptions() Options {
 	return Options{
 		Limits: cwticket.Options{Horizon: time.Hour, Records: 10_000, Bytes: 10 * carobward.Megabyte},
-		Pace: cwowner.Params{
+		Params: cwowner.Params{
 			LongPoll:         2 * time.Millisecond,
 			Grace:            8 * time.Millisecond,
 			Backoff:          time.Millisecond,
@@ -64,7 +64,7 @@
 func UnlimitedOptions() Options {
 	return Options{
 		Limits: cwticket.Options{Horizon: time.Hour, Records: 1 << 40, Bytes: 1 << 50},
-		Pace:   cwowner.DefaultParams(),
+		Params: cwowner.DefaultParams(),
 	}
 }
 
@@ -132,7 +132,7 @@
 		return
 	}
 
-	o.SetParams(f.options.Pace)
+	o.SetParams(f.options.Params)
 
 	v.Owner, v.service = o, cwowner.NewService(o, v)
 	f.vms[i] = v
