--- a/cmd/carobward/bench_once.go
+++ b/cmd/carobward/bench_once.go
@@ -117,12 +117,12 @@
 
 func printCount(w *tabwriter.Writer, experiment string, seed uint64, way string, c *cwfee.Count, writes int) {
 	answers := 0
-	for _, n := range c.Told {
+	for _, n := range c.Verdicts {
 		answers += n
 	}
 
-	unknown := c.Told[carobward.Unknown]
+	unknown := c.Verdicts[carobward.Unknown]
 	_, _ = fmt.Fprintf(w, "%s\t%d\t%s\t%d\t%d\t%d\t%d\t%d\t%d (%.2f %%)\t%d\t\n",
-		experiment, seed, way, answers, c.Runs, c.Twice, c.Wrong, c.Told[carobward.NotRun],
+		experiment, seed, way, answers, c.Runs, c.Twice, c.Wrong, c.Verdicts[carobward.NotRun],
 		unknown, 100*float64(unknown)/float64(max(answers, 1)), writes)
 }
--- a/internal/cwowner/history_test.go
+++ b/internal/cwowner/history_test.go
@@ -88,7 +88,7 @@
 			t.Fatalf("the history is not at-most-once: %+v", script)
 		}
 
-		for v, n := range cwfee.Tally(played).Told {
+		for v, n := range cwfee.Tally(played).Verdicts {
 			total[v] += n
 		}
 	})
--- a/internal/lab/cwfee/compare.go
+++ b/internal/lab/cwfee/compare.go
@@ -51,7 +51,7 @@
 // Count sums up what became of a number of fees.
 type Count struct {
 	// Verdicts counts the verdicts that callers were left with.
-	Told map[carobward.Verdict]int
+	Verdicts map[carobward.Verdict]int
 	// Runs counts all runs, Twice the fees that ran more than once, and Wrong
 	// the verdicts that contradict the number of runs.
 	Runs, Twice, Wrong int
@@ -83,7 +83,7 @@
 	}
 
 	rng := rand.New(rand.NewPCG(seed, seed))
-	c := Count{Told: map[carobward.Verdict]int{}}
+	c := Count{Verdicts: map[carobward.Verdict]int{}}
 
 	for n := range fees {
 		body := fmt.Sprintf("fee %d", n)
@@ -95,7 +95,7 @@
 
 // add counts one fee, which ended with a verdict after a number of runs.
 func (c *Count) add(v carobward.Verdict, runs int) {
-	c.Told[v]++
+	c.Verdicts[v]++
 	c.Runs += runs
 
 	if runs > 1 {
@@ -109,12 +109,12 @@
 
 // Add adds another count to this one.
 func (c *Count) Add(o *Count) {
-	if c.Told == nil {
-		c.Told = map[carobward.Verdict]int{}
+	if c.Verdicts == nil {
+		c.Verdicts = map[carobward.Verdict]int{}
 	}
 
-	for v, n := range o.Told {
-		c.Told[v] += n
+	for v, n := range o.Verdicts {
+		c.Verdicts[v] += n
 	}
 
 	c.Runs += o.Runs
--- a/internal/lab/cwfee/compare_test.go
+++ b/internal/lab/cwfee/compare_test.go
@@ -18,7 +18,7 @@
 		}
 
 		ours, err := Compare(seed, fees, Ticketed)
-		if err != nil || ours.Twice > 0 || ours.Wrong > 0 || ours.Told[carobward.Ran] == 0 {
+		if err != nil || ours.Twice > 0 || ours.Wrong > 0 || ours.Verdicts[carobward.Ran] == 0 {
 			t.Errorf("seed %d: tickets: %v, %+v", seed, err, ours)
 		}
 	}
--- a/internal/lab/cwfee/history.go
+++ b/internal/lab/cwfee/history.go
@@ -48,7 +48,7 @@
 // fees that ran twice, replies of another run than the last, and tickets that
 // ran although the caller was told not-run.
 func Tally(all []Operation) Count {
-	c := Count{Told: map[carobward.Verdict]int{}}
+	c := Count{Verdicts: map[carobward.Verdict]int{}}
 	runs, by := map[string]int{}, map[string]Operation{}
 
 	for _, o := range all {
@@ -70,7 +70,7 @@
 			continue
 		}
 
-		c.Told[o.Verdict]++
+		c.Verdicts[o.Verdict]++
 
 		if run := by[o.Fee]; (o.Verdict == carobward.Ran && run.Serial != o.Serial) ||
 			(o.Verdict == carobward.NotRun && run.Ticket == o.Ticket) {
--- a/internal/lab/cwfee/ways.go
+++ b/internal/lab/cwfee/ways.go
@@ -179,7 +179,7 @@
 // depend only on the seed. It returns the number of store writes as well.
 func (s Way) Weigh(seed uint64, fees int) (c Count, writes int) {
 	m := newModel(seed, fees)
-	c.Told = map[carobward.Verdict]int{}
+	c.Verdicts = map[carobward.Verdict]int{}
 
 	for n := range fees {
 		before := m.runs
