--- a/internal/lab/cwfee/play.go
+++ b/internal/lab/cwfee/play.go
@@ -13,21 +13,21 @@
 )
 
 // Disruption is what happens to an entry VM during a simulation.
-type Trouble uint8
+type Disruption uint8
 
 // The disruptions.
 const (
-	Killed   Trouble = iota // The VM is replaced at the same address.
-	Frozen                  // The VM is paused for a while.
-	Left                    // The VM leaves gracefully, with a handover.
-	Troubles                // The number of disruptions.
+	Killed   Disruption = iota // The VM is replaced at the same address.
+	Frozen                     // The VM is paused for a while.
+	Left                       // The VM leaves gracefully, with a handover.
+	Troubles                   // The number of disruptions.
 )
 
 // Script describes what happens in a simulation.
 type Script struct {
 	Seed uint64
 	// Disruptions happen one after the other.
-	Troubles []Trouble
+	Troubles []Disruption
 	// OneIn is the number of messages and requests of which, on average, one
 	// draws a fault, which may be NoFault.
 	OneIn int
@@ -43,7 +43,7 @@
 func Draw(rng *rand.Rand) Script {
 	s := Script{Seed: rng.Uint64(), OneIn: minOneIn + rng.IntN(maxOneIn-minOneIn+1)}
 	for range rng.IntN(maxDisruptions + 1) {
-		s.Troubles = append(s.Troubles, Trouble(rng.IntN(int(Troubles))))
+		s.Troubles = append(s.Troubles, Disruption(rng.IntN(int(Troubles))))
 	}
 
 	return s
