--- a/internal/lab/cwfee/play.go
+++ b/internal/lab/cwfee/play.go
@@ -17,10 +17,10 @@
 
 // The disruptions.
 const (
-	Killed   Disruption = iota // The VM is replaced at the same address.
-	Frozen                     // The VM is paused for a while.
-	Left                       // The VM leaves gracefully, with a handover.
-	Troubles                   // The number of disruptions.
+	Killed          Disruption = iota // The VM is replaced at the same address.
+	Frozen                            // The VM is paused for a while.
+	Left                              // The VM leaves gracefully, with a handover.
+	DisruptionCount                   // The number of disruptions.
 )
 
 // Script describes what happens in a simulation.
@@ -43,7 +43,7 @@
 func Draw(rng *rand.Rand) Script {
 	s := Script{Seed: rng.Uint64(), OneIn: minOneIn + rng.IntN(maxOneIn-minOneIn+1)}
 	for range rng.IntN(maxDisruptions + 1) {
-		s.Troubles = append(s.Troubles, Disruption(rng.IntN(int(Troubles))))
+		s.Troubles = append(s.Troubles, Disruption(rng.IntN(int(DisruptionCount))))
 	}
 
 	return s
