--- a/internal/cwowner/history_test.go
+++ b/internal/cwowner/history_test.go
@@ -69,9 +69,9 @@
 
 	rapid.Check(t, func(t *rapid.T) {
 		script := cwfee.Script{
-			Seed:     rapid.Uint64().Draw(t, "seed"),
-			Troubles: rapid.SliceOfN(rapid.Map(rapid.IntRange(0, int(cwfee.DisruptionCount)-1), func(n int) cwfee.Disruption { return cwfee.Disruption(n) }), 0, 6).Draw(t, "troubles"),
-			OneIn:    rapid.IntRange(2, 12).Draw(t, "one fault in"),
+			Seed:        rapid.Uint64().Draw(t, "seed"),
+			Disruptions: rapid.SliceOfN(rapid.Map(rapid.IntRange(0, int(cwfee.DisruptionCount)-1), func(n int) cwfee.Disruption { return cwfee.Disruption(n) }), 0, 6).Draw(t, "troubles"),
+			OneIn:       rapid.IntRange(2, 12).Draw(t, "one fault in"),
 		}
 
 		played, err := cwfee.Play(script)
--- a/internal/lab/cwfee/play.go
+++ b/internal/lab/cwfee/play.go
@@ -27,7 +27,7 @@
 type Script struct {
 	Seed uint64
 	// Disruptions happen one after the other.
-	Troubles []Disruption
+	Disruptions []Disruption
 	// OneIn is the number of messages and requests of which, on average, one
 	// draws a fault, which may be NoFault.
 	OneIn int
@@ -43,7 +43,7 @@
 func Draw(rng *rand.Rand) Script {
 	s := Script{Seed: rng.Uint64(), OneIn: minOneIn + rng.IntN(maxOneIn-minOneIn+1)}
 	for range rng.IntN(maxDisruptions + 1) {
-		s.Troubles = append(s.Troubles, Disruption(rng.IntN(int(DisruptionCount))))
+		s.Disruptions = append(s.Disruptions, Disruption(rng.IntN(int(DisruptionCount))))
 	}
 
 	return s
@@ -141,7 +141,7 @@
 	rng := rand.New(rand.NewPCG(s.Seed, disruptionStream))
 	pause := func(limit int) time.Duration { return time.Duration(rng.IntN(limit)) * time.Millisecond }
 
-	for _, t := range s.Troubles {
+	for _, t := range s.Disruptions {
 		<-time.After(pause(pauseRange))
 
 		i := rng.IntN(f.Size())
