--- a/internal/lab/cwfee/play.go
+++ b/internal/lab/cwfee/play.go
@@ -18,7 +18,7 @@
 // The disruptions.
 const (
 	Killed          Disruption = iota // The VM is replaced at the same address.
-	Frozen                            // The VM is paused for a while.
+	Paused                            // The VM is paused for a while.
 	Left                              // The VM leaves gracefully, with a handover.
 	DisruptionCount                   // The number of disruptions.
 )
@@ -148,7 +148,7 @@
 		length := pause(lengthRange)
 
 		switch t {
-		case Frozen:
+		case Paused:
 			resume := f.At(i).Freeze()
 			<-time.After(length)
 			resume()
