--- a/internal/cwowner/owner_test.go
+++ b/internal/cwowner/owner_test.go
@@ -101,10 +101,10 @@
 			event: func(_ *testing.T, f fleet) { f.Replace(0) }, want: unavailable,
 		},
 		"owner paused": {
-			event: func(t *testing.T, f fleet) { t.Cleanup(f.At(0).Freeze()) }, want: unavailable,
+			event: func(t *testing.T, f fleet) { t.Cleanup(f.At(0).Pause()) }, want: unavailable,
 		},
 		"owner paused and resumed": {
-			event: func(_ *testing.T, f fleet) { f.At(0).Freeze()() }, want: ran,
+			event: func(_ *testing.T, f fleet) { f.At(0).Pause()() }, want: ran,
 		},
 		"message lost": {
 			event: func(_ *testing.T, f fleet) { f.Message = func() cwfee.Fault { return cwfee.LostCall } }, want: unavailable,
@@ -359,7 +359,7 @@
 	f := newFleet(t, 2, cwfee.FastOptions())
 
 	ticket := f.owner(0).Prefix() + ".1"
-	resume := f.At(0).Freeze()
+	resume := f.At(0).Pause()
 
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/internal/lab/cwfee/play.go
+++ b/internal/lab/cwfee/play.go
@@ -149,7 +149,7 @@
 
 		switch t {
 		case Paused:
-			resume := f.At(i).Freeze()
+			resume := f.At(i).Pause()
 			<-time.After(length)
 			resume()
 		case Left:
--- a/internal/lab/cwfee/vm.go
+++ b/internal/lab/cwfee/vm.go
@@ -44,7 +44,7 @@
 }
 
 // Pause pauses the VM until the returned function is called.
-func (v *VM) Freeze() func() {
+func (v *VM) Pause() func() {
 	c := make(chan struct{})
 	if !v.paused.CompareAndSwap(nil, &c) {
 		return func() {}
