--- a/internal/lab/cwfee/play.go
+++ b/internal/lab/cwfee/play.go
@@ -40,7 +40,7 @@
 )
 
 // RandomScript draws a script.
-func Draw(rng *rand.Rand) Script {
+func RandomScript(rng *rand.Rand) Script {
 	s := Script{Seed: rng.Uint64(), OneIn: minOneIn + rng.IntN(maxOneIn-minOneIn+1)}
 	for range rng.IntN(maxDisruptions + 1) {
 		s.Disruptions = append(s.Disruptions, Disruption(rng.IntN(int(DisruptionCount))))
