--- a/cmd/carobward/bench_once.go
+++ b/cmd/carobward/bench_once.go
@@ -101,7 +101,7 @@
 	rng := rand.New(rand.NewPCG(seed, seed))
 
 	for range c.Histories {
-		played, err := cwfee.Play(cwfee.RandomScript(rng))
+		played, err := cwfee.Simulate(cwfee.RandomScript(rng))
 		if err != nil {
 			return err
 		}
--- a/internal/cwowner/history_test.go
+++ b/internal/cwowner/history_test.go
@@ -74,7 +74,7 @@
 			OneIn:       rapid.IntRange(2, 12).Draw(t, "one fault in"),
 		}
 
-		played, err := cwfee.Play(script)
+		played, err := cwfee.Simulate(script)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/cwfee/play.go
+++ b/internal/lab/cwfee/play.go
@@ -74,7 +74,7 @@
 // Simulate lets clients charge fees concurrently through faults and
 // disruptions. It returns the runs and the clients' requests with their
 // verdicts.
-func Play(s Script) ([]Operation, error) {
+func Simulate(s Script) ([]Operation, error) {
 	f, err := New(simVMs, FastOptions())
 	if err != nil {
 		return nil, err
