--- a/internal/lab/cwfee/ways.go
+++ b/internal/lab/cwfee/ways.go
@@ -158,7 +158,7 @@
 }
 
 // Strategy is a way of running fees.
-type Way struct {
+type Strategy struct {
 	Name string
 	// AtMostOnce reports whether it promises that no fee runs twice.
 	Once bool
@@ -167,8 +167,8 @@
 }
 
 // Strategies returns the strategies that are compared.
-func Ways() []Way {
-	return []Way{
+func Ways() []Strategy {
+	return []Strategy{
 		{"tickets", true, (*model).ticketFee},
 		{"claims in the store", true, (*model).claimFee},
 		{"retry on any error", false, (*model).naiveFee},
@@ -177,7 +177,7 @@
 
 // Run charges fees in virtual time, under VM crashes and a store outage that
 // depend only on the seed. It returns the number of store writes as well.
-func (s Way) Weigh(seed uint64, fees int) (c Count, writes int) {
+func (s Strategy) Weigh(seed uint64, fees int) (c Count, writes int) {
 	m := newModel(seed, fees)
 	c.Verdicts = map[carobward.Verdict]int{}
 
