--- a/cmd/carobward/bench_once.go
+++ b/cmd/carobward/bench_once.go
@@ -79,7 +79,7 @@
 
 // seed runs all experiments with one seed.
 func (c *benchOnceCommand) seed(w *tabwriter.Writer, seed uint64) error {
-	for _, way := range cwfee.Ways() {
+	for _, way := range cwfee.Strategies() {
 		count, writes := way.Weigh(seed, c.Weighed)
 		printCount(w, "ways", seed, way.Name, &count, writes)
 	}
--- a/internal/lab/cwfee/compare_test.go
+++ b/internal/lab/cwfee/compare_test.go
@@ -27,7 +27,7 @@
 // TestStrategies compares the strategies for running work at most once under
 // the same VM crashes and the same outage of the store.
 func TestWays(t *testing.T) {
-	for _, w := range Ways() {
+	for _, w := range Strategies() {
 		if c, _ := w.Weigh(1, 20_000); (c.Twice == 0) != w.Once {
 			t.Errorf("%s: %d fees ran twice", w.Name, c.Twice)
 		}
--- a/internal/lab/cwfee/ways.go
+++ b/internal/lab/cwfee/ways.go
@@ -167,7 +167,7 @@
 }
 
 // Strategies returns the strategies that are compared.
-func Ways() []Strategy {
+func Strategies() []Strategy {
 	return []Strategy{
 		{"tickets", true, (*model).ticketFee},
 		{"claims in the store", true, (*model).claimFee},
