--- a/internal/lab/cwfee/ways.go
+++ b/internal/lab/cwfee/ways.go
@@ -161,7 +161,7 @@
 type Strategy struct {
 	Name string
 	// AtMostOnce reports whether it promises that no fee runs twice.
-	Once bool
+	AtMostOnce bool
 
 	send attempt
 }
