--- a/cmd/carobward/bench_once.go
+++ b/cmd/carobward/bench_once.go
@@ -80,7 +80,7 @@
 // seed runs all experiments with one seed.
 func (c *benchOnceCommand) seed(w *tabwriter.Writer, seed uint64) error {
 	for _, way := range cwfee.Strategies() {
-		count, writes := way.Weigh(seed, c.Weighed)
+		count, writes := way.Run(seed, c.Weighed)
 		printCount(w, "ways", seed, way.Name, &count, writes)
 	}
 
--- a/internal/lab/cwfee/compare_test.go
+++ b/internal/lab/cwfee/compare_test.go
@@ -28,7 +28,7 @@
 // the same VM crashes and the same outage of the store.
 func TestWays(t *testing.T) {
 	for _, w := range Strategies() {
-		if c, _ := w.Weigh(1, 20_000); (c.Twice == 0) != w.AtMostOnce {
+		if c, _ := w.Run(1, 20_000); (c.Twice == 0) != w.AtMostOnce {
 			t.Errorf("%s: %d fees ran twice", w.Name, c.Twice)
 		}
 	}
--- a/internal/lab/cwfee/ways.go
+++ b/internal/lab/cwfee/ways.go
@@ -177,7 +177,7 @@
 
 // Run charges fees in virtual time, under VM crashes and a store outage that
 // depend only on the seed. It returns the number of store writes as well.
-func (s Strategy) Weigh(seed uint64, fees int) (c Count, writes int) {
+func (s Strategy) Run(seed uint64, fees int) (c Count, writes int) {
 	m := newModel(seed, fees)
 	c.Verdicts = map[carobward.Verdict]int{}
 
