--- a/internal/lab/cwfee/compare_test.go
+++ b/internal/lab/cwfee/compare_test.go
@@ -26,7 +26,7 @@
 
 // TestStrategies compares the strategies for running work at most once under
 // the same VM crashes and the same outage of the store.
-func TestWays(t *testing.T) {
+func TestStrategies(t *testing.T) {
 	for _, w := range Strategies() {
 		if c, _ := w.Run(1, 20_000); (c.Twice == 0) != w.AtMostOnce {
 			t.Errorf("%s: %d fees ran twice", w.Name, c.Twice)
