--- a/internal/lab/cwspread/cost.go
+++ b/internal/lab/cwspread/cost.go
@@ -23,7 +23,7 @@
 	// ApplyTime is the time that an entry VM takes to apply the change, as wall
 	// clock time of a single goroutine. Allocated is the heap that it
 	// allocates, in bytes.
-	Taking    time.Duration
+	ApplyTime time.Duration
 	Allocated uint64
 	// WriteTime is the time that the writer takes.
 	Making time.Duration
@@ -77,7 +77,7 @@
 		}
 	}
 
-	c.Taking = time.Since(began) / time.Duration(changes)
+	c.ApplyTime = time.Since(began) / time.Duration(changes)
 
 	runtime.ReadMemStats(&after)
 
@@ -143,7 +143,7 @@
 		}
 
 		_, _ = fmt.Fprintf(w, "%d\t%.3f\t%d\t%.3f\t%d\t%d\t%d\t\n",
-			n, c.Taking.Seconds()*millis, c.Allocated, c.Making.Seconds()*millis, c.Whole, c.Change, c.Head)
+			n, c.ApplyTime.Seconds()*millis, c.Allocated, c.Making.Seconds()*millis, c.Whole, c.Change, c.Head)
 	}
 
 	return errors.Annotate(w.Flush(), "spread")
