--- a/internal/lab/cwspread/cost.go
+++ b/internal/lab/cwspread/cost.go
@@ -26,7 +26,7 @@
 	ApplyTime time.Duration
 	Allocated uint64
 	// WriteTime is the time that the writer takes.
-	Making time.Duration
+	WriteTime time.Duration
 	// ConfigBytes is the size of the configuration as JSON, ChangeBytes that of
 	// the change, and HeadBytes what a watcher of the store reads for it.
 	Whole, Change, Head int
@@ -118,7 +118,7 @@
 		read += len(entry.Value)
 	}
 
-	c.Making, c.Head = took/time.Duration(changes), read/changes
+	c.WriteTime, c.Head = took/time.Duration(changes), read/changes
 
 	return nil
 }
@@ -143,7 +143,7 @@
 		}
 
 		_, _ = fmt.Fprintf(w, "%d\t%.3f\t%d\t%.3f\t%d\t%d\t%d\t\n",
-			n, c.ApplyTime.Seconds()*millis, c.Allocated, c.Making.Seconds()*millis, c.Whole, c.Change, c.Head)
+			n, c.ApplyTime.Seconds()*millis, c.Allocated, c.WriteTime.Seconds()*millis, c.Whole, c.Change, c.Head)
 	}
 
 	return errors.Annotate(w.Flush(), "spread")
