--- a/internal/lab/cwspread/cost.go
+++ b/internal/lab/cwspread/cost.go
@@ -29,7 +29,7 @@
 	WriteTime time.Duration
 	// ConfigBytes is the size of the configuration as JSON, ChangeBytes that of
 	// the change, and HeadBytes what a watcher of the store reads for it.
-	ConfigBytes, Change, Head int
+	ConfigBytes, ChangeBytes, Head int
 }
 
 // largeChange returns a change that puts one target for each service.
@@ -82,7 +82,7 @@
 	runtime.ReadMemStats(&after)
 
 	c.Allocated = (after.TotalAlloc - before.TotalAlloc) / uint64(changes)
-	c.ConfigBytes, c.Change = size(config), size(change)
+	c.ConfigBytes, c.ChangeBytes = size(config), size(change)
 
 	return nil
 }
@@ -143,7 +143,7 @@
 		}
 
 		_, _ = fmt.Fprintf(w, "%d\t%.3f\t%d\t%.3f\t%d\t%d\t%d\t\n",
-			n, c.ApplyTime.Seconds()*millis, c.Allocated, c.WriteTime.Seconds()*millis, c.ConfigBytes, c.Change, c.Head)
+			n, c.ApplyTime.Seconds()*millis, c.Allocated, c.WriteTime.Seconds()*millis, c.ConfigBytes, c.ChangeBytes, c.Head)
 	}
 
 	return errors.Annotate(w.Flush(), "spread")
