--- a/internal/lab/cwspread/cost.go
+++ b/internal/lab/cwspread/cost.go
@@ -29,7 +29,7 @@
 	WriteTime time.Duration
 	// ConfigBytes is the size of the configuration as JSON, ChangeBytes that of
 	// the change, and HeadBytes what a watcher of the store reads for it.
-	ConfigBytes, ChangeBytes, Head int
+	ConfigBytes, ChangeBytes, HeadBytes int
 }
 
 // largeChange returns a change that puts one target for each service.
@@ -118,7 +118,7 @@
 		read += len(entry.Value)
 	}
 
-	c.WriteTime, c.Head = took/time.Duration(changes), read/changes
+	c.WriteTime, c.HeadBytes = took/time.Duration(changes), read/changes
 
 	return nil
 }
@@ -143,7 +143,7 @@
 		}
 
 		_, _ = fmt.Fprintf(w, "%d\t%.3f\t%d\t%.3f\t%d\t%d\t%d\t\n",
-			n, c.ApplyTime.Seconds()*millis, c.Allocated, c.WriteTime.Seconds()*millis, c.ConfigBytes, c.ChangeBytes, c.Head)
+			n, c.ApplyTime.Seconds()*millis, c.Allocated, c.WriteTime.Seconds()*millis, c.ConfigBytes, c.ChangeBytes, c.HeadBytes)
 	}
 
 	return errors.Annotate(w.Flush(), "spread")
