--- a/internal/cwconfig/model_test.go
+++ b/internal/cwconfig/model_test.go
@@ -53,7 +53,9 @@
 	return s
 }
 
-func (s *simulation) drawVM(t *rapid.T) int { return rapid.IntRange(0, len(s.Order)-1).Draw(t, "vm") }
+func (s *simulation) drawVM(t *rapid.T) int {
+	return rapid.IntRange(0, len(s.Addresses)-1).Draw(t, "vm")
+}
 
 func (s *simulation) change(t *rapid.T) {
 	i := s.drawVM(t)
@@ -95,7 +97,7 @@
 func (s *simulation) check(t *rapid.T) {
 	chains := map[carobward.Revision]cwconfig.Chain{}
 
-	for i := range s.Order {
+	for i := range s.Addresses {
 		c := s.At(i).Holder.Config()
 		if c.Revision < s.highest[i] {
 			t.Fatalf("the revision of vm-%d decreased from %d to %d", i, s.highest[i], c.Revision)
@@ -126,7 +128,7 @@
 	for range 2 {
 		s.Gossip()
 
-		for i := range s.Order {
+		for i := range s.Addresses {
 			s.At(i).Syncer.Poll(context.Background())
 		}
 	}
@@ -141,7 +143,7 @@
 		highest = max(highest, r)
 	}
 
-	for i := range s.Order {
+	for i := range s.Addresses {
 		v := s.At(i)
 		if r := v.Holder.Revision(); r < highest || r != s.At(0).Holder.Revision() {
 			t.Fatalf("vm-%d has revision %d, the highest accepted is %d", i, r, highest)
@@ -176,7 +178,9 @@
 				s.At(s.drawVM(t)).Syncer.Poll(context.Background())
 				s.Store.Fault = nil
 			},
-			"exchange": func(t *rapid.T) { s.At(s.drawVM(t)).Syncer.ExchangeWith(context.Background(), s.Order[s.drawVM(t)]) },
+			"exchange": func(t *rapid.T) {
+				s.At(s.drawVM(t)).Syncer.ExchangeWith(context.Background(), s.Addresses[s.drawVM(t)])
+			},
 			"older": func(*rapid.T) {
 				if s.restores {
 					s.Store.Restore(s.saved)
@@ -186,13 +190,13 @@
 			"restore": s.restore,
 			"time":    func(*rapid.T) { s.fleetClock.Advance(10 * time.Second) },
 			"newcomer": func(*rapid.T) {
-				if len(s.Order) < 8 {
+				if len(s.Addresses) < 8 {
 					s.Add(s.Store).Syncer.Join(context.Background(), true)
 				}
 			},
 			"cut": func(t *rapid.T) {
 				if !s.restores {
-					l := cwspread.Link{From: s.Order[s.drawVM(t)], To: s.Order[s.drawVM(t)]}
+					l := cwspread.Link{From: s.Addresses[s.drawVM(t)], To: s.Addresses[s.drawVM(t)]}
 					s.Cut[l] = !s.Cut[l]
 				}
 			},
@@ -212,7 +216,7 @@
 	away.Fault = cwstore.Script("d", "d")
 	lost.Store.Store = away
 
-	for _, a := range f.Order {
+	for _, a := range f.Addresses {
 		f.Cut[cwspread.Link{From: lost.Self().Peers, To: a}] = true
 		f.Cut[cwspread.Link{From: a, To: lost.Self().Peers}] = true
 	}
@@ -238,7 +242,7 @@
 	}
 
 	clear(f.Cut)
-	lost.Syncer.ExchangeWith(context.Background(), f.Order[0])
+	lost.Syncer.ExchangeWith(context.Background(), f.Addresses[0])
 
 	if c := lost.Syncer.Condition(); c.Revision != 1 || clock.Now().Sub(c.Fresh) > time.Second {
 		t.Errorf("after the cut: %+v", c)
--- a/internal/cwconfig/syncer_test.go
+++ b/internal/cwconfig/syncer_test.go
@@ -54,7 +54,7 @@
 	f := cwspread.New(7, carobward.SystemClock{})
 	running := f.Freeze()
 
-	for i := range f.Order {
+	for i := range f.Addresses {
 		if !slices.Contains(running, i) {
 			f.At(i).Holder.Adopt(&cwconfig.Config{Revision: 1, Chain: "stale"})
 		}
--- a/internal/lab/cwspread/fleet.go
+++ b/internal/lab/cwspread/fleet.go
@@ -34,7 +34,7 @@
 	Store *cwstore.Store
 	// Addresses has the addresses of the entry VMs in the order in which they
 	// were added.
-	Order []carobward.Address
+	Addresses []carobward.Address
 	// Blocked has the directions in which no call gets through. Set it only
 	// while no syncer runs.
 	Cut map[Link]bool
@@ -61,7 +61,7 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 
-	i := len(f.Order)
+	i := len(f.Addresses)
 	v := &VM{fleet: f, Store: &cwstore.Switch{Store: store}, Holder: cwconfig.NewHolder(), self: carobward.Peer{
 		ID: carobward.VMID(fmt.Sprintf("vm-%d", i)), Domain: carobward.Domain(fmt.Sprint(i % domains)),
 		Peers: carobward.Address(fmt.Sprintf("10.0.%d.%d:1", i/subnet, i%subnet)),
@@ -69,7 +69,7 @@
 	v.Writer = cwconfig.NewWriter(v.Store, v.Holder)
 	v.Syncer = cwconfig.NewSyncer(v.Store, v.Holder, v, v, &expvar.Map{}, f.clock, logr.Discard())
 	f.vms[v.self.Peers] = v
-	f.Order = append(f.Order, v.self.Peers)
+	f.Addresses = append(f.Addresses, v.self.Peers)
 
 	return v
 }
@@ -79,12 +79,12 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 
-	return f.vms[f.Order[i]]
+	return f.vms[f.Addresses[i]]
 }
 
 // Join lets each entry VM join the fleet and reports whether all succeeded.
 func (f *Fleet) Join() bool {
-	for i := range f.Order {
+	for i := range f.Addresses {
 		if !f.At(i).Syncer.Join(context.Background(), true) {
 			return false
 		}
@@ -95,8 +95,8 @@
 
 // Gossip lets each entry VM query every other.
 func (f *Fleet) Gossip() {
-	for i := range f.Order {
-		for _, to := range f.Order {
+	for i := range f.Addresses {
+		for _, to := range f.Addresses {
 			if v := f.At(i); v.self.Peers != to {
 				v.Syncer.ExchangeWith(context.Background(), to)
 			}
@@ -109,7 +109,7 @@
 func (f *Fleet) Freeze() []int {
 	var running []int
 
-	for i := range f.Order {
+	for i := range f.Addresses {
 		v := f.At(i)
 		if !cwconfig.IsWatcher(v.self, v.All()) {
 			running = append(running, i)
@@ -128,14 +128,14 @@
 func (f *Fleet) Start() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 
-	for i := range f.Order {
+	for i := range f.Addresses {
 		go f.At(i).Syncer.Run(ctx)
 	}
 
 	return func() {
 		cancel()
 
-		for i := range f.Order {
+		for i := range f.Addresses {
 			<-f.At(i).Syncer.Done()
 		}
 	}
--- a/internal/lab/cwspread/system.go
+++ b/internal/lab/cwspread/system.go
@@ -41,7 +41,7 @@
 
 func (p *product) platform() *cwstore.Store { return p.Store }
 
-func (p *product) size() int { return len(p.Order) }
+func (p *product) size() int { return len(p.Addresses) }
 
 func (p *product) view(vm int) { p.base[vm] = p.At(vm).Holder.Revision() }
 
@@ -53,7 +53,7 @@
 }
 
 func (p *product) settle() {
-	for i := range p.Order {
+	for i := range p.Addresses {
 		p.At(i).Syncer.Poll(context.Background())
 	}
 
--- a/internal/lab/cwspread/vm.go
+++ b/internal/lab/cwspread/vm.go
@@ -46,7 +46,7 @@
 
 	var all []carobward.Peer
 
-	for _, a := range f.Order {
+	for _, a := range f.Addresses {
 		o := f.vms[a]
 		if o == v || !f.Cut[Link{v.self.Peers, a}] {
 			p := o.self
