--- a/internal/cwconfig/model_test.go
+++ b/internal/cwconfig/model_test.go
@@ -123,7 +123,7 @@
 // raises an alarm. It then checks that all entry VMs have the same revision and
 // every accepted change.
 func (s *simulation) heal(t *rapid.T) {
-	clear(s.Cut)
+	clear(s.Blocked)
 
 	for range 2 {
 		s.Gossip()
@@ -197,7 +197,7 @@
 			"cut": func(t *rapid.T) {
 				if !s.restores {
 					l := cwspread.Link{From: s.Addresses[s.drawVM(t)], To: s.Addresses[s.drawVM(t)]}
-					s.Cut[l] = !s.Cut[l]
+					s.Blocked[l] = !s.Blocked[l]
 				}
 			},
 		})
@@ -217,8 +217,8 @@
 	lost.Store.Store = away
 
 	for _, a := range f.Addresses {
-		f.Cut[cwspread.Link{From: lost.Self().Peers, To: a}] = true
-		f.Cut[cwspread.Link{From: a, To: lost.Self().Peers}] = true
+		f.Blocked[cwspread.Link{From: lost.Self().Peers, To: a}] = true
+		f.Blocked[cwspread.Link{From: a, To: lost.Self().Peers}] = true
 	}
 
 	if _, err := f.At(0).Apply(cwspread.Put("a", "ana", 0, "fee"), false); err != nil {
@@ -241,7 +241,7 @@
 		t.Errorf("ages %v, the isolated VM has revision %d", ages, lost.Holder.Revision())
 	}
 
-	clear(f.Cut)
+	clear(f.Blocked)
 	lost.Syncer.ExchangeWith(context.Background(), f.Addresses[0])
 
 	if c := lost.Syncer.Condition(); c.Revision != 1 || clock.Now().Sub(c.Fresh) > time.Second {
--- a/internal/lab/cwspread/fleet.go
+++ b/internal/lab/cwspread/fleet.go
@@ -37,7 +37,7 @@
 	Addresses []carobward.Address
 	// Blocked has the directions in which no call gets through. Set it only
 	// while no syncer runs.
-	Cut map[Link]bool
+	Blocked map[Link]bool
 
 	clock carobward.Clock
 	mutex sync.Mutex
@@ -48,7 +48,7 @@
 
 // New returns a fleet of a number of entry VMs that use a clock.
 func New(vms int, clock carobward.Clock) *Fleet {
-	f := &Fleet{Store: cwstore.New(), Cut: map[Link]bool{}, clock: clock, vms: map[carobward.Address]*VM{}}
+	f := &Fleet{Store: cwstore.New(), Blocked: map[Link]bool{}, clock: clock, vms: map[carobward.Address]*VM{}}
 	for range vms {
 		f.Add(f.Store)
 	}
--- a/internal/lab/cwspread/vm.go
+++ b/internal/lab/cwspread/vm.go
@@ -48,7 +48,7 @@
 
 	for _, a := range f.Addresses {
 		o := f.vms[a]
-		if o == v || !f.Cut[Link{v.self.Peers, a}] {
+		if o == v || !f.Blocked[Link{v.self.Peers, a}] {
 			p := o.self
 			p.Revision = o.Holder.Revision()
 			all = append(all, p)
@@ -106,7 +106,7 @@
 
 	o := f.vms[to]
 
-	return o, o == nil || f.Cut[Link{v.self.Peers, to}] || f.Cut[Link{to, v.self.Peers}]
+	return o, o == nil || f.Blocked[Link{v.self.Peers, to}] || f.Blocked[Link{to, v.self.Peers}]
 }
 
 // count adds to the size of all exchanges.
