--- a/internal/cwconfig/syncer_test.go
+++ b/internal/cwconfig/syncer_test.go
@@ -52,7 +52,7 @@
 // polls while all watchers are frozen.
 func TestFrozenWatchers(t *testing.T) {
 	f := cwspread.New(7, carobward.SystemClock{})
-	running := f.Freeze()
+	running := f.PauseWatchers()
 
 	for i := range f.Addresses {
 		if !slices.Contains(running, i) {
--- a/internal/lab/cwspread/fleet.go
+++ b/internal/lab/cwspread/fleet.go
@@ -106,7 +106,7 @@
 
 // PauseWatchers makes all calls to the store hang on entry VMs that watch it,
 // and all calls of peers to these VMs. It returns the indexes of the other VMs.
-func (f *Fleet) Freeze() []int {
+func (f *Fleet) PauseWatchers() []int {
 	var running []int
 
 	for i := range f.Addresses {
--- a/internal/lab/cwspread/measure.go
+++ b/internal/lab/cwspread/measure.go
@@ -57,7 +57,7 @@
 	}
 
 	if c == FrozenWatchers {
-		numbers = f.Freeze()
+		numbers = f.PauseWatchers()
 	}
 
 	for _, i := range numbers {
