--- a/internal/cwconfig/syncer_test.go
+++ b/internal/cwconfig/syncer_test.go
@@ -113,7 +113,7 @@
 			}
 
 			for j := range test.silent {
-				f.At(test.peers - 1 - j).Deaf = true
+				f.At(test.peers - 1 - j).Unresponsive = true
 			}
 
 			if test.storeDown {
@@ -258,13 +258,13 @@
 		t.Fatal(err)
 	}
 
-	f.At(0).Deaf = true
+	f.At(0).Unresponsive = true
 
 	if _, err := v.Apply(cwspread.Put("b", "bo", 0, "gate"), false); !errors.Is(err, cwconfig.ErrBehind) {
 		t.Errorf("behind: got %v", err)
 	}
 
-	f.At(0).Deaf = false
+	f.At(0).Unresponsive = false
 
 	if got, err := v.Apply(cwspread.Put("b", "bo", 0, "gate"), false); err != nil || got != 2 {
 		t.Errorf("caught up: revision %d, %v", got, err)
--- a/internal/lab/cwspread/vm.go
+++ b/internal/lab/cwspread/vm.go
@@ -27,7 +27,7 @@
 	// Syncer keeps the configuration up to date.
 	Syncer *cwconfig.Syncer
 	// Unresponsive reports whether calls of peers to this VM hang.
-	Deaf bool
+	Unresponsive bool
 
 	fleet *Fleet
 	self  carobward.Peer
@@ -62,7 +62,7 @@
 // net/rpc, and their bytes are counted.
 func (v *VM) Call(ctx context.Context, to carobward.Address, _ string, in, out proto.Message) error {
 	o, blocked := v.reach(to)
-	if o != nil && o.Deaf {
+	if o != nil && o.Unresponsive {
 		<-ctx.Done()
 
 		return ctx.Err()
