--- a/cmd/carobward/bench_config.go
+++ b/cmd/carobward/bench_config.go
@@ -149,7 +149,7 @@
 func (c *benchConfigCommand) measure(k cwspread.Case, vms int) (cwspread.Result, error) {
 	switch {
 	case c.Loopback:
-		return cwspread.Loopback(k, vms, c.Changes)
+		return cwspread.MeasureLoopback(k, vms, c.Changes)
 	case k == cwspread.Idle:
 		return cwspread.Rest(context.Background(), vms, c.Idle)
 	default:
--- a/internal/lab/cwspread/loopback.go
+++ b/internal/lab/cwspread/loopback.go
@@ -33,7 +33,7 @@
 // MeasureLoopback makes changes one after the other on complete entry VMs in
 // this process, with net/rpc between them and the stand-in platform over HTTP.
 // The case is ViaEntryVM, StoreOnly or Outage. Bytes and calls are not counted.
-func Loopback(c Case, vms, changes int) (Result, error) {
+func MeasureLoopback(c Case, vms, changes int) (Result, error) {
 	result := Result{Case: "loopback " + string(c), VMs: vms}
 
 	f, err := cwfleet.New(cwfleet.Options{
