--- a/cmd/carobward/bench_config.go
+++ b/cmd/carobward/bench_config.go
@@ -153,6 +153,6 @@
 	case k == cwspread.Idle:
 		return cwspread.Rest(context.Background(), vms, c.Idle)
 	default:
-		return cwspread.Spread(k, vms, c.Changes)
+		return cwspread.MeasurePropagation(k, vms, c.Changes)
 	}
 }
--- a/internal/lab/cwspread/measure.go
+++ b/internal/lab/cwspread/measure.go
@@ -99,7 +99,7 @@
 
 // MeasurePropagation makes a number of changes, each as soon as the previous
 // one is effective. The case is ViaEntryVM, StoreOnly or PausedWatchers.
-func Spread(c Case, vms, changes int) (Result, error) {
+func MeasurePropagation(c Case, vms, changes int) (Result, error) {
 	result := Result{Case: string(c), VMs: vms, Counted: true}
 
 	f, running, stop, err := c.fleet(vms)
