--- a/cmd/carobward/bench_config.go
+++ b/cmd/carobward/bench_config.go
@@ -151,7 +151,7 @@
 	case c.Loopback:
 		return cwspread.MeasureLoopback(k, vms, c.Changes)
 	case k == cwspread.Idle:
-		return cwspread.Rest(context.Background(), vms, c.Idle)
+		return cwspread.MeasureIdle(context.Background(), vms, c.Idle)
 	default:
 		return cwspread.MeasurePropagation(k, vms, c.Changes)
 	}
--- a/internal/lab/cwspread/measure.go
+++ b/internal/lab/cwspread/measure.go
@@ -153,7 +153,7 @@
 }
 
 // MeasureIdle lets a fleet run for a while without any change.
-func Rest(ctx context.Context, vms int, span time.Duration) (Result, error) {
+func MeasureIdle(ctx context.Context, vms int, span time.Duration) (Result, error) {
 	result := Result{Case: string(Idle), VMs: vms, Counted: true}
 
 	f, _, stop, err := Idle.fleet(vms)
