--- a/internal/lab/cwspread/measure.go
+++ b/internal/lab/cwspread/measure.go
@@ -18,7 +18,7 @@
 // The cases.
 const (
 	// ViaEntryVM: the change is made through an entry VM.
-	Well Case = "well"
+	ViaEntryVM Case = "well"
 	// StoreOnly: the change is written to the store by a writer that notifies
 	// no entry VM.
 	Quiet Case = "quiet"
@@ -116,7 +116,7 @@
 	defer stop()
 
 	writer := running[0].Writer
-	if c != Well {
+	if c != ViaEntryVM {
 		writer = cwconfig.NewWriter(f.Store, cwconfig.NewHolder())
 	}
 
