--- a/internal/lab/cwspread/loopback.go
+++ b/internal/lab/cwspread/loopback.go
@@ -50,7 +50,7 @@
 	}
 
 	apply := f.Nodes[0].Apply
-	if c == Quiet {
+	if c == StoreOnly {
 		store := cwkv.New(f.Platform.URL(), storePrefix, storeTimeout, new(expvar.Map).Init())
 		apply = cwconfig.NewWriter(store, cwconfig.NewHolder()).Apply
 	}
--- a/internal/lab/cwspread/measure.go
+++ b/internal/lab/cwspread/measure.go
@@ -21,7 +21,7 @@
 	ViaEntryVM Case = "well"
 	// StoreOnly: the change is written to the store by a writer that notifies
 	// no entry VM.
-	Quiet Case = "quiet"
+	StoreOnly Case = "quiet"
 	// PausedWatchers is StoreOnly while all watchers of the store are paused
 	// without being detected by the others.
 	FrozenWatchers Case = "frozen"
