--- a/cmd/carobward/bench_config.go
+++ b/cmd/carobward/bench_config.go
@@ -87,7 +87,7 @@
 
 // prepare sets the defaults of the flags and validates them.
 func (c *benchConfigCommand) prepare() error {
-	sizes, cases := []int{3, 19, 50, 100, 200}, []cwspread.Case{cwspread.ViaEntryVM, cwspread.StoreOnly, cwspread.FrozenWatchers, cwspread.Idle}
+	sizes, cases := []int{3, 19, 50, 100, 200}, []cwspread.Case{cwspread.ViaEntryVM, cwspread.StoreOnly, cwspread.PausedWatchers, cwspread.Idle}
 	if c.Loopback {
 		sizes, cases = []int{19}, []cwspread.Case{cwspread.ViaEntryVM, cwspread.StoreOnly, cwspread.Outage}
 	}
--- a/internal/lab/cwspread/measure.go
+++ b/internal/lab/cwspread/measure.go
@@ -24,7 +24,7 @@
 	StoreOnly Case = "quiet"
 	// PausedWatchers is StoreOnly while all watchers of the store are paused
 	// without being detected by the others.
-	FrozenWatchers Case = "frozen"
+	PausedWatchers Case = "frozen"
 	// Outage: the store goes down once it has accepted the change. This case
 	// runs over loopback only.
 	Outage Case = "outage"
@@ -56,7 +56,7 @@
 		numbers[i] = i
 	}
 
-	if c == FrozenWatchers {
+	if c == PausedWatchers {
 		numbers = f.PauseWatchers()
 	}
 
