--- a/internal/lab/cwspread/operators.go
+++ b/internal/lab/cwspread/operators.go
@@ -18,22 +18,22 @@
 )
 
 // Outcome is what an operator was told about a change.
-type Kind string
+type Outcome string
 
 // The outcomes.
 const (
 	// Accepted: the change is effective or will be.
-	Accepted Kind = "accepted"
+	Accepted Outcome = "accepted"
 	// Unknown: the change may have been accepted.
-	Unknown Kind = "unknown"
+	Unknown Outcome = "unknown"
 	// Conflicting: another change of the same target came first; nothing was
 	// changed.
-	Conflicting Kind = "conflict"
+	Conflicting Outcome = "conflict"
 	// Down: the store did not answer, or concurrent writers won each time;
 	// nothing was changed.
-	Down Kind = "down"
+	Down Outcome = "down"
 	// Failed is any other error; the change was refused.
-	Failed Kind = "failed"
+	Failed Outcome = "failed"
 )
 
 // Attempt is a change that one of several operators tried to make.
@@ -46,7 +46,7 @@
 	// Base is the revision that the operator saw.
 	Base carobward.Revision
 	// Outcome is what the operator was told.
-	Kind Kind
+	Kind Outcome
 	// Revision is the revision as which the change was accepted.
 	Revision carobward.Revision
 	// Other is the change that a conflict named.
@@ -167,7 +167,7 @@
 // WriteOperators runs RunOperators with consecutive seeds and prints how many
 // of the attempts had which outcome.
 func WriteOperators(to io.Writer, seed uint64, seeds int) error {
-	outcomes := []Kind{Accepted, Unknown, Conflicting, Down, Failed}
+	outcomes := []Outcome{Accepted, Unknown, Conflicting, Down, Failed}
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprint(w, "seed\tattempts\t")
 
@@ -178,7 +178,7 @@
 	for i := range uint64(max(seeds, 1)) {
 		all, _ := Operators(seed + i)
 
-		count := map[Kind]int{}
+		count := map[Outcome]int{}
 		for _, a := range all {
 			count[a.Kind]++
 		}
