--- a/internal/cwconfig/history_test.go
+++ b/internal/cwconfig/history_test.go
@@ -49,7 +49,7 @@
 	since := list[min(int(a.Base), len(list)):]
 	touched := slices.ContainsFunc(since, func(l string) bool { return strings.HasSuffix(l, "/"+string(a.Target)) })
 
-	switch a.Kind {
+	switch a.Outcome {
 	case cwspread.Accepted:
 		if len(list)+1 != int(a.Revision) || touched {
 			return nil
--- a/internal/lab/cwspread/operators.go
+++ b/internal/lab/cwspread/operators.go
@@ -46,7 +46,7 @@
 	// Base is the revision that the operator saw.
 	Base carobward.Revision
 	// Outcome is what the operator was told.
-	Kind Outcome
+	Outcome Outcome
 	// Revision is the revision as which the change was accepted.
 	Revision carobward.Revision
 	// Other is the change that a conflict named.
@@ -152,15 +152,15 @@
 
 	switch {
 	case err == nil:
-		a.Kind, a.Revision = Accepted, revision
+		a.Outcome, a.Revision = Accepted, revision
 	case errors.Is(err, carobward.ErrStoreUnknown):
-		a.Kind = Unknown
+		a.Outcome = Unknown
 	case errors.As(err, &conflict):
-		a.Kind, a.Other = Conflicting, conflict.Other.ID
+		a.Outcome, a.Other = Conflicting, conflict.Other.ID
 	case errors.Is(err, carobward.ErrStoreDown), errors.Is(err, carobward.ErrConflict):
-		a.Kind = Down
+		a.Outcome = Down
 	default:
-		a.Kind = Failed
+		a.Outcome = Failed
 	}
 }
 
@@ -180,7 +180,7 @@
 
 		count := map[Outcome]int{}
 		for _, a := range all {
-			count[a.Kind]++
+			count[a.Outcome]++
 		}
 
 		_, _ = fmt.Fprintf(w, "\n%d\t%d\t", seed+i, len(all))
