--- a/internal/cwconfig/history_test.go
+++ b/internal/cwconfig/history_test.go
@@ -77,7 +77,7 @@
 func TestLinearizable(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			attempts, store := cwspread.Operators(seed)
+			attempts, store := cwspread.RunOperators(seed)
 			last := porcupine.Operation{ClientId: 9, Input: chainOf(t, store), Call: math.MaxInt64 - 1, Return: math.MaxInt64}
 			history := []porcupine.Operation{last}
 
--- a/internal/lab/cwspread/operators.go
+++ b/internal/lab/cwspread/operators.go
@@ -79,7 +79,7 @@
 // the store. It returns the attempts and the store, whose faults have ended.
 // The seed determines the faults, but not the order in which the operators meet
 // them.
-func Operators(seed uint64) ([]Attempt, *cwstore.Store) {
+func RunOperators(seed uint64) ([]Attempt, *cwstore.Store) {
 	f := New(operatorCount, carobward.SystemClock{})
 	f.Store.Fault = faulty(rand.New(rand.NewPCG(seed, 1)))
 
@@ -176,7 +176,7 @@
 	}
 
 	for i := range uint64(max(seeds, 1)) {
-		all, _ := Operators(seed + i)
+		all, _ := RunOperators(seed + i)
 
 		count := map[Outcome]int{}
 		for _, a := range all {
