--- a/internal/lab/cwnetwork/experiment.go
+++ b/internal/lab/cwnetwork/experiment.go
@@ -102,15 +102,15 @@
 // region is cut off for a minute, after the partition has healed, and after a
 // failure domain is lost; and the time after the partition until all VMs see
 // each other again.
-type Parts struct {
+type Peaks struct {
 	VMs               int
 	Cut, Healed, Lost float64
 	Whole             time.Duration
 }
 
 // MeasurePeaks measures the worst seconds of rare events.
-func MeasureParts(size int, seed uint64) (Parts, error) {
-	p := Parts{VMs: size}
+func MeasureParts(size int, seed uint64) (Peaks, error) {
+	p := Peaks{VMs: size}
 
 	n, err := Settled(size, seed, settleTimeout)
 	if err != nil {
