--- a/internal/lab/cwnetwork/experiment.go
+++ b/internal/lab/cwnetwork/experiment.go
@@ -109,7 +109,7 @@
 }
 
 // MeasurePeaks measures the worst seconds of rare events.
-func MeasureParts(size int, seed uint64) (Peaks, error) {
+func MeasurePeaks(size int, seed uint64) (Peaks, error) {
 	p := Peaks{VMs: size}
 
 	n, err := Settled(size, seed, settleTimeout)
@@ -144,7 +144,7 @@
 	_, _ = fmt.Fprintf(w, "%5s %10s %10s %10s %9s\n", "VMs", "cut B/s", "healed B/s", "lost B/s", "whole s")
 
 	for _, size := range sizes {
-		p, err := MeasureParts(size, seed)
+		p, err := MeasurePeaks(size, seed)
 		if err != nil {
 			return err
 		}
