--- a/cmd/carobward/bench_members.go
+++ b/cmd/carobward/bench_members.go
@@ -49,7 +49,7 @@
 	case c.Faults:
 		return c.faults()
 	case c.Parts:
-		return cwnetwork.WriteParts(os.Stdout, c.Sizes, c.Seed)
+		return cwnetwork.WritePeaks(os.Stdout, c.Sizes, c.Seed)
 	default:
 		return cwnetwork.WriteCosts(os.Stdout, c.Sizes, c.Restarts, c.Seed)
 	}
--- a/internal/lab/cwnetwork/experiment.go
+++ b/internal/lab/cwnetwork/experiment.go
@@ -140,7 +140,7 @@
 }
 
 // WritePeaks writes a table of the worst seconds.
-func WriteParts(w io.Writer, sizes []int, seed uint64) error {
+func WritePeaks(w io.Writer, sizes []int, seed uint64) error {
 	_, _ = fmt.Fprintf(w, "%5s %10s %10s %10s %9s\n", "VMs", "cut B/s", "healed B/s", "lost B/s", "whole s")
 
 	for _, size := range sizes {
--- a/internal/lab/cwnetwork/experiment_test.go
+++ b/internal/lab/cwnetwork/experiment_test.go
@@ -14,7 +14,7 @@
 		var b strings.Builder
 
 		sizes := []int{12}
-		for _, err := range []error{WriteCosts(&b, sizes, 2000, 3), WriteParts(&b, sizes, 3), WriteFaults(&b, 8, 1)} {
+		for _, err := range []error{WriteCosts(&b, sizes, 2000, 3), WritePeaks(&b, sizes, 3), WriteFaults(&b, 8, 1)} {
 			if err != nil {
 				t.Fatal(err)
 			}
