--- a/internal/lab/cwnetwork/experiment.go
+++ b/internal/lab/cwnetwork/experiment.go
@@ -105,7 +105,7 @@
 type Peaks struct {
 	VMs               int
 	Cut, Healed, Lost float64
-	Whole             time.Duration
+	Recovery          time.Duration
 }
 
 // MeasurePeaks measures the worst seconds of rare events.
@@ -128,7 +128,7 @@
 		return p, err
 	}
 
-	p.Whole = n.Now.Sub(begin)
+	p.Recovery = n.Now.Sub(begin)
 
 	for i, v := range n.VMs {
 		v.Down = i%domains == 3
@@ -149,7 +149,7 @@
 			return err
 		}
 
-		if _, err := fmt.Fprintf(w, "%5d %10.0f %10.0f %10.0f %9.1f\n", p.VMs, p.Cut, p.Healed, p.Lost, p.Whole.Seconds()); err != nil {
+		if _, err := fmt.Fprintf(w, "%5d %10.0f %10.0f %10.0f %9.1f\n", p.VMs, p.Cut, p.Healed, p.Lost, p.Recovery.Seconds()); err != nil {
 			return errors.Annotate(err, "network")
 		}
 	}
