--- a/internal/lab/cwnetwork/measure.go
+++ b/internal/lab/cwnetwork/measure.go
@@ -9,7 +9,7 @@
 )
 
 // ErrTimeout is returned if a condition is not met in time.
-const ErrLate = errors.ConstError("timeout")
+const ErrTimeout = errors.ConstError("timeout")
 
 // Settled returns a network of membership machines that have all discovered
 // each other, or an error if that takes too long.
@@ -31,7 +31,7 @@
 		n.Run(checkSteps*Step, nil)
 	}
 
-	return 0, errors.Annotatef(ErrLate, "network: not within %v: %s", timeout, what)
+	return 0, errors.Annotatef(ErrTimeout, "network: not within %v: %s", timeout, what)
 }
 
 // CountState counts the VMs that see a VM in a state or in one that overrides
