--- a/internal/cwmember/machine_test.go
+++ b/internal/cwmember/machine_test.go
@@ -27,7 +27,7 @@
 func until(t testing.TB, n *cwnetwork.Network, timeout time.Duration, what string, ok func() bool) {
 	t.Helper()
 
-	if _, err := n.Until(timeout, what, ok); err != nil {
+	if _, err := n.RunUntil(timeout, what, ok); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/lab/cwnetwork/measure.go
+++ b/internal/lab/cwnetwork/measure.go
@@ -15,14 +15,14 @@
 // each other, or an error if that takes too long.
 func Settled(size int, seed uint64, timeout time.Duration) (*Network, error) {
 	n := New(size, seed, Machine)
-	_, err := n.Until(timeout, "all VMs have discovered each other", n.Whole)
+	_, err := n.RunUntil(timeout, "all VMs have discovered each other", n.Whole)
 
 	return n, err
 }
 
 // RunUntil runs the network until ok and returns how long that took, or
 // ErrTimeout if it took too long.
-func (n *Network) Until(timeout time.Duration, what string, ok func() bool) (time.Duration, error) {
+func (n *Network) RunUntil(timeout time.Duration, what string, ok func() bool) (time.Duration, error) {
 	for begin := n.Now; n.Now.Sub(begin) < timeout; {
 		if ok() {
 			return n.Now.Sub(begin), nil
