--- a/internal/cwmember/machine_test.go
+++ b/internal/cwmember/machine_test.go
@@ -297,8 +297,8 @@
 	n.Run(30*time.Second, nil) // All updates about the new members have been sent.
 	n.VMs[1].Down = true
 
-	until(t, n, 6*time.Second, "all suspect", func() bool { return n.Doubt(1, carobward.PeerSuspect) == 49 })
-	until(t, n, 13*time.Second, "all see it as dead", func() bool { return n.Doubt(1, carobward.PeerDead) == 49 })
+	until(t, n, 6*time.Second, "all suspect", func() bool { return n.CountState(1, carobward.PeerSuspect) == 49 })
+	until(t, n, 13*time.Second, "all see it as dead", func() bool { return n.CountState(1, carobward.PeerDead) == 49 })
 }
 
 // BenchmarkTick measures one tick in a settled fleet.
--- a/internal/lab/cwnetwork/experiment.go
+++ b/internal/lab/cwnetwork/experiment.go
@@ -69,7 +69,7 @@
 		{"all VMs suspect the crash", carobward.PeerSuspect, size - 1, &c.All},
 		{"all VMs consider the crashed VM dead", carobward.PeerDead, size - 1, &c.Known},
 	} {
-		if _, err := n.RunUntil(detectionTimeout, step.what, func() bool { return n.Doubt(0, step.state) >= step.count }); err != nil {
+		if _, err := n.RunUntil(detectionTimeout, step.what, func() bool { return n.CountState(0, step.state) >= step.count }); err != nil {
 			return c, err
 		}
 
--- a/internal/lab/cwnetwork/measure.go
+++ b/internal/lab/cwnetwork/measure.go
@@ -36,7 +36,7 @@
 
 // CountState counts the VMs that see a VM in a state or in one that overrides
 // it.
-func (n *Network) Doubt(of int, state carobward.PeerState) int {
+func (n *Network) CountState(of int, state carobward.PeerState) int {
 	count := 0
 
 	for i := range n.VMs {
