--- a/internal/cwmember/machine_test.go
+++ b/internal/cwmember/machine_test.go
@@ -68,7 +68,7 @@
 		t.Errorf("after the pause: %+v", c)
 	}
 
-	until(t, n, 30*time.Second, "the resumed VM is live again", n.Whole)
+	until(t, n, 30*time.Second, "the resumed VM is live again", n.Converged)
 }
 
 // TestIsolatedVMSpreadsNoSuspicion has one VM receive nothing: what it sends
@@ -139,11 +139,11 @@
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			n := settled(t, size)
 			n.VMs[1].Down = true
-			until(t, n, time.Minute, "all see the crash", n.Whole)
+			until(t, n, time.Minute, "all see the crash", n.Converged)
 
 			n.VMs[1].Down = false
 			n.VMs[1].Actor = cwnetwork.Machine(1, n)
-			until(t, n, time.Minute, "all see the restarted VM", n.Whole)
+			until(t, n, time.Minute, "all see the restarted VM", n.Converged)
 
 			for i := range n.VMs {
 				if p, ok := n.State(i, 1); i != 1 && (!ok || p.Incarnation < carobward.Incarnation(n.Now.Add(-time.Minute).UnixNano())) {
@@ -170,7 +170,7 @@
 	}
 
 	n.Cut = func(int, int) bool { return false }
-	until(t, n, time.Minute, "both sides see each other as live", n.Whole)
+	until(t, n, time.Minute, "both sides see each other as live", n.Converged)
 }
 
 // TestLeave checks that a member counts as having confirmed only once it sees
@@ -191,7 +191,7 @@
 
 	n.Send(4, m.Stop())
 	n.VMs[4].Down = true
-	until(t, n, 10*time.Second, "all see that it has stopped", n.Whole)
+	until(t, n, 10*time.Second, "all see that it has stopped", n.Converged)
 
 	for i, v := range n.VMs {
 		if c := v.Machine().Counts(); i != 4 && c.Deaths > 0 {
@@ -206,11 +206,11 @@
 	n := settled(t, 5)
 	before, _ := n.State(0, 1)
 	n.VMs[1].Down = true
-	until(t, n, time.Minute, "all see the crash", n.Whole)
+	until(t, n, time.Minute, "all see the crash", n.Converged)
 
 	m := cwnetwork.NewMachine(n, 1, 7)
 	n.VMs[1].Actor, n.VMs[1].Down = m, false
-	until(t, n, time.Minute, "all see the new run", n.Whole)
+	until(t, n, time.Minute, "all see the new run", n.Converged)
 
 	if m.Self().Incarnation <= before.Incarnation || m.Replaced() {
 		t.Errorf("the new run has incarnation %d after %d, replaced: %v", m.Self().Incarnation, before.Incarnation, m.Replaced())
@@ -226,7 +226,7 @@
 	n.Run(30*time.Second, nil)
 
 	n.VMs[1].Actor, n.VMs[1].Down = cwnetwork.Machine(1, n), false
-	until(t, n, time.Minute, "all see the new run", n.Whole)
+	until(t, n, time.Minute, "all see the new run", n.Converged)
 
 	now, _ := n.State(0, 1)
 	n.VMs[1].Actor = old
--- a/internal/lab/cwnetwork/experiment.go
+++ b/internal/lab/cwnetwork/experiment.go
@@ -124,7 +124,7 @@
 	begin := n.Now
 	p.Healed = n.peak(healTime)
 
-	if _, err := n.RunUntil(healTimeout, "all VMs see each other", n.Whole); err != nil {
+	if _, err := n.RunUntil(healTimeout, "all VMs see each other", n.Converged); err != nil {
 		return p, err
 	}
 
--- a/internal/lab/cwnetwork/measure.go
+++ b/internal/lab/cwnetwork/measure.go
@@ -15,7 +15,7 @@
 // each other, or an error if that takes too long.
 func Settled(size int, seed uint64, timeout time.Duration) (*Network, error) {
 	n := New(size, seed, Machine)
-	_, err := n.RunUntil(timeout, "all VMs have discovered each other", n.Whole)
+	_, err := n.RunUntil(timeout, "all VMs have discovered each other", n.Converged)
 
 	return n, err
 }
--- a/internal/lab/cwnetwork/network.go
+++ b/internal/lab/cwnetwork/network.go
@@ -241,7 +241,7 @@
 
 // Converged reports whether all running VMs see exactly the running VMs as
 // live.
-func (n *Network) Whole() bool {
+func (n *Network) Converged() bool {
 	for i, v := range n.VMs {
 		if v.Down {
 			continue
