--- a/internal/cwmember/machine_test.go
+++ b/internal/cwmember/machine_test.go
@@ -75,7 +75,7 @@
 // must not make the others suspect each other.
 func TestIsolatedVMSpreadsNoSuspicion(t *testing.T) {
 	n := settled(t, 19)
-	n.Cut = func(_, to int) bool { return to == 5 }
+	n.Blocked = func(_, to int) bool { return to == 5 }
 	// Datagrams in flight at the start of the fault may still arrive during a
 	// probe, which then is not taken for isolation.
 	n.Run(4*time.Second, nil)
@@ -97,7 +97,7 @@
 	n := settled(t, 19)
 	before := n.Suspicions()
 
-	n.Cut = func(from, to int) bool { return from == 1 && to == 2 }
+	n.Blocked = func(from, to int) bool { return from == 1 && to == 2 }
 	n.Run(time.Minute, nil)
 
 	if got := n.Suspicions() - before; got > 0 {
@@ -162,14 +162,14 @@
 		v.Machine().SetSeeds(nil)
 	}
 
-	n.Cut = func(from, to int) bool { return from/4 != to/4 }
+	n.Blocked = func(from, to int) bool { return from/4 != to/4 }
 	n.Run(30*time.Second, nil)
 
 	if p, _ := n.State(0, 7); p.State != carobward.PeerDead {
 		t.Fatalf("across the partition: %v", p.State)
 	}
 
-	n.Cut = func(int, int) bool { return false }
+	n.Blocked = func(int, int) bool { return false }
 	until(t, n, time.Minute, "both sides see each other as live", n.Converged)
 }
 
--- a/internal/cwmember/schedule_test.go
+++ b/internal/cwmember/schedule_test.go
@@ -104,7 +104,7 @@
 				v.Frozen = !v.Frozen
 			case "cut":
 				j := rapid.IntRange(0, size-1).Draw(r, "from")
-				n.Cut = func(from, to int) bool { return to == i && from <= j }
+				n.Blocked = func(from, to int) bool { return to == i && from <= j }
 			case "loss":
 				n.Loss = rapid.Float64Range(0, 0.5).Draw(r, "loss")
 			}
@@ -112,7 +112,7 @@
 			n.Run(time.Duration(rapid.IntRange(0, 15).Draw(r, "seconds"))*time.Second, h.observe)
 		}
 
-		n.Loss, n.Cut = 0, func(int, int) bool { return false }
+		n.Loss, n.Blocked = 0, func(int, int) bool { return false }
 		for _, v := range n.VMs {
 			v.Frozen = false
 		}
--- a/internal/lab/cwnetwork/experiment.go
+++ b/internal/lab/cwnetwork/experiment.go
@@ -117,9 +117,9 @@
 		return p, err
 	}
 
-	n.Cut = func(from, to int) bool { return (from%regions == 2) != (to%regions == 2) }
+	n.Blocked = func(from, to int) bool { return (from%regions == 2) != (to%regions == 2) }
 	p.Cut = n.peak(partitionTime)
-	n.Cut = noBlock
+	n.Blocked = noBlock
 
 	begin := n.Now
 	p.Healed = n.peak(healTime)
--- a/internal/lab/cwnetwork/fault.go
+++ b/internal/lab/cwnetwork/fault.go
@@ -41,7 +41,7 @@
 			return n.FalseDeaths(lossTime)
 		}},
 		{"one-way cut of a pair", func(n *Network) int {
-			n.Cut = func(from, to int) bool { return from == 1 && to == 2 }
+			n.Blocked = func(from, to int) bool { return from == 1 && to == 2 }
 
 			return n.FalseDeaths(pairTime)
 		}},
@@ -68,9 +68,9 @@
 
 // blockFor counts the false deaths during and after a partition.
 func (n *Network) blockFor(d time.Duration, blocked func(from, to int) bool, except ...int) int {
-	n.Cut = blocked
+	n.Blocked = blocked
 	count := n.FalseDeaths(d, except...)
-	n.Cut = noBlock
+	n.Blocked = noBlock
 
 	return count + n.FalseDeaths(recoveryTime, except...)
 }
--- a/internal/lab/cwnetwork/network.go
+++ b/internal/lab/cwnetwork/network.go
@@ -67,7 +67,7 @@
 	// Loss is the fraction of datagrams that are lost.
 	Loss float64
 	// Blocked reports whether datagrams from one VM to another are dropped.
-	Cut func(from, to int) bool
+	Blocked func(from, to int) bool
 
 	rng      *rand.Rand
 	byAddr   map[carobward.Address]int
@@ -94,7 +94,7 @@
 // order of their indexes.
 func New(size int, seed uint64, create func(i int, n *Network) Actor) *Network {
 	n := &Network{
-		Now: time.Unix(1_000_000, 0), rng: rand.New(rand.NewPCG(seed, 1)), byAddr: map[carobward.Address]int{}, Cut: noBlock,
+		Now: time.Unix(1_000_000, 0), rng: rand.New(rand.NewPCG(seed, 1)), byAddr: map[carobward.Address]int{}, Blocked: noBlock,
 	}
 
 	for i := range size {
@@ -188,7 +188,7 @@
 
 // reaches reports whether a call from one VM to another would get through.
 func (n *Network) reaches(from, to int) bool {
-	return !n.VMs[to].Down && !n.VMs[to].Frozen && !n.Cut(from, to)
+	return !n.VMs[to].Down && !n.VMs[to].Frozen && !n.Blocked(from, to)
 }
 
 // Deliver hands a datagram to its destination.
@@ -212,7 +212,7 @@
 		n.bytes += proto.Size(m.Datagram) + overhead
 
 		to, ok := n.byAddr[m.To]
-		if ok && !n.Cut(from, to) && n.rng.Float64() >= n.Loss {
+		if ok && !n.Blocked(from, to) && n.rng.Float64() >= n.Loss {
 			n.inFlight = append(n.inFlight, Envelope{from, to, m.Datagram})
 		}
 	}
