--- a/internal/cwmember/machine_test.go
+++ b/internal/cwmember/machine_test.go
@@ -58,10 +58,10 @@
 func TestPausedVMSuspectsNobody(t *testing.T) {
 	n := settled(t, 19)
 	v := n.VMs[3]
-	v.Frozen = true
+	v.Paused = true
 	n.Run(20*time.Second, nil)
 
-	v.Frozen = false
+	v.Paused = false
 	n.Run(time.Second, nil)
 
 	if c := v.Machine().Counts(); c.Suspicions > 0 || c.Deaths > 0 || c.Pauses != 1 {
--- a/internal/cwmember/schedule_test.go
+++ b/internal/cwmember/schedule_test.go
@@ -101,7 +101,7 @@
 			case "leave":
 				v.Machine().Leave()
 			case "pause":
-				v.Frozen = !v.Frozen
+				v.Paused = !v.Paused
 			case "cut":
 				j := rapid.IntRange(0, size-1).Draw(r, "from")
 				n.Blocked = func(from, to int) bool { return to == i && from <= j }
@@ -114,7 +114,7 @@
 
 		n.Loss, n.Blocked = 0, func(int, int) bool { return false }
 		for _, v := range n.VMs {
-			v.Frozen = false
+			v.Paused = false
 		}
 
 		n.Run(calm, h.observe)
--- a/internal/lab/cwnetwork/fault.go
+++ b/internal/lab/cwnetwork/fault.go
@@ -57,9 +57,9 @@
 		}},
 		{"freeze of 5.5 s", func(n *Network) int {
 			v := n.VMs[pausedVM]
-			v.Frozen = true
+			v.Paused = true
 			count := n.FalseDeaths(briefOutage)
-			v.Frozen = false
+			v.Paused = false
 
 			return count + n.FalseDeaths(resumeTime)
 		}},
@@ -91,7 +91,7 @@
 		}
 
 		for i, v := range n.VMs {
-			if v.Down || v.Frozen {
+			if v.Down || v.Paused {
 				continue
 			}
 
--- a/internal/lab/cwnetwork/network.go
+++ b/internal/lab/cwnetwork/network.go
@@ -46,7 +46,7 @@
 	// A VM that is Down receives nothing. A Paused one receives what its socket
 	// has buffered once it resumes.
 	Down   bool
-	Frozen bool
+	Paused bool
 	inbox  []Envelope
 }
 
@@ -145,7 +145,7 @@
 		}
 
 		for i, v := range n.VMs {
-			if !v.Down && !v.Frozen {
+			if !v.Down && !v.Paused {
 				n.tick(i, v)
 			}
 		}
@@ -188,7 +188,7 @@
 
 // reaches reports whether a call from one VM to another would get through.
 func (n *Network) reaches(from, to int) bool {
-	return !n.VMs[to].Down && !n.VMs[to].Frozen && !n.Blocked(from, to)
+	return !n.VMs[to].Down && !n.VMs[to].Paused && !n.Blocked(from, to)
 }
 
 // Deliver hands a datagram to its destination.
@@ -197,7 +197,7 @@
 
 	switch {
 	case v.Down:
-	case v.Frozen:
+	case v.Paused:
 		if len(v.inbox) < maxInbox {
 			v.inbox = append(v.inbox, e)
 		}
