--- a/internal/lab/cwpoison/doc.go
+++ b/internal/lab/cwpoison/doc.go
@@ -34,7 +34,7 @@
 }
 
 // Variant is the quarantine rule with or without some of its parts.
-type Way struct {
+type Variant struct {
 	Name string
 	// Quarantine is whether requests are quarantined at all, Shared whether
 	// entry VMs tell each other what they see, PerCaller whether the caller is
@@ -44,7 +44,7 @@
 }
 
 // Variants are the variants that are compared, the product's first.
-var Ways = []Way{
+var Ways = []Variant{
 	{"ours", true, true, true, true},
 	{"each for itself", true, false, true, true},
 	{"of any caller", true, true, false, true},
--- a/internal/lab/cwpoison/run.go
+++ b/internal/lab/cwpoison/run.go
@@ -97,7 +97,7 @@
 
 // run is one run of the model.
 type run struct {
-	variant Way
+	variant Variant
 	pattern Pattern
 	random  *rand.Rand
 	now     time.Duration
@@ -114,7 +114,7 @@
 }
 
 // Run simulates a pattern on a fleet.
-func Run(v Way, p Pattern, vms, servers int, seed uint64) Result {
+func Run(v Variant, p Pattern, vms, servers int, seed uint64) Result {
 	r := &run{
 		variant: v, pattern: p, random: rand.New(rand.NewPCG(seed, 1)), trials: map[string]bool{},
 		thirdCrash: map[string]time.Duration{}, crashes: map[string]int{},
