--- a/cmd/carobward/bench_poison.go
+++ b/cmd/carobward/bench_poison.go
@@ -40,7 +40,7 @@
 	_, _ = fmt.Fprintln(w, "pattern\tway\tended\tlate\tinnocent\tcut %\tno room %\trefused %\t")
 
 	for _, p := range cwpoison.Patterns {
-		for _, way := range cwpoison.Ways {
+		for _, way := range cwpoison.Variants {
 			var r cwpoison.Result
 			for n := range c.Seeds {
 				r.Add(cwpoison.Run(way, p, c.VMs, c.Servers, c.Seed+uint64(n)))
--- a/internal/lab/cwpoison/doc.go
+++ b/internal/lab/cwpoison/doc.go
@@ -44,7 +44,7 @@
 }
 
 // Variants are the variants that are compared, the product's first.
-var Ways = []Variant{
+var Variants = []Variant{
 	{"ours", true, true, true, true},
 	{"each for itself", true, false, true, true},
 	{"of any caller", true, true, false, true},
--- a/internal/lab/cwpoison/run_test.go
+++ b/internal/lab/cwpoison/run_test.go
@@ -29,7 +29,7 @@
 		t.Run(p.Name, func(t *testing.T) {
 			for size, servers := range map[int]int{smallVMs: smallServers, largeVMs: largeServers} {
 				for seed := range uint64(seeds) {
-					r := Run(Ways[0], p, size, servers, seed)
+					r := Run(Variants[0], p, size, servers, seed)
 					t.Logf("%d entry VMs: %+v", size, r)
 
 					if r.Late > maxLate*p.Culprits {
@@ -48,7 +48,7 @@
 // TestSameSeedSameResult verifies that the same seed gives the same figures.
 func TestRepeats(t *testing.T) {
 	p := Patterns[len(Patterns)-1]
-	if diff := cmp.Diff(Run(Ways[0], p, smallVMs, smallServers, 5), Run(Ways[0], p, smallVMs, smallServers, 5)); diff != "" {
+	if diff := cmp.Diff(Run(Variants[0], p, smallVMs, smallServers, 5), Run(Variants[0], p, smallVMs, smallServers, 5)); diff != "" {
 		t.Error(diff)
 	}
 }
