--- a/internal/lab/cwpoison/run.go
+++ b/internal/lab/cwpoison/run.go
@@ -200,7 +200,7 @@
 // send sends a request to a server, unless it is quarantined or no server has
 // room.
 func (r *run) send(q *request) {
-	if r.variant.Holds && r.isQuarantined(q) {
+	if r.variant.Quarantine && r.isQuarantined(q) {
 		if !q.culprit {
 			r.result.Refused++
 		}
@@ -309,7 +309,7 @@
 
 	delete(s.inFlight, q)
 
-	if r.variant.Holds && r.variant.Clears && r.tables[q.vm].MayContain(&q.call) {
+	if r.variant.Quarantine && r.variant.Clears && r.tables[q.vm].MayContain(&q.call) {
 		r.announce(q.vm, func(table *cwquarantine.Table) { table.Answered(q.fingerprint) })
 	}
 }
@@ -342,7 +342,7 @@
 // aborted handles a request in flight on a server that crashed, as its entry VM
 // does.
 func (r *run) aborted(s *server, q *request) {
-	if r.variant.Holds {
+	if r.variant.Quarantine {
 		c := cwquarantine.Crash{Fingerprint: q.fingerprint, Server: s.name, Start: carobward.Start(s.starts), At: r.time()}
 		r.tables[q.vm].AddCrash(c, r.time())
 		q.crashes = append(q.crashes, c)
