--- a/internal/lab/cwpoison/run.go
+++ b/internal/lab/cwpoison/run.go
@@ -256,7 +256,7 @@
 	}
 
 	key := fmt.Sprint(d.Trial.Fingerprint, d.Trial.Number)
-	if r.variant.Shares && r.trials[key] {
+	if r.variant.Shared && r.trials[key] {
 		return true
 	}
 
@@ -370,7 +370,7 @@
 func (r *run) announce(from int, change func(*cwquarantine.Table)) {
 	change(r.tables[from])
 
-	if !r.variant.Shares {
+	if !r.variant.Shared {
 		return
 	}
 
