--- a/internal/lab/cwpoison/doc.go
+++ b/internal/lab/cwpoison/doc.go
@@ -40,7 +40,7 @@
 	// entry VMs tell each other what they see, PerCaller whether the caller is
 	// part of a request's fingerprint, and Clears whether an answer clears a
 	// request.
-	Quarantine, Shared, Callers, Clears bool
+	Quarantine, Shared, PerCaller, Clears bool
 }
 
 // Variants are the variants that are compared, the product's first.
--- a/internal/lab/cwpoison/run.go
+++ b/internal/lab/cwpoison/run.go
@@ -189,7 +189,7 @@
 func (r *run) sendNew(uri, caller string, safe, culprit bool) {
 	q := &request{vm: r.random.IntN(len(r.tables)), caller: caller, safe: safe, culprit: culprit, call: carobward.Call{Method: "GET", URI: uri}}
 
-	if !r.variant.Callers {
+	if !r.variant.PerCaller {
 		caller = ""
 	}
 
