--- a/internal/lab/cwpoison/doc.go
+++ b/internal/lab/cwpoison/doc.go
@@ -13,7 +13,7 @@
 	// Culprits is the number of requests that crash servers. Each of them is
 	// sent again at an interval.
 	Culprits int
-	Every    time.Duration
+	Interval time.Duration
 	// Crashes is how often a random share of the servers crashes by itself.
 	Crashes int
 	Share   float64
@@ -24,13 +24,13 @@
 
 // Patterns are the patterns of the simulation.
 var Patterns = []Pattern{
-	{Name: "culprit", Culprits: 1, Every: 70 * time.Millisecond},
-	{Name: "five", Culprits: 5, Every: 300 * time.Millisecond},
-	{Name: "rare", Culprits: 1, Every: 6 * time.Second},
+	{Name: "culprit", Culprits: 1, Interval: 70 * time.Millisecond},
+	{Name: "five", Culprits: 5, Interval: 300 * time.Millisecond},
+	{Name: "rare", Culprits: 1, Interval: 6 * time.Second},
 	{Name: "crashes", Crashes: 8, Share: 0.3},
 	{Name: "popular", Crashes: 8, Share: 0.3, Popular: 0.3},
 	{Name: "gone", Crashes: 2, Share: 1, Popular: 0.3},
-	{Name: "both", Culprits: 1, Every: 150 * time.Millisecond, Crashes: 4, Share: 0.2, Popular: 0.3},
+	{Name: "both", Culprits: 1, Interval: 150 * time.Millisecond, Crashes: 4, Share: 0.2, Popular: 0.3},
 }
 
 // Variant is the quarantine rule with or without some of its parts.
--- a/internal/lab/cwpoison/run.go
+++ b/internal/lab/cwpoison/run.go
@@ -182,7 +182,7 @@
 
 // sendCulprit sends a culprit and schedules it again.
 func (r *run) sendCulprit(uri string) {
-	r.after(r.pattern.Every, func() { r.sendCulprit(uri) })
+	r.after(r.pattern.Interval, func() { r.sendCulprit(uri) })
 	r.sendNew(uri, "culprit", true, true)
 }
 
