--- a/internal/lab/cwpoison/doc.go
+++ b/internal/lab/cwpoison/doc.go
@@ -56,7 +56,7 @@
 type Result struct {
 	// Crashed is the number of servers that culprits crashed, Late the number
 	// of sends of culprits later than lateTime after the third crash.
-	Ended, Late int
+	Crashed, Late int
 	// Innocent is the number of other requests, Aborted of those that ended
 	// without an answer, Full of those for which no server had room, and
 	// Refused of those that were quarantined.
@@ -65,7 +65,7 @@
 
 // Add adds the figures of another run.
 func (r *Result) Add(o Result) {
-	r.Ended += o.Ended
+	r.Crashed += o.Crashed
 	r.Late += o.Late
 	r.Innocent += o.Innocent
 	r.Cut += o.Cut
--- a/internal/lab/cwpoison/run.go
+++ b/internal/lab/cwpoison/run.go
@@ -236,7 +236,7 @@
 			return
 		}
 
-		r.result.Ended++
+		r.result.Crashed++
 		r.crashes[q.call.URI]++
 
 		if r.crashes[q.call.URI] == 3 {
