--- a/cmd/carobward/bench_poison.go
+++ b/cmd/carobward/bench_poison.go
@@ -48,7 +48,7 @@
 
 			share := func(n int) float64 { return 100 * float64(n) / float64(max(1, r.Innocent)) }
 			_, _ = fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%.2f\t%.2f\t%.2f\t\n",
-				p.Name, way.Name, r.Crashed, r.Late, r.Innocent, share(r.Cut), share(r.Full), share(r.Refused))
+				p.Name, way.Name, r.Crashed, r.Late, r.Innocent, share(r.Aborted), share(r.Full), share(r.Refused))
 		}
 	}
 
--- a/internal/lab/cwpoison/doc.go
+++ b/internal/lab/cwpoison/doc.go
@@ -60,7 +60,7 @@
 	// Innocent is the number of other requests, Aborted of those that ended
 	// without an answer, Full of those for which no server had room, and
 	// Refused of those that were quarantined.
-	Innocent, Cut, Full, Refused int
+	Innocent, Aborted, Full, Refused int
 }
 
 // Add adds the figures of another run.
@@ -68,7 +68,7 @@
 	r.Crashed += o.Crashed
 	r.Late += o.Late
 	r.Innocent += o.Innocent
-	r.Cut += o.Cut
+	r.Aborted += o.Aborted
 	r.Full += o.Full
 	r.Refused += o.Refused
 }
--- a/internal/lab/cwpoison/run.go
+++ b/internal/lab/cwpoison/run.go
@@ -357,7 +357,7 @@
 	}
 
 	if !q.culprit {
-		r.result.Cut++
+		r.result.Aborted++
 	}
 
 	for _, c := range q.crashes {
