--- a/internal/lab/cwpoison/run_test.go
+++ b/internal/lab/cwpoison/run_test.go
@@ -46,7 +46,7 @@
 }
 
 // TestSameSeedSameResult verifies that the same seed gives the same figures.
-func TestRepeats(t *testing.T) {
+func TestSameSeedSameResult(t *testing.T) {
 	p := Patterns[len(Patterns)-1]
 	if diff := cmp.Diff(Run(Variants[0], p, smallVMs, smallServers, 5), Run(Variants[0], p, smallVMs, smallServers, 5)); diff != "" {
 		t.Error(diff)
