--- a/cmd/carobward/bench_budget.go
+++ b/cmd/carobward/bench_budget.go
@@ -55,7 +55,7 @@
 		}
 	}
 
-	return cwspend.Write(os.Stdout, budget, all)
+	return cwspend.WriteTable(os.Stdout, budget, all)
 }
 
 // live sends probes over sockets for the configured time and prints what the
--- a/internal/lab/cwspend/table.go
+++ b/internal/lab/cwspend/table.go
@@ -28,7 +28,7 @@
 }
 
 // WriteTable writes a table of the worst seconds, and the budget.
-func Write(out io.Writer, budget cwbudget.Cost, all []Worst) error {
+func WriteTable(out io.Writer, budget cwbudget.Cost, all []Worst) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 
 	_, _ = fmt.Fprintf(w, "VMs\tseed\tcalls\tbytes\tnaive calls\tnaive bytes\t\n")
