--- a/internal/lab/cwleave/sign.go
+++ b/internal/lab/cwleave/sign.go
@@ -10,7 +10,7 @@
 
 // Signal is a way in which the first entry VM, and only that one, learns that
 // the server leaves.
-type Sign struct {
+type Signal struct {
 	Name string
 	// give gives the signal; list returns the VM list of the run.
 	give func(*Fleet)
@@ -19,8 +19,8 @@
 
 // Signals returns the signals. The VM list never shows the server as leaving,
 // except for the one read that is itself the signal.
-func Signs() []Sign {
-	return []Sign{
+func Signs() []Signal {
+	return []Signal{
 		{"the server's word", announceDraining, staleList},
 		{"health", reportCheck, staleList},
 		{"operator", drainByOperator, staleList},
@@ -30,7 +30,7 @@
 
 // LastWork runs the fleet with this signal and returns the time from it to the
 // last new request to the server.
-func (s Sign) LastWork(f *Fleet) time.Duration { return f.LastWork(s.list(f), s.give) }
+func (s Signal) LastWork(f *Fleet) time.Duration { return f.LastWork(s.list(f), s.give) }
 
 // NaiveLastWork runs the fleet as a balancer that relies on the VM list alone,
 // which shows the server as leaving only after a lag.
