--- a/internal/cwdrain/fleet_test.go
+++ b/internal/cwdrain/fleet_test.go
@@ -20,7 +20,7 @@
 // are frozen, partitioned or not started yet. The VM list does not show the server
 // as leaving, except in the one read that is the sign.
 func TestLastNewWork(t *testing.T) {
-	for _, sign := range cwleave.Signs() {
+	for _, sign := range cwleave.Signals() {
 		t.Run(sign.Name, func(t *testing.T) {
 			for seed := range uint64(seeds) {
 				if took := sign.LastWork(cwleave.New(seed, fleetVMs, true)); took > maxLastWork {
--- a/internal/lab/cwleave/sign.go
+++ b/internal/lab/cwleave/sign.go
@@ -19,7 +19,7 @@
 
 // Signals returns the signals. The VM list never shows the server as leaving,
 // except for the one read that is itself the signal.
-func Signs() []Signal {
+func Signals() []Signal {
 	return []Signal{
 		{"the server's word", announceDraining, staleList},
 		{"health", reportCheck, staleList},
--- a/internal/lab/cwleave/table.go
+++ b/internal/lab/cwleave/table.go
@@ -20,7 +20,7 @@
 // Worst returns the longest times over a number of seeds: one for each signal,
 // and one for a balancer that relies on a VM list with a lag.
 func Worst(first, seeds uint64, vms int, lag time.Duration) []Last {
-	runs := Signs()
+	runs := Signals()
 	all := make([]Last, 0, len(runs)+1)
 
 	for _, s := range runs {
