--- a/internal/lab/cwleave/table.go
+++ b/internal/lab/cwleave/table.go
@@ -12,9 +12,9 @@
 // Last is the longest time from the signal to the last new request to the
 // server, in fleets with faults.
 type Last struct {
-	VMs  int
-	Sign string
-	Time time.Duration
+	VMs    int
+	Signal string
+	Time   time.Duration
 }
 
 // Worst returns the longest times over a number of seeds: one for each signal,
@@ -33,7 +33,7 @@
 }
 
 func worst(first, seeds uint64, vms int, name string, run func(*Fleet) time.Duration) Last {
-	l := Last{VMs: vms, Sign: name}
+	l := Last{VMs: vms, Signal: name}
 	for seed := range seeds {
 		l.Time = max(l.Time, run(New(first+seed, vms, true)))
 	}
@@ -47,7 +47,7 @@
 	_, _ = fmt.Fprintln(w, "VMs\tfirst sign\tlast work, s")
 
 	for _, l := range all {
-		_, _ = fmt.Fprintf(w, "%d\t%s\t%.1f\n", l.VMs, l.Sign, l.Time.Seconds())
+		_, _ = fmt.Fprintf(w, "%d\t%s\t%.1f\n", l.VMs, l.Signal, l.Time.Seconds())
 	}
 
 	return errors.Annotate(w.Flush(), "leave")
