--- a/internal/lab/cwhop/hop.go
+++ b/internal/lab/cwhop/hop.go
@@ -67,7 +67,7 @@
 )
 
 // ErrNoAnswer is returned if no call is answered during the warm-up.
-const ErrSilent = errors.ConstError("no answer")
+const ErrNoAnswer = errors.ConstError("no answer")
 
 // client makes calls to one address.
 type client struct {
@@ -114,7 +114,7 @@
 func (c *client) warmUp() error {
 	for end := time.Now().Add(warmupTimeout); c.times.TotalCount() == 0; c.call(time.Now()) {
 		if time.Now().After(end) {
-			return errors.Annotatef(ErrSilent, "hop: %s", c.url)
+			return errors.Annotatef(ErrNoAnswer, "hop: %s", c.url)
 		}
 
 		<-time.After(warmupDelay)
