--- a/internal/lab/cwtrial/play.go
+++ b/internal/lab/cwtrial/play.go
@@ -33,7 +33,7 @@
 
 // Run makes the calls with a Sender and counts the faults, without those that
 // did not happen.
-func (p Play) Run(send Way) (map[Fault]int, error) {
+func (p Play) Run(send Sender) (map[Fault]int, error) {
 	ln, err := listen()
 	if err != nil {
 		return nil, err
--- a/internal/lab/cwtrial/way.go
+++ b/internal/lab/cwtrial/way.go
@@ -17,10 +17,10 @@
 }
 
 // Sender sends one call to a server.
-type Way func(to carobward.Address, id string) Answer
+type Sender func(to carobward.Address, id string) Answer
 
 // ViaLink sends calls through a Link.
-func Ours(l *cwlink.Link) Way {
+func Ours(l *cwlink.Link) Sender {
 	return func(to carobward.Address, id string) Answer {
 		reply, err := l.Exchange(context.Background(), to, NewCall(carobward.RequestID(id)))
 
@@ -37,7 +37,7 @@
 
 // ViaLibrary sends calls through the HTTP library's client with its default
 // settings.
-func Naive(c *fasthttp.Client) Way {
+func Naive(c *fasthttp.Client) Sender {
 	return func(to carobward.Address, id string) Answer {
 		req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 		defer fasthttp.ReleaseRequest(req)
