--- a/internal/cwlink/scripts_test.go
+++ b/internal/cwlink/scripts_test.go
@@ -17,7 +17,7 @@
 	l := cwtrial.NewLink()
 	defer l.Close()
 
-	faults, err := p.Run(cwtrial.Ours(l))
+	faults, err := p.Run(cwtrial.ViaLink(l))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/cwtrial/play.go
+++ b/internal/lab/cwtrial/play.go
@@ -112,7 +112,7 @@
 	l := NewLink()
 	defer l.Close()
 
-	send := Ours(l)
+	send := ViaLink(l)
 	if s.Way == "library" {
 		send = Naive(&fasthttp.Client{})
 	}
--- a/internal/lab/cwtrial/way.go
+++ b/internal/lab/cwtrial/way.go
@@ -20,7 +20,7 @@
 type Sender func(to carobward.Address, id string) Answer
 
 // ViaLink sends calls through a Link.
-func Ours(l *cwlink.Link) Sender {
+func ViaLink(l *cwlink.Link) Sender {
 	return func(to carobward.Address, id string) Answer {
 		reply, err := l.Exchange(context.Background(), to, NewCall(carobward.RequestID(id)))
 
