--- a/internal/lab/cwtrial/play.go
+++ b/internal/lab/cwtrial/play.go
@@ -114,7 +114,7 @@
 
 	send := ViaLink(l)
 	if s.Way == "library" {
-		send = Naive(&fasthttp.Client{})
+		send = ViaLibrary(&fasthttp.Client{})
 	}
 
 	faults, err := Play{Acts: list, Callers: 1, Calls: calls}.Run(send)
--- a/internal/lab/cwtrial/way.go
+++ b/internal/lab/cwtrial/way.go
@@ -37,7 +37,7 @@
 
 // ViaLibrary sends calls through the HTTP library's client with its default
 // settings.
-func Naive(c *fasthttp.Client) Sender {
+func ViaLibrary(c *fasthttp.Client) Sender {
 	return func(to carobward.Address, id string) Answer {
 		req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 		defer fasthttp.ReleaseRequest(req)
