--- a/cmd/cwstand/caller.go
+++ b/cmd/cwstand/caller.go
@@ -75,8 +75,8 @@
 	l.Stop()
 
 	got := l.Counts()
-	for _, vm := range slices.Sorted(maps.Keys(got.By)) {
-		fmt.Println(got.By[vm], "served by", vm)
+	for _, vm := range slices.Sorted(maps.Keys(got.ByVM)) {
+		fmt.Println(got.ByVM[vm], "served by", vm)
 	}
 
 	fmt.Println(got.Charged, "charged")
--- a/internal/lab/cwload/load.go
+++ b/internal/lab/cwload/load.go
@@ -47,7 +47,7 @@
 // Counts are the outcomes of the requests.
 type Counts struct {
 	// ByVM counts the requests that each entry VM has answered.
-	By map[carobward.VMID]int
+	ByVM map[carobward.VMID]int
 	// Charged counts the answered requests that charged.
 	Charged int64
 	// Failed counts the requests without a whole reply of status 200. Causes
@@ -70,7 +70,7 @@
 
 // Start begins the load.
 func Start(o Options) *Load {
-	l := &Load{options: o, stop: make(chan struct{}), counts: Counts{By: map[carobward.VMID]int{}}}
+	l := &Load{options: o, stop: make(chan struct{}), counts: Counts{ByVM: map[carobward.VMID]int{}}}
 
 	for i := range o.Callers {
 		c := &caller{load: l, name: fmt.Sprintf("caller-%d", i), http: &fasthttp.Client{
@@ -100,7 +100,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 
-	return l.counts.By[vm]
+	return l.counts.ByVM[vm]
 }
 
 // Counts returns the outcomes of the requests. Call it after Stop.
@@ -138,7 +138,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 
-	l.counts.By[by]++
+	l.counts.ByVM[by]++
 
 	if charge {
 		l.counts.Charged++
--- a/test/path/stop_test.go
+++ b/test/path/stop_test.go
@@ -91,7 +91,7 @@
 			l.Stop()
 
 			got := l.Counts()
-			t.Logf("%d requests by vm-1, %d by the others, %d failed", got.By["vm-1"], got.By["vm-2"]+got.By["vm-3"], got.Cut)
+			t.Logf("%d requests by vm-1, %d by the others, %d failed", got.ByVM["vm-1"], got.ByVM["vm-2"]+got.ByVM["vm-3"], got.Cut)
 
 			if tt.immediate != (got.Cut > 0) {
 				t.Errorf("%d requests failed: %v", got.Cut, got.First)
