--- a/internal/lab/cwload/load.go
+++ b/internal/lab/cwload/load.go
@@ -52,8 +52,8 @@
 	Charged int64
 	// Failed counts the requests without a whole reply of status 200. Causes
 	// has the causes of the first ones.
-	Cut   int
-	First []string
+	Failed int
+	First  []string
 }
 
 // Load generates load from Start until Stop.
@@ -126,7 +126,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 
-	l.counts.Cut++
+	l.counts.Failed++
 
 	if len(l.counts.First) < maxCauses {
 		l.counts.First = append(l.counts.First, cause)
--- a/test/path/stop_test.go
+++ b/test/path/stop_test.go
@@ -91,10 +91,10 @@
 			l.Stop()
 
 			got := l.Counts()
-			t.Logf("%d requests by vm-1, %d by the others, %d failed", got.ByVM["vm-1"], got.ByVM["vm-2"]+got.ByVM["vm-3"], got.Cut)
+			t.Logf("%d requests by vm-1, %d by the others, %d failed", got.ByVM["vm-1"], got.ByVM["vm-2"]+got.ByVM["vm-3"], got.Failed)
 
-			if tt.immediate != (got.Cut > 0) {
-				t.Errorf("%d requests failed: %v", got.Cut, got.First)
+			if tt.immediate != (got.Failed > 0) {
+				t.Errorf("%d requests failed: %v", got.Failed, got.First)
 			}
 
 			if ran, want := billing.Ran(), got.Charged; !tt.immediate && ran != want {
