--- a/cmd/cwstand/caller.go
+++ b/cmd/cwstand/caller.go
@@ -80,5 +80,5 @@
 	}
 
 	fmt.Println(got.Charged, "charged")
-	fmt.Println(got.Failed, "cut", strings.Join(got.First, "; "))
+	fmt.Println(got.Failed, "cut", strings.Join(got.Causes, "; "))
 }
--- a/internal/lab/cwload/load.go
+++ b/internal/lab/cwload/load.go
@@ -53,7 +53,7 @@
 	// Failed counts the requests without a whole reply of status 200. Causes
 	// has the causes of the first ones.
 	Failed int
-	First  []string
+	Causes []string
 }
 
 // Load generates load from Start until Stop.
@@ -128,8 +128,8 @@
 
 	l.counts.Failed++
 
-	if len(l.counts.First) < maxCauses {
-		l.counts.First = append(l.counts.First, cause)
+	if len(l.counts.Causes) < maxCauses {
+		l.counts.Causes = append(l.counts.Causes, cause)
 	}
 }
 
--- a/test/path/stop_test.go
+++ b/test/path/stop_test.go
@@ -94,7 +94,7 @@
 			t.Logf("%d requests by vm-1, %d by the others, %d failed", got.ByVM["vm-1"], got.ByVM["vm-2"]+got.ByVM["vm-3"], got.Failed)
 
 			if tt.immediate != (got.Failed > 0) {
-				t.Errorf("%d requests failed: %v", got.Failed, got.First)
+				t.Errorf("%d requests failed: %v", got.Failed, got.Causes)
 			}
 
 			if ran, want := billing.Ran(), got.Charged; !tt.immediate && ran != want {
