--- a/cmd/carobward/bench_carriers.go
+++ b/cmd/carobward/bench_carriers.go
@@ -32,7 +32,7 @@
 		return errors.New("bench carriers: targets and most have to be above zero, rounds and rate not below")
 	}
 
-	var all []cwcarrier.Spread
+	var all []cwcarrier.Distribution
 
 	for _, vms := range c.VMs {
 		if vms < 1 {
--- a/internal/lab/cwcarrier/spread.go
+++ b/internal/lab/cwcarrier/spread.go
@@ -6,7 +6,7 @@
 )
 
 // Distribution is how targets are distributed over entry VMs.
-type Spread struct {
+type Distribution struct {
 	VMs, Targets int
 	// Min and Max are the smallest and largest number of targets that one entry
 	// VM is assigned to.
@@ -18,9 +18,9 @@
 
 // MeasureDistribution returns how a number of targets is distributed over a
 // number of entry VMs.
-func MeasureSpread(vms, targets int) Spread {
+func MeasureSpread(vms, targets int) Distribution {
 	all := Peers(vms)
-	s := Spread{VMs: vms, Targets: targets, Least: targets}
+	s := Distribution{VMs: vms, Targets: targets, Least: targets}
 
 	counts := map[carobward.VMID]int{}
 
