--- a/internal/lab/cwcarrier/spread.go
+++ b/internal/lab/cwcarrier/spread.go
@@ -10,7 +10,7 @@
 	VMs, Targets int
 	// Min and Max are the smallest and largest number of targets that one entry
 	// VM is assigned to.
-	Min, Most int
+	Min, Max int
 	// Moved is the share of all assignments that change when one entry VM is
 	// lost, including those of the lost one, on average over the lost VMs.
 	Moved, NaiveMoved float64
@@ -31,7 +31,7 @@
 	}
 
 	for _, p := range all {
-		s.Min, s.Most = min(s.Min, counts[p.ID]), max(s.Most, counts[p.ID])
+		s.Min, s.Max = min(s.Min, counts[p.ID]), max(s.Max, counts[p.ID])
 	}
 
 	s.Moved, s.NaiveMoved = moved(cwlookup.AssignedVMs, all, targets), moved(Naive, all, targets)
--- a/internal/lab/cwcarrier/table.go
+++ b/internal/lab/cwcarrier/table.go
@@ -17,7 +17,7 @@
 
 	for _, s := range all {
 		_, _ = fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%.1f %%\t%.1f %%\t\n",
-			s.VMs, s.Targets, s.Min, s.Most, percent*s.Moved, percent*s.NaiveMoved)
+			s.VMs, s.Targets, s.Min, s.Max, percent*s.Moved, percent*s.NaiveMoved)
 	}
 
 	return errors.Annotate(w.Flush(), "carriers")
