--- a/cmd/carobward/bench_carriers.go
+++ b/cmd/carobward/bench_carriers.go
@@ -39,7 +39,7 @@
 			return errors.Errorf("bench carriers: %d entry VMs, want at least one", vms)
 		}
 
-		all = append(all, cwcarrier.MeasureSpread(vms, c.Targets))
+		all = append(all, cwcarrier.MeasureDistribution(vms, c.Targets))
 	}
 
 	if err := cwcarrier.WriteSpread(os.Stdout, all); err != nil {
--- a/internal/cwlookup/assigned_test.go
+++ b/internal/cwlookup/assigned_test.go
@@ -63,7 +63,7 @@
 // TestTargetsSpread verifies that many targets are spread over all entry VMs.
 func TestTargetsSpread(t *testing.T) {
 	// 220 targets with 6 entry VMs each make 69 for each of 19 on average.
-	if got := cwcarrier.MeasureSpread(19, 220); got.Min < 35 || got.Max > 120 {
+	if got := cwcarrier.MeasureDistribution(19, 220); got.Min < 35 || got.Max > 120 {
 		t.Errorf("the entry VMs are assigned %d to %d targets each", got.Min, got.Max)
 	}
 }
--- a/internal/lab/cwcarrier/spread.go
+++ b/internal/lab/cwcarrier/spread.go
@@ -18,7 +18,7 @@
 
 // MeasureDistribution returns how a number of targets is distributed over a
 // number of entry VMs.
-func MeasureSpread(vms, targets int) Distribution {
+func MeasureDistribution(vms, targets int) Distribution {
 	all := Peers(vms)
 	s := Distribution{VMs: vms, Targets: targets, Min: targets}
 
