--- a/cmd/carobward/bench_carriers.go
+++ b/cmd/carobward/bench_carriers.go
@@ -42,7 +42,7 @@
 		all = append(all, cwcarrier.MeasureDistribution(vms, c.Targets))
 	}
 
-	if err := cwcarrier.WriteSpread(os.Stdout, all); err != nil {
+	if err := cwcarrier.WriteDistribution(os.Stdout, all); err != nil {
 		return err
 	}
 
--- a/internal/lab/cwcarrier/table.go
+++ b/internal/lab/cwcarrier/table.go
@@ -9,7 +9,7 @@
 )
 
 // WriteDistribution writes a table of the distributions.
-func WriteSpread(out io.Writer, all []Distribution) error {
+func WriteDistribution(out io.Writer, all []Distribution) error {
 	const percent = 100
 
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
