--- a/internal/cwconfig/writer_test.go
+++ b/internal/cwconfig/writer_test.go
@@ -110,7 +110,7 @@
 			return cwstore.Dropped
 		}
 
-		return cwstore.Well
+		return cwstore.NoFault
 	}
 
 	_, err := NewWriter(store, NewHolder()).Apply(context.Background(), put("a", "ana", 0, "fee"))
--- a/internal/lab/cwspread/operators.go
+++ b/internal/lab/cwspread/operators.go
@@ -121,7 +121,7 @@
 		case n < faultDown:
 			return cwstore.Down
 		default:
-			return cwstore.Well
+			return cwstore.NoFault
 		}
 	}
 }
--- a/internal/lab/cwstore/script.go
+++ b/internal/lab/cwstore/script.go
@@ -7,7 +7,7 @@
 )
 
 // faults maps the letters of a Script to faults.
-var faults = map[byte]Fault{'.': Well, 'd': Down, 'l': Lost, 'x': Dropped}
+var faults = map[byte]Fault{'.': NoFault, 'd': Down, 'l': Lost, 'x': Dropped}
 
 // Script returns a function for Store.Fault that applies one fault after the
 // other to the writes and, separately, to the reads. The last one applies to
--- a/internal/lab/cwstore/store.go
+++ b/internal/lab/cwstore/store.go
@@ -16,7 +16,7 @@
 // The faults of a call.
 const (
 	// NoFault: the call succeeds.
-	Well Fault = iota
+	NoFault Fault = iota
 	// Down: the call does not reach the store.
 	Down
 	// Lost: a write takes effect, but its reply is lost.
@@ -48,7 +48,7 @@
 	s.calls++
 
 	if s.Fault == nil {
-		return Well
+		return NoFault
 	}
 
 	return s.Fault(write, key)
@@ -59,7 +59,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
-	if s.fault(false, key) != Well {
+	if s.fault(false, key) != NoFault {
 		return carobward.Entry{Key: key}, carobward.ErrStoreDown
 	}
 
@@ -82,7 +82,7 @@
 		return carobward.ErrStoreDown
 	case Dropped:
 		return carobward.ErrStoreUnknown
-	case Well, Lost:
+	case NoFault, Lost:
 	}
 
 	if s.entries[key].Index != base {
