--- a/internal/lab/cwspread/fleet.go
+++ b/internal/lab/cwspread/fleet.go
@@ -117,7 +117,7 @@
 			continue
 		}
 
-		v.Store.Store, v.Unresponsive = cwstore.Frozen{}, true
+		v.Store.Store, v.Unresponsive = cwstore.Hanging{}, true
 	}
 
 	return running
--- a/internal/lab/cwstore/script.go
+++ b/internal/lab/cwstore/script.go
@@ -30,23 +30,23 @@
 type Switch struct{ carobward.Store }
 
 // Hanging is a store whose calls return only when their context ends.
-type Frozen struct{}
+type Hanging struct{}
 
 // Get fails once ctx ends.
-func (Frozen) Get(ctx context.Context, _ carobward.Key) (carobward.Entry, error) {
+func (Hanging) Get(ctx context.Context, _ carobward.Key) (carobward.Entry, error) {
 	<-ctx.Done()
 
 	return carobward.Entry{}, carobward.ErrStoreDown
 }
 
 // Swap fails once ctx ends.
-func (Frozen) Swap(ctx context.Context, _ carobward.Key, _ []byte, _ carobward.StoreIndex) error {
+func (Hanging) Swap(ctx context.Context, _ carobward.Key, _ []byte, _ carobward.StoreIndex) error {
 	<-ctx.Done()
 
 	return carobward.ErrStoreDown
 }
 
 // Watch fails once ctx ends.
-func (f Frozen) Watch(ctx context.Context, key carobward.Key, _ carobward.StoreIndex) (carobward.Entry, error) {
+func (f Hanging) Watch(ctx context.Context, key carobward.Key, _ carobward.StoreIndex) (carobward.Entry, error) {
 	return f.Get(ctx, key)
 }
