--- a/cmd/carobward/bench_once.go
+++ b/cmd/carobward/bench_once.go
@@ -10,7 +10,7 @@
 	"github.com/juju/errors"
 
 	"carobward.example/carobward"
-	"carobward.example/carobward/internal/lab/cwfee"
+	"carobward.example/carobward/internal/lab/cwonce"
 )
 
 const usageBenchOnce = `Charge fees that must not repeat through faults and count how often each ran.
@@ -60,12 +60,12 @@
 			return errors.Errorf("bench once: %d outcomes, want more than none", n)
 		}
 
-		took, err := cwfee.HandOver(n)
+		took, err := cwonce.HandOver(n)
 		if err != nil {
 			return err
 		}
 
-		heap, accounted, err := cwfee.RecordCost(n)
+		heap, accounted, err := cwonce.RecordCost(n)
 		if err != nil {
 			return err
 		}
@@ -79,16 +79,16 @@
 
 // seed runs all experiments with one seed.
 func (c *benchOnceCommand) seed(w *tabwriter.Writer, seed uint64) error {
-	for _, way := range cwfee.Strategies() {
+	for _, way := range cwonce.Strategies() {
 		count, writes := way.Run(seed, c.Weighed)
 		printCount(w, "ways", seed, way.Name, &count, writes)
 	}
 
 	for _, method := range []struct {
 		name string
-		send cwfee.Sender
-	}{{"tickets", cwfee.Ticketed}, {"retry on any error", cwfee.Naive}} {
-		count, err := cwfee.Compare(seed, c.Fees, method.send)
+		send cwonce.Sender
+	}{{"tickets", cwonce.Ticketed}, {"retry on any error", cwonce.Naive}} {
+		count, err := cwonce.Compare(seed, c.Fees, method.send)
 		if err != nil {
 			return err
 		}
@@ -96,17 +96,17 @@
 		printCount(w, "faults", seed, method.name, &count, 0)
 	}
 
-	var all cwfee.Count
+	var all cwonce.Count
 
 	rng := rand.New(rand.NewPCG(seed, seed))
 
 	for range c.Histories {
-		played, err := cwfee.Simulate(cwfee.RandomScript(rng))
+		played, err := cwonce.Simulate(cwonce.RandomScript(rng))
 		if err != nil {
 			return err
 		}
 
-		tally := cwfee.Tally(played)
+		tally := cwonce.Tally(played)
 		all.Add(&tally)
 	}
 
@@ -115,7 +115,7 @@
 	return nil
 }
 
-func printCount(w *tabwriter.Writer, experiment string, seed uint64, way string, c *cwfee.Count, writes int) {
+func printCount(w *tabwriter.Writer, experiment string, seed uint64, way string, c *cwonce.Count, writes int) {
 	answers := 0
 	for _, n := range c.Verdicts {
 		answers += n
--- a/internal/cwowner/bench_test.go
+++ b/internal/cwowner/bench_test.go
@@ -8,13 +8,13 @@
 
 	"carobward.example/carobward"
 	"carobward.example/carobward/internal/cwticket"
-	"carobward.example/carobward/internal/lab/cwfee"
+	"carobward.example/carobward/internal/lab/cwonce"
 )
 
 // BenchmarkDo measures what a ticket adds to a request: issued on arrival, sent by
 // the caller, replayed, and forwarded to the owner without a network.
 func BenchmarkDo(b *testing.B) {
-	f := newFleet(b, 2, cwfee.UnlimitedOptions())
+	f := newFleet(b, 2, cwonce.UnlimitedOptions())
 	o, other := f.owner(0), f.owner(1)
 
 	prefix := o.Prefix()
--- a/internal/cwowner/history_test.go
+++ b/internal/cwowner/history_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 
 	"carobward.example/carobward"
-	"carobward.example/carobward/internal/lab/cwfee"
+	"carobward.example/carobward/internal/lab/cwonce"
 )
 
 // feeState is the state of one fee: the run that was executed and its ticket,
@@ -26,7 +26,7 @@
 	Partition: func(history []porcupine.Operation) (all [][]porcupine.Operation) {
 		byFee := map[string][]porcupine.Operation{}
 		for _, o := range history {
-			fee := o.Input.(cwfee.Operation).Fee
+			fee := o.Input.(cwonce.Operation).Fee
 			byFee[fee] = append(byFee[fee], o)
 		}
 
@@ -38,7 +38,7 @@
 	},
 	Init: func() any { return feeState{} },
 	Step: func(state, input, _ any) (bool, any) {
-		s, o := state.(feeState), input.(cwfee.Operation)
+		s, o := state.(feeState), input.(cwonce.Operation)
 		isClosed := strings.Contains(s.closed, o.Ticket+" ")
 
 		switch {
@@ -68,13 +68,13 @@
 	total := map[carobward.Verdict]int{}
 
 	rapid.Check(t, func(t *rapid.T) {
-		script := cwfee.Script{
+		script := cwonce.Script{
 			Seed:        rapid.Uint64().Draw(t, "seed"),
-			Disruptions: rapid.SliceOfN(rapid.Map(rapid.IntRange(0, int(cwfee.DisruptionCount)-1), func(n int) cwfee.Disruption { return cwfee.Disruption(n) }), 0, 6).Draw(t, "troubles"),
+			Disruptions: rapid.SliceOfN(rapid.Map(rapid.IntRange(0, int(cwonce.DisruptionCount)-1), func(n int) cwonce.Disruption { return cwonce.Disruption(n) }), 0, 6).Draw(t, "troubles"),
 			OneIn:       rapid.IntRange(2, 12).Draw(t, "one fault in"),
 		}
 
-		played, err := cwfee.Simulate(script)
+		played, err := cwonce.Simulate(script)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -88,7 +88,7 @@
 			t.Fatalf("the history is not at-most-once: %+v", script)
 		}
 
-		for v, n := range cwfee.Tally(played).Verdicts {
+		for v, n := range cwonce.Tally(played).Verdicts {
 			total[v] += n
 		}
 	})
--- a/internal/cwowner/owner_test.go
+++ b/internal/cwowner/owner_test.go
@@ -13,7 +13,7 @@
 	"carobward.example/carobward/internal/cwowner"
 	"carobward.example/carobward/internal/cwtest"
 	"carobward.example/carobward/internal/cwticket"
-	"carobward.example/carobward/internal/lab/cwfee"
+	"carobward.example/carobward/internal/lab/cwonce"
 )
 
 const (
@@ -29,11 +29,11 @@
 	SameTicket    bool
 }
 
-// fleet is a cwfee.Fleet that is stopped at the end of the test.
-type fleet struct{ *cwfee.Fleet }
+// fleet is a cwonce.Fleet that is stopped at the end of the test.
+type fleet struct{ *cwonce.Fleet }
 
-func newFleet(t testing.TB, size int, o cwfee.Options) fleet {
-	f, err := cwfee.New(size, o)
+func newFleet(t testing.TB, size int, o cwonce.Options) fleet {
+	f, err := cwonce.New(size, o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,7 +107,7 @@
 			event: func(_ *testing.T, f fleet) { f.At(0).Pause()() }, want: ran,
 		},
 		"message lost": {
-			event: func(_ *testing.T, f fleet) { f.Message = func() cwfee.Fault { return cwfee.LostCall } }, want: unavailable,
+			event: func(_ *testing.T, f fleet) { f.Message = func() cwonce.Fault { return cwonce.LostCall } }, want: unavailable,
 		},
 		"owner left": {
 			event: leave, want: ran,
@@ -122,7 +122,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newFleet(t, 2, cwfee.FastOptions())
+			f := newFleet(t, 2, cwonce.FastOptions())
 
 			ticket := f.owner(0).Prefix() + ".1"
 
@@ -165,7 +165,7 @@
 func TestRunningWork(t *testing.T) {
 	for name, at := range map[string]int{"at the owner": 0, "at another VM": 1} {
 		t.Run(name, func(t *testing.T) {
-			f := newFleet(t, 2, cwfee.FastOptions())
+			f := newFleet(t, 2, cwonce.FastOptions())
 
 			started, release := make(chan struct{}), make(chan struct{})
 			f.Ran = func(string, string, int) { close(started); <-release }
@@ -201,7 +201,7 @@
 // TestPanicLeavesUnknown checks the verdict after the work panicked before its
 // outcome was recorded.
 func TestPanicLeavesUnknown(t *testing.T) {
-	f := newFleet(t, 1, cwfee.FastOptions())
+	f := newFleet(t, 1, cwonce.FastOptions())
 
 	o := f.owner(0)
 	ticket := o.Prefix() + ".1"
@@ -227,25 +227,25 @@
 // which makes it safe to retry.
 func TestNoTicket(t *testing.T) {
 	for name, test := range map[string]struct {
-		fault cwfee.Fault
+		fault cwonce.Fault
 		want  carobward.Verdict
 		retry carobward.Verdict
 	}{
-		"ran":     {cwfee.NoFault, carobward.Ran, carobward.Ran},
-		"not run": {cwfee.Shed, carobward.NotRun, carobward.Ran},
-		"unknown": {cwfee.LostReply, carobward.Unknown, carobward.Unknown},
+		"ran":     {cwonce.NoFault, carobward.Ran, carobward.Ran},
+		"not run": {cwonce.Shed, carobward.NotRun, carobward.Ran},
+		"unknown": {cwonce.LostReply, carobward.Unknown, carobward.Unknown},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newFleet(t, 2, cwfee.FastOptions())
+			f := newFleet(t, 2, cwonce.FastOptions())
 
-			f.Request = func(string, int) cwfee.Fault { return test.fault }
+			f.Request = func(string, int) cwonce.Fault { return test.fault }
 
 			got, next := f.send(t, 0, "fee", "")
 			if got.Verdict != test.want || next == "" {
 				t.Errorf("got %+v, ticket %q", got, next)
 			}
 
-			f.Request = func(string, int) cwfee.Fault { return cwfee.NoFault }
+			f.Request = func(string, int) cwonce.Fault { return cwonce.NoFault }
 
 			if got, _ := f.send(t, 1, "fee", next); got.Verdict != test.retry {
 				t.Errorf("retry: %+v", got)
@@ -261,7 +261,7 @@
 // TestRefuse checks that an entry VM that rejects a request because of overload
 // reports not-run only if it owns the ticket and started no work with it.
 func TestRefuse(t *testing.T) {
-	f := newFleet(t, 2, cwfee.FastOptions())
+	f := newFleet(t, 2, cwonce.FastOptions())
 
 	used, unused := f.owner(0).Prefix()+".1", f.owner(0).Prefix()+".1"
 	f.send(t, 0, "fee", used)
@@ -292,7 +292,7 @@
 // the next. New entry VMs, which no announcement has reached yet, must find
 // them too.
 func TestOutcomesSurviveHandovers(t *testing.T) {
-	f := newFleet(t, 3, cwfee.FastOptions())
+	f := newFleet(t, 3, cwonce.FastOptions())
 
 	var tickets []string
 
@@ -330,7 +330,7 @@
 // The new run knows nothing of that request, so its reply must not set the
 // verdict.
 func TestOwnerReplacedDuringWork(t *testing.T) {
-	f := newFleet(t, 2, cwfee.FastOptions())
+	f := newFleet(t, 2, cwonce.FastOptions())
 
 	started, release := make(chan struct{}), make(chan struct{})
 	f.Ran = func(string, string, int) { close(started); <-release }
@@ -356,7 +356,7 @@
 // TestCanceledRequestIsNoTimeout checks that a request that is canceled early does
 // not mark the owner that it was forwarded to as unresponsive.
 func TestCanceledRequestIsNoTimeout(t *testing.T) {
-	f := newFleet(t, 2, cwfee.FastOptions())
+	f := newFleet(t, 2, cwonce.FastOptions())
 
 	ticket := f.owner(0).Prefix() + ".1"
 	resume := f.At(0).Pause()
@@ -369,7 +369,7 @@
 		t.Errorf("got %v", err)
 	}
 
-	pace := cwfee.FastOptions().Params
+	pace := cwonce.FastOptions().Params
 	pace.Backoff = time.Hour
 	f.owner(1).SetParams(pace)
 	resume()
--- a/internal/lab/cwfee/compare.go
+++ b/internal/lab/cwonce/compare.go
@@ -1,4 +1,4 @@
-package cwfee
+package cwonce
 
 import (
 	"fmt"
--- a/internal/lab/cwfee/fleet.go
+++ b/internal/lab/cwonce/fleet.go
@@ -2,7 +2,7 @@
 // entry VMs with faults: a fleet of real ticket owners in one process, and a
 // simulation in virtual time of several strategies. It compares tickets with
 // callers that retry after any error.
-package cwfee
+package cwonce
 
 import (
 	"context"
