--- a/cmd/carobward/bench_carriers.go
+++ b/cmd/carobward/bench_carriers.go
@@ -6,7 +6,7 @@
 
 	"github.com/juju/errors"
 
-	"carobward.example/carobward/internal/lab/cwcarrier"
+	"carobward.example/carobward/internal/lab/cwassignment"
 )
 
 const usageBenchCarriers = `Print which entry VMs carry which targets. The table has the fewest and the
@@ -32,25 +32,25 @@
 		return errors.New("bench carriers: targets and most have to be above zero, rounds and rate not below")
 	}
 
-	var all []cwcarrier.Distribution
+	var all []cwassignment.Distribution
 
 	for _, vms := range c.VMs {
 		if vms < 1 {
 			return errors.Errorf("bench carriers: %d entry VMs, want at least one", vms)
 		}
 
-		all = append(all, cwcarrier.MeasureDistribution(vms, c.Targets))
+		all = append(all, cwassignment.MeasureDistribution(vms, c.Targets))
 	}
 
-	if err := cwcarrier.WriteDistribution(os.Stdout, all); err != nil {
+	if err := cwassignment.WriteDistribution(os.Stdout, all); err != nil {
 		return err
 	}
 
 	fmt.Println()
 
 	for _, vms := range c.VMs {
-		rounds := cwcarrier.Settle(vms, c.Rounds, c.Rate, c.Most)
-		if err := cwcarrier.WriteSettle(os.Stdout, vms, rounds); err != nil {
+		rounds := cwassignment.Settle(vms, c.Rounds, c.Rate, c.Most)
+		if err := cwassignment.WriteSettle(os.Stdout, vms, rounds); err != nil {
 			return err
 		}
 	}
--- a/internal/cwlookup/assigned_test.go
+++ b/internal/cwlookup/assigned_test.go
@@ -15,7 +15,7 @@
 	"carobward.example/carobward"
 	"carobward.example/carobward/internal/cwlookup"
 	"carobward.example/carobward/internal/cwpeer"
-	"carobward.example/carobward/internal/lab/cwcarrier"
+	"carobward.example/carobward/internal/lab/cwassignment"
 )
 
 func TestAssignedVMs(t *testing.T) {
@@ -32,7 +32,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			got := map[carobward.Domain]int{}
-			for _, p := range cwlookup.AssignedVMs(cwcarrier.Peers(test.vms), "lookup", test.width) {
+			for _, p := range cwlookup.AssignedVMs(cwassignment.Peers(test.vms), "lookup", test.width) {
 				got[p.Domain]++
 			}
 
@@ -46,15 +46,15 @@
 // TestLostVMIsReplaced verifies that if an entry VM is lost, one other takes its
 // place for its targets and the assignment of all other targets is unchanged.
 func TestLostVMIsReplaced(t *testing.T) {
-	all := cwcarrier.Peers(19)
+	all := cwassignment.Peers(19)
 	lost := cwlookup.AssignedVMs(all, "lookup", cwlookup.BaseWidth)[0].ID
-	left := cwcarrier.Without(all, lost)
+	left := cwassignment.Without(all, lost)
 
 	for i := range 50 {
-		target := cwcarrier.Target(i)
-		want := cwcarrier.IDs(cwlookup.AssignedVMs(all, target, cwlookup.BaseWidth))[lost]
+		target := cwassignment.Target(i)
+		want := cwassignment.IDs(cwlookup.AssignedVMs(all, target, cwlookup.BaseWidth))[lost]
 
-		if changed := cwcarrier.Moved(cwlookup.AssignedVMs, all, left, target); changed > 1 || (changed == 1) != want {
+		if changed := cwassignment.Moved(cwlookup.AssignedVMs, all, left, target); changed > 1 || (changed == 1) != want {
 			t.Errorf("%s: %d assigned entry VMs changed, the lost one was among them: %v", target, changed, want)
 		}
 	}
@@ -63,7 +63,7 @@
 // TestTargetsSpread verifies that many targets are spread over all entry VMs.
 func TestTargetsSpread(t *testing.T) {
 	// 220 targets with 6 entry VMs each make 69 for each of 19 on average.
-	if got := cwcarrier.MeasureDistribution(19, 220); got.Min < 35 || got.Max > 120 {
+	if got := cwassignment.MeasureDistribution(19, 220); got.Min < 35 || got.Max > 120 {
 		t.Errorf("the entry VMs are assigned %d to %d targets each", got.Min, got.Max)
 	}
 }
@@ -73,7 +73,7 @@
 func TestWidthsConverge(t *testing.T) {
 	settled := []int{7, 7, 7, 7, 7, 7, 7}
 
-	for i, widths := range cwcarrier.Settle(30, 10, 20000, 3000) {
+	for i, widths := range cwassignment.Settle(30, 10, 20000, 3000) {
 		if diff := cmp.Diff(settled, widths); i > 3 && diff != "" {
 			t.Errorf("round %d: %s", i, diff)
 		}
@@ -82,13 +82,13 @@
 
 // TestHandler looks up addresses over HTTP, with and without a target.
 func TestHandler(t *testing.T) {
-	all := cwcarrier.Peers(19)
+	all := cwassignment.Peers(19)
 	table := cwpeer.NewTable(all[0])
 	table.Replace(all)
 
 	app := cwlookup.Handler(table, 5*time.Second, prefix("p"), cwlookup.NewWidths(table, 3000, 5*time.Second))
 
-	assigned := cwcarrier.IDs(cwlookup.AssignedVMs(all, "lookup", cwlookup.BaseWidth))
+	assigned := cwassignment.IDs(cwlookup.AssignedVMs(all, "lookup", cwlookup.BaseWidth))
 	used := map[string]map[carobward.VMID]bool{}
 
 	for _, query := range []string{"", "&target=lookup", "&target=lookup&width=-1"} {
@@ -145,7 +145,7 @@
 func BenchmarkAssignedVMs(b *testing.B) {
 	for _, vms := range []int{19, 200} {
 		b.Run(strconv.Itoa(vms), func(b *testing.B) {
-			all := cwcarrier.Peers(vms)
+			all := cwassignment.Peers(vms)
 
 			b.ReportAllocs()
 
--- a/internal/lab/cwcarrier/distribution.go
+++ b/internal/lab/cwassignment/distribution.go
@@ -1,4 +1,4 @@
-package cwcarrier
+package cwassignment
 
 import (
 	"carobward.example/carobward"
--- a/internal/lab/cwcarrier/fleet.go
+++ b/internal/lab/cwassignment/fleet.go
@@ -1,7 +1,7 @@
 // Package cwassignment models which entry VMs are assigned to which targets:
 // how evenly targets are distributed, what moves when an entry VM is lost, and
 // how the width of a hot target develops as callers follow the lookup replies.
-package cwcarrier
+package cwassignment
 
 import (
 	"fmt"
