--- a/internal/lab/cwleave/fleet.go
+++ b/internal/lab/cwleave/fleet.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// step lets each entry VM dispatch a request if it may, both before and after
-// its tick.
+// step lets each entry VM dispatch a request if it may, before its tick, which
+// is the worst case, and again after it.
 func (f *Fleet) step(list List) {
 	f.now += stepTime
 	f.clock.now = f.clock.now.Add(stepTime)
--- a/internal/lab/cwleave/signal.go
+++ b/internal/lab/cwleave/signal.go
@@ -12,7 +12,7 @@
 // the server leaves.
 type Signal struct {
 	Name string
-	// give gives the signal; list returns the VM list of the run.
+	// give triggers the signal; list returns the VM list of the run.
 	give func(*Fleet)
 	list func(*Fleet) List
 }
--- a/internal/lab/cwonce/compare_test.go
+++ b/internal/lab/cwonce/compare_test.go
@@ -7,7 +7,8 @@
 )
 
 // TestAgainstNaive subjects callers that retry after any error and callers with
-// tickets to the same server faults. Only the former may be charged twice.
+// tickets to the same server faults. Some of the former must be charged twice,
+// or the faults prove nothing, and none of the latter.
 func TestAgainstNaive(t *testing.T) {
 	const fees = 2000
 
--- a/internal/lab/cwonce/fleet.go
+++ b/internal/lab/cwonce/fleet.go
@@ -44,8 +44,8 @@
 	Params cwowner.Params
 }
 
-// FastOptions returns options with which an unresponsive owner is detected within
-// milliseconds and a handover takes many parts.
+// FastOptions returns options with which an unresponsive owner is detected
+// within milliseconds and a handover takes many parts.
 func FastOptions() Options {
 	return Options{
 		Limits: cwticket.Options{Horizon: time.Hour, Records: 10_000, Bytes: 10 * carobward.Megabyte},
@@ -59,8 +59,8 @@
 	}
 }
 
-// UnlimitedOptions returns options for measurements: the default timing, and limits that
-// are never reached.
+// UnlimitedOptions returns options for measurements: the default timing, and
+// limits that are never reached.
 func UnlimitedOptions() Options {
 	return Options{
 		Limits: cwticket.Options{Horizon: time.Hour, Records: 1 << 40, Bytes: 1 << 50},
--- a/internal/lab/cwonce/history.go
+++ b/internal/lab/cwonce/history.go
@@ -21,7 +21,8 @@
 	// Serial numbers the runs. A request that ran has the serial of the run
 	// that answered it.
 	Serial int
-	// From and To are when it began and ended, since the start of the history.
+	// From and To are when the operation began and ended, since the start of
+	// the history.
 	From, To time.Duration
 }
 
--- a/internal/lab/cwonce/strategy.go
+++ b/internal/lab/cwonce/strategy.go
@@ -7,8 +7,8 @@
 	"carobward.example/carobward"
 )
 
-// The parameters of Strategy.Run: fees arrive at a steady rate, entry VMs
-// are killed and replaced, replies are lost, and the store is unavailable for a
+// The parameters of Strategy.Run: fees arrive at a steady rate, entry VMs are
+// killed and replaced, replies are lost, and the store is unavailable for a
 // while. Time is virtual.
 const (
 	modelVMs          = 16
--- a/internal/lab/cwpoison/doc.go
+++ b/internal/lab/cwpoison/doc.go
@@ -11,10 +11,11 @@
 type Pattern struct {
 	Name string
 	// Culprits is the number of requests that crash servers. Each of them is
-	// sent again at an interval.
+	// sent again at every Interval.
 	Culprits int
 	Interval time.Duration
-	// Crashes is how often a random share of the servers crashes by itself.
+	// Crashes is how often a Share of the servers, drawn at random, crashes by
+	// itself.
 	Crashes int
 	Share   float64
 	// Popular is the share of requests that are the same charge, sent by many
