--- a/internal/cwmesh/answer.go
+++ b/internal/cwmesh/answer.go
@@ -12,9 +12,9 @@
 const ErrEra = errors.ConstError("mesh: the answer is from an earlier era of the store")
 
 // TakeAnswer applies an answer of the store to a call that was made at the time asked, and
-// sends it to the fleet. It returns how many items came into force. The error is a
-// carobward.ErrHistory if the store was restored from a backup and the answer does not have
-// all keys: what came after the replica's index is not part of the restored history.
+// sends it to the fleet. It returns how many items came into force. The error is
+// carobward.ErrHistoryGone if the store was restored from a backup and the answer does not
+// have all keys: the restored history does not contain the replica's index.
 func (m *Mesh) TakeAnswer(c carobward.Changes, asked time.Time) (int, error) {
 	now, before := m.Clock.Now(), m.Mirror.State()
 
--- a/internal/cwmesh/checked_test.go
+++ b/internal/cwmesh/checked_test.go
@@ -11,18 +11,18 @@
 
 // TestCheckedHistory simulates a store that is restored from backups, together with crashes and
 // suspensions of entry VMs, network partitions, packet loss and paused processes whose
-// heartbeats wait. An entry VM tells from Checked which API keys are in force, so it must
-// never claim to have all that was acknowledged before a time while it lacks a configuration
-// from before it. TestRestoreHistory checks the same in larger fleets.
+// heartbeats wait. Checked decides whether an entry VM may still rely on the API keys that it
+// has, so it must never return a time before which a configuration was acknowledged that the
+// entry VM lacks. TestRestoreHistory checks the same in larger fleets.
 func TestCheckedHistory(t *testing.T) {
 	for name, c := range map[string]struct {
 		vms, steps int
 		seed       uint64
 	}{
-		"17":     {17, 40, 11},
-		"17 too": {17, 40, 12},
-		"60":     {60, 5, 13},
-		"127":    {127, 2, 14},
+		"17 VMs":               {17, 40, 11},
+		"17 VMs, another seed": {17, 40, 12},
+		"60 VMs":               {60, 5, 13},
+		"127 VMs":              {127, 2, 14},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -50,7 +50,7 @@
 			}
 
 			if part := float64(freshness.fresh) / float64(freshness.moments); part < enough {
-				t.Errorf("fresh at only %.2f of all moments", part)
+				t.Errorf("Checked was recent at only %.2f of all moments", part)
 			}
 		})
 	}
@@ -198,8 +198,8 @@
 	const (
 		vms   = 125
 		quiet = 8 * time.Second
-		// way is the time that a claim needs to reach all entry VMs.
-		way = 100 * time.Millisecond
+		// spreadTime is the time that a claim needs to reach all entry VMs.
+		spreadTime = 100 * time.Millisecond
 	)
 
 	f := newFleetHistory(t, 21, vms)
@@ -210,9 +210,9 @@
 	f.play(quiet)
 
 	for _, v := range f.vms {
-		if fresh, word := v.mesh.Fresh(), v.mesh.LastStoreAnswer(); fresh.After(before.Add(way)) || word.After(before.Add(way)) {
+		if fresh, last := v.mesh.Fresh(), v.mesh.LastStoreAnswer(); fresh.After(before.Add(spreadTime)) || last.After(before.Add(spreadTime)) {
 			t.Fatalf("%s: the replica counts as %s old, the last answer as %s old; the store has been down for %s",
-				v.node.ID, f.now.Sub(fresh), f.now.Sub(word), quiet)
+				v.node.ID, f.now.Sub(fresh), f.now.Sub(last), quiet)
 		}
 	}
 }
--- a/internal/cwmesh/claim.go
+++ b/internal/cwmesh/claim.go
@@ -8,10 +8,10 @@
 )
 
 // claim states that replicas of the store were up to date at a time, as the store's answer
-// to a call of an entry VM has shown. Heartbeats pass claims on by their age, which leaves
-// out the time in transit. Each entry VM therefore applies a claim only once, by its
-// number: applied again by way of other peers, it would look younger each time, the more
-// so the more peers pass it on.
+// to a call of an entry VM has shown. Heartbeats pass a claim on as an age, which leaves out
+// the time in transit. Each entry VM therefore applies a claim only once, by its number:
+// received again through other peers, it would look younger each time, and all the more so
+// in a larger fleet.
 type claim struct {
 	// askerBoot identifies the run of the entry VM that made the call, number is the number
 	// of the call in that run.
@@ -69,13 +69,13 @@
 	delete(s, first)
 }
 
-// Periods in which claims are taken with care.
+// Periods during which claims are unreliable.
 const (
 	// backlogTime is for how long after a pause of the process heartbeats that arrived
 	// during the pause may still be read. They are read one after the other, without a delay.
 	backlogTime = 300 * time.Millisecond
-	// eraSettleTime is for how long after it entered an era of the store an entry VM may not
-	// know what others keep in force that the store has lost: two heartbeats.
+	// eraSettleTime is for how long after it entered an era of the store an entry VM may lack
+	// items that the store has lost and peers keep in force: two heartbeats.
 	eraSettleTime = 2 * heartbeatInterval
 	// startSettleTime is the same for an entry VM that has just started: enough for peers to
 	// answer it several times.
@@ -143,7 +143,7 @@
 }
 
 // pauseMeter tracks pauses of the process, and so how long a heartbeat may have waited to
-// be read: what it says is older by that time.
+// be read: the ages in it are too low by up to that time.
 type pauseMeter struct {
 	// lastTick is when the process was last known to run.
 	lastTick time.Time
--- a/internal/cwmesh/domain.go
+++ b/internal/cwmesh/domain.go
@@ -10,7 +10,7 @@
 	"carobward.example/carobward/internal/cwrank"
 )
 
-// Limits of what is known of other failure domains. An entry VM knows each peer of its
+// Limits of what an entry VM keeps about other failure domains. It knows each peer of its
 // own failure domain, and of every other one a summary and some entry VMs to contact:
 // what it receives, keeps and sends grows with its own failure domain and with the number
 // of failure domains, not with the fleet.
@@ -33,12 +33,12 @@
 	// maxContacts is how many entry VMs of another failure domain are kept to contact.
 	// Seeds name them to newcomers from there.
 	maxContacts = 32
-	// relaysPerDomain is how many entry VMs of each other failure domain get urgent news,
-	// and pass it on. The second one covers the loss of the first datagram.
+	// relaysPerDomain is how many entry VMs of each other failure domain get urgent
+	// updates, and pass them on. The second one covers the loss of the first datagram.
 	relaysPerDomain = 2
 )
 
-// Summary is what is known of a failure domain's entry VMs as a whole.
+// Summary describes the entry VMs of a failure domain as a whole.
 type Summary struct {
 	Domain carobward.Domain
 	// Made is when it was made in that failure domain, by this entry VM's clock.
@@ -243,7 +243,7 @@
 
 // Callable returns the entry VMs of another failure domain that may be named to callers:
 // those that a recent summary names. If the two failure domains can't reach each other,
-// the summary may have come by way of a third.
+// the summary may have come through a third.
 func (t *Table) Callable(d carobward.Domain, now time.Time) []Node {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
--- a/internal/cwmesh/era_test.go
+++ b/internal/cwmesh/era_test.go
@@ -20,7 +20,7 @@
 		era, index uint64
 		want       bool
 	}{
-		"the same copy":     {2, 5, true},
+		"the same state":    {2, 5, true},
 		"an older one":      {2, 4, true},
 		"a newer one":       {2, 6, false},
 		"of an earlier era": {1, 9, false},
@@ -67,7 +67,7 @@
 
 			_, err := m.TakeAnswer(c.answer, m.Clock.Now())
 			if !errors.Is(err, c.err) || c.err == nil && err != nil {
-				t.Errorf("%v", err)
+				t.Errorf("got the error %v", err)
 			}
 
 			if diff := cmp.Diff(c.want, m.Mirror.State()); diff != "" {
--- a/internal/cwmesh/fetch.go
+++ b/internal/cwmesh/fetch.go
@@ -142,9 +142,9 @@
 
 // isPeerError reports whether err is the error want as returned by a peer.
 func isPeerError(err, want error) bool {
-	var said rpc.ServerError
+	var remote rpc.ServerError
 
-	return errors.As(err, &said) && string(said) == want.Error()
+	return errors.As(err, &remote) && string(remote) == want.Error()
 }
 
 // noteGap records that a peer that is ahead does not know the changes since this replica.
@@ -164,8 +164,8 @@
 	return m.gapSeen.After(m.claims.newest.answered)
 }
 
-// nextOffer waits for a peer that is ahead, and after the delay picks one of those known
-// to be ahead, if possible not the one that failed.
+// nextOffer waits for an offer of another peer than the one that failed. After the delay it
+// picks one of the peers that are known to be ahead instead.
 func (m *Mesh) nextOffer(ctx context.Context, failed offer, pause time.Duration) (offer, bool) {
 	timer := time.NewTimer(pause + rand.N(pause))
 	defer timer.Stop()
@@ -243,7 +243,7 @@
 
 	m.setPush(&c)
 	m.spread(&c)
-	m.relayPendingNews()
+	m.relayUpdate()
 
 	return nil
 }
@@ -311,7 +311,7 @@
 	out.Index, out.Whole = reply.GetIndex(), reply.GetWhole()
 	out.GapFrom, out.GapTo = reply.GetGapFrom(), reply.GetGapTo()
 	out.Era, out.AfterEra = reply.GetEra(), reply.GetAfterEra()
-	// The remaining times are those of now.
+	// Remaining times and ages must be current, even if the rest is a reused reply.
 	out.Kept, out.Hold = encodeKept(a.mesh.Mirror.Kept(now)), uint32(a.mesh.Mirror.HoldRemaining(now).Milliseconds())
 	out.Fresh, out.Checked = encodeAge(claim.answered, now), encodeAge(claim.asked, now)
 	out.By, out.Nth = claim.askerBoot, claim.number
--- a/internal/cwmesh/fetch_test.go
+++ b/internal/cwmesh/fetch_test.go
@@ -30,7 +30,7 @@
 		keys  = 100
 		value = 400
 		size  = keys * (value + 10)
-		most  = link*linkShare + link/10
+		limit = link*linkShare + link/10
 	)
 
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -70,8 +70,8 @@
 		}
 	}
 
-	if sent > most || sent < most/2 {
-		t.Errorf("sent %d bytes in a second, want at most %d and at least half of that", sent, int(most))
+	if sent > limit || sent < limit/2 {
+		t.Errorf("sent %d bytes in a second, want at most %d and at least half of that", sent, int(limit))
 	}
 
 	slow := NewAnswers(New(Options{Table: NewTable(Node{ID: "self"}), Mirror: mirror, Clock: clock, Log: logr.Discard(), Link: size}, conn))
@@ -81,7 +81,7 @@
 
 	all, decodeErr := decodeChanges(reply, 0)
 	if err != nil || decodeErr != nil || len(all.Items) != keys {
-		t.Errorf("%d keys for a peer that asks alone, %v, %v", len(all.Items), err, decodeErr)
+		t.Errorf("a peer that asks alone got %d keys, the errors are %v and %v", len(all.Items), err, decodeErr)
 	}
 }
 
@@ -120,7 +120,7 @@
 
 			err = NewAnswers(m).Changes(&cwwire.ChangesRequest{After: uint64(c.after)}, reply)
 			if !errors.Is(err, c.want) || reply.GetWhole() != c.whole {
-				t.Errorf("%v, whole %v", err, reply.GetWhole())
+				t.Errorf("got the error %v, all keys: %v", err, reply.GetWhole())
 			}
 		})
 	}
@@ -195,7 +195,7 @@
 
 	for range 20 {
 		if got, ok := m.pickAhead(offer{id: "vm-0"}); !ok || got.id != "vm-3" {
-			t.Fatalf("picked %q", got.id)
+			t.Fatalf("picked %q instead of the other peer that is ahead", got.id)
 		}
 	}
 
@@ -204,7 +204,7 @@
 	clock.now = now.Add(liveCacheTime)
 
 	if got, ok := m.pickAhead(offer{id: "vm-0"}); !ok || got.id != "vm-0" {
-		t.Errorf("picked %q", got.id)
+		t.Errorf("picked %q instead of the only peer that is ahead", got.id)
 	}
 }
 
--- a/internal/cwmesh/fleet_test.go
+++ b/internal/cwmesh/fleet_test.go
@@ -13,7 +13,8 @@
 	// simFormTime is how long a starting fleet takes until all know all.
 	simFormTime = 3 * time.Second
 	// simDeathTime is how long a crash takes to be known everywhere: two and a half heartbeats,
-	// two for the way out and in, and as much again for lost packets.
+	// two for a summary to leave its failure domain and to spread in another one, and as
+	// much again for lost packets.
 	simDeathTime = liveTimeout + 4*heartbeatInterval
 )
 
@@ -25,15 +26,16 @@
 		vms  int
 		loss float64
 		play func(*sim)
-		know time.Duration
+		// within is the time until all entry VMs have to know the fleet.
+		within time.Duration
 	}{
-		"fleet starts":  {60, 0, nil, simFormTime},
-		"large fleet":   {300, 0, nil, simFormTime},
-		"one a domain":  {5, 0, nil, simFormTime},
-		"packet loss":   {60, 0.03, nil, 2 * simFormTime},
-		"one dies":      {60, 0, func(s *sim) { s.vms[45].stop() }, simDeathTime},
-		"the seeds die": {60, 0, func(s *sim) { s.stopSome(func(i int) bool { return i < simSeeds }) }, simDeathTime},
-		"half die":      {60, 0, func(s *sim) { s.stopSome(func(i int) bool { return i%2 == 0 }) }, simDeathTime},
+		"fleet starts":          {60, 0, nil, simFormTime},
+		"large fleet":           {300, 0, nil, simFormTime},
+		"one VM in each domain": {5, 0, nil, simFormTime},
+		"packet loss":           {60, 0.03, nil, 2 * simFormTime},
+		"one dies":              {60, 0, func(s *sim) { s.vms[45].stop() }, simDeathTime},
+		"the seeds die":         {60, 0, func(s *sim) { s.stopSome(func(i int) bool { return i < simSeeds }) }, simDeathTime},
+		"half die":              {60, 0, func(s *sim) { s.stopSome(func(i int) bool { return i%2 == 0 }) }, simDeathTime},
 		"half return": {60, 0, func(s *sim) {
 			s.stopSome(func(i int) bool { return i%2 == 0 })
 			s.run(2*time.Second, nil)
@@ -59,7 +61,7 @@
 			}
 
 			wrong := s.mismatch()
-			for until := s.now.Add(c.know); wrong != "" && s.now.Before(until); wrong = s.mismatch() {
+			for until := s.now.Add(c.within); wrong != "" && s.now.Before(until); wrong = s.mismatch() {
 				s.run(simCheckInterval, nil)
 			}
 
@@ -87,7 +89,7 @@
 	list := s.vms[0].mesh.Table.Fleet(s.now, Ready)
 
 	if len(list) != simDomains {
-		t.Fatalf("%d failure domains in the list", len(list))
+		t.Fatalf("the list has %d failure domains", len(list))
 	}
 
 	s.stopSome(func(int) bool { return true })
@@ -172,15 +174,15 @@
 			}
 
 			// Each entry VM may miss one datagram; a failure domain does only if both of its relays do.
-			if most := int(2 * loss * answers * float64(len(s.vms))); missed > most {
-				t.Errorf("%d of %d did not know at once, at most %d may", missed, answers*len(s.vms), most)
+			if limit := int(2 * loss * answers * float64(len(s.vms))); missed > limit {
+				t.Errorf("%d of %d times an entry VM did not know of an answer at once, at most %d are allowed", missed, answers*len(s.vms), limit)
 			}
 		})
 	}
 }
 
 // TestFleetPackets checks that the packets an entry VM sends between failure domains don't
-// grow with the fleet, and that all it sends grow only with its failure domain.
+// grow with the fleet, and that the packets it sends in all grow only with its failure domain.
 func TestFleetPackets(t *testing.T) {
 	const seconds = 3
 
@@ -195,13 +197,13 @@
 			each := float64(s.packets) / float64(count) / seconds
 			far := float64(s.far) / seconds
 
-			if most := float64(count/simDomains + 4); each > most {
-				t.Errorf("%.1f datagrams a second and VM, want at most %.1f", each, most)
+			if limit := float64(count/simDomains + 4); each > limit {
+				t.Errorf("%.1f datagrams a second and VM, want at most %.1f", each, limit)
 			}
 
 			// summarySenders from each failure domain to each other one.
-			if most := 1.2 * summarySenders * simDomains * (simDomains - 1); far > most {
-				t.Errorf("%.0f datagrams a second between failure domains, want at most %.0f", far, most)
+			if limit := 1.2 * summarySenders * simDomains * (simDomains - 1); far > limit {
+				t.Errorf("%.0f datagrams a second between failure domains, want at most %.0f", far, limit)
 			}
 		})
 	}
--- a/internal/cwmesh/limit_test.go
+++ b/internal/cwmesh/limit_test.go
@@ -39,8 +39,8 @@
 // as it knows the others. A rate that is not a finite number is a limit that can't be read.
 func TestFleetLimits(t *testing.T) {
 	for name, c := range map[string]struct {
-		says, want carobward.Limit
-		loss       float64
+		announced, want carobward.Limit
+		loss            float64
 	}{
 		"a limit":      {carobward.Limit{Present: true, Readable: true, Rate: 1.4}, carobward.Limit{Present: true, Readable: true, Rate: 1.4}, 0},
 		"packet loss":  {carobward.Limit{Present: true, Readable: true, Rate: 1.4}, carobward.Limit{Present: true, Readable: true, Rate: 1.4}, 0.03},
@@ -60,7 +60,7 @@
 			s.loss = c.loss
 			sender := s.vms[0]
 			announcedAt := s.now
-			sender.ownLimits = []carobward.LimitAnnouncement{{Server: server, Limit: c.says, At: announcedAt}}
+			sender.ownLimits = []carobward.LimitAnnouncement{{Server: server, Limit: c.announced, At: announcedAt}}
 			s.run(2*heartbeatInterval+2*simDelay, nil)
 
 			late.startAt = s.now
@@ -73,20 +73,20 @@
 				}
 
 				// A notice that was passed on may have gone several hops.
-				most := 2 * simStep
+				maxOff := 2 * simStep
 				if w.Relayed {
-					most = simCheckInterval
+					maxOff = simCheckInterval
 				}
 
-				if off := w.At.Sub(announcedAt); !ok || w.Limit != c.want || off.Abs() > most {
-					t.Errorf("%s: %+v", v.node.ID, w)
+				if off := w.At.Sub(announcedAt); !ok || w.Limit != c.want || off.Abs() > maxOff {
+					t.Errorf("%s has another limit, or one with another time: %+v", v.node.ID, w)
 				}
 			}
 		})
 	}
 }
 
-// TestFleetLeaving checks that a server's notice that it leaves reaches all entry VMs of a
+// TestFleetLeaving checks that a server's notice that it is leaving reaches all entry VMs of a
 // failure domain within two heartbeats, also with packet loss.
 func TestFleetLeaving(t *testing.T) {
 	const loss = 0.03
@@ -102,7 +102,7 @@
 
 	for _, v := range s.vms {
 		if v != sender && v.node.Domain == sender.node.Domain && !v.learnedLeaving[want] {
-			t.Errorf("%s does not know that the server leaves", v.node.ID)
+			t.Errorf("%s does not know that the server is leaving", v.node.ID)
 		}
 	}
 }
--- a/internal/cwmesh/mesh.go
+++ b/internal/cwmesh/mesh.go
@@ -21,7 +21,7 @@
 // Intervals and size limits of heartbeats.
 const (
 	// heartbeatInterval is the time between heartbeats. Datagrams between failure
-	// domains cost money, and urgent news is sent without waiting for the next one.
+	// domains cost money, and urgent updates are sent without waiting for the next one.
 	heartbeatInterval = time.Second
 	// seedInterval is the time between heartbeats to seeds that have not answered.
 	seedInterval = 300 * time.Millisecond
@@ -37,8 +37,8 @@
 	// maxNotices is how many servers' notices of each kind a heartbeat carries, a random
 	// sample if there are more: some 40 bytes each, so that it fits into one packet.
 	maxNotices = 32
-	// newcomerTime is for how long after its start an entry VM asks each one that it
-	// meets for the other entry VMs.
+	// newcomerTime is for how long after its start an entry VM asks each peer that it
+	// contacts for the other entry VMs.
 	newcomerTime = 3 * time.Second
 	// maxDatagramSize is the size of the receive buffer in bytes: enough for the Nodes of
 	// a failure domain and a dozen summaries.
@@ -85,9 +85,9 @@
 	state     atomic.Uint32
 	storeDown atomic.Bool
 	rate      atomic.Int64
-	// tellsFar is set if the next heartbeat also goes to the other failure domains,
-	// relayPending if news from one of them has yet to be passed on in this one.
-	tellsFar     atomic.Bool
+	// sendsFar is set if the next heartbeat also goes to the other failure domains,
+	// relayPending if an update from one of them has yet to be passed on in this one.
+	sendsFar     atomic.Bool
 	relayPending atomic.Bool
 	// hasFetched is set once a peer has sent its replica, and with it the items that it keeps.
 	hasFetched atomic.Bool
@@ -154,7 +154,7 @@
 	m.clients.Close()
 }
 
-// SetState sets whether this entry VM takes callers, and tells the peers at once.
+// SetState sets whether this entry VM takes callers, and announces it to the peers at once.
 func (m *Mesh) SetState(s State) {
 	if m.state.Swap(uint32(s)) != uint32(s) {
 		m.HeartbeatDomain()
@@ -176,7 +176,7 @@
 // are any and they are small.
 func (m *Mesh) HeartbeatFleet(c *carobward.Changes) {
 	m.setPush(c)
-	m.tellsFar.Store(true)
+	m.sendsFar.Store(true)
 	m.HeartbeatDomain()
 }
 
@@ -190,8 +190,8 @@
 
 // Suspended adds a time that the VM's clock did not count to the age of what is known of
 // the store: when the replica was up to date, and when the store last answered. Otherwise
-// this entry VM would take its replica for up to date, and tell peers so. What is known of
-// peers stays: they have most likely kept running, and without them this entry VM would
+// this entry VM would consider its replica up to date, and claim so to peers. What is known
+// of peers stays: they have most likely kept running, and without them this entry VM would
 // act as if it were alone.
 func (m *Mesh) Suspended(by time.Duration) {
 	m.mutex.Lock()
--- a/internal/cwmesh/receive.go
+++ b/internal/cwmesh/receive.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// handleDatagram handles one datagram. It ignores those that are not authentic or malformed.
+// handleDatagram handles one datagram. It ignores those that are malformed or not authentic.
 func (m *Mesh) handleDatagram(sealed []byte, from net.Addr) {
 	raw, err := m.Key.Open(sealed, from)
 	if err != nil {
@@ -131,7 +131,8 @@
 	own := m.Mirror.State()
 	behind := own.Behind(p.Replica)
 
-	// A replica that came from the store alone lacks what the store lost before.
+	// A replica that came from the store alone lacks the items that the store has lost and
+	// peers keep in force.
 	if p.Replica.Kept > 0 && !behind && !m.hasFetched.Load() {
 		m.setOffer(offer{from: carobward.Address(from.String()), id: p.ID, state: p.Replica, kept: true})
 	}
@@ -145,10 +146,10 @@
 		m.setOffer(offer{from: carobward.Address(from.String()), id: p.ID, state: p.Replica})
 	case behind:
 	case p.Replica.Era != own.Era:
-		// A claim for a replica of another era says nothing of this one.
+		// A claim for a replica of another era does not apply to this one.
 	default:
 		m.applyClaim(c, now, own.Era)
-		m.relayPendingNews()
+		m.relayUpdate()
 	}
 }
 
@@ -158,8 +159,8 @@
 	return now.Sub(m.Fresh()) > farFetchDelay && now.Sub(m.started) > farFetchDelay
 }
 
-// relayPendingNews sends a heartbeat to the failure domain if news from another one is pending.
-func (m *Mesh) relayPendingNews() {
+// relayUpdate sends a heartbeat to the failure domain if an update from another one is pending.
+func (m *Mesh) relayUpdate() {
 	if m.relayPending.Swap(false) {
 		m.HeartbeatDomain()
 	}
--- a/internal/cwmesh/restore_test.go
+++ b/internal/cwmesh/restore_test.go
@@ -47,7 +47,7 @@
 	answers *Answers
 	// values has the values that are in force there.
 	values map[carobward.Key]string
-	// left has the servers that were seen draining or gone there.
+	// left has the servers that were seen draining or removed there.
 	left map[carobward.Key]bool
 	// version is the highest configuration that has been in force.
 	version  int
@@ -149,9 +149,9 @@
 }
 
 func (f *fleetHistory) fail(format string, args ...any) {
-	const most = 10
+	const maxReported = 10
 
-	if f.failures++; f.failures <= most {
+	if f.failures++; f.failures <= maxReported {
 		f.t.Errorf(format, args...)
 	}
 }
@@ -179,7 +179,8 @@
 	return !f.store.down && v.node.Domain != f.store.unserved
 }
 
-// step lets an entry VM fetch from a peer that is ahead, and ask the store if it is its turn.
+// step lets an entry VM fetch from a peer that is ahead, and ask the store if it is due. Place is
+// its position in the order in which entry VMs query the store.
 func (f *fleetHistory) step(h *historyVM, place int) {
 	select {
 	case o := <-h.mesh.offers:
@@ -344,11 +345,11 @@
 		vms, steps int
 		seed       uint64
 	}{
-		"17":     {17, 30, 1},
-		"17 too": {17, 30, 2},
-		"60":     {60, 20, 3},
-		"127":    {127, 12, 4},
-		"472":    {472, 5, 5},
+		"17 VMs":               {17, 30, 1},
+		"17 VMs, another seed": {17, 30, 2},
+		"60 VMs":               {60, 20, 3},
+		"127 VMs":              {127, 12, 4},
+		"472 VMs":              {472, 5, 5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -391,7 +392,7 @@
 		maps.DeleteFunc(h.values, func(_ carobward.Key, state string) bool { return state == "gone" })
 
 		if !maps.Equal(want, h.values) {
-			f.fail("%s has %v, the servers are %v", v.node.ID, h.values, want)
+			f.fail("%s has the servers %v, but they are %v", v.node.ID, h.values, want)
 		}
 	}
 }
--- a/internal/cwmesh/send.go
+++ b/internal/cwmesh/send.go
@@ -73,13 +73,13 @@
 	}
 }
 
-// sendAll sends a heartbeat to each peer and, if the news is for the whole fleet, to some
+// sendAll sends a heartbeat to each peer and, if it is for the whole fleet, to some
 // entry VMs of each other failure domain, which pass it on.
 func (m *Mesh) sendAll() {
 	now := m.Clock.Now()
 	m.sendTo(m.Table.recipients(now), m.heartbeat(now))
 
-	if m.tellsFar.Swap(false) {
+	if m.sendsFar.Swap(false) {
 		m.sendSummary(now, relaysPerDomain, true)
 	}
 }
--- a/internal/cwmesh/sim_test.go
+++ b/internal/cwmesh/sim_test.go
@@ -280,7 +280,7 @@
 
 		t := v.mesh.Table
 		if got := 1 + len(t.Live(s.now)); got != alive[v.node.Domain] {
-			return fmt.Sprintf("%s knows %d of %d in its own failure domain", v.node.ID, got, alive[v.node.Domain])
+			return fmt.Sprintf("%s knows %d of %d entry VMs in its own failure domain", v.node.ID, got, alive[v.node.Domain])
 		}
 
 		known := map[carobward.Domain]int{}
@@ -290,12 +290,12 @@
 
 		for d, n := range alive {
 			if d != v.node.Domain && known[d] != n {
-				return fmt.Sprintf("%s knows %d of %d in %s", v.node.ID, known[d], n, d)
+				return fmt.Sprintf("%s knows %d of %d entry VMs in %s", v.node.ID, known[d], n, d)
 			}
 		}
 
 		if size := t.Size(s.now); size < all {
-			return fmt.Sprintf("%s shares budgets by %d, %d live", v.node.ID, size, all)
+			return fmt.Sprintf("%s divides budgets by %d, but %d entry VMs are alive", v.node.ID, size, all)
 		}
 	}
 
--- a/internal/cwmesh/store_test.go
+++ b/internal/cwmesh/store_test.go
@@ -31,7 +31,7 @@
 	// version is the newest configuration, acknowledged at acked.
 	version int
 	acked   time.Time
-	// stableSince is when the store was last disturbed.
+	// stableSince is when the last outage ended, or the rewriting of lost entries after it.
 	stableSince time.Time
 	// states has the state of each server, writes how often it wrote.
 	states map[carobward.Key]string
--- a/internal/cwmesh/table.go
+++ b/internal/cwmesh/table.go
@@ -1,8 +1,8 @@
 // Package cwmesh tracks the membership of the fleet of entry VMs and spreads changes of the
 // platform's store. Each entry VM sends a small heartbeat to all of its failure domain: it
 // shows that the VM lives, whether it takes callers and how far its replica of the store is.
-// Of each other failure domain an entry VM knows a summary. One whose replica is behind
-// fetches the changes from a peer that is ahead.
+// Of each other failure domain an entry VM knows a summary. An entry VM whose replica is
+// behind fetches the changes from a peer that is ahead.
 package cwmesh
 
 import (
@@ -275,8 +275,8 @@
 }
 
 // RecentPeers returns the other entry VMs of this failure domain that were heard from or
-// named within keepTime, as one that is out of reach may still serve, and the largest recent
-// number of all with this one, which the store or others may have given.
+// named within keepTime: one that is out of reach may still serve. It also returns the
+// largest recent number of entry VMs there, with this one, which may come from the store's list.
 func (t *Table) RecentPeers(now time.Time) ([]carobward.VMID, int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -346,7 +346,7 @@
 	return near, float64(near) / float64(all)
 }
 
-// addressOf returns the address for peers of a peer of this failure domain.
+// addressOf returns the address at which an entry VM of this failure domain receives heartbeats.
 func (t *Table) addressOf(id carobward.VMID) (carobward.Address, bool) {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
--- a/internal/cwmesh/table_test.go
+++ b/internal/cwmesh/table_test.go
@@ -49,7 +49,7 @@
 	}
 
 	if got := table.Size(now.Add(2 * keepTime)); got != 1 {
-		t.Errorf("size %d after keepTime", got)
+		t.Errorf("size %d after twice keepTime", got)
 	}
 }
 
@@ -90,12 +90,12 @@
 	for range 100 {
 		list := table.sampleLive(now, want)
 		if len(list) != want {
-			t.Fatalf("%d peers", len(list))
+			t.Fatalf("the sample has %d peers", len(list))
 		}
 
 		for i := range list {
 			if list[i].Domain != "a" {
-				t.Errorf("%s of %s", list[i].ID, list[i].Domain)
+				t.Errorf("the sample has %s of failure domain %s", list[i].ID, list[i].Domain)
 			}
 
 			drawn[list[i].ID] = true
@@ -107,7 +107,7 @@
 	}
 
 	if list := table.sampleLive(now.Add(liveTimeout), want); len(list) > 0 {
-		t.Errorf("%d peers that are not alive", len(list))
+		t.Errorf("the sample has %d peers that are not alive", len(list))
 	}
 }
 
@@ -225,8 +225,8 @@
 }
 
 // TestCallable checks that callers are told the entry VMs of another failure domain while a
-// recent summary names them, also one that came by way of a third failure domain, and none
-// once all of them may be gone.
+// recent summary names them, also one that came through a third failure domain, and none
+// once all of them may be dead.
 func TestCallable(t *testing.T) {
 	now := time.Now()
 	later := now.Add
--- a/internal/cwmesh/wire.go
+++ b/internal/cwmesh/wire.go
@@ -52,7 +52,7 @@
 	return out
 }
 
-// maxKeptMillis limits, in milliseconds, for how long a peer may say that an item is kept.
+// maxKeptMillis is the longest remaining time of a kept item that a peer may report, in milliseconds.
 const maxKeptMillis = uint64(carobward.Forever / time.Millisecond)
 
 func encodeKept(list []carobward.RetainedItem) []*cwwire.Kept {
