--- a/internal/cwsuspend/meter.go
+++ b/internal/cwsuspend/meter.go
@@ -1,5 +1,5 @@
 // Package cwsuspend measures for how long the VM was suspended. The monotonic clock, by which
-// timers run and ages are measured, stands still meanwhile, while clocks elsewhere go on.
+// timers run and ages are measured, does not advance meanwhile, while clocks elsewhere do.
 package cwsuspend
 
 import (
