--- a/internal/cwgateway/addresses.go
+++ b/internal/cwgateway/addresses.go
@@ -8,7 +8,7 @@
 	"carobward.example/carobward/internal/cwmesh"
 )
 
-// lookupQuery is a caller's question which addresses to use for a host.
+// lookupQuery is a caller's query for the addresses to use for a host.
 type lookupQuery struct {
 	domain carobward.Domain
 	region carobward.Region
@@ -39,7 +39,7 @@
 
 // nearest returns the addresses of the caller's own failure domain. While there are fewer
 // than minAddresses, it adds those of the caller's region, then those of the regions where the
-// host's requests are allowed, and at last all others.
+// host's requests are allowed, and finally all others.
 func nearest(
 	q lookupQuery, byDomain map[carobward.Domain][]carobward.Address, regions map[carobward.Domain]carobward.Region, allowed []carobward.Region,
 ) []carobward.Address {
--- a/internal/cwgateway/addresses_test.go
+++ b/internal/cwgateway/addresses_test.go
@@ -26,7 +26,7 @@
 
 		got := sampleAddresses(list)
 		if len(got) != maxAddresses {
-			t.Fatalf("%d addresses", len(got))
+			t.Fatalf("the sample has %d addresses", len(got))
 		}
 
 		for _, a := range got {
--- a/internal/cwgateway/allowed_regions_test.go
+++ b/internal/cwgateway/allowed_regions_test.go
@@ -48,7 +48,7 @@
 					for method, path := range map[string]string{http.MethodGet: readPath, http.MethodPost: chargePath} {
 						got := v.send(method, path, fmt.Sprint(method, i, n), "")
 						if refused := got.status == http.StatusServiceUnavailable; refused != (c.want == [2]int{}) {
-							t.Errorf("%s: %+v", path, got)
+							t.Errorf("%s: unexpected answer %+v", path, got)
 						}
 					}
 				}
--- a/internal/cwgateway/callers_test.go
+++ b/internal/cwgateway/callers_test.go
@@ -44,7 +44,7 @@
 	u.SetBody(strings.Repeat("a", size))
 
 	for i := range callers {
-		v.sendUnread(t, fmt.Sprint("deaf-", i))
+		v.sendUnread(t, fmt.Sprint("unread-", i))
 	}
 
 	// The server is asked by all of them at once, so some requests are refused; further ones
--- a/internal/cwgateway/changes.go
+++ b/internal/cwgateway/changes.go
@@ -32,7 +32,7 @@
 		case g.Adapter.IsBackend(it.Key):
 			g.applyServer(it, first, &change)
 		default:
-			// It takes effect before the servers of the same change get their first request.
+			// An evacuation takes effect before servers of the same change get their first request.
 			g.applyEvacuation(it, now)
 		}
 	}
@@ -110,10 +110,10 @@
 		return b, err
 	}
 
-	if back := g.unusable[b.Instance]; back || !first || b.Leaving {
+	if wasUnusable := g.unusable[b.Instance]; wasUnusable || !first || b.Leaving {
 		delete(g.unusable, b.Instance)
 		g.log.Info("A server entry was read.", "server", b.Instance, "address", b.Address, "service", b.Service,
-			"leaving", b.Leaving, "warmup", b.Warmup.String(), "start", b.Start, "unusable", back, "index", it.Index)
+			"leaving", b.Leaving, "warmup", b.Warmup.String(), "start", b.Start, "unusable", wasUnusable, "index", it.Index)
 	}
 
 	return b, nil
@@ -140,7 +140,7 @@
 	}
 }
 
-// applyFleet takes over the list of entry VMs in the store.
+// applyFleet adds the entry VMs of the store's list as peers and sends them a heartbeat.
 func (g *Gateway) applyFleet(it *carobward.Item) {
 	list, err := cwmesh.DecodeFleet(it.Value)
 	if err != nil {
--- a/internal/cwgateway/evacuation_test.go
+++ b/internal/cwgateway/evacuation_test.go
@@ -167,11 +167,11 @@
 	for _, path := range []string{readPath, chargePath} {
 		got := e.vms[0].send(http.MethodPost, path, "refused"+path, "")
 		if got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" || !strings.Contains(got.body, "evacuated") {
-			t.Errorf("%+v", got)
+			t.Errorf("want a refusal because of the evacuation, got %+v", got)
 		}
 
 		if n := runs([]*cwstand.Upstream{e.near, e.far}, "refused"+path); n > 0 {
-			t.Errorf("it ran %d times", n)
+			t.Errorf("a refused request ran %d times", n)
 		}
 	}
 }
--- a/internal/cwgateway/gateway.go
+++ b/internal/cwgateway/gateway.go
@@ -50,10 +50,10 @@
 	// sets it.
 	defaultConns = 200
 	// defaultIdleTimeout is how long an idle connection is reused if the server does not
-	// say how long it keeps it open.
+	// announce how long it keeps it open.
 	defaultIdleTimeout = 4 * time.Second
-	// maxIdleTimeout bounds what servers say of that. It is long: each new connection has a
-	// cost, while an idle one takes only some hundred bytes.
+	// maxIdleTimeout bounds the idle timeouts that servers announce. It is long: each new
+	// connection has a cost, while an idle one takes only some hundred bytes.
 	maxIdleTimeout = 30 * time.Second
 	// dialTimeout limits opening a connection to a server.
 	dialTimeout = 300 * time.Millisecond
--- a/internal/cwgateway/gateway_test.go
+++ b/internal/cwgateway/gateway_test.go
@@ -75,7 +75,7 @@
 	req.Header.Set("Request-Id", "one")
 
 	if got := do(req); got.status != http.StatusOK || fees.Runs()[0].Body != body {
-		t.Errorf("%+v, %d bytes", got, len(fees.Runs()[0].Body))
+		t.Errorf("answer %+v, the server got %d bytes", got, len(fees.Runs()[0].Body))
 	}
 }
 
@@ -97,7 +97,7 @@
 	}
 
 	if n := len(u.Runs()); n != 1 {
-		t.Errorf("%d requests ran", n)
+		t.Errorf("%d requests ran, want only the one within the limit", n)
 	}
 }
 
@@ -203,7 +203,7 @@
 	}
 
 	if got := get(all[0].options.Lookup, "/elsewhere"); got.status != http.StatusNotFound {
-		t.Errorf("%+v", got)
+		t.Errorf("lookup at an unknown path: %+v", got)
 	}
 }
 
@@ -293,7 +293,7 @@
 			select {
 			case err := <-ended:
 				if err == nil || !strings.Contains(err.Error(), name) {
-					t.Errorf("%v", err)
+					t.Errorf("got the error %v, want one that names the listener", err)
 				}
 			case <-time.After(cwtest.MaxWait):
 				t.Error("Run does not return")
--- a/internal/cwgateway/limit_test.go
+++ b/internal/cwgateway/limit_test.go
@@ -179,7 +179,7 @@
 }
 
 // TestLimitLifted verifies that a server gets as many requests as others soon after it has
-// stopped to report a limit, and that operators see the limit while it is in force.
+// stopped reporting a limit, and that operators see the limit while it is in force.
 func TestLimitLifted(t *testing.T) {
 	l := newLimitedFleet(t)
 	u := l.servers[0]
@@ -224,7 +224,7 @@
 			})
 
 			if got.header.Get("Retry-After") == "" || !strings.Contains(got.body, "limit") {
-				t.Errorf("%+v", got)
+				t.Errorf("want a refusal because of the limits, got %+v", got)
 			}
 		}
 	}
--- a/internal/cwgateway/outcomes_test.go
+++ b/internal/cwgateway/outcomes_test.go
@@ -15,13 +15,13 @@
 	"carobward.example/carobward/internal/cwtest"
 )
 
-// TestOutcomes verifies, for each way in which servers treat requests, the status that callers
-// get and how often the request ran.
+// TestOutcomes verifies, for each mode of the servers, the status that callers get and how often
+// the request ran at most.
 func TestOutcomes(t *testing.T) {
 	const two = 2
 
 	for name, c := range map[string]struct {
-		way          cwstand.UpstreamMode
+		mode         cwstand.UpstreamMode
 		read, charge int
 		// readRuns and chargeRuns are how often each request may run at most.
 		readRuns, chargeRuns int
@@ -43,7 +43,7 @@
 			f.configure(safeRoute("fees"), unsafeRoute())
 
 			for _, s := range servers {
-				s.SetMode(c.way, 0)
+				s.SetMode(c.mode, 0)
 			}
 
 			v := f.start(t, "vm-1")
@@ -54,7 +54,7 @@
 				a, b := v.sendWithin(http.MethodGet, readPath, read, "", 400), v.sendWithin(http.MethodPost, chargePath, charge, "", 400)
 
 				if diff := cmp.Diff([]int{c.read, c.charge}, []int{a.status, b.status}); diff != "" {
-					t.Errorf("%s %v %v", diff, a.err, b.err)
+					t.Errorf("statuses of the read and the charge: %s errors %v and %v", diff, a.err, b.err)
 				}
 
 				if n := runs(servers, read); n > c.readRuns {
@@ -96,7 +96,7 @@
 // an idempotent request is also sent again after a failure.
 func TestRetry(t *testing.T) {
 	for name, c := range map[string]struct {
-		way          cwstand.UpstreamMode
+		mode         cwstand.UpstreamMode
 		read, charge bool
 	}{
 		"sheds":  {cwstand.UpstreamSheds, true, true},
@@ -107,7 +107,7 @@
 			f := newFleet(t)
 			bad, good := f.upstream(t, "fees", "i-1"), f.upstream(t, "fees", "i-2")
 			f.configure(safeRoute("fees"), unsafeRoute())
-			bad.SetMode(c.way, 0)
+			bad.SetMode(c.mode, 0)
 			good.SetLoad("2,0,4,100") // Makes the bad server the preferred one.
 
 			v := f.start(t, "vm-1")
@@ -129,8 +129,8 @@
 }
 
 // TestNotRunNeverRan has one server that runs requests and resets the connection, and one that
-// refuses them. Whichever gets a request first, a caller that is told to come back because its
-// request did not run must not have had it run.
+// refuses them. Whichever gets a request first, a request that the caller is told to retry because
+// it did not run must not have run.
 func TestNotRunNeverRan(t *testing.T) {
 	const requests = 24
 
@@ -238,7 +238,7 @@
 			v.waitReady(t)
 
 			if got := v.send(http.MethodPost, c.path, "one", ""); got.status != c.status {
-				t.Errorf("%+v", got)
+				t.Errorf("unexpected answer %+v", got)
 			}
 
 			if diff := cmp.Diff([]int{1, c.runs}, []int{len(slow.Runs()), len(good.Runs())}); diff != "" {
--- a/internal/cwgateway/panic_test.go
+++ b/internal/cwgateway/panic_test.go
@@ -11,12 +11,12 @@
 // panickingDialect is a callers' dialect that panics on one header field.
 type panickingDialect struct{ carobward.CallerDialect }
 
-func (f panickingDialect) Strips(name string, keyed bool) bool {
+func (d panickingDialect) Strips(name string, keyed bool) bool {
 	if name == "X-Fault" {
 		panic("test panic")
 	}
 
-	return f.CallerDialect.Strips(name, keyed)
+	return d.CallerDialect.Strips(name, keyed)
 }
 
 // TestPanic verifies that a request that makes an entry VM panic affects only its own caller:
@@ -39,7 +39,7 @@
 	req.Header.Set("X-Fault", "1")
 
 	if got := do(req); got.status != http.StatusBadGateway || got.header.Get("Retry-After") != "" {
-		t.Errorf("%+v", got)
+		t.Errorf("request that panics: %+v", got)
 	}
 
 	if got := v.send(http.MethodGet, readPath, "two", ""); got.status != http.StatusOK {
--- a/internal/cwgateway/poison_test.go
+++ b/internal/cwgateway/poison_test.go
@@ -128,12 +128,12 @@
 func isPoison(r cwstand.Run) bool { return strings.HasSuffix(r.URI, poison) || r.Body == poison }
 
 // sendUntilRefused sends a request to the entry VMs in turn, each of which has received by then
-// what the others wrote, until all of them have refused it in a row, or up to a number of times.
+// what the others wrote, until all of them have refused it in a row, but at most maxSends times.
 // It reports whether all have refused it.
-func (c *crashingServers) sendUntilRefused(t *testing.T, all []*vm, method, path, body string, most int) bool {
+func (c *crashingServers) sendUntilRefused(t *testing.T, all []*vm, method, path, body string, maxSends int) bool {
 	t.Helper()
 
-	for i, refused := 0, 0; i < most; i++ {
+	for i, refused := 0, 0; i < maxSends; i++ {
 		v := all[i%len(all)]
 		c.fleet.waitReplica(t, v)
 
--- a/internal/cwgateway/quarantine_test.go
+++ b/internal/cwgateway/quarantine_test.go
@@ -84,13 +84,13 @@
 	return held
 }
 
-// TestBlame verifies for each way in which a request can break off whether it is blamed for a
+// TestBlame verifies for each failure of a request in flight whether the request is blamed for a
 // crash of its server.
 func TestBlame(t *testing.T) {
 	const last = chargePath + "last"
 
 	for name, c := range map[string]struct {
-		way cwstand.UpstreamMode
+		mode cwstand.UpstreamMode
 		// fatal reports whether the server crashes, leaves whether its entry is removed before.
 		fatal, leaves bool
 		blamed        bool
@@ -117,7 +117,7 @@
 
 				return c.fatal
 			})
-			servers.slots[0].server.SetMode(c.way, 0)
+			servers.slots[0].server.SetMode(c.mode, 0)
 			f.configure(unsafeRoute())
 
 			v := f.start(t, "vm-1")
@@ -348,7 +348,7 @@
 
 	list := all[1].quarantined()
 	if len(list) != 1 || list[0].Request != "POST "+host+chargePath || len(list[0].Crashes) != 3 {
-		t.Errorf("%+v", list)
+		t.Errorf("operators see the quarantined requests %+v", list)
 	}
 
 	for name, c := range map[string]struct {
@@ -361,13 +361,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := call(c.method, all[2].options.Metrics, c.path); got.status != c.want {
-				t.Errorf("%+v", got)
+				t.Errorf("unexpected answer %+v", got)
 			}
 		})
 	}
 
 	if got := call(http.MethodDelete, all[2].options.Metrics, "/quarantine/"+list[0].Fingerprint); got.status != http.StatusNoContent {
-		t.Errorf("%+v", got)
+		t.Errorf("unexpected answer %+v", got)
 	}
 
 	for i, v := range all {
--- a/internal/cwgateway/quota_test.go
+++ b/internal/cwgateway/quota_test.go
@@ -47,7 +47,7 @@
 		statuses[got.status]++
 
 		if got.status == http.StatusTooManyRequests && got.header.Get("Retry-After") == "" {
-			t.Errorf("%v", got.header)
+			t.Errorf("a refusal has no Retry-After: header %v", got.header)
 		}
 	}
 
@@ -56,6 +56,6 @@
 	}
 
 	if got := all[1].sendWithFields(readPath, "free", bearer(pilotKey)); got.status != http.StatusOK {
-		t.Errorf("%+v", got)
+		t.Errorf("request of a team without a quota: %+v", got)
 	}
 }
--- a/internal/cwgateway/restore_test.go
+++ b/internal/cwgateway/restore_test.go
@@ -13,11 +13,11 @@
 	"carobward.example/carobward/internal/cwtest"
 )
 
-// waitServedBy waits until a server answers the lookups that an entry VM forwards.
+// waitServedBy waits until a server answers the reads that an entry VM forwards.
 func waitServedBy(t *testing.T, v *vm, u *cwstand.Upstream) {
 	t.Helper()
 
-	cwtest.Wait(t, "lookups of "+string(v.options.Self.ID), func() bool {
+	cwtest.Wait(t, "reads of "+string(v.options.Self.ID), func() bool {
 		before := len(u.Runs())
 		got := v.send(http.MethodGet, readPath, fmt.Sprint("id-", before), "")
 
@@ -29,8 +29,8 @@
 // change had must come into force.
 func TestIndexReused(t *testing.T) {
 	for name, c := range map[string]struct {
-		// lost is how many changes the store loses, later how many it takes after the change that
-		// counts and before it serves entry VMs again.
+		// lost is how many changes the store loses, later how many it gets after the change that
+		// must come into force and before it serves entry VMs again.
 		lost, later int
 	}{
 		"below the replicas' index":  {5, 0},
@@ -234,7 +234,7 @@
 		cwtest.Wait(t, "the quarantine", func() bool { return len(v.quarantined()) > 0 })
 
 		if got := v.sendPoison(fmt.Sprint("known-", i)); !got.isQuarantined() {
-			t.Errorf("%+v", got)
+			t.Errorf("want a refusal because of the quarantine, got %+v", got)
 		}
 	}
 
--- a/internal/cwgateway/server_entry_test.go
+++ b/internal/cwgateway/server_entry_test.go
@@ -55,7 +55,7 @@
 
 				for n := range 10 {
 					if got := v.send(http.MethodPost, chargePath, fmt.Sprint(name, i, n), ""); got.status != http.StatusOK {
-						t.Errorf("%+v", got)
+						t.Errorf("unexpected answer %+v", got)
 					}
 				}
 
@@ -72,17 +72,17 @@
 
 // TestServerRestart restarts a server under the same instance name behind a network partition:
 // requests sent to the earlier process get neither a reply nor a reset. As soon as the list of
-// servers shows the restart, the entry VM must send the pending lookup again, and end the
+// servers shows the restart, the entry VM must send the pending read again, and end the
 // charge as one that may have run.
 func TestServerRestart(t *testing.T) {
 	f := newFleet(t)
 	server := f.upstream(t, "fees", "i-1")
 
-	// The timeouts are long enough for the list to arrive before the lookup is given up, or
+	// The timeouts are long enough for the list to arrive before the read is given up, or
 	// hedged because it is late.
-	lookup := safeRoute("fees")
-	lookup["timeout"], lookup["target_latency"] = "9s", "8s"
-	f.configure(lookup, unsafeRoute())
+	reads := safeRoute("fees")
+	reads["timeout"], reads["target_latency"] = "9s", "8s"
+	f.configure(reads, unsafeRoute())
 
 	entryWithStart := func(start int64) []byte {
 		return cwstand.ServerEntryWithStart(cwstand.ServerEntry("fees", server.Address(), "a", "ready"), start)
@@ -95,7 +95,7 @@
 		method, path string
 		want         int
 	}{
-		"a lookup": {http.MethodGet, readPath, http.StatusOK},
+		"a read":   {http.MethodGet, readPath, http.StatusOK},
 		"a charge": {http.MethodPost, chargePath, http.StatusBadGateway},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -115,7 +115,7 @@
 			f.store.Put("servers/i-1", entryWithStart(time.Now().UnixMilli()+1))
 
 			if got := <-answers; got.status != c.want {
-				t.Errorf("%+v", got)
+				t.Errorf("unexpected answer %+v", got)
 			}
 		})
 	}
--- a/internal/cwgateway/server_reports.go
+++ b/internal/cwgateway/server_reports.go
@@ -6,16 +6,16 @@
 	"carobward.example/carobward"
 )
 
-// applyReports takes over what servers reported to another entry VM.
+// applyReports applies the announcements that servers made to another entry VM.
 func (g *Gateway) applyReports(reports carobward.Announcements, from carobward.VMID) {
 	now := g.Clock.Now()
 
 	for _, w := range g.servers.MergeLeaving(reports.Leaving, now) {
-		g.log.Info("A server reports that it is leaving; it gets no further requests.", "server", w.Server, "start", w.Start, "from", "peer", "vm", from)
+		g.log.Info("A server announced that it is leaving; it gets no more requests.", "server", w.Server, "start", w.Start, "from", "peer", "vm", from)
 	}
 
 	for _, w := range g.servers.MergeLimits(reports.Limits) {
-		g.log.Info("A server's limit has changed.", "server", w.Server, "named", w.Limit.Present, "rate", w.Limit.Rate,
+		g.log.Info("A server announced a new rate limit.", "server", w.Server, "named", w.Limit.Present, "rate", w.Limit.Rate,
 			"from", "peer", "vm", from, "age", now.Sub(w.At).Milliseconds())
 	}
 }
--- a/internal/cwgateway/server_reports_test.go
+++ b/internal/cwgateway/server_reports_test.go
@@ -51,7 +51,7 @@
 // stays ready. It must get no further requests, also while the store is unavailable, until
 // another process runs there.
 func TestReportsLeaving(t *testing.T) {
-	for name, way := range map[string]cwstand.UpstreamMode{
+	for name, mode := range map[string]cwstand.UpstreamMode{
 		"in answers":        cwstand.UpstreamServes,
 		"in refusals":       cwstand.UpstreamSheds,
 		"in failures":       cwstand.UpstreamFails,
@@ -59,7 +59,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newReportingFleet(t)
-			s.reporting.SetMode(way, 0)
+			s.reporting.SetMode(mode, 0)
 			s.reporting.SetHeaders("Server-Leaving: 1")
 			s.store.SetFaults(cwstand.MetadataFaults{Status: http.StatusServiceUnavailable})
 
@@ -73,7 +73,7 @@
 
 			for _, got := range s.sendEachKind(40) {
 				if got.status != http.StatusOK {
-					t.Errorf("%+v", got)
+					t.Errorf("unexpected answer %+v", got)
 				}
 			}
 
@@ -100,7 +100,7 @@
 	s := newReportingFleet(t)
 	s.reporting.SetHeaders("Server-Leaving: maybe", "Retry-After: never")
 
-	cwtest.Wait(t, "use", func() bool {
+	cwtest.Wait(t, "use of the reporting server", func() bool {
 		before := len(s.reporting.Runs())
 		s.sendEachKind(4)
 
--- a/internal/cwgateway/store_test.go
+++ b/internal/cwgateway/store_test.go
@@ -162,7 +162,7 @@
 	f.upstream(t, "records", "i-2")
 	f.configure(safeRoute("records"))
 
-	var held, gone atomic.Bool
+	var held, removed atomic.Bool
 
 	v := f.start(t, "vm-1", func(o *cwgateway.Options) {
 		o.Log = funcr.New(func(_, line string) {
@@ -170,7 +170,7 @@
 			case strings.Contains(line, `"msg"="The store is back."`) && strings.Contains(line, `"hold"=true`):
 				held.Store(true)
 			case strings.Contains(line, `"msg"="A server entry was removed." "server"="i-2"`):
-				gone.Store(true)
+				removed.Store(true)
 
 				if !held.Load() {
 					t.Error("the removal was not held back")
@@ -189,7 +189,7 @@
 	cwtest.Wait(t, "the store is back", held.Load)
 
 	before = f.store.Calls()
-	cwtest.Wait(t, "the removal", gone.Load)
+	cwtest.Wait(t, "the removal", removed.Load)
 
 	if n := f.store.Calls() - before; n > enough {
 		t.Errorf("%d calls while removals are held back", n)
@@ -212,7 +212,7 @@
 
 	for i, v := range []*vm{first, next} {
 		if got := v.send(http.MethodGet, readPath, fmt.Sprint("id-", i), ""); got.status != http.StatusOK {
-			t.Errorf("%+v", got)
+			t.Errorf("unexpected answer %+v", got)
 		}
 	}
 
@@ -309,7 +309,7 @@
 	}
 }
 
-// TestSeedsGone verifies that an entry VM whose seeds are all gone finds the others through
+// TestSeedsGone verifies that an entry VM whose seeds are all unreachable finds the others through
 // the store, and they find it.
 func TestSeedsGone(t *testing.T) {
 	f := newFleet(t)
@@ -320,11 +320,11 @@
 	first.waitReady(t)
 	f.start(t, "vm-2").waitReady(t)
 
-	withGoneSeed := func(o *cwgateway.Options) { o.Seeds = []carobward.Address{freeAddress(t)} }
+	withUnreachableSeed := func(o *cwgateway.Options) { o.Seeds = []carobward.Address{freeAddress(t)} }
 
 	cwtest.Wait(t, "the list in the store", func() bool { return f.store.Has(string(carobward.KeyFleet)) })
 
-	late := f.start(t, "vm-3", withGoneSeed)
+	late := f.start(t, "vm-3", withUnreachableSeed)
 	late.waitReady(t)
 
 	for _, v := range []*vm{first, late} {
@@ -363,8 +363,8 @@
 // its entry or the entry is removed.
 func TestDrain(t *testing.T) {
 	for name, leave := range map[string]func(*fleet, carobward.Address){
-		"its entry says so":    func(f *fleet, at carobward.Address) { f.register("records", "i-1", at, "draining") },
-		"its entry is removed": func(f *fleet, _ carobward.Address) { f.store.Delete("servers/i-1") },
+		"its entry is draining": func(f *fleet, at carobward.Address) { f.register("records", "i-1", at, "draining") },
+		"its entry is removed":  func(f *fleet, _ carobward.Address) { f.store.Delete("servers/i-1") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t)
@@ -377,7 +377,7 @@
 			f.upstream(t, "records", "i-2")
 			leave(f, leaving.Address())
 
-			cwtest.Wait(t, "no more work", func() bool {
+			cwtest.Wait(t, "no more requests at the leaving server", func() bool {
 				before := len(leaving.Runs())
 				for range 10 {
 					v.send(http.MethodGet, readPath, "two", "")
--- a/internal/cwgateway/team_test.go
+++ b/internal/cwgateway/team_test.go
@@ -55,7 +55,7 @@
 func bearer(key string) map[string]string { return map[string]string{"Authorization": "Bearer " + key} }
 
 // TestKeys verifies that a request runs for the team whose key it shows, that the key is not
-// passed on or logged, and that requests without a known key do not run.
+// forwarded or logged, and that requests without a known key do not run.
 func TestKeys(t *testing.T) {
 	f := newFleet(t)
 	u := f.upstream(t, "records", "i-1")
@@ -95,7 +95,7 @@
 			before := len(u.Runs())
 
 			if got := v.sendWithFields(c.path, "one", c.fields); got.err != nil || got.status != c.status {
-				t.Fatalf("%+v", got)
+				t.Fatalf("unexpected answer %+v", got)
 			}
 
 			var want []cwstand.Run
@@ -134,7 +134,7 @@
 		f.configureTeams([]cwstand.MetadataTeam{{Name: "club", Keys: keys}}, safeRoute("records"))
 		cwtest.Wait(t, "the new keys", func() bool {
 			if got := v.sendWithFields(readPath, fmt.Sprint("old-", i), bearer(used)); got.status != http.StatusOK {
-				t.Errorf("%+v", got)
+				t.Errorf("unexpected answer %+v", got)
 			}
 
 			return v.sendWithFields(readPath, fmt.Sprint("new-", i), bearer(pilotKey)).status == http.StatusOK
@@ -171,23 +171,23 @@
 	})
 
 	if refused.header.Get("Retry-After") == "" {
-		t.Errorf("%v", refused.header)
+		t.Errorf("a refusal has no Retry-After: header %v", refused.header)
 	}
 
 	ran := len(u.Runs())
 	if got := v.sendWithFields(readPath, "later", bearer(clubKey)); got.status != http.StatusServiceUnavailable || len(u.Runs()) != ran {
-		t.Errorf("%+v, %d runs", got, len(u.Runs())-ran)
+		t.Errorf("with stale keys: %+v, %d runs", got, len(u.Runs())-ran)
 	}
 
 	if got := v.sendWithFields(anonymousPath, "open", nil); got.status != http.StatusOK {
-		t.Errorf("%+v", got)
+		t.Errorf("unexpected answer %+v", got)
 	}
 
 	f.store.SetFaults(cwstand.MetadataFaults{})
 	cwtest.Wait(t, "the new key", func() bool { return v.sendWithFields(readPath, "new", bearer(pilotKey)).status == http.StatusOK })
 
 	if got := v.sendWithFields(readPath, "old", bearer(clubKey)); got.status != http.StatusUnauthorized {
-		t.Errorf("%+v", got)
+		t.Errorf("unexpected answer %+v", got)
 	}
 }
 
@@ -208,7 +208,7 @@
 
 	for i := range 4 {
 		if got := v.send(http.MethodPost, chargePath, fmt.Sprint("id-", i), body); got.status != http.StatusOK {
-			t.Errorf("%+v", got)
+			t.Errorf("unexpected answer %+v", got)
 		}
 	}
 
--- a/internal/cwgateway/tick.go
+++ b/internal/cwgateway/tick.go
@@ -47,7 +47,7 @@
 // length to the age of the replica, so that the store is asked at once, and to the ages of idle
 // connections and of limits that servers reported. Other ages need no correction: load is
 // checked before each send, blocks only last longer, and the callers of requests in flight have
-// left or will.
+// disconnected or will.
 func (g *Gateway) applySuspension(by time.Duration) {
 	g.log.Info("The VM was suspended.", "by", by.String(), "flight", g.front.InFlight())
 	g.mesh.Suspended(by)
@@ -55,7 +55,8 @@
 	g.servers.Suspended(by)
 }
 
-// updateSharers tells the tables which entry VMs send requests to the same servers.
+// updateSharers passes the entry VMs that send requests to the same servers to the table of
+// servers, and the size of the fleet to the link.
 func (g *Gateway) updateSharers(now time.Time) {
 	var list []carobward.VMID
 
