--- a/internal/cwlog/log_test.go
+++ b/internal/cwlog/log_test.go
@@ -26,8 +26,8 @@
 		"values":      {"info", func(l logr.Logger) { l.WithValues("vm", 1).WithName("node").Info("Up.") }, "node: level=INFO msg=Up. vm=1\n"},
 		"error":       {"error", func(l logr.Logger) { l.WithName("node").Error(errors.New("no"), "Down.") }, "node: level=ERROR msg=Down. err=no\n"},
 		"below level": {"error", func(l logr.Logger) { l.Info("Serving.") }, ""},
-		"verbose":     {"debug", func(l logr.Logger) { l.WithName("node").V(1).Info("Look.") }, "node: level=DEBUG msg=Look.\n"},
-		"not verbose": {"info", func(l logr.Logger) { l.V(1).Info("Look.") }, ""},
+		"verbose":     {"debug", func(l logr.Logger) { l.WithName("node").V(1).Info("Probe.") }, "node: level=DEBUG msg=Probe.\n"},
+		"not verbose": {"info", func(l logr.Logger) { l.V(1).Info("Probe.") }, ""},
 		"newline":     {"info", func(l logr.Logger) { l.Info("Up.", "who", "a\nnode: b") }, "carobward: level=INFO msg=Up. who=\"a\\nnode: b\"\n"},
 	}
 	for name, tt := range tests {
