--- a/internal/cwmetric/request.go
+++ b/internal/cwmetric/request.go
@@ -63,7 +63,7 @@
 	return t
 }
 
-// Keep drops the targets that known does not know, so that memory use depends on the
+// Keep drops the targets for which known returns false, so that memory use depends on the
 // current configuration only.
 func (r *Requests) Keep(known func(carobward.TargetName) bool) {
 	r.mutex.Lock()
