--- a/internal/cwticket/claim.go
+++ b/internal/cwticket/claim.go
@@ -98,8 +98,8 @@
 )
 
 // workEnded updates the average run time and the number of running tickets.
-func (t *Table) workEnded(now time.Time, l *execution) {
-	t.meanRunTime += (now.Sub(l.began) - t.meanRunTime) / meanWeight
+func (t *Table) workEnded(now time.Time, x *execution) {
+	t.meanRunTime += (now.Sub(x.began) - t.meanRunTime) / meanWeight
 	t.running--
 
 	if t.running == 0 && t.phase != open {
@@ -109,10 +109,10 @@
 
 // retryDelay estimates when running work ends: after the average run time, or
 // halfway to its deadline if it has already run for longer.
-func (t *Table) retryDelay(now time.Time, l *execution) time.Duration {
-	left := l.deadline.Sub(now)
+func (t *Table) retryDelay(now time.Time, x *execution) time.Duration {
+	left := x.deadline.Sub(now)
 
-	after := t.meanRunTime - now.Sub(l.began)
+	after := t.meanRunTime - now.Sub(x.began)
 	if after <= 0 {
 		after = left / 2
 	}
--- a/internal/cwticket/issuer.go
+++ b/internal/cwticket/issuer.go
@@ -11,7 +11,7 @@
 	"carobward.example/carobward"
 )
 
-// KeySize is the size of an issuer's key in bytes.
+// KeySize is the size of a Secret in bytes.
 const KeySize = 32
 
 // Secret is the HMAC key of an owner's tickets. Each run of an entry VM
--- a/internal/cwticket/table.go
+++ b/internal/cwticket/table.go
@@ -146,13 +146,13 @@
 		return nil, nil, t.refuse(k.Key, fasthttp.StatusServiceUnavailable, t.fullRetryDelay(now), ErrFull)
 	}
 
-	l := &execution{began: now, deadline: deadline, done: make(chan struct{})}
+	x := &execution{began: now, deadline: deadline, done: make(chan struct{})}
 	s := t.ensureSpan(k.Key)
-	s.records[k.Key] = &record{digest: d, execution: l}
+	s.records[k.Key] = &record{digest: d, execution: x}
 	s.bytes += recordCost
 	t.running++
 
-	return &Claim{table: t, key: k.Key, execution: l}, nil, nil
+	return &Claim{table: t, key: k.Key, execution: x}, nil, nil
 }
 
 // Refuse closes the ticket of a request that is refused for the reason f, which
--- a/internal/cwticket/table_test.go
+++ b/internal/cwticket/table_test.go
@@ -78,7 +78,7 @@
 		"not run, other body":          {then: func(_ *Table, c *Claim) { c.NotRun(start, false) }, other: true, want: spent},
 		"not run, only request":        {then: func(_ *Table, c *Claim) { c.NotRun(start, true) }, want: startResult{Claim: true}},
 		"expired":                      {then: func(_ *Table, c *Claim) { c.Ran(start, outcome("fee")) }, after: horizon, want: startResult{Status: 410, Cause: ErrExpired}},
-		"expired and forgotten": {
+		"expired and removed": {
 			then:  func(t *Table, c *Claim) { c.Ran(start, outcome("fee")); t.Tick(start.Add(2 * horizon)) },
 			after: 2 * horizon, want: startResult{Status: 410, Cause: ErrExpired},
 		},
