--- a/internal/cwentry/bounds_test.go
+++ b/internal/cwentry/bounds_test.go
@@ -17,7 +17,7 @@
 // verdict and a time to retry.
 func TestFailureReply(t *testing.T) {
 	f := &fakeServers{answer: func(context.Context, *carobward.Call) (*carobward.Reply, error) {
-		return nil, carobward.NewFailure(carobward.Unknown, 504, 0, errors.New("silence"))
+		return nil, carobward.NewFailure(carobward.Unknown, 504, 0, errors.New("no reply"))
 	}}
 
 	resp := dial(t, serve(t, options(), f)).write("GET /fees HTTP/1.1\r\nHost: h\r\n\r\n").read(false)
--- a/internal/cwentry/forward_test.go
+++ b/internal/cwentry/forward_test.go
@@ -22,8 +22,8 @@
 
 func statusReply(code int) (*carobward.Reply, error) { return &carobward.Reply{Status: code}, nil }
 
-// waitPolicy is the server choice policy of these tests.
-var waitPolicy = cwroute.LeastTime{MaxPerSlot: 2}
+// leastTime is the server choice policy of these tests.
+var leastTime = cwroute.LeastTime{MaxPerSlot: 2}
 
 // callerView is the part of a reply that tests compare.
 type callerView struct {
@@ -101,7 +101,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			l := &fakeServers{answer: test.do, to: map[carobward.Address]int{}}
-			got := seen{Outcome: get(newForwarderOf(5, 100, waitPolicy, l), test.uri)}
+			got := seen{Outcome: get(newForwarderOf(5, 100, leastTime, l), test.uri)}
 			got.Calls = l.count.Load()
 
 			if diff := cmp.Diff(test.want, got); diff != "" {
@@ -125,7 +125,7 @@
 	l := &fakeServers{answer: func(context.Context, *carobward.Call) (*carobward.Reply, error) {
 		return failedCall(carobward.Unknown)
 	}}
-	fw := newForwarderOf(10, 100, waitPolicy, l)
+	fw := newForwarderOf(10, 100, leastTime, l)
 
 	for range requests {
 		get(fw, "/sheets")
@@ -175,7 +175,7 @@
 			return failedCall(carobward.Unknown)
 		}
 	}}
-	fw := newForwarderOf(5, 100, waitPolicy, l)
+	fw := newForwarderOf(5, 100, leastTime, l)
 
 	for range 200 {
 		get(fw, "/sheets")
@@ -228,7 +228,7 @@
 
 		return okReply()
 	}}
-	fw := newForwarderOf(2, 20, waitPolicy, l)
+	fw := newForwarderOf(2, 20, leastTime, l)
 
 	var group conc.WaitGroup
 
--- a/internal/cwentry/once_test.go
+++ b/internal/cwentry/once_test.go
@@ -106,7 +106,7 @@
 	}
 }
 
-// TestRelayedWork runs requests that another entry VM relays.
+// TestRelayedWork checks the verdicts of requests that another entry VM relays.
 func TestRelayedWork(t *testing.T) {
 	var runner cwowner.Runner = newForwarder(&fakeServers{answer: echo}, 1)
 
--- a/internal/cwentry/server.go
+++ b/internal/cwentry/server.go
@@ -86,8 +86,8 @@
 }
 
 // CloseAfterReply makes the server close each connection after its next reply,
-// and announce it there, so that a caller opens a new connection instead of
-// sending a request on one that is being closed.
+// which has the header Connection: close, so that a caller opens a new
+// connection instead of sending a request on one that is being closed.
 func (s *Server) CloseAfterReply() { s.closeAfterReply.Store(true) }
 
 // Serve accepts connections until the listener is closed.
--- a/internal/cwentry/server_test.go
+++ b/internal/cwentry/server_test.go
@@ -96,12 +96,12 @@
 	}
 
 	got := map[string]string{
-		"status":  string(resp.Header.ContentType()),
+		"type":    string(resp.Header.ContentType()),
 		"verdict": string(resp.Header.Peek(carobward.HeaderVerdict)),
 		"vm":      string(resp.Header.Peek(carobward.HeaderVM)),
 		"body":    p.Verdict,
 	}
-	want := map[string]string{"status": "application/problem+json", "verdict": v.String(), "vm": "vm-1", "body": v.String()}
+	want := map[string]string{"type": "application/problem+json", "verdict": v.String(), "vm": "vm-1", "body": v.String()}
 
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
