--- a/internal/cwserver/call.go
+++ b/internal/cwserver/call.go
@@ -53,8 +53,7 @@
 	server  *Server
 	index   int
 	started instant
-	// rounds is how many rounds of the server's slots the call was expected to
-	// wait for and take.
+	// rounds is View.Rounds of the server when the call began.
 	rounds float64
 }
 
@@ -131,8 +130,8 @@
 }
 
 // replied records the latency of a reply. For the server's own latency it is
-// divided by the rounds that the call was expected to take, so that queueing
-// does not count as slowness.
+// divided by the expected rounds of the call, so that queueing does not count
+// as slowness.
 func (s *Server) replied(now instant, latency time.Duration, rounds float64) {
 	s.failures, s.ejections = 0, 0
 
--- a/internal/cwserver/call_test.go
+++ b/internal/cwserver/call_test.go
@@ -15,7 +15,8 @@
 
 var start = time.Date(2100, time.January, 1, 0, 0, 0, 0, time.UTC)
 
-// servers returns the n servers of one service whose usual latency is known.
+// servers returns n servers of one service, each of which has sent one reply
+// with the usual latency.
 func servers(n int) []*cwserver.Server {
 	var list []carobward.VM
 	for i := range n {
--- a/internal/cwserver/group.go
+++ b/internal/cwserver/group.go
@@ -48,8 +48,8 @@
 
 // expectedOtherCalls returns the average number of calls that other entry VMs
 // have on a server. It decays with the age of the last report: an entry VM that
-// takes all servers for full sends nothing, so gets no new reports, and would
-// never try again.
+// considers all servers full sends nothing, so it gets no new reports and would
+// otherwise never try again.
 func (g *Group) expectedOtherCalls(now instant) float64 {
 	average := math.Float64frombits(g.averageOtherCalls.Load())
 
--- a/internal/cwserver/leave.go
+++ b/internal/cwserver/leave.go
@@ -36,7 +36,7 @@
 	Draining bool
 }
 
-// leaveState is what a Table knows of leaving servers.
+// leaveState is the part of a Table that concerns leaving servers.
 type leaveState struct {
 	mutex         sync.Mutex
 	levels        map[carobward.Address]Level
@@ -58,9 +58,9 @@
 	t.leave.mutex.Lock()
 	defer t.leave.mutex.Unlock()
 
-	for _, w := range taken {
-		if t.leave.announcements[w.Address] == w {
-			delete(t.leave.announcements, w.Address)
+	for _, a := range taken {
+		if t.leave.announcements[a.Address] == a {
+			delete(t.leave.announcements, a.Address)
 		}
 	}
 
@@ -106,7 +106,7 @@
 // level returns the level of the server at an address, with announcements that
 // SetLevels has not taken yet.
 func (l *leaveState) level(a carobward.Address) Level {
-	if w, ok := l.announcements[a]; ok && w.Draining {
+	if n, ok := l.announcements[a]; ok && n.Draining {
 		return Leaves
 	}
 
--- a/internal/cwserver/view.go
+++ b/internal/cwserver/view.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// How age affects what is known of a server.
+// The ages that matter for the expected state of a server.
 const (
 	// reportHalfLife is the age at which a report counts half.
 	reportHalfLife = 500 * time.Millisecond
@@ -42,8 +42,8 @@
 
 // View is the expected state of a server at a moment.
 type View struct {
-	// Running counts this entry VM's calls, and Limit is the most of them that
-	// the server should hold.
+	// Running counts this entry VM's calls in flight, and Limit is the maximum
+	// number of them.
 	Running, Limit int64
 	// Load is how many calls the server holds: the exact number of this entry
 	// VM's calls, and for those of other entry VMs an estimate that moves from
@@ -79,7 +79,8 @@
 	return instant(s.ejectedUntil.Load()).since(m.at)
 }
 
-// Limit returns the most of this entry VM's calls that the server should hold.
+// Limit returns the maximum number of this entry VM's calls in flight on the
+// server.
 func (s *Server) Limit() int64 {
 	if l := s.limit.Load(); l != 0 {
 		return l
@@ -99,8 +100,8 @@
 	return m.otherCalls + (float64(s.otherCalls.Load())-m.otherCalls)*weight
 }
 
-// Rounds returns how many rounds of its slots a new call is expected to wait
-// for and take: 1 with a free slot.
+// Rounds returns the expected time of a new call, its wait for a slot included,
+// in units of the time that a call takes in a slot: 1 if a slot is free.
 func (v *View) Rounds() float64 { return max(1, (v.Load+1)/max(1, v.Slots)) }
 
 func (s *Server) expectedLatency(m *Moment) time.Duration {
