--- a/internal/cwroute/least_time.go
+++ b/internal/cwroute/least_time.go
@@ -9,8 +9,8 @@
 )
 
 // LeastTime chooses the server with the shortest expected time to a reply, at
-// random among equal ones. Its zero value compares all servers and takes none
-// for full.
+// random among equal ones. Its zero value compares all servers and considers
+// none of them full.
 type LeastTime struct {
 	// Sample is how many servers are drawn at random and compared; zero means
 	// all of them.
@@ -18,9 +18,9 @@
 	// MaxPerSlot is the highest expected number of calls per slot of a server;
 	// the server gets no call beyond it. Zero means no limit.
 	MaxPerSlot float64
-	// Domain is this entry VM's failure domain, and Far the additional
-	// round-trip time of a call to another one. Servers in Domain are preferred
-	// until they are slower by Far because of their load.
+	// Domain is this entry VM's failure domain, and CrossDomainTime the
+	// additional round-trip time of a call to another one. Servers in Domain
+	// are preferred until their load makes them slower by CrossDomainTime.
 	Domain          carobward.Domain
 	CrossDomainTime time.Duration
 	// Ignore is the set of signals left out of the choice, to measure what they
--- a/internal/cwroute/least_time_test.go
+++ b/internal/cwroute/least_time_test.go
@@ -20,8 +20,8 @@
 	now   = start.Add(time.Second)
 )
 
-// table returns a table of services with so many servers each, all of which
-// have four slots and have sent one reply and one report.
+// table returns a table with a number of services and a number of servers in
+// each. All servers have four slots and have sent one reply and one report.
 func table(services, each int) *cwserver.Table {
 	var list []carobward.VM
 
@@ -179,9 +179,9 @@
 	}
 }
 
-// TestLeastTimePrefersOwnDomain verifies that the servers in the own failure
-// domain get all calls until their load costs more time than the way to another
-// one.
+// TestLeastTimePrefersOwnDomain verifies that the servers in the entry VM's own
+// failure domain get all calls until their load costs more time than a call to
+// another domain.
 func TestLeastTimePrefersOwnDomain(t *testing.T) {
 	tests := map[string]struct {
 		calls int
