--- a/internal/cwbudget/budget.go
+++ b/internal/cwbudget/budget.go
@@ -27,14 +27,14 @@
 // Within reports whether neither calls nor bytes exceed the limit.
 func (c Cost) Within(limit Cost) bool { return c.Calls <= limit.Calls && c.Bytes <= limit.Bytes }
 
-// View is what this entry VM knows of the fleet.
+// View is the fleet as this entry VM sees it.
 type View struct {
 	// Budget is what all entry VMs together may spend per second.
 	Budget Cost
 	// Size is the highest number of entry VMs that any source shows, including
 	// this one.
 	Size int
-	// Rank is the position of this entry VM among the ids that it knows.
+	// Rank is the position of this entry VM's id among those that it sees.
 	Rank int
 	// At is when a source last answered.
 	At time.Time
@@ -73,7 +73,7 @@
 	total          Cost
 }
 
-// New returns an account that grants nothing until it knows the fleet.
+// New returns an account that grants nothing until it has a view of the fleet.
 func New() *Account { return &Account{} }
 
 // Tick sets the current view. It must be called more often than every two
@@ -162,8 +162,8 @@
 	return a.total
 }
 
-// ready reports whether this entry VM knows the fleet and has been in it long
-// enough for the others to count it.
+// ready reports whether this entry VM has a current view of the fleet and has
+// been in it long enough for the others to count it.
 func (a *Account) ready(now time.Time) bool {
 	if a.share.turns > 1 && now.Sub(a.turnsChangedAt) < settleDelay {
 		return false
