--- a/internal/cwprobe/prober.go
+++ b/internal/cwprobe/prober.go
@@ -29,7 +29,7 @@
 	// Self is this entry VM, and VMs returns all entry VMs that are not dead.
 	Self carobward.VMID
 	VMs  func() []carobward.VMID
-	// Servers has the servers to probe, and News takes the results.
+	// Servers has the servers to probe, and News receives the results.
 	Servers *cwserver.Table
 	News    *cwdrain.System
 	Account *cwbudget.Account
--- a/internal/cwprobe/prober_test.go
+++ b/internal/cwprobe/prober_test.go
@@ -50,7 +50,7 @@
 			}
 
 			if got.bytes > cwbudget.MaxProbeBytes {
-				t.Errorf("read %d bytes", got.bytes)
+				t.Errorf("the probe sent and read %d bytes, over its maximum size", got.bytes)
 			}
 		})
 	}
@@ -111,7 +111,7 @@
 		for _, v := range vms {
 			mine := Assigned(v, vms, servers)
 			if len(mine) == 0 || len(mine) > 60 {
-				t.Errorf("%s has %d of 600 servers", v, len(mine))
+				t.Errorf("%s probes %d of 600 servers, want 1 to 60", v, len(mine))
 			}
 
 			for _, s := range mine {
@@ -130,12 +130,12 @@
 	after := owners(slices.Delete(slices.Clone(vms), 3, 4))
 
 	if len(before) != 600 || len(after) != 600 {
-		t.Errorf("%d and %d of 600 servers are probed", len(before), len(after))
+		t.Errorf("%d of 600 servers are probed before the loss of an entry VM and %d after it, want all", len(before), len(after))
 	}
 
 	for a, v := range before {
 		if v != "vm-3" && after[a] != v {
-			t.Errorf("%s moved from %s to %s", a, v, after[a])
+			t.Errorf("%s was reassigned from %s, which is still there, to %s", a, v, after[a])
 		}
 	}
 }
@@ -152,7 +152,7 @@
 	}
 }
 
-// newFleet returns so many servers and ids of entry VMs.
+// newFleet returns a number of servers and a number of entry VM ids.
 func newFleet(servers, vms int) ([]*cwserver.Server, []carobward.VMID) {
 	list := make([]carobward.VM, servers)
 	for i := range list {
