--- a/internal/cwlookup/assigned.go
+++ b/internal/cwlookup/assigned.go
@@ -7,13 +7,13 @@
 
 // BaseWidth is how many entry VMs of each failure domain serve a target with a
 // low request rate: two, so that after the loss of one there is another one
-// that knows the state of the target's servers.
+// with up-to-date state of the target's servers.
 const BaseWidth = 2
 
 // AssignedVMs returns the entry VMs that are assigned to a target: of each
 // failure domain the first ones by rendezvous weight, as many as width. The
-// fewer they are, the more of the load on the target's servers is known to
-// each. All entry VMs compute the same assignment as long as they agree on the
+// fewer they are, the more of the load on the target's servers each of them
+// sees. All entry VMs compute the same assignment as long as they agree on the
 // live peers, and a request to any other entry VM is served, too.
 func AssignedVMs(peers []carobward.Peer, target carobward.TargetName, width int) []carobward.Peer {
 	counts := map[carobward.Domain]int{}
--- a/internal/cwlookup/assigned_test.go
+++ b/internal/cwlookup/assigned_test.go
@@ -119,7 +119,7 @@
 	}
 }
 
-// prefix is an issuer of tickets that always returns itself.
+// prefix is a Tickets whose prefixes are all the same.
 type prefix string
 
 func (p prefix) Prefix() string { return string(p) }
--- a/internal/cwlookup/handler.go
+++ b/internal/cwlookup/handler.go
@@ -15,8 +15,8 @@
 	Prefix() string
 }
 
-// KeepTime returns how long callers keep a reply, which tells them in whole
-// seconds: keep rounded down, but at least one second.
+// KeepTime returns how long callers keep a reply: keep rounded down to whole
+// seconds, the unit of Reply.Keep, but at least one second.
 func KeepTime(keep time.Duration) time.Duration { return max(time.Second, keep.Truncate(time.Second)) }
 
 // Handler returns the HTTP handler of
--- a/internal/cwlookup/lookup.go
+++ b/internal/cwlookup/lookup.go
@@ -11,9 +11,9 @@
 
 // Endpoint is one entry VM that a caller may use.
 type Endpoint struct {
-	// Address takes the caller's requests.
+	// Address is where the entry VM accepts callers' requests.
 	Address carobward.Address `json:"address"`
-	// Lookup takes lookups; its replies have tickets of this entry VM.
+	// Lookup is where it accepts lookups. The replies have its own tickets.
 	Lookup carobward.Address `json:"lookup"`
 	// VM is the id of the entry VM.
 	VM carobward.VMID `json:"vm"`
@@ -37,8 +37,8 @@
 	Ticket string `json:"ticket,omitempty"`
 }
 
-// The most addresses of the caller's own and of other failure domains in a
-// reply.
+// The maximum numbers of addresses in a reply: of the caller's own failure
+// domain, and of others.
 const (
 	maxNear = 2
 	maxFar  = 2
--- a/internal/cwlookup/widths.go
+++ b/internal/cwlookup/widths.go
@@ -113,8 +113,8 @@
 
 // nextWidth returns the next width of a target whose requests arrive at this
 // entry VM at a rate. The entry VMs within the old width get equal shares of the
-// domain's requests; one that is not within it by its rank but does get a share
-// must be within a larger width that callers know of.
+// domain's requests. If one whose rank is outside the old width gets a share as
+// well, callers use a larger width that includes it.
 func nextWidth(rate, maxRate float64, old, rank int) int {
 	shared := max(BaseWidth, old, rank+1)
 	if rate < maxRate/strayDivisor {
