--- a/internal/cwoperator/api.go
+++ b/internal/cwoperator/api.go
@@ -19,7 +19,8 @@
 
 // The limits of the listener.
 const (
-	// maxBodySize is the largest request body in bytes: what the store accepts.
+	// maxBodySize is the maximum size of a request body in bytes, slightly above
+	// that of a value in the store.
 	maxBodySize = 1 << 20
 	// maxRequests bounds the concurrent requests.
 	maxRequests  = 64
--- a/internal/cwoperator/api_test.go
+++ b/internal/cwoperator/api_test.go
@@ -47,7 +47,7 @@
 const change = `{"id":"a","author":"ana","base":0,"measure":{"calls":1,"bytes":1024}}`
 
 // TestRefusals checks the status and code of each refusal, and that none of them
-// says that the change may have been accepted.
+// reports that the change may have been accepted.
 func TestRefusals(t *testing.T) {
 	outage := func(bool, carobward.Key) cwstore.Fault { return cwstore.Down }
 
@@ -65,7 +65,7 @@
 		"unknown JSON key":       {"POST", "/config", `{"id":"a","weight":3}`, "k", nil, false, 400, cwoperator.CodeRequest},
 		"no id":                  {"POST", "/config", `{"measure":{}}`, "k", nil, false, 400, cwoperator.CodeRequest},
 		"empty change":           {"POST", "/config", `{"id":"a"}`, "k", nil, false, 400, cwoperator.CodeRequest},
-		"malformed targets":      {"POST", "/config", `{"id":"a","put":[{"name":"Fee"}]}`, "k", nil, false, 422, cwoperator.CodeInvalid},
+		"invalid target name":    {"POST", "/config", `{"id":"a","put":[{"name":"Fee"}]}`, "k", nil, false, 422, cwoperator.CodeInvalid},
 		"base in the future":     {"POST", "/config", strings.Replace(change, `"base":0`, `"base":9`, 1), "k", nil, false, 422, cwoperator.CodeInvalid},
 		"unknown path":           {"GET", "/weights", "", "k", nil, false, 404, cwoperator.CodeRequest},
 		"read while not ready":   {"GET", "/config", "", "k", nil, true, 503, cwoperator.CodeNotReady},
--- a/internal/cwoperator/config.go
+++ b/internal/cwoperator/config.go
@@ -22,10 +22,10 @@
 
 // Applied is the reply to a change that was accepted.
 type Applied struct {
-	// Revision is the one that the change made.
+	// Revision is the revision that the change created.
 	Revision carobward.Revision `json:"revision"`
-	// Newest is the effective one of the entry VM. It is higher than Revision if
-	// the change had been accepted before and others followed it.
+	// Newest is the effective revision of the entry VM. It is higher than
+	// Revision if the change had been accepted before and others followed it.
 	Newest carobward.Revision `json:"newest"`
 }
 
--- a/internal/cwoperator/drain.go
+++ b/internal/cwoperator/drain.go
@@ -18,7 +18,7 @@
 // Drain is the request to give a server no new work, or to give it work again.
 type Drain struct {
 	Address carobward.Address `json:"address"`
-	// Undo discards everything known of the server's leaving, from any source.
+	// Undo discards what any source reported about the server's leaving.
 	Undo bool `json:"undo,omitempty"`
 }
 
--- a/internal/cwoperator/ready.go
+++ b/internal/cwoperator/ready.go
@@ -13,7 +13,7 @@
 	Ready bool `json:"ready"`
 	// State is the state of this entry VM as a peer.
 	State string `json:"state"`
-	// Revision is the effective one here.
+	// Revision is the effective revision of this entry VM.
 	Revision carobward.Revision `json:"revision"`
 	// Alarm describes what is wrong with the configuration, if anything.
 	Alarm string `json:"alarm,omitempty"`
--- a/internal/cwoperator/status.go
+++ b/internal/cwoperator/status.go
@@ -16,8 +16,8 @@
 	// State is live, suspect, leaving or dead, as seen by the entry VM that
 	// serves the request.
 	State string `json:"state"`
-	// Answered is true if the entry VM itself reported the fields below. Else
-	// only Revision is known, as last received from a peer.
+	// Answered is true if the entry VM itself reported the fields below.
+	// Otherwise only Revision is known, as last received from a peer.
 	Answered bool               `json:"answered"`
 	Ready    bool               `json:"ready"`
 	Revision carobward.Revision `json:"revision"`
@@ -30,7 +30,7 @@
 
 // Status is the state of the fleet as one entry VM sees it.
 type Status struct {
-	// Revision is the highest one known of any entry VM.
+	// Revision is the highest revision among the entry VMs.
 	Revision carobward.Revision `json:"revision"`
 	// VMs lists the entry VMs.
 	VMs []VMStatus `json:"vms"`
@@ -78,8 +78,8 @@
 
 	s := Status{VMs: []VMStatus{}}
 
-	for _, standing := range a.syncer.FleetStatus(ctx) {
-		v := vmStatus(&standing)
+	for _, p := range a.syncer.FleetStatus(ctx) {
+		v := vmStatus(&p)
 		s.Revision = max(s.Revision, v.Revision)
 		s.VMs = append(s.VMs, v)
 	}
