--- a/internal/lab/cwassignment/distribution.go
+++ b/internal/lab/cwassignment/distribution.go
@@ -13,6 +13,7 @@
 	Min, Max int
 	// Moved is the share of all assignments that change when one entry VM is
 	// lost, including those of the lost one, on average over the lost VMs.
+	// NaiveMoved is the same share for Naive.
 	Moved, NaiveMoved float64
 }
 
--- a/internal/lab/cwbench/live_test.go
+++ b/internal/lab/cwbench/live_test.go
@@ -35,7 +35,7 @@
 
 			for _, r := range list {
 				if r.Total < 20 || r.Answered != r.Calls {
-					t.Errorf("%s: %d of %d requests answered, %d including the warm-up", r.Variant, r.Answered, r.Calls, r.Total)
+					t.Errorf("%s: %d of %d requests were answered, %d were sent including the warm-up; want all answered and at least 20 sent", r.Variant, r.Answered, r.Calls, r.Total)
 				}
 
 				if got := r.Servers.Ran; got < int64(r.Total) {
--- a/internal/lab/cwbench/pattern.go
+++ b/internal/lab/cwbench/pattern.go
@@ -8,10 +8,10 @@
 
 // Pattern is an overload or failure scenario for the servers of one service.
 //
-// The servers behave as those of the users' machines do: a request keeps the speed
-// that its server has at its start, the speed of each machine is drawn again
-// several times a second, the last slots of a server are slow, and requests that a
-// full server cannot queue are never answered.
+// The servers behave like the users' machines: a request runs at the speed that its
+// server has when it starts, the speed of each machine is drawn again several times
+// a second, the last slots of a server are slow, and requests that a full server
+// cannot queue are never answered.
 type Pattern struct {
 	Name, Usage string
 	Seed        uint64
@@ -93,9 +93,9 @@
 		to   = 6 * time.Second
 	)
 
-	trouble := Interval{From: from, To: to}
+	span := Interval{From: from, To: to}
 	burst := func(p Pattern, factor float64) Pattern {
-		p.Surges = []Surge{{Interval: trouble, Load: factor}}
+		p.Surges = []Surge{{Interval: span, Load: factor}}
 
 		return p
 	}
@@ -106,26 +106,26 @@
 	two.Surges = append([]Surge{{Interval: Interval{From: from + time.Second, To: from + 2*time.Second}, Load: 3}}, two.Surges...)
 
 	slow := burst(pattern("slow", "A third of the servers is five times slower, at a higher load."), 1.5)
-	slow.Slow = Disturbance{Interval: trouble, Share: 1.0 / 3, Factor: 5}
+	slow.Slow = Disturbance{Interval: span, Share: 1.0 / 3, Factor: 5}
 
 	all := pattern("all-slow", "All servers are four times slower.")
 	all.Rate /= 4
-	all.Slow = Disturbance{Interval: trouble, Share: 1, Factor: 4}
+	all.Slow = Disturbance{Interval: span, Share: 1, Factor: 4}
 
 	gone := burst(pattern("gone", "A fifth of the servers does not answer, at a higher load."), 1.5)
-	gone.Silent = Disturbance{Interval: trouble, Share: 0.2}
+	gone.Silent = Disturbance{Interval: span, Share: 0.2}
 
 	shed := pattern("shed", "All servers refuse half of their requests.")
-	shed.Shed = Disturbance{Interval: trouble, Share: 1, Factor: 0.5}
+	shed.Shed = Disturbance{Interval: span, Share: 1, Factor: 0.5}
 
 	dark := burst(pattern("dark", "All entry VMs lose power for 0.9 s; all callers retry at once."), 1.6)
 	dark.PowerLoss = Interval{From: from + time.Second, To: from + 1900*time.Millisecond}
 
 	lean := burst(pattern("lean", "Half of the callers move to one of three failure domains, at a higher load."), 1.3)
-	lean.Skew = Disturbance{Interval: trouble, Share: 0.5}
+	lean.Skew = Disturbance{Interval: span, Share: 0.5}
 
 	fallen := burst(pattern("fallen", "The servers of one of three failure domains do not answer, at a higher load."), 1.45)
-	fallen.LostDomain = trouble
+	fallen.LostDomain = span
 
 	single := burst(pattern("single", "Servers with one slot, each slowed down by a single request, at a higher load."), 1.5)
 	single.Slots, single.Rate, single.KneeFactor = 1, 30, 1.9
--- a/internal/lab/cwbench/plot.go
+++ b/internal/lab/cwbench/plot.go
@@ -36,7 +36,7 @@
 	p := plot.New()
 	p.Title.Text = scenario
 	p.X.Label.Text = "s"
-	p.Y.Label.Text = "whole answers a second"
+	p.Y.Label.Text = "whole replies a second"
 	p.Legend.Top = true
 
 	return draw(p, file, scenario, results, goodput)
--- a/internal/lab/cwbench/replay_result.go
+++ b/internal/lab/cwbench/replay_result.go
@@ -38,17 +38,17 @@
 		all = append(all, s.Interval)
 	}
 
-	troubled := false
+	disturbed := false
 
 	for _, s := range all {
-		troubled = troubled || s.To > 0
+		disturbed = disturbed || s.To > 0
 
 		if s.From <= at && at < s.To+aftermath {
 			return true
 		}
 	}
 
-	return !troubled
+	return !disturbed
 }
 
 func (r *ReplayResult) count(took time.Duration, answered, late, refused, fresh bool) {
--- a/internal/lab/cwbench/replay_server.go
+++ b/internal/lab/cwbench/replay_server.go
@@ -26,9 +26,9 @@
 type replaySend struct {
 	request *replayRequest
 	server  *replayServer
-	// known is the record of the server at the entry VM, number identifies the send
-	// there.
-	known  *cwbackend.Server
+	// record is the entry VM's record of the server, number identifies the send in
+	// it.
+	record *cwbackend.Server
 	number int64
 	at     time.Time
 	// report is the last report of the server before the send. refused reports
--- a/internal/lab/cwbench/replay_vm.go
+++ b/internal/lab/cwbench/replay_vm.go
@@ -205,7 +205,7 @@
 	}
 }
 
-// park lets a request wait until it gets a freed slot or its pause ends. looked
+// park lets a request wait until it gets a freed slot or its pause ends. checked
 // reports whether health checks for it just found no suitable server.
 func (v *replayVM) park(r *replayRequest, checked bool) {
 	r.parked++
@@ -235,7 +235,7 @@
 	r.waiting = false
 	r.sends++
 	r.tried[c.view.Server] = true
-	q := &replaySend{request: r, server: v.servers[c.view.Address], known: c.view.Server, at: w.now(), report: c.view.Report}
+	q := &replaySend{request: r, server: v.servers[c.view.Address], record: c.view.Server, at: w.now(), report: c.view.Report}
 	q.number = c.view.Server.Begin(q.at, func() {})
 
 	w.timeline.after(networkDelay, func() { q.server.accept(q) })
@@ -254,7 +254,7 @@
 		return
 	}
 
-	server := q.known
+	server := q.record
 
 	if q.refused {
 		server.End(q.number, w.now(), cwbackend.Refused)
--- a/internal/lab/cwbench/run_test.go
+++ b/internal/lab/cwbench/run_test.go
@@ -179,15 +179,15 @@
 	r := results(t, s, Products()[2:], 1)[0]
 
 	if share := float64(r.Trouble.Answered) / float64(r.Trouble.Room); share < 0.95 {
-		t.Errorf("answered during the overload: %.2f of what the servers could run", share)
+		t.Errorf("answered during the overload: %.2f of what the servers could run, want at least 0.95", share)
 	}
 
 	if share := float64(r.Once.Answered) / float64(r.Once.Calls); share < 0.95 {
-		t.Errorf("answered run-once calls: %.2f", share)
+		t.Errorf("answered run-once calls: %.2f, want at least 0.95", share)
 	}
 
 	if r.Shed == 0 || r.TimedOut > r.Shed/10 {
-		t.Errorf("%d shed, %d timed out of %d", r.Shed, r.TimedOut, r.Calls)
+		t.Errorf("%d calls shed, %d timed out of %d; want some shed and at most a tenth as many timed out", r.Shed, r.TimedOut, r.Calls)
 	}
 
 	if !r.Trouble.Recovered {
--- a/internal/lab/cwbench/variant.go
+++ b/internal/lab/cwbench/variant.go
@@ -16,7 +16,7 @@
 	// Name identifies the variant in tables.
 	Name string
 	// Policy returns the policy of one entry VM.
-	Policy func(w *Environment) cwroute.Policy
+	Policy func(e *Environment) cwroute.Policy
 	// Carriers is the number of entry VMs that serve the target; 0 means all of them.
 	Carriers int
 	// Tries is the maximum number of sends of a call.
@@ -60,7 +60,7 @@
 		{Name: nameNaive, Policy: func(*Environment) cwroute.Policy { return &roundRobin{} }, Tries: naiveTries},
 		{Name: "random", Policy: func(*Environment) cwroute.Policy { return randomPolicy{} }, Tries: naiveTries},
 		{Name: "pair", Policy: func(*Environment) cwroute.Policy { return cwroute.TwoChoices{} }, Tries: naiveTries, Cancel: true},
-		{Name: nameTruth, Policy: func(w *Environment) cwroute.Policy { return &truth{environment: w} }, Tries: naiveTries, Cancel: true},
+		{Name: nameTruth, Policy: func(e *Environment) cwroute.Policy { return &truth{environment: e} }, Tries: naiveTries, Cancel: true},
 	}
 }
 
@@ -79,13 +79,13 @@
 // Products returns the variants of the product, each with one part more than the
 // one before: server selection, hedges, queueing.
 func Products() []Variant {
-	wait := waitVariant("wait", cwroute.LeastTime{CrossDomainTime: productFar})
+	wait := leastTimeVariant("wait", cwroute.LeastTime{CrossDomainTime: productFar})
 
 	hedged := wait
 	hedged.Name = "wait-hedge"
 	hedged.Hedge, hedged.Budget = true, true
 
-	queued := waitVariant("product", cwroute.LeastTime{CrossDomainTime: productFar, MaxPerSlot: productQueue})
+	queued := leastTimeVariant("product", cwroute.LeastTime{CrossDomainTime: productFar, MaxPerSlot: productQueue})
 	queued.Hedge, queued.Budget, queued.Queue = true, true, true
 
 	return []Variant{wait, hedged, queued}
@@ -95,29 +95,29 @@
 // changed, and one without hedges.
 func Ablations() []Variant {
 	list := []Variant{
-		waitVariant("all-parts", cwroute.LeastTime{CrossDomainTime: productFar}),
-		waitVariant("no-reports", cwroute.LeastTime{CrossDomainTime: productFar, Ignore: cwroute.Reports}),
-		waitVariant("no-latencies", cwroute.LeastTime{CrossDomainTime: productFar, Ignore: cwroute.Latencies}),
-		waitVariant("own-calls-only", cwroute.LeastTime{CrossDomainTime: productFar, Ignore: cwroute.Reports | cwroute.Latencies}),
-		waitVariant("no-domains", cwroute.LeastTime{}),
-		waitVariant("sample-2", cwroute.LeastTime{CrossDomainTime: productFar, Sample: 2}),
-		waitVariant("sample-5", cwroute.LeastTime{CrossDomainTime: productFar, Sample: 5}),
+		leastTimeVariant("all-parts", cwroute.LeastTime{CrossDomainTime: productFar}),
+		leastTimeVariant("no-reports", cwroute.LeastTime{CrossDomainTime: productFar, Ignore: cwroute.Reports}),
+		leastTimeVariant("no-latencies", cwroute.LeastTime{CrossDomainTime: productFar, Ignore: cwroute.Latencies}),
+		leastTimeVariant("own-calls-only", cwroute.LeastTime{CrossDomainTime: productFar, Ignore: cwroute.Reports | cwroute.Latencies}),
+		leastTimeVariant("no-domains", cwroute.LeastTime{}),
+		leastTimeVariant("sample-2", cwroute.LeastTime{CrossDomainTime: productFar, Sample: 2}),
+		leastTimeVariant("sample-5", cwroute.LeastTime{CrossDomainTime: productFar, Sample: 5}),
 	}
 	for i := range list {
 		list[i].Hedge, list[i].Budget = true, true
 	}
 
-	unhedged := waitVariant("no-hedges", cwroute.LeastTime{CrossDomainTime: productFar})
+	unhedged := leastTimeVariant("no-hedges", cwroute.LeastTime{CrossDomainTime: productFar})
 
 	return append(list, unhedged)
 }
 
-// waitVariant returns a variant with the wait policy in the failure domain of the
+// leastTimeVariant returns a variant with the policy w in the failure domain of the
 // entry VM.
-func waitVariant(name string, w cwroute.LeastTime) Variant {
-	policy := func(world *Environment) cwroute.Policy {
+func leastTimeVariant(name string, w cwroute.LeastTime) Variant {
+	policy := func(e *Environment) cwroute.Policy {
 		one := w
-		one.Domain = world.Domain
+		one.Domain = e.Domain
 
 		return one
 	}
--- a/internal/lab/cwleave/fleet.go
+++ b/internal/lab/cwleave/fleet.go
@@ -1,5 +1,5 @@
-// Package cwleave simulates entry VMs that tell each other which server is
-// leaving, over a network with lost messages and blocked directions, and
+// Package cwleave simulates entry VMs that announce to each other which server
+// is leaving, over a network with lost messages and blocked directions, and
 // records when that server last gets a new request. The same seed gives the
 // same fleet.
 package cwleave
--- a/internal/lab/cwnetwork/fault.go
+++ b/internal/lab/cwnetwork/fault.go
@@ -97,13 +97,13 @@
 
 			for _, p := range v.Actor.Peers() {
 				j := n.byAddr[p.Peers]
-				now := p.State == carobward.PeerDead && !n.VMs[j].Down && !slices.Contains(except, j)
+				isDead := p.State == carobward.PeerDead && !n.VMs[j].Down && !slices.Contains(except, j)
 
-				if now && !dead[[2]int{i, j}] {
+				if isDead && !dead[[2]int{i, j}] {
 					count++
 				}
 
-				dead[[2]int{i, j}] = now
+				dead[[2]int{i, j}] = isDead
 			}
 		}
 	})
--- a/internal/lab/cwnetwork/measure.go
+++ b/internal/lab/cwnetwork/measure.go
@@ -70,10 +70,10 @@
 
 // peak returns the bytes per VM in the worst second.
 func (n *Network) peak(d time.Duration) float64 {
-	most := 0.0
+	highest := 0.0
 	for range d / time.Second {
-		most = max(most, n.rate(time.Second, 0))
+		highest = max(highest, n.rate(time.Second, 0))
 	}
 
-	return most
+	return highest
 }
--- a/internal/lab/cwnetwork/naive.go
+++ b/internal/lab/cwnetwork/naive.go
@@ -21,7 +21,7 @@
 	naiveTimeout  = 5 * time.Second
 )
 
-// Naive returns a member of a naive fleet, which knows all members from the
+// Naive returns a member of a naive fleet, whose list has all members from the
 // start.
 func Naive(i int, n *Network) Actor {
 	a := &naive{self: Self(i, 1), peers: map[carobward.VMID]carobward.Peer{}}
--- a/internal/lab/cwonce/compare.go
+++ b/internal/lab/cwonce/compare.go
@@ -16,7 +16,7 @@
 // replyTimeout is how long a caller waits for one reply.
 const replyTimeout = time.Minute
 
-// Sender charges one fee and returns the verdict that the caller is left with.
+// Sender charges one fee and returns the caller's final verdict.
 type Sender func(f *Fleet, rng *rand.Rand, body string) carobward.Verdict
 
 // Naive retries after any error, without tickets.
@@ -48,9 +48,9 @@
 	return last
 }
 
-// Count sums up what became of a number of fees.
+// Count sums up the outcomes of a number of fees.
 type Count struct {
-	// Verdicts counts the verdicts that callers were left with.
+	// Verdicts counts the callers' final verdicts.
 	Verdicts map[carobward.Verdict]int
 	// Runs counts all runs, Twice the fees that ran more than once, and Wrong
 	// the verdicts that contradict the number of runs.
--- a/internal/lab/cwonce/history.go
+++ b/internal/lab/cwonce/history.go
@@ -16,7 +16,7 @@
 	Fee, Ticket string
 	// Run reports whether this is a run, not a request.
 	Run bool
-	// Verdict is what the caller of a request was told.
+	// Verdict is the verdict that the caller of a request received.
 	Verdict carobward.Verdict
 	// Serial numbers the runs. A request that ran has the serial of the run
 	// that answered it.
@@ -47,7 +47,7 @@
 
 // Tally counts the verdicts of a history and its violations of at-most-once:
 // fees that ran twice, replies of another run than the last, and tickets that
-// ran although the caller was told not-run.
+// ran although the caller received the verdict not-run.
 func Tally(all []Operation) Count {
 	c := Count{Verdicts: map[carobward.Verdict]int{}}
 	runs, by := map[string]int{}, map[string]Operation{}
--- a/internal/lab/cwpoison/doc.go
+++ b/internal/lab/cwpoison/doc.go
@@ -38,9 +38,9 @@
 type Variant struct {
 	Name string
 	// Quarantine is whether requests are quarantined at all, Shared whether
-	// entry VMs tell each other what they see, PerCaller whether the caller is
-	// part of a request's fingerprint, and Clears whether an answer clears a
-	// request.
+	// entry VMs announce crashes, trials and answers to each other, PerCaller
+	// whether the caller is part of a request's fingerprint, and Clears whether
+	// an answer clears a request.
 	Quarantine, Shared, PerCaller, Clears bool
 }
 
--- a/internal/lab/cwpoison/run.go
+++ b/internal/lab/cwpoison/run.go
@@ -91,7 +91,7 @@
 	safe        bool
 	culprit     bool
 	sends       int
-	// crashes are the crashes that other entry VMs have not been told yet.
+	// crashes are the crashes not yet announced to the other entry VMs.
 	crashes []cwquarantine.Crash
 }
 
--- a/internal/lab/cwpoison/run_test.go
+++ b/internal/lab/cwpoison/run_test.go
@@ -33,11 +33,11 @@
 					t.Logf("%d entry VMs: %+v", size, r)
 
 					if r.Late > maxLate*p.Culprits {
-						t.Errorf("%d sends of culprits came late", r.Late)
+						t.Errorf("%d sends of culprits were late, want at most three per culprit", r.Late)
 					}
 
 					if p.Popular == 0 && r.Refused > 0 || float64(r.Refused) > maxRefused*float64(r.Innocent) {
-						t.Errorf("%d of %d innocent requests refused", r.Refused, r.Innocent)
+						t.Errorf("%d of %d innocent requests were refused, too many for this pattern", r.Refused, r.Innocent)
 					}
 				}
 			}
--- a/internal/lab/cwspread/cost.go
+++ b/internal/lab/cwspread/cost.go
@@ -134,7 +134,7 @@
 // changes each, and prints one line each.
 func WriteCosts(to io.Writer, services []int, changes int) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
-	_, _ = fmt.Fprintln(w, "services\ttaking it ms\tallocated B\tmaking it ms\twhole B\tchange B\thead B\t")
+	_, _ = fmt.Fprintln(w, "services\tapply ms\tallocated B\twrite ms\tconfig B\tchange B\thead B\t")
 
 	for _, n := range services {
 		c, err := Measure(n, changes)
--- a/internal/lab/cwspread/operators.go
+++ b/internal/lab/cwspread/operators.go
@@ -17,7 +17,7 @@
 	"carobward.example/carobward/internal/lab/cwstore"
 )
 
-// Outcome is what an operator was told about a change.
+// Outcome is the result of a change as reported to its operator.
 type Outcome string
 
 // The outcomes.
@@ -45,7 +45,7 @@
 	Target carobward.TargetName
 	// Base is the revision that the operator saw.
 	Base carobward.Revision
-	// Outcome is what the operator was told.
+	// Outcome is the result that was reported to the operator.
 	Outcome Outcome
 	// Revision is the revision as which the change was accepted.
 	Revision carobward.Revision
@@ -146,7 +146,7 @@
 	return a
 }
 
-// setOutcome records what the operator was told.
+// setOutcome records the result that is reported to the operator.
 func (a *Attempt) setOutcome(revision carobward.Revision, err error) {
 	var conflict *cwconfig.Conflict
 
--- a/internal/lab/cwspread/result.go
+++ b/internal/lab/cwspread/result.go
@@ -70,7 +70,7 @@
 // WriteTable prints one line per result. Times are in seconds.
 func WriteTable(to io.Writer, results []Result) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
-	_, _ = fmt.Fprintln(w, "case\tVMs\tchanges\tin force p50 s\tp90 s\tmax s\tB/change/VM\tB/s/VM\tstore calls/s\t")
+	_, _ = fmt.Fprintln(w, "case\tVMs\tchanges\teffective p50 s\tp90 s\tmax s\tB/change/VM\tB/s/VM\tstore calls/s\t")
 
 	for i := range results {
 		r := &results[i]
--- a/internal/lab/cwspread/scenario.go
+++ b/internal/lab/cwspread/scenario.go
@@ -69,7 +69,7 @@
 	s.settle()
 
 	if one && two {
-		return "both were told that theirs is accepted"
+		return "both changes were reported as accepted"
 	}
 
 	return missing(s, fee, first)
@@ -116,7 +116,7 @@
 
 	s.platform().Fault = cwstore.Script("d", "d")
 	if !s.join() {
-		return "the newcomer refuses although its peers know"
+		return "the new entry VM is not ready although its peers have the configuration"
 	}
 
 	return missing(s, fee, first)
--- a/internal/lab/cwtrial/idle.go
+++ b/internal/lab/cwtrial/idle.go
@@ -23,7 +23,7 @@
 	Seed          uint64
 }
 
-// IdleResult sums up the calls made in one way.
+// IdleResult sums up the calls of one way to use connections.
 type IdleResult struct {
 	Way             string
 	Calls           int
