--- a/internal/cwbackend/allowance.go
+++ b/internal/cwbackend/allowance.go
@@ -11,24 +11,24 @@
 // Some bounds on the requests to a server hold for all entry VMs together, and no component
 // counts all of them. The entry VMs of the server's failure domain divide such a bound by
 // rendezvous hashing: the first ones for the server send their shares in each window, the
-// others nothing. An order of entry VMs bounds the sum without a shared clock, whichever of
-// them send. Reports of entry VMs about each other and of the server's load are too old for a
-// window of one second.
+// others nothing. Since each entry VM derives its share from its own rank, the sum is bounded
+// whichever of them send, and without a shared clock. Load reports, of entry VMs and of the
+// server, would be too old to divide a window of one second.
 
 // The parameters of dividing a bound.
 const (
-	// dividedShare is the part of a bound that is divided. The rest is for entry VMs that have
-	// just joined and that others do not know yet, and for those that check whether a limit
-	// still holds.
+	// dividedShare is the fraction of a bound that is divided. The rest is for entry VMs that
+	// have just joined and from which others have not received a heartbeat yet, and for those
+	// that check whether a limit still holds.
 	dividedShare = 0.8
-	// minKnownShare is the part of the entry VMs of its failure domain that an entry VM must
-	// know to have a share. With fewer its rank is too inaccurate: without this rule servers
+	// minKnownShare is the fraction of the entry VMs of its failure domain that an entry VM
+	// must know to have a share. With fewer its rank is too inaccurate: without this rule servers
 	// get up to 19 requests in a second where 15.2 are allowed, with it none gets more than
 	// allowed (TestWarmupHistory).
 	minKnownShare = 0.75
 	// settleTime is how long an entry VM has no share after its start. About ten heartbeats of
-	// others may arrive in that time; an entry VM that has received none would take itself for
-	// the only one.
+	// others may arrive in that time; an entry VM that has received none would assume that it
+	// is the only one.
 	settleTime = time.Second
 	// minWindow is the shortest window: the one second for which bounds are defined, and a
 	// margin, since later requests may take less time to arrive.
@@ -126,8 +126,9 @@
 	return allowances{t.warmupAllowance(b, warm, now), t.limitAllowance(b, &limit, now)}
 }
 
-// share returns how many of the requests that a server takes in a window are this entry VM's,
-// divided among the first ones by hash. The mutex must be held.
+// share returns how many of the requests that a server takes in a window are this entry VM's.
+// They are divided among the given number of entry VMs that rank first by hash. The mutex must
+// be held.
 func (t *Table) share(b *carobward.Backend, maxRequests, first int, now time.Time) int {
 	place := t.placement.places[b.Instance]
 	if place == nil || b.Domain != t.self.Domain || t.sharers.since.IsZero() || now.Sub(t.sharers.since) < settleTime {
@@ -196,11 +197,11 @@
 	return 1 + len(t.sharers.hashes)
 }
 
-// share returns this entry VM's share of the requests that a server may get in a window,
-// which are divided among the first ones by hash. An entry VM that knows too few of the others
-// has none. One that does not know all of them scales the requests and the number of shares
-// down in that proportion: otherwise each of many that have just started, or that are
-// partitioned, would take itself for the first.
+// share returns this entry VM's share of the requests that a server may get in a window. They
+// are divided among the given number of entry VMs that rank first by hash. An entry VM that
+// knows too few of the others has none. One that does not know all of them scales the requests
+// and the number of shares down in that proportion: otherwise each of many that have just
+// started, or that are partitioned, would rank itself first.
 func (s *sharers) share(self, server uint64, maxRequests, first int) int {
 	known := 1 + len(s.hashes)
 	if float64(known) < minKnownShare*float64(s.size) {
--- a/internal/cwbackend/announcement_fleet_test.go
+++ b/internal/cwbackend/announcement_fleet_test.go
@@ -217,7 +217,7 @@
 			t.Logf("%d requests", f.sends)
 
 			if f.sends < vms {
-				t.Errorf("%d requests from %d entry VMs", f.sends, vms)
+				t.Errorf("only %d requests from %d entry VMs", f.sends, vms)
 			}
 		})
 	}
--- a/internal/cwbackend/announcement_test.go
+++ b/internal/cwbackend/announcement_test.go
@@ -38,7 +38,7 @@
 
 			// A reply that states the limit changes or lifts it.
 			if got := s.ApplyReply(&c.reply, ByReply, start.Add(time.Second)).Limit; got != c.want || (s.limit.Rate != 9) != c.want {
-				t.Errorf("%v, %v", got, s.limit.Limit)
+				t.Errorf("limit changed: %v, it is now %v", got, s.limit.Limit)
 			}
 		})
 	}
@@ -77,7 +77,7 @@
 
 			s := table.byInstance["i-1"]
 			if got := table.Has(s.Backend()); got != c.want || (len(table.Views("records", start, time.Second)) == 1) != c.want {
-				t.Errorf("%v", got)
+				t.Errorf("may get requests: %v", got)
 			}
 
 			if got := table.Admit(s, start.Add(time.Second)); got != c.want {
@@ -101,8 +101,8 @@
 		want   time.Duration
 	}{
 		"none":                 {nil, 0},
-		"a time":               {[]pause{{0, 4 * time.Second, true, ByReply}}, 4 * time.Second},
-		"a fraction":           {[]pause{{0, 1500 * time.Millisecond, true, ByReply}}, 1500 * time.Millisecond},
+		"whole seconds":        {[]pause{{0, 4 * time.Second, true, ByReply}}, 4 * time.Second},
+		"a fractional second":  {[]pause{{0, 1500 * time.Millisecond, true, ByReply}}, 1500 * time.Millisecond},
 		"zero":                 {[]pause{{time.Second, 0, true, ByReply}}, 0},
 		"unreadable":           {[]pause{{time.Second, 0, false, ByReply}}, 0},
 		"in a health check":    {[]pause{{0, 4 * time.Second, true, ByHealthCheck}}, 0},
@@ -126,7 +126,7 @@
 				v := table.View(s, now, time.Second)
 
 				if want := at < c.want; at >= 0 && (v.Throttled != want || want && !v.ThrottledUntil.Equal(start.Add(c.want))) {
-					t.Errorf("after %s: %v, open at %s", at, v.Throttled, v.ThrottledUntil)
+					t.Errorf("after %s: throttled %v, until %s", at, v.Throttled, v.ThrottledUntil)
 				}
 			}
 
--- a/internal/cwbackend/limit.go
+++ b/internal/cwbackend/limit.go
@@ -51,8 +51,8 @@
 }
 
 // MergeLimit merges an announcement of the server's limit and reports whether it changed the
-// known limit. An unreadable value does not replace a known limit: the server still needs one,
-// but how high it is cannot be derived.
+// known limit. An unreadable value does not replace a known limit: the server still has one,
+// but its new value is unknown.
 func (s *Server) MergeLimit(w carobward.LimitAnnouncement, from Source) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -112,8 +112,8 @@
 		// only count where no limit is known yet.
 		return false
 	case from == ByHealthCheck && !w.Limit.Present:
-		// If its answers to health checks have not stated the limit, their silence does not
-		// lift it.
+		// If its answers to health checks have not stated the limit, one without a limit does
+		// not lift it.
 		return l.inHealth
 	default:
 		return true
--- a/internal/cwbackend/limit_test.go
+++ b/internal/cwbackend/limit_test.go
@@ -136,7 +136,7 @@
 
 	for _, v := range f.vms[:42] {
 		if list := v.table.Limited(f.now); len(list) > 0 {
-			t.Errorf("%s: %+v", v.id, list)
+			t.Errorf("%s still has limits: %+v", v.id, list)
 		}
 	}
 }
@@ -149,11 +149,11 @@
 	table.Put([]carobward.Backend{backend(1, "d0")}, nil, start)
 
 	server := table.byInstance[backend(1, "d0").Instance]
-	word := func(l carobward.Limit, at time.Time) carobward.LimitAnnouncement {
+	announcement := func(l carobward.Limit, at time.Time) carobward.LimitAnnouncement {
 		return carobward.LimitAnnouncement{Server: server.Backend().Instance, Limit: l, At: at}
 	}
 
-	server.MergeLimit(word(rate(2), start), ByReply)
+	server.MergeLimit(announcement(rate(2), start), ByReply)
 
 	sent := 0
 
@@ -164,11 +164,11 @@
 	}
 
 	if sent != 2 {
-		t.Errorf("%d requests in %s", sent, 3*limitRecheck)
+		t.Errorf("%d requests in %s, want 2", sent, 3*limitRecheck)
 	}
 
 	now := start.Add(3 * limitRecheck)
-	server.MergeLimit(word(carobward.Limit{}, now), ByReply)
+	server.MergeLimit(announcement(carobward.Limit{}, now), ByReply)
 
 	for range 2 {
 		if !table.Admit(server, now) {
@@ -182,8 +182,8 @@
 	type announcement struct {
 		value carobward.Limit
 		from  Source
-		// passed is set if it was relayed by a third entry VM.
-		passed bool
+		// relayed is set if it was relayed by a third entry VM.
+		relayed bool
 		// at is when it arrived, in seconds.
 		at      int
 		changed bool
@@ -195,7 +195,7 @@
 		announcements []announcement
 		want          carobward.Limit
 	}{
-		"named":                        {[]announcement{{rate(2), ByReply, false, 1, true}}, rate(2)},
+		"announced":                    {[]announcement{{rate(2), ByReply, false, 1, true}}, rate(2)},
 		"by a health check":            {[]announcement{{rate(2), ByHealthCheck, false, 1, true}}, rate(2)},
 		"by a peer":                    {[]announcement{{rate(2), ByPeer, false, 1, true}}, rate(2)},
 		"once more":                    {[]announcement{{rate(2), ByReply, false, 1, true}, {rate(2), ByReply, false, 2, false}}, rate(2)},
@@ -218,8 +218,8 @@
 
 			for i, w := range c.announcements {
 				at := start.Add(time.Duration(w.at) * time.Second)
-				if changed := s.MergeLimit(carobward.LimitAnnouncement{Limit: w.value, At: at, Relayed: w.passed}, w.from); changed != w.changed {
-					t.Errorf("announcement %d: new %v", i, changed)
+				if changed := s.MergeLimit(carobward.LimitAnnouncement{Limit: w.value, At: at, Relayed: w.relayed}, w.from); changed != w.changed {
+					t.Errorf("announcement %d changed the limit: %v", i, changed)
 				}
 			}
 
@@ -279,7 +279,7 @@
 		t.Error(diff)
 	}
 
-	// It knows nothing yet about a server that has never announced anything.
+	// No limit is known of the last server, so a relayed announcement counts.
 	last := carobward.LimitAnnouncement{Server: list[6].Instance, Limit: rate(1), At: start, Relayed: true}
 	if changed := table.MergeLimits([]carobward.LimitAnnouncement{last}); len(changed) != 1 {
 		t.Error("the first announcement of a server was ignored")
@@ -295,25 +295,25 @@
 	b.Start = 1
 	table.Put([]carobward.Backend{b}, nil, start)
 
-	word := func(r carobward.Rate, after time.Duration) []carobward.LimitAnnouncement {
+	announcement := func(r carobward.Rate, after time.Duration) []carobward.LimitAnnouncement {
 		return []carobward.LimitAnnouncement{{Server: b.Instance, Limit: rate(r), At: start.Add(after)}}
 	}
 
-	table.MergeLimits(word(1, time.Second))
+	table.MergeLimits(announcement(1, time.Second))
 
 	b.Start = 2
 	table.Put([]carobward.Backend{b}, nil, start.Add(3*time.Second))
-	table.MergeLimits(word(2, 2*time.Second))
+	table.MergeLimits(announcement(2, 2*time.Second))
 
 	if list := table.Limited(start.Add(4 * time.Second)); len(list) > 0 {
-		t.Errorf("%+v", list)
+		t.Errorf("limits of the previous process after a restart: %+v", list)
 	}
 
-	table.MergeLimits(word(3, 5*time.Second))
+	table.MergeLimits(announcement(3, 5*time.Second))
 
 	list := table.Limited(start.Add(6 * time.Second))
 	if len(list) != 1 || list[0].Limit != rate(3) {
-		t.Errorf("%+v", list)
+		t.Errorf("limits after an announcement of the new process: %+v", list)
 	}
 }
 
@@ -342,7 +342,7 @@
 					}
 
 					if sum != maxRequests || parts > first {
-						t.Errorf("%d of %d, in %d shares of at most %d", sum, maxRequests, parts, first)
+						t.Errorf("the shares add up to %d of %d requests, in %d shares of at most %d", sum, maxRequests, parts, first)
 					}
 				})
 			}
--- a/internal/cwbackend/server.go
+++ b/internal/cwbackend/server.go
@@ -47,8 +47,8 @@
 	refusedBlock = 100 * time.Millisecond
 	// failureWeight is the weight of one outcome in the moving average of failures.
 	failureWeight = 0.2
-	// overdueFactor is after how many usual response times a request without a response is
-	// overdue, which makes the server a worse choice for others.
+	// overdueFactor is the number of usual response times after which a request without a
+	// response is overdue. That makes the server a worse choice for other requests.
 	overdueFactor = 4
 )
 
--- a/internal/cwbackend/table.go
+++ b/internal/cwbackend/table.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// Put applies new and changed entries and removes the instances that are gone. It returns the
+// Put applies new and changed entries and removes the instances in gone. It returns the
 // previous entries of servers whose process restarted under the same instance.
 func (t *Table) Put(list []carobward.Backend, gone []carobward.Instance, now time.Time) []carobward.Backend {
 	t.mutex.Lock()
--- a/internal/cwbackend/warmup.go
+++ b/internal/cwbackend/warmup.go
@@ -7,8 +7,9 @@
 )
 
 // A server that is warming up tolerates few requests a second from all entry VMs together, and
-// crashes under more. Its rate is divided, see sharers. This protects many servers that return
-// at once during a burst, when each entry VM by itself would see idle servers.
+// crashes under more. Its rate is divided, see sharers. The worst case is many servers that
+// restart at once during a burst: to each entry VM, which counts only its own requests, they
+// would look idle.
 
 // WarmupBound is the request rate that servers of a service tolerate while they are warming up.
 type WarmupBound struct {
