--- a/internal/cwpick/pick.go
+++ b/internal/cwpick/pick.go
@@ -16,8 +16,8 @@
 	// kneeShare is the share of a server's slots in use above which some servers slow down. By
 	// how much is learned, see Times.
 	kneeShare = 0.8
-	// crossDomainCost is the cost of a server in another failure domain. It stands less for
-	// the latency than for the traffic, which is billed.
+	// crossDomainCost is the cost of a server in another failure domain: mostly for the
+	// traffic, which is billed, and less for the latency.
 	crossDomainCost = 0.3
 	// fillCost is the cost of a server with all slots in use. Among equal servers, one with
 	// more free slots stays a good choice for longer.
@@ -115,8 +115,8 @@
 	MaxRounds = 2
 )
 
-// FirstRound returns the first round of health checks for a request. After health checks for
-// it that found no server, only the last round is made: where all servers are full, more
+// FirstRound returns the first round of health checks for a request. If earlier health checks
+// for it failed to find a server, only the last round is made: where all servers are full, more
 // checks at once find no more free slots, and the number of checks is limited. While a third
 // of the servers is slow, 0.852 of requests finish in time with this rule and 0.837 if both
 // rounds are always made; in bursts with 127 entry VMs, 0.798 and 0.781.
@@ -180,11 +180,11 @@
 	random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 }
 
-// FreeSlots returns how many more requests of a rank, out of so many ranks, a server takes, or
-// a number below zero if it has too many. Requests of the most urgent rank may queue for a
-// while, those of the least urgent leave a slot free for others. Spared slots are left to
-// others in addition, but at least one is used. Crowd is the factor by which requests take
-// longer at a crowded server.
+// FreeSlots returns how many more requests of the given rank a server takes; the result is
+// negative if it has too many already. Rank 0 of ranks is the most urgent: its requests may
+// queue for a while. Requests of the last rank leave a slot free for others. In addition, as
+// many slots as spared are left to others, but at least one slot is used. Crowd is the factor
+// by which requests take longer at a crowded server.
 func FreeSlots(v *cwbackend.View, rank, ranks, spared int, crowd float64) int {
 	if v.Throttled {
 		return 0
--- a/internal/cwpick/pick_bench_test.go
+++ b/internal/cwpick/pick_bench_test.go
@@ -14,7 +14,7 @@
 func BenchmarkChoice(b *testing.B) {
 	const (
 		servers = 12
-		looks   = 4
+		checks  = 4
 		usual   = 200 * time.Millisecond
 	)
 
@@ -36,7 +36,7 @@
 		views := table.Views("records", now, usual)
 		best := 0.0
 
-		for _, v := range Sample(Global{}, views, looks, "a", nil, 0) {
+		for _, v := range Sample(Global{}, views, checks, "a", nil, 0) {
 			if FreeSlots(&v, 1, 3, 0, 1.3) > 0 {
 				best = max(best, Cost(&v, Factors{Crowd: 1.3, Warmup: 2}, "a"))
 			}
--- a/internal/cwpick/pick_test.go
+++ b/internal/cwpick/pick_test.go
@@ -31,21 +31,21 @@
 	}
 
 	for name, c := range map[string]struct{ good, bad cwbackend.View }{
-		"more free slots":               {view(0, 0, 1), view(2, 0, 1)},
-		"below the knee":                {view(2, 0, 1), view(3, 0, 1)},
-		"a crowded one to a slow one":   {view(3, 0, 1), view(0, 0, 5)},
-		"a queue to a slow machine":     {view(4, 1, 1), view(0, 0, 5)},
-		"no queue":                      {view(3, 0, 1), view(4, 2, 1)},
-		"the home domain":               {view(1, 0, 1), with(view(1, 0, 1), func(v *cwbackend.View) { v.Domain = "b" })},
-		"another domain to a slow one":  {with(view(1, 0, 1), func(v *cwbackend.View) { v.Domain = "b" }), view(1, 0, 2)},
-		"a warmed-up one":               {view(2, 0, 1), with(view(0, 0, 1), func(v *cwbackend.View) { v.Warming = true })},
-		"one without failures":          {view(3, 0, 1), with(view(0, 0, 1), func(v *cwbackend.View) { v.FailureRate = 0.5 })},
-		"one where nothing is overdue":  {view(3, 0, 1), with(view(0, 0, 1), func(v *cwbackend.View) { v.Overdue = true })},
-		"one without a report to a bad": {cwbackend.View{Slots: 4, Domain: home}, view(3, 0, 1)},
+		"more free slots":                           {view(0, 0, 1), view(2, 0, 1)},
+		"below the knee":                            {view(2, 0, 1), view(3, 0, 1)},
+		"a crowded one before a slow one":           {view(3, 0, 1), view(0, 0, 5)},
+		"a queue before a slow machine":             {view(4, 1, 1), view(0, 0, 5)},
+		"no queue":                                  {view(3, 0, 1), view(4, 2, 1)},
+		"the home domain":                           {view(1, 0, 1), with(view(1, 0, 1), func(v *cwbackend.View) { v.Domain = "b" })},
+		"another domain before a slow one":          {with(view(1, 0, 1), func(v *cwbackend.View) { v.Domain = "b" }), view(1, 0, 2)},
+		"a warmed-up one":                           {view(2, 0, 1), with(view(0, 0, 1), func(v *cwbackend.View) { v.Warming = true })},
+		"one without failures":                      {view(3, 0, 1), with(view(0, 0, 1), func(v *cwbackend.View) { v.FailureRate = 0.5 })},
+		"one where nothing is overdue":              {view(3, 0, 1), with(view(0, 0, 1), func(v *cwbackend.View) { v.Overdue = true })},
+		"one without a report before a crowded one": {cwbackend.View{Slots: 4, Domain: home}, view(3, 0, 1)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if good, bad := Cost(&c.good, factors, home), Cost(&c.bad, factors, home); good >= bad {
-				t.Errorf("costs %.2f and %.2f", good, bad)
+				t.Errorf("costs %.2f and %.2f, want the first to be lower", good, bad)
 			}
 		})
 	}
@@ -59,25 +59,25 @@
 		crowd                float64
 		spared               int
 	}{
-		"the least urgent leaves a slot": {3, 2, 3, false, 1, 0},
-		"but takes the others":           {2, 2, 3, true, 1, 0},
-		"the next one takes all slots":   {3, 1, 3, true, 1, 0},
-		"and no more":                    {4, 1, 3, false, 1, 0},
-		"the most urgent may queue":      {5, 0, 3, true, 1, 0},
-		"but not without bound":          {6, 0, 3, false, 1, 0},
-		"a single rank":                  {3, 0, 1, true, 1, 0},
-		"a single rank does not queue":   {4, 0, 1, false, 1, 0},
-		"crowding costs more":            {3, 1, 3, false, 1.6, 0},
-		"crowding costs more, one less":  {2, 1, 3, true, 1.6, 0},
-		"crowding costs less":            {3, 1, 3, true, 1.2, 0},
-		"a slot is spared":               {3, 0, 1, false, 1, 1},
-		"the other slots are not":        {2, 0, 1, true, 1, 1},
-		"one slot at least is used":      {0, 0, 1, true, 1, 9},
+		"the least urgent leaves a slot":         {3, 2, 3, false, 1, 0},
+		"the least urgent takes the other slots": {2, 2, 3, true, 1, 0},
+		"the middle rank takes all slots":        {3, 1, 3, true, 1, 0},
+		"the middle rank does not queue":         {4, 1, 3, false, 1, 0},
+		"the most urgent may queue":              {5, 0, 3, true, 1, 0},
+		"the most urgent queues up to a bound":   {6, 0, 3, false, 1, 0},
+		"a single rank":                          {3, 0, 1, true, 1, 0},
+		"a single rank does not queue":           {4, 0, 1, false, 1, 0},
+		"crowding costs more":                    {3, 1, 3, false, 1.6, 0},
+		"crowding costs more, one less":          {2, 1, 3, true, 1.6, 0},
+		"crowding costs less":                    {3, 1, 3, true, 1.2, 0},
+		"a slot is spared":                       {3, 0, 1, false, 1, 1},
+		"the other slots are not spared":         {2, 0, 1, true, 1, 1},
+		"one slot at least is used":              {0, 0, 1, true, 1, 9},
 	} {
 		t.Run(name, func(t *testing.T) {
 			v := view(c.running, 0, 1)
 			if got := FreeSlots(&v, c.rank, c.ranks, c.spared, c.crowd) > 0; got != c.room {
-				t.Errorf("room: %v", got)
+				t.Errorf("has free slots: %v", got)
 			}
 		})
 	}
--- a/internal/cwpick/times.go
+++ b/internal/cwpick/times.go
@@ -4,8 +4,8 @@
 
 // The parameters of learning from response times.
 const (
-	// usualDefault is the assumed duration of a request before any is known, as a part of the
-	// objective: servers are expected to meet their objectives.
+	// usualDefault is the assumed duration of a request before any is known, as a fraction of
+	// the objective: servers are expected to meet their objectives.
 	usualDefault = 0.4
 	// usualWeight is the weight of one response in a moving average.
 	usualWeight = 0.05
