--- a/internal/cwrank/rank_test.go
+++ b/internal/cwrank/rank_test.go
@@ -86,10 +86,10 @@
 	}
 }
 
-// TestMixStable checks that the weight is the same in each build, like TestWeightStays.
+// TestMixStable checks that the weight is the same in each build, like TestWeightStable.
 func TestMixStable(t *testing.T) {
 	if got := Mix(Hash("front-1"), Hash("i-1")); got != 0xf284042301cb3706 {
-		t.Errorf("%#x", got)
+		t.Errorf("weight %#x", got)
 	}
 }
 
@@ -104,7 +104,7 @@
 // run side by side during a rollout.
 func TestWeightStable(t *testing.T) {
 	if got := Weight("front-1", "i-1"); got != 0x2fe1c82514b0120 {
-		t.Errorf("%#x", got)
+		t.Errorf("weight %#x", got)
 	}
 }
 
