--- a/internal/cwfront/candidate.go
+++ b/internal/cwfront/candidate.go
@@ -52,8 +52,9 @@
 	}
 }
 
-// chooseOnce checks some servers, and some more if none of them is good. It returns nil if
-// none has room, and whether any server is known.
+// chooseOnce makes health checks of some servers, and of some more if none of them is good.
+// It returns the best one with room, or nil, and whether there is any server to which the
+// request may go.
 func (r *request) chooseOnce(ctx context.Context, tried map[*cwbackend.Server]bool) (*candidate, bool) {
 	f := r.front
 	now := f.Clock.Now()
--- a/internal/cwfront/forward.go
+++ b/internal/cwfront/forward.go
@@ -45,7 +45,7 @@
 func (r *request) forward(ctx context.Context) {
 	defer r.complete()
 
-	// A request that is known to be refused doesn't wait for a server.
+	// A quarantined request is refused without waiting for a server.
 	if err := r.quarantined(false); err != nil {
 		r.giveUp(err)
 
@@ -84,7 +84,7 @@
 			return
 		}
 
-		if !r.front.Servers.Admit(c.view.Server, r.front.Clock.Now()) { // The server is warming up and has its share of requests.
+		if !r.front.Servers.Admit(c.view.Server, r.front.Clock.Now()) { // It may not get another request from this entry VM yet.
 			c.release()
 
 			continue
@@ -107,7 +107,7 @@
 	r.err = err
 }
 
-// resolveResult turns the result of the last send into what the caller may be told. If an
+// resolveResult turns the result of the last send into what the caller is told. If an
 // earlier send may have run, a refusal of the last one doesn't mean that the request did
 // not run.
 func (r *request) resolveResult() {
--- a/internal/cwfront/front.go
+++ b/internal/cwfront/front.go
@@ -100,8 +100,8 @@
 	// writeTimeout bounds the time to write one answer to a caller that doesn't read.
 	writeTimeout = 5 * time.Second
 	// idleTimeout is how long a connection waits for its next request. It is longer than
-	// the operator's limit, so that callers close first and no request meets a connection
-	// that we are closing.
+	// the operator's limit, so that callers close first and no request arrives on a
+	// connection that this entry VM is closing.
 	idleTimeout = 60 * time.Second
 	// bufferBytes is the read buffer of each connection. It bounds the request line and
 	// header, for which the operators allow 16 KB.
@@ -248,18 +248,18 @@
 func (f *Front) Wait() { f.work.Wait() }
 
 // extraCallFraction is the fraction of the limit on extra calls that is used. The rest
-// covers entry VMs that take the fleet for smaller than it is, and windows that the entry
+// covers entry VMs that underestimate the size of the fleet, and windows that the entry
 // VMs start at different times.
 const extraCallFraction = 0.9
 
-// minExtraCalls returns this entry VM's share of the extra calls that are allowed whatever
-// the number of requests.
+// minExtraCalls returns this entry VM's share of the extra calls that are allowed
+// regardless of the number of requests.
 func (f *Front) minExtraCalls() float64 {
 	return extraCallFraction * float64(f.limits.Load().ExtraMin) / float64(max(1, f.FleetSize()))
 }
 
 // handle serves one request. It recovers from a panic, which then fails this request only:
-// if it ended the process, a caller that retries would end one entry VM after the other.
+// if it ended the process, a caller that retries would crash one entry VM after the other.
 func (f *Front) handle(ctx *fasthttp.RequestCtx) {
 	f.inFlight.Add(1)
 	f.total.Add(1)
--- a/internal/cwfront/notice.go
+++ b/internal/cwfront/notice.go
@@ -10,19 +10,19 @@
 func (r *request) recordNotices(s *cwbackend.Server, reply *carobward.Reply, from cwbackend.Source) {
 	f := r.front
 	b := s.Backend()
-	news := s.ApplyReply(reply, from, f.Clock.Now())
+	changes := s.ApplyReply(reply, from, f.Clock.Now())
 
-	if news.Limit {
+	if changes.Limit {
 		l := reply.Limit
 		f.Log.Info("A server announced a new rate limit.", "server", b.Instance, "named", l.Present, "readable", l.Readable, "rate", l.Rate,
 			"from", from.String(), "id", r.id)
 	}
 
-	if news.Leaving {
+	if changes.Leaving {
 		f.Log.Info("A server announced that it is leaving; it gets no more requests.", "server", b.Instance, "start", b.Start, "from", from.String(), "id", r.id)
 	}
 
-	if news.Pause {
+	if changes.Pause {
 		f.Log.Info("A server asked for a pause; it gets no requests meanwhile.", "server", b.Instance, "pause", reply.Pause.Delay.String(), "id", r.id)
 	}
 
--- a/internal/cwfront/quarantine.go
+++ b/internal/cwfront/quarantine.go
@@ -57,8 +57,7 @@
 }
 
 // quarantined returns a failure if the request is in quarantine, or nil if it may be sent.
-// Send reports that it is about to be sent: then it may become the trial send of its
-// quarantine.
+// If aboutToSend is set, the request may become the trial send of its quarantine.
 func (r *request) quarantined(aboutToSend bool) error {
 	q := r.front.Quarantine
 	if r.trial || !q.Table.MayContain(&r.call) {
@@ -82,8 +81,8 @@
 	return carobward.NewFailure(carobward.NotRun, fasthttp.StatusServiceUnavailable, d.Wait, ErrQuarantined)
 }
 
-// mayResend reports whether the crashes of servers under the request allow this entry VM
-// to send it to another server.
+// mayResend reports whether this entry VM may send the request to another server, given
+// how many servers have crashed with it in flight.
 func (r *request) mayResend() bool {
 	if r.trial { // A trial may run once; a send that did not run doesn't count.
 		return !r.possiblyRun
--- a/internal/cwfront/queue.go
+++ b/internal/cwfront/queue.go
@@ -185,7 +185,7 @@
 		return nil, carobward.NewFailure(carobward.NotRun, fasthttp.StatusServiceUnavailable, r.schedule.RetryAfter(), r.noServerCause())
 	}
 
-	// A request that is known to be refused doesn't wait.
+	// A request that will be too late once a server may get requests is refused now.
 	if !r.availableAt.IsZero() && r.schedule.ShouldRefuse(r.availableAt) {
 		return nil, carobward.NewFailure(carobward.NotRun, fasthttp.StatusServiceUnavailable, r.schedule.RetryAfterOpening(r.availableAt, now), ErrAllBarred)
 	}
--- a/internal/cwfront/region.go
+++ b/internal/cwfront/region.go
@@ -18,7 +18,7 @@
 
 // allowedServers returns the servers that the request may be sent to. If its route doesn't
 // restrict the regions, servers of other regions are used only if the own region has none:
-// the way to another region takes longer than waiting for a slot.
+// a round trip to another region takes longer than waiting for a slot.
 func (r *request) allowedServers(views []cwbackend.View) []cwbackend.View {
 	own := r.front.Regions[r.front.Domain]
 
--- a/internal/cwfront/request.go
+++ b/internal/cwfront/request.go
@@ -149,8 +149,8 @@
 	return r
 }
 
-// setSchedule sets what decides when the request gets a server. Known reports that the
-// caller said how long it still waits.
+// setSchedule sets what decides when the request gets a server. Known is set if the caller
+// stated how long it still waits.
 func (r *request) setSchedule(now time.Time, known bool) {
 	var age time.Duration
 
--- a/internal/cwfront/result_test.go
+++ b/internal/cwfront/result_test.go
@@ -12,7 +12,8 @@
 	"carobward.example/carobward/internal/cwbackend"
 )
 
-// told is what a caller is told.
+// told is what a caller is told: the status, the verdict, and whether there is a time to
+// retry.
 type told struct {
 	Status  int
 	Verdict string
--- a/internal/cwfront/send.go
+++ b/internal/cwfront/send.go
@@ -189,7 +189,7 @@
 	}
 }
 
-// record records what the result of a send says about its server. It doesn't change the
+// record records what the result of a send shows about its server. It doesn't change the
 // request.
 func (r *request) record(ctx context.Context, s *send) {
 	f := r.front
@@ -224,7 +224,7 @@
 	f.logSend(r.id, s, outcome, end)
 }
 
-// outcome returns what the result of a send says about the server. Ctx is that of the
+// outcome returns what the result of a send shows about the server. Ctx is that of the
 // request.
 func (s *send) outcome(ctx context.Context) cwbackend.Outcome {
 	switch {
--- a/internal/cwfront/service.go
+++ b/internal/cwfront/service.go
@@ -29,7 +29,7 @@
 	slowdown cwqueue.Slowdown
 	// checkTime is the moving average of the time of health checks.
 	checkTime time.Duration
-	// waits has, by route, how long recent callers said that they still wait.
+	// waits has, by route, the remaining wait times that recent callers stated.
 	waits map[carobward.RouteName]*cwattempt.Waits
 }
 
@@ -97,11 +97,11 @@
 
 // addSlowdown adds how long a checked server would take without other requests, see
 // cwqueue.Slowdown.
-func (s *serviceState) addSlowdown(alone float64) {
+func (s *serviceState) addSlowdown(unloaded float64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 
-	s.slowdown.Add(alone)
+	s.slowdown.Add(unloaded)
 }
 
 // currentSlowdown returns by which factor servers are slower than usual now.
--- a/internal/cwfront/service_test.go
+++ b/internal/cwfront/service_test.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// TestSetLimits checks that new limits apply to services that are known already, and that
+// TestSetLimits checks that new limits apply to services that already have a state, and that
 // counts and the window stay.
 func TestSetLimits(t *testing.T) {
 	f := newFront(1)
