--- a/internal/cwbackend/allowance.go
+++ b/internal/cwbackend/allowance.go
@@ -12,8 +12,8 @@
 // counts all of them. The entry VMs of the server's failure domain divide such a bound by
 // rendezvous hashing: the first ones for the server send their shares in each window, the
 // others nothing. Since each entry VM derives its share from its own rank, the sum is bounded
-// whichever of them send, and without a shared clock. Load reports, of entry VMs and of the
-// server, would be too old to divide a window of one second.
+// whichever of them send, and without a shared clock. Reports, of entry VMs about each other
+// or of the server's load, would be too old to divide a window of one second by them.
 
 // The parameters of dividing a bound.
 const (
