--- a/internal/cwqueue/queue.go
+++ b/internal/cwqueue/queue.go
@@ -44,12 +44,12 @@
 	return best, found
 }
 
-// MayCheck reports whether a request may make health checks itself: those made for the
-// requests before it have not failed to find room. While there is room, all requests make
-// checks at once, however many arrive. When there is none, the others wait for what the
-// first one finds and for slots that become free. If each made its own checks, waiting
-// requests would use up the rate limit of all, and several would take the same slot: 0.76
-// of the requests are in time in bursts then, 0.78 with this rule.
+// MayCheck reports whether a request may make health checks itself: it may unless those of
+// a request before it failed to find room. While there is room, all requests make checks at
+// once, however many arrive. When there is none, the others wait for what the first one
+// finds and for slots that become free. If each made its own checks, waiting requests would
+// use up the rate limit of all, and several would take the same slot: in bursts 0.76 of the
+// requests would be in time, and 0.78 are with this rule.
 func (q *Queue[W]) MayCheck(w W, now time.Time) bool {
 	for _, o := range q.list {
 		if o != w && o.Turn().NoRoom && o.Turn().Before(w.Turn(), now) {
--- a/internal/cwqueue/queue_bench_test.go
+++ b/internal/cwqueue/queue_bench_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// BenchmarkQueue has the cost of one request's way through the queue: it joins eight that
-// wait, is told whether to make health checks, and a freed slot goes to the first.
+// BenchmarkQueue takes one request through a queue of eight others: the request joins, the
+// queue decides whether it may make health checks and who is first, and the request leaves.
 func BenchmarkQueue(b *testing.B) {
 	const waiting = 8
 
--- a/internal/cwqueue/queue_test.go
+++ b/internal/cwqueue/queue_test.go
@@ -66,7 +66,8 @@
 }
 
 // TestSlowdown checks that the slowdown is that of the faster servers, that it is 1 as
-// long as little is known, and that it follows a change within a few dozen health checks.
+// long as there are few samples, and that it follows a change within a few dozen health
+// checks.
 func TestSlowdown(t *testing.T) {
 	var s Slowdown
 
--- a/internal/cwqueue/schedule.go
+++ b/internal/cwqueue/schedule.go
@@ -1,6 +1,6 @@
 // Package cwqueue decides which requests of a service get a server now, which wait, and
-// which are refused with a time to retry. It has no side effects: it works on what is
-// known of the requests, on load figures, and on a time that is passed in.
+// which are refused with a time to retry. It has no side effects: it works on the
+// schedules of the requests, on load figures, and on a time that is passed in.
 //
 // It is for loads above what the servers handle at their usual speed: bursts, and the
 // return of all callers at once after a power failure. Some requests are late or refused
@@ -122,14 +122,15 @@
 	return max(minCheckInterval, s.times(checkInterval))
 }
 
-// RetryAfter returns when a caller may retry that is refused because no server has room.
+// RetryAfter returns the retry delay of a caller that is refused because no server has
+// room.
 func (s *Schedule) RetryAfter() time.Duration {
 	return max(minRetryAfter, s.times(retryAfter*max(1, s.Slowdown)))
 }
 
 // RetryAfterOpening returns the same if it is known when the first server accepts requests
-// again: that time, or RetryAfter if it is sooner, since servers that this entry VM
-// doesn't know may have room by then.
+// again: the time until then, or RetryAfter if that is shorter, since servers outside this
+// entry VM's subset may have room by then.
 func (s *Schedule) RetryAfterOpening(availableAt, now time.Time) time.Duration {
 	return min(max(minRetryAfter, availableAt.Sub(now)), s.RetryAfter())
 }
--- a/internal/cwqueue/schedule_test.go
+++ b/internal/cwqueue/schedule_test.go
@@ -14,7 +14,8 @@
 // begin is when the tests' requests arrive.
 var begin = time.Unix(1000, 0)
 
-// schedule returns that of a request whose caller made its first attempt age before.
+// schedule returns the schedule of a request whose caller made its first attempt age before
+// begin.
 func schedule(rank int, age time.Duration) *Schedule {
 	return &Schedule{
 		Rank: rank, Arrived: begin, Due: begin.Add(objective - age), Deadline: begin.Add(wait - age),
--- a/internal/cwqueue/slowdown.go
+++ b/internal/cwqueue/slowdown.go
@@ -25,11 +25,11 @@
 }
 
 // Add adds the time of one server that has no other request, in usual response times.
-func (s *Slowdown) Add(alone float64) {
+func (s *Slowdown) Add(unloaded float64) {
 	if len(s.samples) < slowdownSamples {
-		s.samples = append(s.samples, alone)
+		s.samples = append(s.samples, unloaded)
 	} else {
-		s.samples[s.next] = alone
+		s.samples[s.next] = unloaded
 	}
 
 	s.next = (s.next + 1) % slowdownSamples
