--- a/internal/cwretry/claim.go
+++ b/internal/cwretry/claim.go
@@ -28,9 +28,9 @@
 	Needed = Claim{Share: 1}
 	// Refused is for requests that a server refused. Their callers can retry, which costs
 	// no extra call. While all servers refuse, callers retry within half a usual response
-	// time. That is less than the waits of different callers differ by, so hardly any is
-	// recognized as a retry, and extra calls reserved for retries would be left over. So
-	// these claims may use the whole bound, evenly over the window. While all servers
+	// time. The waits of different callers differ by more than that, so hardly any retry is
+	// recognized as one, and extra calls reserved for retries would be left over. So these
+	// claims may use the whole bound, evenly over the window. While all servers
 	// refuse half of the requests, 0.903 of the requests are in time, against 0.865 if
 	// three quarters of the bound are reserved; 0.902 and 0.870 in a fleet of 472 entry
 	// VMs.
--- a/internal/cwretry/window.go
+++ b/internal/cwretry/window.go
@@ -54,7 +54,7 @@
 }
 
 // Take spends one extra call and reports whether there was one left for the claim.
-// MinExtra is how many are allowed whatever the number of requests.
+// MinExtra is how many are allowed regardless of the number of requests.
 func (w *Window) Take(now time.Time, minExtra float64, c Claim) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
