--- a/internal/cwattempt/waits.go
+++ b/internal/cwattempt/waits.go
@@ -1,6 +1,6 @@
-// Package cwattempt tells first attempts of callers from retries after a refusal or a lost
-// connection. Requests don't carry that information; but callers state how long they still
-// wait, and a retrying one has used up a part of its wait.
+// Package cwattempt distinguishes first attempts of callers from retries after a refusal or
+// a lost connection. Requests don't carry that information; but callers state how long they
+// still wait, and a retrying one has used up a part of its wait.
 package cwattempt
 
 import (
--- a/internal/cwattempt/waits_bench_test.go
+++ b/internal/cwattempt/waits_bench_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// BenchmarkWaits has the cost of telling whether a caller is retrying.
+// BenchmarkWaits records one caller's wait and estimates the age of its first attempt.
 func BenchmarkWaits(b *testing.B) {
 	var w Waits
 
--- a/internal/cwattempt/waits_test.go
+++ b/internal/cwattempt/waits_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestAge checks that first attempts are told from retries, for callers that all wait
-// equally long and for callers whose waits differ within a range.
+// TestAge checks that first attempts are distinguished from retries, for callers that all
+// wait equally long and for callers whose waits differ within a range.
 func TestAge(t *testing.T) {
 	const (
 		second = time.Second
@@ -15,8 +15,9 @@
 	)
 
 	for name, c := range map[string]struct {
+		// most and least bound the waits of first attempts.
 		most, least time.Duration
-		// back is the fraction of callers that retry, after is when.
+		// back is the fraction of callers that retry, after the time since their first attempt.
 		back  float64
 		after time.Duration
 		// wrong is the largest fraction of first attempts mistaken for retries, missed
@@ -35,8 +36,8 @@
 			rng := rand.New(rand.NewPCG(1, 2))
 
 			var (
-				w                           Waits
-				first, later, wrong, missed int
+				w                             Waits
+				first, retries, wrong, missed int
 			)
 
 			for i := range calls {
@@ -48,29 +49,29 @@
 				}
 
 				w.Add(left)
-				taken := w.Age(left) > 0
+				recognized := w.Age(left) > 0
 
 				if i < maxSamples {
 					continue
 				}
 
 				if back {
-					later++
+					retries++
 				} else {
 					first++
 				}
 
-				if back && !taken {
+				if back && !recognized {
 					missed++
 				}
 
-				if !back && taken {
+				if !back && recognized {
 					wrong++
 				}
 			}
 
-			if float64(wrong) > c.wrong*float64(first) || float64(missed) > c.missed*float64(later) {
-				t.Errorf("%d of %d first attempts mistaken for retries, %d of %d retries missed", wrong, first, missed, later)
+			if float64(wrong) > c.wrong*float64(first) || float64(missed) > c.missed*float64(retries) {
+				t.Errorf("%d of %d first attempts mistaken for retries, %d of %d retries missed", wrong, first, missed, retries)
 			}
 		})
 	}
