--- a/internal/cwdisconnect/watcher.go
+++ b/internal/cwdisconnect/watcher.go
@@ -21,8 +21,8 @@
 type caller struct {
 	conn   net.Conn
 	cancel context.CancelFunc
-	// seen reports that an earlier tick has met the caller already. Connections are peeked
-	// at from the second tick on, so that short work costs no system call.
+	// seen is set by the caller's first tick. Its connection is peeked at from the second
+	// tick on, so that short work costs no system call.
 	seen bool
 }
 
