--- a/internal/cwroutes/table.go
+++ b/internal/cwroutes/table.go
@@ -148,8 +148,8 @@
 	t.priorities[s] = list
 }
 
-// Rank returns how many more urgent priorities a service has, and how many priorities in
-// total.
+// Rank returns the rank of a priority among those of a service, 0 being the most urgent, and
+// the number of ranks.
 func (t *Table) Rank(s carobward.Service, priority int) (int, int) {
 	list := t.priorities[s]
 
