--- a/internal/cwquota/quota_test.go
+++ b/internal/cwquota/quota_test.go
@@ -43,7 +43,7 @@
 type simVM struct {
 	id      carobward.VMID
 	domain  int
-	keeper  *Limiter
+	limiter *Limiter
 	started time.Time
 	alive   bool
 	// isolated is set if no other entry VM can reach it. since is when it was isolated, died
@@ -78,7 +78,7 @@
 func (s *sim) start(v *simVM) {
 	v.alive, v.isolated, v.started, v.since = true, false, s.now, s.now
 	v.nextTick = s.now.Add(time.Duration(s.random.Int64N(int64(time.Second))))
-	v.keeper = New(Options{
+	v.limiter = New(Options{
 		Self: v.id, Clock: s, Log: logr.Discard(),
 		Fleet: func(now time.Time) Fleet { return s.fleet(v, now) },
 		Ask: func(_ context.Context, to carobward.VMID, team carobward.TeamName, want int) (Grant, error) {
@@ -90,11 +90,11 @@
 				return Grant{}, errors.New("no answer")
 			}
 
-			return o.keeper.GrantInDomain(ctx, team, want), nil
+			return o.limiter.GrantInDomain(ctx, team, want), nil
 		},
 	})
-	v.keeper.SetBounds(Bounds{Window: simWindow, Overshoot: simOvershoot, Slack: simSlack})
-	v.keeper.SetTeams(s.teams)
+	v.limiter.SetBounds(Bounds{Window: simWindow, Overshoot: simOvershoot, Slack: simSlack})
+	v.limiter.SetTeams(s.teams)
 }
 
 // fleet returns the fleet as an entry VM knows it: one that is lost counts as alive for
@@ -132,7 +132,7 @@
 func (s *sim) ask(from *simVM, to carobward.VMID, team carobward.TeamName, want int) (Grant, error) {
 	for _, o := range s.vms {
 		if o.id == to && s.reachable(from, o) {
-			return o.keeper.Grant(team, want), nil
+			return o.limiter.Grant(team, want), nil
 		}
 	}
 
@@ -164,7 +164,7 @@
 
 	s.requests++
 
-	if _, err := v.keeper.Take(context.Background(), team.Name); err != nil {
+	if _, err := v.limiter.Take(context.Background(), team.Name); err != nil {
 		return false
 	}
 
@@ -196,7 +196,7 @@
 	for _, v := range s.vms {
 		if v.alive && !s.now.Before(v.nextTick) {
 			v.nextTick = s.now.Add(time.Second)
-			v.keeper.Tick(s.now)
+			v.limiter.Tick(s.now)
 		}
 	}
 }
@@ -273,10 +273,10 @@
 		vms, steps int
 		seed       uint64
 	}{
-		"17":   {17, 40, 1},
-		"145":  {145, 20, 2},
-		"472":  {472, 10, 3},
-		"1000": {1000, 6, 4},
+		"17 entry VMs":   {17, 40, 1},
+		"145 entry VMs":  {145, 20, 2},
+		"472 entry VMs":  {472, 10, 3},
+		"1000 entry VMs": {1000, 6, 4},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -357,7 +357,7 @@
 	s.teams = append(s.teams, hot)
 
 	for _, v := range s.vms {
-		v.keeper.SetTeams(s.teams)
+		v.limiter.SetTeams(s.teams)
 	}
 
 	s.simulate(2*time.Second, 0, s.randomVM)
@@ -391,7 +391,7 @@
 
 	owner := s.vms[0]
 	f := s.fleet(owner, s.now)
-	first := owner.keeper.owners(owner.keeper.teams["club"], &f)[0]
+	first := owner.limiter.owners(owner.limiter.teams["club"], &f)[0]
 
 	for _, v := range s.vms {
 		if v.id == first {
@@ -412,12 +412,12 @@
 	s := newSim(t, 8, 3, []carobward.Team{{Name: "free"}})
 
 	for _, name := range []carobward.TeamName{"free", "unknown"} {
-		if _, err := s.vms[0].keeper.Take(context.Background(), name); err != nil {
+		if _, err := s.vms[0].limiter.Take(context.Background(), name); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 
-	if diff := cmp.Diff(Grant{}, s.vms[0].keeper.Grant("unknown", 1)); diff != "" {
+	if diff := cmp.Diff(Grant{}, s.vms[0].limiter.Grant("unknown", 1)); diff != "" {
 		t.Error(diff)
 	}
 }
