--- a/caller.go
+++ b/caller.go
@@ -8,16 +8,16 @@
 	// ID returns the id that the caller gave its request, or "". Field returns the value of
 	// a header field, or "".
 	ID(field func(name string) string) RequestID
-	// TimeLeft returns how long the caller waits for the reply; ok is false if the request
-	// does not say.
+	// TimeLeft returns how long the caller still waits for the reply; ok is false if the
+	// request does not state it.
 	TimeLeft(field func(name string) string) (left time.Duration, ok bool, err error)
 	// Key returns the API key of a request, or nil. Field returns the value of a header
 	// field.
 	Key(field func(name string) []byte) []byte
 	// Strips reports whether a field of a request or a reply is not forwarded. The name is
-	// in canonical form, such as Content-Length. Keyed is set for the fields of a request
-	// to a service whose callers authenticate by API key: the key is meant for the entry VM
-	// alone.
+	// in canonical form, such as Content-Length. If keyed is set, the field belongs to a
+	// request, and callers authenticate by API key: the field with the key is meant for the
+	// entry VM alone.
 	Strips(name string, keyed bool) bool
 	// ReplyFields calls add for each field that every reply to a caller carries.
 	ReplyFields(id RequestID, add func(name, value string))
--- a/feed.go
+++ b/feed.go
@@ -21,7 +21,8 @@
 // deleted in between.
 type Gap struct{ From, To StoreIndex }
 
-// Contains reports whether a replica at an index lacks changes that are not known.
+// Contains reports whether an index is within the gap: a replica at that index may lack
+// changes that are not known.
 func (g Gap) Contains(index StoreIndex) bool { return g.From < index && index < g.To }
 
 // IsEmpty reports whether no replica can be at an index within the gap.
--- a/ids.go
+++ b/ids.go
@@ -1,7 +1,7 @@
 package carobward
 
 // VMID identifies an entry VM. It comes from the VM's settings and stays the same if the VM
-// is replaced at the same address; the incarnation tells the two apart.
+// is replaced at the same address; the two differ in their incarnations.
 type VMID string
 
 // Incarnation identifies one run of an entry VM. It is the start time in nanoseconds since
--- a/peer.go
+++ b/peer.go
@@ -17,7 +17,7 @@
 	Operators Address
 	// State is its state, as far as known here.
 	State PeerState
-	// Revision is the configuration that was in force there when it was last seen.
+	// Revision is the configuration that was effective there when it was last seen.
 	Revision Revision
 	// LastSeen is when it was last seen, by the local clock.
 	LastSeen time.Time
--- a/routing.go
+++ b/routing.go
@@ -8,7 +8,7 @@
 )
 
 // Routing is one version of the operators' configuration in the form that an entry VM uses.
-// It is immutable once it is in force.
+// It is immutable once it is effective.
 type Routing struct {
 	// Version rises from one configuration to the next.
 	Version Version
--- a/routing_test.go
+++ b/routing_test.go
@@ -13,13 +13,13 @@
 		change func(*carobward.Route)
 		want   []string
 	}{
-		"good":               {func(*carobward.Route) {}, nil},
-		"a weight of zero":   {func(r *carobward.Route) { r.Shares = append(r.Shares, carobward.Share{Service: "fees"}) }, nil},
-		"no service":         {func(r *carobward.Route) { r.Shares = nil }, []string{"no service with a weight"}},
-		"an unknown service": {func(r *carobward.Route) { r.Shares[0].Service = "x" }, []string{"there is no service x"}},
-		"a negative weight":  {func(r *carobward.Route) { r.Shares[0].Weight = -1 }, []string{"must not be below zero", "no service with a weight"}},
-		"no timeout":         {func(r *carobward.Route) { r.Timeout = 0 }, []string{"timeout"}},
-		"a bare prefix":      {func(r *carobward.Route) { r.Prefix = "/sheets" }, []string{"slash"}},
+		"valid":                          {func(*carobward.Route) {}, nil},
+		"a weight of zero":               {func(r *carobward.Route) { r.Shares = append(r.Shares, carobward.Share{Service: "fees"}) }, nil},
+		"no service":                     {func(r *carobward.Route) { r.Shares = nil }, []string{"no service with a weight"}},
+		"an unknown service":             {func(r *carobward.Route) { r.Shares[0].Service = "x" }, []string{"there is no service x"}},
+		"a negative weight":              {func(r *carobward.Route) { r.Shares[0].Weight = -1 }, []string{"must not be below zero", "no service with a weight"}},
+		"no timeout":                     {func(r *carobward.Route) { r.Timeout = 0 }, []string{"timeout"}},
+		"a prefix without a final slash": {func(r *carobward.Route) { r.Prefix = "/sheets" }, []string{"slash"}},
 		"all at once": {
 			func(r *carobward.Route) { r.Prefix, r.Timeout, r.Attempts = "", 0, 0 },
 			[]string{"route lookup", "slash", "timeout", "attempts"},
@@ -39,12 +39,12 @@
 
 			err := r.Validate()
 			if (err == nil) != (len(c.want) == 0) {
-				t.Fatalf("got %v", err)
+				t.Fatalf("got error %v", err)
 			}
 
 			for _, part := range c.want {
 				if !strings.Contains(err.Error(), part) {
-					t.Errorf("%q lacks %q", err, part)
+					t.Errorf("error %q does not contain %q", err, part)
 				}
 			}
 		})
--- a/store.go
+++ b/store.go
@@ -23,8 +23,7 @@
 
 // The errors of a Store.
 const (
-	// ErrConflict: the key has changed since the base index. Nothing was
-	// written.
+	// ErrConflict: the key has changed since the base index. Nothing was written.
 	ErrConflict = errors.ConstError("store: the key has changed")
 	// ErrStoreUnknown: the reply was lost; the write may have taken effect.
 	ErrStoreUnknown = errors.ConstError("store: the write may have taken effect")
