--- a/internal/cwtarget/file.go
+++ b/internal/cwtarget/file.go
@@ -33,7 +33,7 @@
 	Measure *Measure `json:"measure,omitempty"`
 }
 
-// The default values of a target.
+// The default values of a target, and the suffix of the files in a folder.
 const (
 	defaultWithin = time.Second
 	defaultBody   = 64 * carobward.Kilobyte
@@ -48,7 +48,7 @@
 }
 
 // Parse reads one file of targets in JSON with comments and validates it. The
-// error names every problem with its place in the file called name.
+// error lists every problem with its place in the file, which it calls name.
 func Parse(name string, raw []byte) (Set, error) {
 	f, err := parse(name, raw)
 	s, invalid := merge([]file{f})
