--- a/internal/cwsettings/settings.go
+++ b/internal/cwsettings/settings.go
@@ -178,8 +178,8 @@
 }
 
 // Parse reads settings from JSON with comments over the defaults and
-// validates them. The error names every problem with its place in the file
-// called name.
+// validates them. The error lists every problem with its place in the file,
+// which it calls name.
 func Parse(name string, raw []byte) (Settings, error) {
 	s := Defaults()
 
