--- a/cmd/carobward/apply.go
+++ b/cmd/carobward/apply.go
@@ -14,18 +14,18 @@
 	"carobward.example/carobward/internal/cwoperator"
 )
 
-const usageApply = `Make the targets in a file or folder the ones in force. Targets that the
-files do not have are left alone, unless --prune is given. The change is
-refused as a whole if another one has touched the same targets since the base,
-and the other one is named. Then it waits until the change is in force on each
-entry VM and names those where it is not yet.
+const usageApply = `Make the targets in a file or folder the ones in force. Targets that are not
+in the files are kept unless --prune is given. If another change has touched the
+same targets since the base, the whole change is refused and the other one is
+named. After an accepted change, the command waits until the change is in force
+on each entry VM and names those where it is not yet.
 
 The same command may be run again at any time: it changes nothing twice, and
-it does not revert what another operator changed meanwhile unless --base says
+it does not revert what another operator has changed since, unless --base shows
 that the other change was seen.
 
-With --restore, the configuration in force on the fleet is put back into a
-store that was restored from an older copy.
+With --restore, the configuration in force on the fleet is written back to a
+store that was restored from an older backup.
 
 Exit codes: 0 accepted and in force everywhere, 1 failed and nothing was
 changed, 3 refused and nothing was changed, 4 unknown: run the printed command,
--- a/cmd/carobward/bench.go
+++ b/cmd/carobward/bench.go
@@ -18,8 +18,8 @@
 
 const usageBench = `Compare ways to choose servers under load and faults. A suite runs scenarios
 through several variants, all with the same arrivals and the same servers, in
-a queueing model: entry VMs each with only their own knowledge, modelled
-servers, a clock of its own. Same seed, same table.
+a queueing model with a simulated clock: each entry VM has only its own view of
+the simulated servers. The same seed gives the same table.
 
 Without --suite it lists the suites. Times are in milliseconds from the
 intended start of a request; one that was not answered counts as its timeout.
@@ -27,13 +27,13 @@
   carobward bench --suite carriers
   carobward bench --suite goals --seeds 3 --json goals.json --plot plots/
 
-With --live the same is done over sockets, on a fleet embedded here or, with
---lookup and --server, on processes that run apart. The variants take turns,
-slice by slice. The baselines then send straight to the servers.
+With --live the suite runs over sockets, on a fleet in this process or, with
+--lookup and --server, on separate processes. The variants take turns, slice by
+slice. The baselines then send directly to the servers.
 
   carobward bench --suite goals --scenario atlas-70 --live
 
-Experiments with one mechanism each are commands of their own, see below.`
+Experiments with a single mechanism are separate commands, see below.`
 
 // addExperiments adds a subcommand for each experiment.
 func addExperiments(bench *flags.Command) {
@@ -41,17 +41,17 @@
 
 	for _, c := range []command{
 		{"budget", "Print what measuring costs the servers.", usageBenchBudget, &benchBudgetCommand{}},
-		{"carriers", "Print which entry VMs carry which targets.", usageBenchCarriers, &benchCarriersCommand{}},
+		{"carriers", "Print which entry VMs are assigned to which targets.", usageBenchCarriers, &benchCarriersCommand{}},
 		{"config", "Measure how a change of the configuration spreads.", usageBenchConfig, &benchConfigCommand{}},
 		{"cost", "Measure what processes use.", usageBenchCost, &benchCostCommand{}},
-		{"hop", "Measure what the hop by way of an entry VM adds.", usageBenchHop, &benchHopCommand{}},
-		{"idle", "Count the calls lost to closes of idle connections.", usageBenchIdle, &benchIdleCommand{}},
-		{"leave", "Print how soon a leaving server gets no more work.", usageBenchLeave, &benchLeaveCommand{}},
-		{"members", "Measure membership against the fleet's size.", usageBenchMembers, &benchMembersCommand{}},
-		{"once", "Count runs of work that must not repeat, through faults.", usageBenchOnce, &benchOnceCommand{}},
-		{"poison", "Replay requests that end servers.", usageBenchPoison, &benchPoisonCommand{}},
-		{"worst", "Replay loads at their worst.", usageBenchWorst, &benchWorstCommand{}},
-		{"scripts", "Count the faults against servers that misbehave.", usageBenchScripts, &benchScriptsCommand{}},
+		{"hop", "Measure what the hop through an entry VM adds.", usageBenchHop, &benchHopCommand{}},
+		{"idle", "Count the calls lost when idle connections are closed.", usageBenchIdle, &benchIdleCommand{}},
+		{"leave", "Print how soon a leaving server gets no more requests.", usageBenchLeave, &benchLeaveCommand{}},
+		{"members", "Measure the membership protocol by the fleet's size.", usageBenchMembers, &benchMembersCommand{}},
+		{"once", "Count the runs of requests that must not repeat, under faults.", usageBenchOnce, &benchOnceCommand{}},
+		{"poison", "Replay requests that crash servers.", usageBenchPoison, &benchPoisonCommand{}},
+		{"worst", "Replay worst-case loads.", usageBenchWorst, &benchWorstCommand{}},
+		{"scripts", "Count the faults with servers that misbehave.", usageBenchScripts, &benchScriptsCommand{}},
 	} {
 		if _, err := bench.AddCommand(c.name, c.short, c.usage, c.data); err != nil {
 			panic(err)
--- a/cmd/carobward/bench_budget.go
+++ b/cmd/carobward/bench_budget.go
@@ -12,13 +12,15 @@
 	"carobward.example/carobward/internal/lab/cwspend"
 )
 
-const usageBenchBudget = `Print what measuring costs the servers in the worst second, of a model fleet
-whose entry VMs measure whenever they may: by the shares that entry VMs keep
-to, and by a token bucket filled by each one's own view. Entry VMs join, leave
-and freeze, and their views lag, differ and flap. Same seed, same figures.
-
-With --live for a time, entry VMs of the first size probe servers over sockets,
-one of them pauses, and the servers count. These figures differ run by run.
+const usageBenchBudget = `Print what measuring costs the servers of a simulated fleet in the worst second,
+if each entry VM measures as often as it may. Two rules are compared: the share
+of the budget that an entry VM keeps to, and a token bucket that each fills by
+its own view of the fleet. Entry VMs join, leave and pause, and their views lag,
+differ and flap. The same seed gives the same figures.
+
+With --live, as many entry VMs as the first --vms probe servers over sockets for
+that time, one of them pauses, and the servers count the probes. These figures
+differ from run to run.
 
   carobward bench budget
   carobward bench budget --live 20s --vms 5 --calls 30
--- a/cmd/carobward/bench_carriers.go
+++ b/cmd/carobward/bench_carriers.go
@@ -9,11 +9,12 @@
 	"carobward.example/carobward/internal/lab/cwassignment"
 )
 
-const usageBenchCarriers = `Print which entry VMs carry which targets. The table has the fewest and the
-most targets that one entry VM carries, and the share of all carriers that
-change when an entry VM is lost, also for a choice by the hash and the number
-of entry VMs. Then come the widths of a hot target, as each of its carriers in
-one failure domain sees them, while callers follow the answers.
+const usageBenchCarriers = `Print which entry VMs are assigned to which targets. The first table has the
+fewest and the most targets of one entry VM, and the share of all assignments
+that change when an entry VM is lost, also for a choice by the hash modulo the
+number of entry VMs. The second one has the width of a hot target, which is the
+number of entry VMs per failure domain, as each of the assigned entry VMs in one
+failure domain sees it, while callers follow the lookup replies.
 
   carobward bench carriers
   carobward bench carriers --vms 200 --targets 1000 --rate 50000`
--- a/cmd/carobward/bench_config.go
+++ b/cmd/carobward/bench_config.go
@@ -17,15 +17,16 @@
 
 For each size it prints the seconds until a change is in force on the last
 entry VM, the bytes of the exchanges and the calls of the store, when
-  well    the change is made by way of an entry VM,
-  quiet   a writer makes it that tells only the store,
-  frozen  the same with all watchers of the store frozen,
+  well    the change is made through an entry VM,
+  quiet   it is written to the store only, without an announcement to peers,
+  frozen  the same with all watchers of the store paused,
   idle    nothing is changed.
 Each change follows as soon as the one before is in force.
 
   carobward bench config --vms 19 --vms 200 --case well
   carobward bench config --loopback       whole entry VMs over sockets, also
-                                          with the store gone once it accepted
+                                          with an outage of the store after
+                                          it accepted the change
   carobward bench config --services 220   what one change costs where each of
                                           so many services has one target
   carobward bench config --naive          what a naive version gets wrong
--- a/cmd/carobward/bench_hop.go
+++ b/cmd/carobward/bench_hop.go
@@ -16,14 +16,14 @@
 	"carobward.example/carobward/internal/lab/cwhop"
 )
 
-const usageBenchHop = `Measure what the hop by way of an entry VM adds to a call: pairs of a direct
-call and one by way of it, open-loop, counted from when each was due.
+const usageBenchHop = `Measure what the hop through an entry VM adds to a call: pairs of a direct call
+and one through the entry VM, open-loop, timed from when each was due.
 
 Without --entry an entry VM and a server are embedded, so all share one
-process. With it they run apart: an entry VM that has only --server for the
-path. Then --pid names processes whose processor time and memory are measured,
-"idle" is their share of a core without calls, and "extra" the processor time a
-pair of calls without that share.
+process. With it they are separate processes: an entry VM that has only --server
+for the path. Then --pid names processes whose processor time and memory are
+measured, "idle" is their share of a core without calls, and "extra" the
+processor time per pair of calls without that share.
 
   carobward bench hop
   carobward bench hop --entry 127.0.0.1:7001 --server 127.0.0.1:8080 --pid 4711`
--- a/cmd/carobward/bench_idle.go
+++ b/cmd/carobward/bench_idle.go
@@ -9,11 +9,11 @@
 	"carobward.example/carobward/internal/lab/cwtrial"
 )
 
-const usageBenchIdle = `Count the calls that are left unknown since the server closed the idle
+const usageBenchIdle = `Count the calls whose outcome is unknown because the server closed the idle
 connection while the call was under way. The stand-in server closes each
-connection at any time within twice the caller's pause. Warm connections with
-a look before use and a fresh connection a call are tried beside each other,
-over loopback sockets with a time one way added.
+connection at a random time within twice the caller's pause. Idle connections
+that are checked before use are compared with a new connection for each call,
+over loopback sockets with an added one-way delay.
 
   carobward bench idle --calls 2000`
 
--- a/cmd/carobward/bench_leave.go
+++ b/cmd/carobward/bench_leave.go
@@ -10,13 +10,13 @@
 	"carobward.example/carobward/internal/lab/cwleave"
 )
 
-const usageBenchLeave = `Print how the news that a server leaves spread in a model fleet. The first table
-has the longest time from the first sign, which one entry VM sees, to the last
-new work that the server got, with a tenth of all messages lost, a fifth of all
-ways cut, and entry VMs that are frozen, join late or can't be called; and the
-same of a balancer that reads the VM list only. The second one has what the
-news cost one entry VM, in calls and in bytes of the messages, without faults.
-Same seed, same figures.
+const usageBenchLeave = `Print how soon all entry VMs of a simulated fleet know that a server is leaving.
+The first table has the longest time from the first sign, which one entry VM
+sees, to the last new request that the server got, with a tenth of all messages
+lost, a fifth of all links blocked, and entry VMs that are paused, join late or
+can't be called; and the same for a load balancer that only reads the VM list.
+The second one has the cost of the gossip for one entry VM, in calls and in
+bytes of the messages, without faults. The same seed gives the same figures.
 
   carobward bench leave
   carobward bench leave --vms 19 --seeds 300`
--- a/cmd/carobward/bench_members.go
+++ b/cmd/carobward/bench_members.go
@@ -11,13 +11,13 @@
 
 const usageBenchMembers = `Measure membership between entry VMs on a network in memory: the bytes that a
 VM sends a second while nothing happens and while VMs are restarted, and the
-time until a crash is suspected and known, against the fleet's size. Same
-seed, same table. Headers of UDP and IP are counted.
+time until a crash is suspected and detected, by the fleet's size. The same
+seed gives the same table. Headers of UDP and IP are counted.
 
-With --parts it measures the worst second after a region is cut off, after the
-cut has healed and after a failure domain is lost. With --faults it counts
-false deaths, beside a naive version in which each tells all each second and
-waits for 5 s.
+With --parts it measures the worst second after a region is partitioned off,
+after the partition has healed and after a failure domain is lost. With --faults
+it counts false deaths, also those of a naive version in which each VM sends a
+heartbeat to all others every second, with a timeout of 5 s.
 
   carobward bench members
   carobward bench members --parts --size 50 --size 200
--- a/cmd/carobward/bench_once.go
+++ b/cmd/carobward/bench_once.go
@@ -13,19 +13,20 @@
 	"carobward.example/carobward/internal/lab/cwonce"
 )
 
-const usageBenchOnce = `Charge fees that must not repeat through faults and count how often each ran.
+const usageBenchOnce = `Charge fees that must not repeat, under faults, and count how often each ran.
 
-  ways       the ways that were weighed, in counted time, with kills of entry
-             VMs and an outage of the store: tickets, claims in the store, and
-             sending again after any error
+  ways       three strategies in simulated time, with crashes of entry VMs and
+             an outage of the store: tickets, claims in the store, and a retry
+             after any error
   faults     a fleet of owners of tickets in this process, and servers that
-             shed and lose requests and replies: tickets and the naive way
+             shed and lose requests and replies: tickets, and a retry after any
+             error
   histories  the same fleet with many callers at once, lost and late messages,
-             kills, freezes and hand-overs; tickets only
+             crashes, pauses and handovers; tickets only
   hand-over  the time to hand outcomes over, by their number, without a network,
              and the memory that so many records take
 
-The share of unknown is that of the answers. Wrong are answers that do not
+Unknown is also given as a share of the answers. Wrong are answers that do not
 agree with what ran. Ways and faults give the same figures for the same seed;
 histories depend on the machine's timing too.
 
@@ -79,9 +80,9 @@
 
 // seed runs all experiments with one seed.
 func (c *benchOnceCommand) seed(w *tabwriter.Writer, seed uint64) error {
-	for _, way := range cwonce.Strategies() {
-		count, writes := way.Run(seed, c.Weighed)
-		printCount(w, "ways", seed, way.Name, &count, writes)
+	for _, s := range cwonce.Strategies() {
+		count, writes := s.Run(seed, c.Weighed)
+		printCount(w, "ways", seed, s.Name, &count, writes)
 	}
 
 	for _, method := range []struct {
@@ -101,12 +102,12 @@
 	rng := rand.New(rand.NewPCG(seed, seed))
 
 	for range c.Histories {
-		played, err := cwonce.Simulate(cwonce.RandomScript(rng))
+		operations, err := cwonce.Simulate(cwonce.RandomScript(rng))
 		if err != nil {
 			return err
 		}
 
-		tally := cwonce.Tally(played)
+		tally := cwonce.Tally(operations)
 		all.Add(&tally)
 	}
 
--- a/cmd/carobward/bench_poison.go
+++ b/cmd/carobward/bench_poison.go
@@ -10,15 +10,16 @@
 	"carobward.example/carobward/internal/lab/cwpoison"
 )
 
-const usageBenchPoison = `Replay requests that end the servers which run them, and servers that end by
-themselves, against the rule of quarantine: ours, with one part less, and none.
-The rule is the product's own; servers, callers and the time until all entry VMs
-know are modelled, so that the same seed gives the same table.
+const usageBenchPoison = `Replay requests that crash the servers which run them, and servers that crash
+for other reasons, against the quarantine: ours, ours with one part removed, and
+none. The quarantine is the production code; servers, callers and the time until
+all entry VMs know of a crash are simulated, so the same seed gives the same
+table.
 
-Ended are the servers that such requests ended, late the sends of them more than
-4 s after the third end. Of the innocent requests some are cut by the end of their
-server, find no server with room, or are refused for the quarantine, which they
-should not be.
+Ended are the servers that such requests crashed. Late are the attempts to send
+such requests more than 4 s after the third crash. Innocent are the other
+requests: some are cut by the crash of their server, find no server with room, or
+are refused because of the quarantine, which they should not be.
 
   carobward bench poison
   carobward bench poison --vms 472 --servers 720 --seeds 1`
@@ -40,15 +41,15 @@
 	_, _ = fmt.Fprintln(w, "pattern\tway\tended\tlate\tinnocent\tcut %\tno room %\trefused %\t")
 
 	for _, p := range cwpoison.Patterns {
-		for _, way := range cwpoison.Variants {
+		for _, v := range cwpoison.Variants {
 			var r cwpoison.Result
 			for n := range c.Seeds {
-				r.Add(cwpoison.Run(way, p, c.VMs, c.Servers, c.Seed+uint64(n)))
+				r.Add(cwpoison.Run(v, p, c.VMs, c.Servers, c.Seed+uint64(n)))
 			}
 
 			share := func(n int) float64 { return 100 * float64(n) / float64(max(1, r.Innocent)) }
 			_, _ = fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%.2f\t%.2f\t%.2f\t\n",
-				p.Name, way.Name, r.Crashed, r.Late, r.Innocent, share(r.Aborted), share(r.Full), share(r.Refused))
+				p.Name, v.Name, r.Crashed, r.Late, r.Innocent, share(r.Aborted), share(r.Full), share(r.Refused))
 		}
 	}
 
--- a/cmd/carobward/bench_scripts.go
+++ b/cmd/carobward/bench_scripts.go
@@ -10,7 +10,7 @@
 
 const usageBenchScripts = `Count the faults in what callers get from a server that misbehaves: wrong or
 partial bodies given as whole answers, calls that the server saw twice, calls
-called not-run that began. Each seed draws a list of acts that the stand-in
+reported as not-run that began. Each seed draws a list of acts that the stand-in
 server works through; the product's link and the HTTP library's client with its
 own settings get the same lists, over loopback sockets.
 
--- a/cmd/carobward/bench_worst.go
+++ b/cmd/carobward/bench_worst.go
@@ -13,15 +13,15 @@
 	"carobward.example/carobward/internal/lab/cwbench"
 )
 
-const usageBenchWorst = `Replay loads at their worst on the servers of one service: bursts, slow and
-silent servers, servers that refuse, the return of all entry VMs after a loss of
-power. The decisions are the product's own; servers, callers and the network are
-modelled, so that the same seed gives the same table.
-
-Beside ours stand a naive way (any server), requests that each look for
-themselves, ours with one part less, and the ceiling: one line over all entry VMs
-that sees each server's true state. In time counts from the caller's first
-attempt; fresh are the requests that came while entry VMs ran.
+const usageBenchWorst = `Replay worst-case loads on the servers of one service: bursts, slow and
+unresponsive servers, servers that refuse, the restart of all entry VMs after a
+power failure. The decisions are made by the production code; servers, callers
+and the network are simulated, so the same seed gives the same table.
+
+Ours is compared with a naive way (any server), requests that each search for a
+server themselves, ours with one part removed, and the ceiling: one queue over
+all entry VMs that sees each server's true state. In time counts from the
+caller's first attempt; fresh are the requests that arrived while entry VMs ran.
 
   carobward bench worst
   carobward bench worst --pattern dark --way ours --way ceiling --seeds 12 --plot plots/
--- a/cmd/carobward/check.go
+++ b/cmd/carobward/check.go
@@ -13,11 +13,11 @@
 const usageCheck = `Check settings, targets or both without touching anything. It finds what
 serve and apply would refuse, names every problem with its place in the file,
 and reads the key files that the settings name. With both it also looks for
-targets that the settings would not let through.
+targets with larger bodies than the settings allow.
 
   carobward check --settings ifrane-1.jsonc --targets targets/
 
-Warnings are about what works but should not stay; they don't change the
+Warnings are about what works but should be changed; they don't affect the
 exit code. Exit codes: 0 fit, 1 not fit, 2 wrong usage.`
 
 type checkCommand struct {
--- a/cmd/carobward/demo.go
+++ b/cmd/carobward/demo.go
@@ -15,7 +15,7 @@
 	"carobward.example/carobward/pkg/cwcaller"
 )
 
-const usageDemo = `Run the main job in this one process, with nothing to set up: stand-ins for
+const usageDemo = `Run a demo in this one process, with nothing to set up: stand-ins for
 the platform and the servers, three entry VMs, and a caller that looks up
 launch sheets and charges fees. It prints what was served, by whom and how
 fast.`
--- a/cmd/carobward/diff.go
+++ b/cmd/carobward/diff.go
@@ -13,8 +13,8 @@
 	"carobward.example/carobward/internal/cwtarget"
 )
 
-const usageDiff = `Show what apply with the same file or folder would change. Exit code 0 in
-any case but a failure.`
+const usageDiff = `Show what apply with the same file or folder would change. The exit
+code is 0 unless the command fails.`
 
 // changeFlags are the flags that determine a change.
 type changeFlags struct {
--- a/cmd/carobward/drain.go
+++ b/cmd/carobward/drain.go
@@ -11,14 +11,14 @@
 	"carobward.example/carobward/internal/cwoperator"
 )
 
-const usageDrain = `Have a server get no new work, on all entry VMs within three seconds. What it
-runs is finished. Then print which servers leave and by what sign: the
-operators' word, the server's own, its health endpoint or the VM list. Without
-an address, print only.
+const usageDrain = `Stop new requests to a server, on all entry VMs within three seconds. Requests
+in flight are finished. Then print which servers are leaving and which source
+reported it: an operator, the server itself, its health endpoint or the VM list.
+Without an address, only print them.
 
 A drain lasts until --undo, or until the server has been off the VM list for
-five minutes. The entry VM that was told may be replaced meanwhile. --undo ends
-the other signs as well; one that is seen after it counts again.`
+five minutes, even if the entry VM that got the command is replaced. --undo also
+cancels what the other sources reported; what they report later counts again.`
 
 type drainCommand struct {
 	clientFlags
--- a/cmd/carobward/main.go
+++ b/cmd/carobward/main.go
@@ -77,8 +77,8 @@
 		{"diff", "Show what apply would change.", usageDiff, &diffCommand{}},
 		{"apply", "Make the targets in a file or folder the ones in force.", usageApply, &applyCommand{}},
 		{"status", "Show where which revision is in force.", usageStatus, &statusCommand{}},
-		{"drain", "Have a server get no new work.", usageDrain, &drainCommand{}},
-		{"demo", "Run the main job here, with stand-ins.", usageDemo, &demoCommand{}},
+		{"drain", "Stop new requests to a server.", usageDrain, &drainCommand{}},
+		{"demo", "Run a demo in this process, with stand-ins.", usageDemo, &demoCommand{}},
 		{"help", "Show what carobward does, or how one command is used.", usageHelp, &helpCommand{parser: p}},
 		{"bench", "Compare ways to choose servers under load.", usageBench, &benchCommand{}},
 	} {
--- a/cmd/carobward/serve.go
+++ b/cmd/carobward/serve.go
@@ -13,13 +13,13 @@
 )
 
 const usageServe = `Run this entry VM until it gets SIGTERM or SIGINT, then stop gracefully:
-it leaves all address answers, serves for as long as callers keep old ones,
-finishes what is in flight and exits. A second signal ends it at once.
+it is left out of all lookup replies, serves for as long as callers keep old
+ones, finishes the requests in flight and exits. A second signal ends it at once.
 
   carobward serve --settings /etc/carobward/settings.jsonc
 
 Exit codes: 0 stopped gracefully, 1 failed or requests were still in flight
-at the bound, 2 wrong usage.`
+when the stop timeout expired, 2 wrong usage.`
 
 type serveCommand struct {
 	Settings string `short:"s" long:"settings" required:"yes" value-name:"FILE" description:"Settings file, JSON with comments."`
--- a/cmd/carobward/status.go
+++ b/cmd/carobward/status.go
@@ -13,8 +13,8 @@
 )
 
 const usageStatus = `Show all entry VMs as one of them sees them, and which revision is in force
-on each. AGE is for how long an entry VM has had no news that its revision is
-the newest: it grows while it is cut off from the store and all peers.
+on each. AGE is the time since an entry VM last got a confirmation that its
+revision is the newest: it grows while neither the store nor a peer is reached.
 
 Exit codes: 0; with --check 5 unless the newest revision is in force on each
 entry VM that is not dead, and none has an alarm.`
--- a/cmd/cwstand/caller.go
+++ b/cmd/cwstand/caller.go
@@ -13,12 +13,13 @@
 	"carobward.example/carobward/pkg/cwcaller"
 )
 
-const usageCaller = `Ask the entry VMs which addresses to use, send requests one after the other
-and print each reply with its verdict.
+const usageCaller = `Look up which entry VMs to use, send requests one after the other and print
+each reply with its verdict.
 
-With --load several callers keep sending instead, hold an answer for as long as
-they may and never try again, and the counts are printed: who served, and what
-was cut. Every other worker posts to --charge.
+With --load several callers keep sending instead. They keep a lookup reply for
+as long as they may and never retry. Then the counts are printed: the requests
+that each entry VM served, and those that failed. Every other worker posts to
+--charge.
 
   cwstand caller --lookup 127.0.0.1:7002 --load 10s`
 
--- a/cmd/cwstand/server.go
+++ b/cmd/cwstand/server.go
@@ -17,12 +17,12 @@
 const usageServer = `Answer each request with its method, path and body after some work, with a
 load report. GET /stand/counts returns what the server has counted, GET
 /healthz its health. SIGUSR1 drains: new work is shed, and reports and the
-health endpoint say so. SIGTERM drains, waits for the grace, finishes what is
+health endpoint say so. SIGTERM drains, waits for --grace, finishes what is
 in flight and exits.
 
-With --script it misbehaves instead: the file names one act a line, done one a
-request and again from the first, such as whole, cut, reset, twice, another-id.
-An act that is not known has an error with its line.`
+With --script it misbehaves instead: the file names one act per line, such as
+whole, cut, reset, twice, another-id. Each request gets the next act, and the
+first one again after the last. An unknown act gives an error with its line.`
 
 type serverCommand struct {
 	Listen     string        `long:"listen" default:"127.0.0.1:0" description:"Address to listen on."`
