--- a/pkg/cwcaller/call.go
+++ b/pkg/cwcaller/call.go
@@ -197,8 +197,8 @@
 const minAttemptTime = 100 * time.Millisecond
 
 // send makes one attempt at one address. If there are other addresses, the
-// attempt gets half of the remaining time, so that an entry VM that does not
-// reply does not use all of it.
+// attempt gets half of the remaining time, so that an unresponsive entry VM
+// does not use all of it.
 func (c *Client) send(ctx context.Context, to carobward.Address, k *call, others bool) (*Reply, error) {
 	now := c.clock.Now()
 
