--- a/internal/cwconfig/config_test.go
+++ b/internal/cwconfig/config_test.go
@@ -86,7 +86,7 @@
 			got, err := test.from.Replay(test.changes)
 			if test.err != nil {
 				if !test.err(err) {
-					t.Errorf("got error %v", err)
+					t.Errorf("unexpected error %v", err)
 				}
 
 				return
@@ -159,7 +159,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if err := CheckRevert(&mine, test.changes); (err != nil) != test.refused {
-				t.Errorf("got %v", err)
+				t.Errorf("unexpected result of CheckRevert: %v", err)
 			}
 		})
 	}
@@ -197,7 +197,7 @@
 		}
 
 		if len(next.Changes) > maxHeadChanges || (total > maxHeadBytes && len(next.Changes) > 1) {
-			t.Errorf("revision %d: %d changes, %d bytes", c.Revision, len(next.Changes), total)
+			t.Errorf("revision %d: the head has %d changes with %d bytes, more than allowed", c.Revision, len(next.Changes), total)
 		}
 
 		head = next
@@ -214,7 +214,7 @@
 		head, err := DecodeHead(raw)
 		if err != nil {
 			if !errors.Is(err, ErrUnreadable) {
-				t.Errorf("got %v", err)
+				t.Errorf("got %v, want ErrUnreadable", err)
 			}
 
 			return
@@ -240,7 +240,7 @@
 	f.Add([]byte(`{"format":1,"config":{"set":{"targets":[{}]}}}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if _, err := DecodeSnapshot(raw); err != nil && !errors.Is(err, ErrUnreadable) {
-			t.Errorf("got %v", err)
+			t.Errorf("got %v, want ErrUnreadable", err)
 		}
 	})
 }
@@ -253,12 +253,12 @@
 	f.Add([]byte("{}"), []byte("{}"), []byte(""))
 	f.Fuzz(func(t *testing.T, full, first, second []byte) {
 		if _, err := unpackFull(full); err != nil && !errors.Is(err, ErrUnreadable) {
-			t.Errorf("full: %v", err)
+			t.Errorf("full configuration: got %v, want ErrUnreadable", err)
 		}
 
 		list, err := unpack([][]byte{first, second})
 		if err != nil && !errors.Is(err, ErrUnreadable) {
-			t.Errorf("changes: %v", err)
+			t.Errorf("changes: got %v, want ErrUnreadable", err)
 		}
 
 		if err == nil {
@@ -273,15 +273,15 @@
 	configs, changes := history(t, 4, "a")
 	h := NewHolder()
 
-	for _, step := range []struct{ take, want int }{{2, 2}, {1, 2}, {2, 2}, {3, 3}, {0, 3}} {
-		h.Adopt(configs[step.take])
+	for _, step := range []struct{ adopt, want int }{{2, 2}, {1, 2}, {2, 2}, {3, 3}, {0, 3}} {
+		h.Adopt(configs[step.adopt])
 
 		if got := h.Revision(); got != carobward.Revision(step.want) {
-			t.Errorf("revision %d after adopting revision %d, want %d", got, step.take, step.want)
+			t.Errorf("revision %d after adopting revision %d, want %d", got, step.adopt, step.want)
 		}
 	}
 
-	if rose, err := h.Advance(changes[:2]); rose || err != nil || h.Revision() != 3 {
-		t.Errorf("older changes: %t, %v, revision %d", rose, err, h.Revision())
+	if advanced, err := h.Advance(changes[:2]); advanced || err != nil || h.Revision() != 3 {
+		t.Errorf("older changes: advanced %t, error %v, revision %d; want an unchanged revision 3", advanced, err, h.Revision())
 	}
 }
--- a/internal/cwconfig/history_test.go
+++ b/internal/cwconfig/history_test.go
@@ -42,7 +42,7 @@
 }
 
 // step returns the possible states after an operator's attempt, given the outcome
-// that the operator was told; none if the outcome contradicts the state.
+// that was reported to the operator; none if the outcome contradicts the state.
 func step(state string, a cwspread.Attempt) []any {
 	list := strings.Fields(state)
 	grown := strings.TrimSpace(state + " " + string(a.ID) + "/" + string(a.Target))
--- a/internal/cwconfig/model_test.go
+++ b/internal/cwconfig/model_test.go
@@ -21,7 +21,7 @@
 // others.
 var _ = flag.Set("rapid.seed", "7")
 
-// simulation is a fleet, with the outcomes that its operators were told.
+// simulation is a fleet, with the outcomes that were reported to its operators.
 type simulation struct {
 	*cwspread.Fleet
 	fleetClock *cwspread.Clock
@@ -32,7 +32,7 @@
 	highest  map[int]carobward.Revision
 	changes  int
 	// restores reports whether the store may be restored from a backup.
-	// Links are cut only if not: an entry VM that is cut off from all others
+	// Links are blocked only if not: an entry VM that is isolated from all others
 	// and writes to a restored store starts a second history, which the
 	// design does not rule out.
 	restores bool
@@ -163,7 +163,7 @@
 }
 
 // TestGeneratedSchedules verifies under random changes, lost replies, outages,
-// network cuts, store restores and joining entry VMs that no revision decreases,
+// network partitions, store restores and joining entry VMs that no revision decreases,
 // no two histories are in effect with the same revision, no refused change takes
 // effect, and each accepted one has taken effect once the faults have ended.
 func TestGeneratedSchedules(t *testing.T) {
@@ -208,13 +208,13 @@
 
 // TestCutOffStaysAndCatchesUp verifies that an entry VM that reaches neither the
 // store nor a peer keeps its configuration while its age grows, and catches up
-// once the cut ends.
+// once the fault ends.
 func TestCutOffStaysAndCatchesUp(t *testing.T) {
 	f, clock := joined(t, 4)
 	lost := f.At(3)
-	away := cwstore.New()
-	away.Fault = cwstore.Script("d", "d")
-	lost.Store.Store = away
+	downStore := cwstore.New()
+	downStore.Fault = cwstore.Script("d", "d")
+	lost.Store.Store = downStore
 
 	for _, a := range f.Addresses {
 		f.Blocked[cwspread.Link{From: lost.Self().Peers, To: a}] = true
@@ -238,13 +238,13 @@
 	}
 
 	if !slices.Equal(ages, []time.Duration{0, 10 * time.Second}) || lost.Holder.Revision() != 0 {
-		t.Errorf("ages %v, the isolated VM has revision %d", ages, lost.Holder.Revision())
+		t.Errorf("got ages %v, and revision %d on the isolated VM; want ages 0s and 10s, revision 0", ages, lost.Holder.Revision())
 	}
 
 	clear(f.Blocked)
 	lost.Syncer.ExchangeWith(context.Background(), f.Addresses[0])
 
 	if c := lost.Syncer.Condition(); c.Revision != 1 || clock.Now().Sub(c.Fresh) > time.Second {
-		t.Errorf("after the cut: %+v", c)
+		t.Errorf("after the fault: got condition %+v, want revision 1 and an age of at most 1s", c)
 	}
 }
--- a/internal/cwconfig/schedule.go
+++ b/internal/cwconfig/schedule.go
@@ -14,7 +14,7 @@
 const (
 	// pollsPerSecond is the rate at which the fleet as a whole reads the
 	// store's head: the more entry VMs, the less often each of them polls.
-	// Polls find changes that no watcher has passed on.
+	// Polls find changes that no watcher has announced.
 	pollsPerSecond = 4
 	// exchangeInterval is the mean time between two exchanges with a peer.
 	exchangeInterval = time.Second
--- a/internal/cwconfig/schedule_test.go
+++ b/internal/cwconfig/schedule_test.go
@@ -45,7 +45,7 @@
 			}
 
 			if got != test.want {
-				t.Errorf("%d watch, want %d", got, test.want)
+				t.Errorf("%d entry VMs watch the store, want %d", got, test.want)
 			}
 		})
 	}
@@ -69,7 +69,7 @@
 		}
 
 		if rate := float64(polls) / span.Seconds(); rate > pollsPerSecond*1.2 || rate < pollsPerSecond*0.6 {
-			t.Errorf("%d entry VMs poll %.2f times a second together", fleet, rate)
+			t.Errorf("%d entry VMs poll %.2f times a second together, want 0.6 to 1.2 times pollsPerSecond", fleet, rate)
 		}
 	}
 }
@@ -111,6 +111,6 @@
 	}
 
 	if got != "11122" {
-		t.Errorf("offers at revisions %s", got)
+		t.Errorf("offers of revisions %s, want 11122", got)
 	}
 }
--- a/internal/cwconfig/syncer_test.go
+++ b/internal/cwconfig/syncer_test.go
@@ -49,7 +49,7 @@
 }
 
 // TestFrozenWatchers verifies that a change reaches the other entry VMs by their
-// polls while all watchers are frozen.
+// polls while all watchers are paused.
 func TestFrozenWatchers(t *testing.T) {
 	f := cwspread.New(7, carobward.SystemClock{})
 	running := f.PauseWatchers()
@@ -61,7 +61,7 @@
 	}
 
 	if len(running) != 4 {
-		t.Fatalf("%d VMs are not frozen", len(running))
+		t.Fatalf("%d VMs are not paused, want 4", len(running))
 	}
 
 	t.Cleanup(f.Start())
@@ -76,15 +76,15 @@
 }
 
 // TestNewcomer verifies when a new entry VM is ready. Without the store it needs
-// the answers of several peers, of which it takes the highest revision; without
+// the answers of several peers, of which it adopts the highest revision; without
 // peers it needs the store's answer and storeOnly.
 func TestNewcomer(t *testing.T) {
 	for name, test := range map[string]struct {
-		peers, silent int
-		storeDown     bool
-		storeOnly     bool
-		ready         bool
-		want          carobward.Revision
+		peers, unresponsive int
+		storeDown           bool
+		storeOnly           bool
+		ready               bool
+		want                carobward.Revision
 	}{
 		"no peers, store down":             {0, 0, true, true, false, 0},
 		"no peers, storeOnly unset":        {0, 0, false, false, false, 0},
@@ -104,7 +104,7 @@
 					t.Fatal(err)
 				}
 
-				// One peer knows the newest, the others are behind.
+				// Peer 0 has the newest revision, the others are behind.
 				for j := range test.peers {
 					if i == 0 || j == 0 {
 						f.At(j).Syncer.Poll(context.Background())
@@ -112,7 +112,7 @@
 				}
 			}
 
-			for j := range test.silent {
+			for j := range test.unresponsive {
 				f.At(test.peers - 1 - j).Unresponsive = true
 			}
 
@@ -169,7 +169,7 @@
 		v.Syncer.Poll(context.Background())
 
 		if c := v.Syncer.Condition(); c.Revision != 1 || c.Alarm == "" {
-			t.Errorf("%s: %+v", name, c)
+			t.Errorf("%s: got condition %+v, want revision 1 and an alarm", name, c)
 		}
 
 		if v.Holder.Targets().ByName("fee") == nil {
@@ -200,7 +200,7 @@
 	cwconfig.HandleRead(v.Syncer, context.Background(), &found, err, known, sent)
 
 	if c := v.Syncer.Condition(); c.Alarm != "" || c.Revision != 1 {
-		t.Errorf("got %+v", c)
+		t.Errorf("got condition %+v, want revision 1 and no alarm", c)
 	}
 }
 
@@ -247,7 +247,7 @@
 	v := f.At(1)
 
 	if _, err := v.Apply(cwspread.Put("a", "ana", 0, "fee"), false); !errors.Is(err, cwconfig.ErrNotReady) {
-		t.Errorf("not ready: got %v", err)
+		t.Errorf("before the join: got %v, want ErrNotReady", err)
 	}
 
 	if !f.Join() {
@@ -261,12 +261,12 @@
 	f.At(0).Unresponsive = true
 
 	if _, err := v.Apply(cwspread.Put("b", "bo", 0, "gate"), false); !errors.Is(err, cwconfig.ErrBehind) {
-		t.Errorf("behind: got %v", err)
+		t.Errorf("while behind: got %v, want ErrBehind", err)
 	}
 
 	f.At(0).Unresponsive = false
 
 	if got, err := v.Apply(cwspread.Put("b", "bo", 0, "gate"), false); err != nil || got != 2 {
-		t.Errorf("caught up: revision %d, %v", got, err)
+		t.Errorf("after catching up: got revision %d, %v, want revision 2", got, err)
 	}
 }
--- a/internal/cwconfig/writer_test.go
+++ b/internal/cwconfig/writer_test.go
@@ -51,7 +51,7 @@
 
 			found, err := NewReader(store).State(context.Background(), &Config{})
 			if err != nil || (found.Config.Revision == 1) != test.accepted {
-				t.Errorf("the store has revision %d, %v", found.Config.Revision, err)
+				t.Errorf("the store has an unexpected revision %d, or an error: %v", found.Config.Revision, err)
 			}
 		})
 	}
@@ -73,7 +73,7 @@
 
 		got, err := NewWriter(store, holder).Apply(context.Background(), put(id, "ana", i%2, fmt.Sprint("t", i%2)))
 		if err != nil || got != want {
-			t.Errorf("attempt %d: revision %d, %v", i, got, err)
+			t.Errorf("attempt %d: unexpected revision %d, or an error: %v", i, got, err)
 		}
 	}
 }
@@ -117,12 +117,12 @@
 
 	var conflict *Conflict
 	if err != nil && !errors.As(err, &conflict) {
-		t.Errorf("got %v", err)
+		t.Errorf("got %v, want success or a Conflict", err)
 	}
 
 	found, readErr := NewReader(store).State(context.Background(), &Config{})
 	if readErr != nil || (found.Head.Changes[0].ID == "a") != (err == nil) {
-		t.Errorf("got %v, the store has %+v", err, found.Head.Changes)
+		t.Errorf("the outcome %v contradicts the store, which has %+v", err, found.Head.Changes)
 	}
 }
 
@@ -158,7 +158,7 @@
 	}
 
 	if n := len(writers[1].holder.Recent()); n > maxRecentChanges {
-		t.Errorf("%d changes are retained", n)
+		t.Errorf("%d changes are retained, more than maxRecentChanges", n)
 	}
 }
 
@@ -177,7 +177,7 @@
 	}
 
 	if _, err := writer.Apply(context.Background(), big); err == nil || !strings.Contains(err.Error(), "at most 900000 bytes") {
-		t.Errorf("got %v", err)
+		t.Errorf("all targets: got %v, want an error with the limit", err)
 	}
 
 	big.ID, big.Put = "half", big.Put[:1200]
@@ -191,13 +191,14 @@
 	}
 
 	if got, _ := NewReader(store).Head(context.Background()); len(got.Head.Changes) != 1 {
-		t.Errorf("the head holds %d changes", len(got.Head.Changes))
+		t.Errorf("the head holds %d changes, want 1", len(got.Head.Changes))
 	}
 }
 
 // TestRestore verifies that Restore writes the fleet's configuration to a store
 // that was restored from a backup, with a higher revision than any in the store
-// or in the fleet. The others are changes written to that store before.
+// or in the fleet. others is the number of changes that another writer has made
+// on that store before; -1 means that the store is empty.
 func TestRestore(t *testing.T) {
 	ctx := context.Background()
 
@@ -225,9 +226,9 @@
 
 			store.Restore(saved)
 
-			stray := NewWriter(store, NewHolder())
+			other := NewWriter(store, NewHolder())
 			for i := range max(0, others) {
-				if _, err := stray.Apply(ctx, put(fmt.Sprint("b", i), "bo", 2+i, "t9")); err != nil {
+				if _, err := other.Apply(ctx, put(fmt.Sprint("b", i), "bo", 2+i, "t9")); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -248,7 +249,7 @@
 				t.Fatal(err)
 			}
 
-			for who, holder := range map[string]*Holder{"writer": writer.holder, "stray": stray.holder, "newcomer": NewHolder()} {
+			for who, holder := range map[string]*Holder{"writer": writer.holder, "other writer": other.holder, "newcomer": NewHolder()} {
 				if _, err := holder.Advance(found.Head.Changes); err != nil || holder.Revision() != got {
 					t.Errorf("%s: revision %d, %v", who, holder.Revision(), err)
 				}
