--- a/internal/cwdrain/fleet_test.go
+++ b/internal/cwdrain/fleet_test.go
@@ -17,7 +17,7 @@
 
 // TestLastNewWork verifies that all entry VMs soon stop sending requests to a
 // leaving server after a sign of any kind reached only one of them, while others
-// are frozen, partitioned or not started yet. The VM list does not show the server
+// are paused, partitioned or not started yet. The VM list does not show the server
 // as leaving, except in the one read that is the sign.
 func TestLastNewWork(t *testing.T) {
 	for _, sign := range cwleave.Signals() {
--- a/internal/cwdrain/gossip.go
+++ b/internal/cwdrain/gossip.go
@@ -51,7 +51,7 @@
 
 	lastTick time.Time
 	lastPull time.Time
-	// lastAnswered is the time of the tick of the last comparison that a peer
+	// lastAnswered is the time of the last tick with a comparison that a peer
 	// answered.
 	lastAnswered time.Time
 	// resumedAt is the end of the last pause; zero once the table has been
@@ -149,7 +149,8 @@
 	}
 }
 
-// Fresh reports whether the table is current enough to send requests by it.
+// Fresh reports whether the table is current enough for sending requests to
+// servers.
 func (g *Gossip) Fresh(now time.Time) bool {
 	return g.resumedAt.IsZero() || now.Sub(g.resumedAt) >= maxWithheld
 }
--- a/internal/cwdrain/mark_test.go
+++ b/internal/cwdrain/mark_test.go
@@ -103,7 +103,7 @@
 
 			levels := s.table.Levels()
 			if diff := cmp.Diff(test.want, levels[server]); diff != "" {
-				t.Errorf("marks %+v\n%s", s.table.Marks(), diff)
+				t.Errorf("marks %+v; level (-want +got):\n%s", s.table.Marks(), diff)
 			}
 		})
 	}
--- a/internal/cwdrain/table.go
+++ b/internal/cwdrain/table.go
@@ -121,32 +121,32 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 
-	for _, w := range announcements {
-		t.applyAnnouncement(now, w)
+	for _, a := range announcements {
+		t.applyAnnouncement(now, a)
 	}
 }
 
-func (t *Table) applyAnnouncement(now time.Time, w cwserver.Announcement) {
-	k := key{w.Address, Announced}
+func (t *Table) applyAnnouncement(now time.Time, a cwserver.Announcement) {
+	k := key{a.Address, Announced}
 	e := t.entries[k]
 
 	if e == nil {
-		if w.Draining {
-			t.set(now, k, true, w.Run)
+		if a.Draining {
+			t.set(now, k, true, a.Run)
 		}
 
 		return
 	}
 
-	if w.Run > 0 && w.Run < e.Run {
+	if a.Run > 0 && a.Run < e.Run {
 		return // A late announcement of an earlier run.
 	}
 
-	begins := w.Draining && (!e.On || w.Run > e.Run)
-	ends := !w.Draining && e.On && e.Run > 0 && w.Run > e.Run
+	begins := a.Draining && (!e.On || a.Run > e.Run)
+	ends := !a.Draining && e.On && e.Run > 0 && a.Run > e.Run
 
 	if begins || ends {
-		t.set(now, k, w.Draining, w.Run)
+		t.set(now, k, a.Draining, a.Run)
 	}
 }
 
