--- a/internal/cwkv/client.go
+++ b/internal/cwkv/client.go
@@ -27,7 +27,7 @@
 	// watchWait is how long a blocking query may wait. When it ends, the
 	// service sends the value again, so a shorter wait costs bandwidth.
 	watchWait = 20 * time.Second
-	// watchSlack is how much longer the service may take.
+	// watchSlack is how much longer than watchWait the service may take.
 	watchSlack  = 5 * time.Second
 	indexHeader = "X-Consul-Index"
 )
--- a/internal/cwkv/client_test.go
+++ b/internal/cwkv/client_test.go
@@ -87,7 +87,7 @@
 			cwtest.Wait(t, "the connection to close", func() bool { return s.open.Load() == 0 })
 
 			if n := s.requests.Load(); n != 1 {
-				t.Errorf("sent %d times", n)
+				t.Errorf("the request was sent %d times, want 1", n)
 			}
 		})
 	}
@@ -104,7 +104,7 @@
 
 	err = New("http://"+ln.Addr().String(), "", time.Second, &expvar.Map{}).Swap(context.Background(), "head", nil, 0)
 	if !errors.Is(err, carobward.ErrStoreDown) {
-		t.Errorf("got %v", err)
+		t.Errorf("got %v, want ErrStoreDown", err)
 	}
 }
 
@@ -129,7 +129,7 @@
 		cancel()
 
 		if err := <-ended; !errors.Is(err, carobward.ErrStoreDown) {
-			t.Errorf("got %v", err)
+			t.Errorf("got %v, want ErrStoreDown", err)
 		}
 	}
 
@@ -144,7 +144,7 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		var e carobward.Entry
 		if err := decode(raw, &e); err != nil && !errors.Is(err, carobward.ErrStoreDown) {
-			t.Errorf("got %v", err)
+			t.Errorf("got %v, want ErrStoreDown", err)
 		}
 	})
 }
--- a/internal/cwkv/exchange.go
+++ b/internal/cwkv/exchange.go
@@ -32,7 +32,7 @@
 
 	u, err := url.Parse(base)
 	if err != nil {
-		return d // Unreachable with validated settings; else calls fail.
+		return d // Validated settings have a valid URL. Otherwise, all calls fail.
 	}
 
 	d.secure = u.Scheme == "https"
