--- a/internal/cwvmlist/client_test.go
+++ b/internal/cwvmlist/client_test.go
@@ -36,13 +36,13 @@
 		t.Run(name, func(t *testing.T) {
 			got, err := Parse([]byte(tt.raw))
 			if diff := cmp.Diff(tt.want, got); diff != "" || !errors.Is(err, tt.err) {
-				t.Errorf("%v\n%s", err, diff)
+				t.Errorf("got error %v; VMs (-want +got):\n%s", err, diff)
 			}
 		})
 	}
 
 	if got, err := Parse([]byte(`[{]`)); err == nil || got != nil {
-		t.Errorf("malformed: %v, %v", got, err)
+		t.Errorf("malformed list: got %v, %v, want an error only", got, err)
 	}
 }
 
