--- a/internal/cwmember/digest.go
+++ b/internal/cwmember/digest.go
@@ -48,10 +48,10 @@
 		return
 	}
 
-	alone := len(m.members) <= 1
+	fewMembers := len(m.members) <= 1
 	settled := now.Sub(m.lastChange) >= m.options.Settle && now.Sub(m.lastPull) >= m.options.Settle
 
-	if alone && now.Sub(m.lastPull) >= m.options.Period || settled {
+	if fewMembers && now.Sub(m.lastPull) >= m.options.Period || settled {
 		m.lastPull = now
 		m.pullFrom = from
 	}
@@ -66,8 +66,8 @@
 	return to, to != ""
 }
 
-// MembersFor returns all members that are not dead, and the incarnation that is
-// known here of the VM that asks, so that a restarted VM learns of its
+// MembersFor returns all members that are not dead, and the incarnation of the
+// requesting VM that is known here, so that a restarted VM learns of its
 // earlier runs.
 func (m *Machine) MembersFor(in *cwwire.Ask) *cwwire.Members {
 	out := &cwwire.Members{Members: []*cwwire.Member{m.self.wire(true)}}
--- a/internal/cwmember/gossip.go
+++ b/internal/cwmember/gossip.go
@@ -54,7 +54,8 @@
 		e = &m.self
 	}
 
-	// Afterwards all members have the rest, or fetch it with a pull.
+	// After that time all members have the domain and the addresses, or fetch
+	// them with a pull.
 	recent := m.lastTick.Sub(e.firstSeen) < fullUpdateAge
 
 	return e.wire(recent && !e.suspect && e.rank != stopped)
--- a/internal/cwmember/machine.go
+++ b/internal/cwmember/machine.go
@@ -26,8 +26,8 @@
 	// gossip.
 	Fanout int
 	// SuspicionFactor sets the suspicion timeout, after which a suspected
-	// member is considered dead: so many periods, times the decimal logarithm
-	// of the fleet's size, which counts as at least 1.
+	// member is considered dead: this number of periods, times the decimal
+	// logarithm of the fleet's size, which counts as at least 1.
 	SuspicionFactor float64
 	// Retry is the time between two pings of VMs outside the membership: dead
 	// members and VMs known only from the VM list.
--- a/internal/cwmember/machine_test.go
+++ b/internal/cwmember/machine_test.go
@@ -65,7 +65,7 @@
 	n.Run(time.Second, nil)
 
 	if c := v.Machine().Counts(); c.Suspicions > 0 || c.Deaths > 0 || c.Pauses != 1 {
-		t.Errorf("after the pause: %+v", c)
+		t.Errorf("counts after the pause: %+v; want one pause, no suspicions and no deaths", c)
 	}
 
 	until(t, n, 30*time.Second, "the resumed VM is live again", n.Converged)
@@ -77,7 +77,7 @@
 	n := settled(t, 19)
 	n.Blocked = func(_, to int) bool { return to == 5 }
 	// Datagrams in flight at the start of the fault may still arrive during a
-	// probe, which then is not taken for isolation.
+	// probe. The VM does not consider itself isolated then.
 	n.Run(4*time.Second, nil)
 
 	n.Run(10*time.Second, func() {
@@ -91,7 +91,7 @@
 	})
 }
 
-// TestRelays cuts one link in one direction: indirect pings must prevent any
+// TestRelays blocks one link in one direction: indirect pings must prevent any
 // suspicion.
 func TestRelays(t *testing.T) {
 	n := settled(t, 19)
@@ -101,7 +101,7 @@
 	n.Run(time.Minute, nil)
 
 	if got := n.Suspicions() - before; got > 0 {
-		t.Errorf("%d suspicions", got)
+		t.Errorf("%d suspicions, want 0", got)
 	}
 }
 
@@ -166,7 +166,7 @@
 	n.Run(30*time.Second, nil)
 
 	if p, _ := n.State(0, 7); p.State != carobward.PeerDead {
-		t.Fatalf("across the partition: %v", p.State)
+		t.Fatalf("the VM across the partition is seen as %v, want dead", p.State)
 	}
 
 	n.Blocked = func(int, int) bool { return false }
@@ -185,7 +185,7 @@
 
 	for i := range n.VMs {
 		if p, _ := n.State(i, 4); i != 4 && p.State != carobward.PeerLeaving {
-			t.Errorf("vm %d sees %v", i, p.State)
+			t.Errorf("vm %d sees the leaving VM as %v", i, p.State)
 		}
 	}
 
@@ -195,7 +195,7 @@
 
 	for i, v := range n.VMs {
 		if c := v.Machine().Counts(); i != 4 && c.Deaths > 0 {
-			t.Errorf("vm %d concluded %d deaths", i, c.Deaths)
+			t.Errorf("vm %d declared %d members dead, want 0", i, c.Deaths)
 		}
 	}
 }
@@ -228,13 +228,13 @@
 	n.VMs[1].Actor, n.VMs[1].Down = cwnetwork.Machine(1, n), false
 	until(t, n, time.Minute, "all see the new run", n.Converged)
 
-	now, _ := n.State(0, 1)
+	current, _ := n.State(0, 1)
 	n.VMs[1].Actor = old
 	until(t, n, time.Minute, "the old run notices that it was replaced", old.Replaced)
 
 	for i := range n.VMs {
-		if p, _ := n.State(i, 1); i != 1 && p.Incarnation != now.Incarnation {
-			t.Errorf("vm %d sees incarnation %d", i, p.Incarnation)
+		if p, _ := n.State(i, 1); i != 1 && p.Incarnation != current.Incarnation {
+			t.Errorf("vm %d sees incarnation %d, which is not that of the new run", i, p.Incarnation)
 		}
 	}
 }
--- a/internal/cwmember/probe.go
+++ b/internal/cwmember/probe.go
@@ -38,7 +38,7 @@
 	return []Message{m.ping(e, m.probe.number)}
 }
 
-// ping returns a ping. It tells a suspected member of the suspicion, so that
+// ping returns a ping. To a suspected member it includes the suspicion, so that
 // the member can refute it.
 func (m *Machine) ping(e *member, number uint64) Message {
 	d := m.datagram(cwwire.Datagram_PING, number, e.id)
--- a/internal/cwmember/receive.go
+++ b/internal/cwmember/receive.go
@@ -132,13 +132,13 @@
 		return nil
 	}
 
-	asker := carobward.VMID(d.GetFrom().GetId())
+	requesterID := carobward.VMID(d.GetFrom().GetId())
 	number := m.rng.Uint64()
-	m.relays[number] = relay{to: from, requester: asker, number: d.GetNumber(), expires: now.Add(m.options.Period)}
+	m.relays[number] = relay{to: from, requester: requesterID, number: d.GetNumber(), expires: now.Add(m.options.Period)}
 
 	return []Message{
 		m.ping(e, number),
-		{To: from, Datagram: m.datagram(cwwire.Datagram_NEWS, 0, asker)},
+		{To: from, Datagram: m.datagram(cwwire.Datagram_NEWS, 0, requesterID)},
 	}
 }
 
--- a/internal/cwmember/schedule_test.go
+++ b/internal/cwmember/schedule_test.go
@@ -24,8 +24,8 @@
 	m.Run()
 }
 
-// observation is the newest state of a VM that a viewer has seen. It must not go
-// back.
+// observation is the newest state of a VM that a viewer has seen. No later view
+// may be older.
 type observation struct {
 	incarnation carobward.Incarnation
 	leaving     bool
@@ -33,9 +33,9 @@
 
 // history checks the views of all VMs while a schedule of faults runs.
 type history struct {
-	n    *cwnetwork.Network
-	last map[[2]carobward.VMID]observation
-	bad  string
+	n         *cwnetwork.Network
+	last      map[[2]carobward.VMID]observation
+	violation string
 }
 
 func (h *history) observe() {
@@ -55,12 +55,12 @@
 	before, now := h.last[k], observation{incarnation: p.Incarnation}
 
 	if p.Incarnation < before.incarnation {
-		h.bad = "an incarnation went back"
+		h.violation = "an incarnation decreased"
 	}
 
 	leaving := before.leaving && p.Incarnation == before.incarnation
 	if leaving && (p.State == carobward.PeerLive || p.State == carobward.PeerSuspect) {
-		h.bad = "a leaving VM was seen as live or suspected again"
+		h.violation = "a leaving VM was seen as live or suspected again"
 	}
 
 	now.leaving = leaving || p.State == carobward.PeerLeaving
@@ -119,8 +119,8 @@
 
 		n.Run(calm, h.observe)
 
-		if h.bad != "" {
-			r.Fatal(h.bad)
+		if h.violation != "" {
+			r.Fatal(h.violation)
 		}
 
 		converged(r, n)
@@ -203,7 +203,7 @@
 
 		for _, p := range m.Peers() {
 			if p.ID == cwnetwork.ID(0) || p.Peers == "" {
-				t.Errorf("added %+v", p)
+				t.Errorf("the machine added itself or a member without an address: %+v", p)
 			}
 		}
 	})
--- a/internal/cwmember/service.go
+++ b/internal/cwmember/service.go
@@ -172,7 +172,7 @@
 	s.mutex.Unlock()
 	s.send(last)
 
-	_ = s.conn.SetReadDeadline(time.Unix(1, 0)) // It makes receive return.
+	_ = s.conn.SetReadDeadline(time.Unix(1, 0)) // This makes receive return.
 
 	group.Wait()
 }
