--- a/internal/cwnode/link.go
+++ b/internal/cwnode/link.go
@@ -22,10 +22,10 @@
 		Header: l.Header, Body: l.Body,
 		Conns: l.Conns, ConnsPerIP: l.ConnsPerIP,
 		Read: l.Read.Std(), Write: l.Write.Std(), Idle: l.Idle.Std(),
-	}, n.carrier, n.log)
+	}, n.forwarder, n.log)
 }
 
-// tickLink tells the link how many entry VMs share the servers' connections,
+// tickLink sets how many entry VMs share the servers' connections,
 // closes idle connections, and cancels work whose caller has disconnected.
 func (n *Node) tickLink(now time.Time) {
 	size := 0
@@ -38,5 +38,5 @@
 
 	n.link.SetFleet(size, now)
 	n.link.Tick(now)
-	n.carrier.Tick()
+	n.forwarder.Tick()
 }
--- a/internal/cwnode/node.go
+++ b/internal/cwnode/node.go
@@ -49,7 +49,7 @@
 	syncer        *cwconfig.Syncer
 	link          *cwlink.Link
 	owner         *cwowner.Owner
-	carrier       *cwentry.Forwarder
+	forwarder     *cwentry.Forwarder
 	metrics       *cwmetric.Set
 	tracer        *cwtrace.Tracer
 	// lastPrune is when metrics of deleted targets were last removed.
@@ -118,14 +118,14 @@
 	}
 
 	n.link = newLink(&s.Link, clock)
-	n.carrier = cwentry.New(n.carrierOptions(), n.holder, n.servers, n.link, n.owner, clock, log)
+	n.forwarder = cwentry.New(n.forwarderOptions(), n.holder, n.servers, n.link, n.owner, clock, log)
 	n.publish()
 	n.data = n.dataServer()
 	n.widths = cwlookup.NewWidths(n.peers, s.Route.Rate, s.Keep.Std())
 	n.lookup = cwlookup.Handler(n.peers, s.Keep.Std(), n.owner, n.widths)
 	n.operators = cwoperator.New(key, n.holder, cwconfig.NewWriter(n.store, n.holder), n.peers, n.syncer, n.metrics).WithDrains(n.announcements, n.servers).Handler()
 
-	return n, n.owner.Register(n.server, n.carrier)
+	return n, n.owner.Register(n.server, n.forwarder)
 }
 
 // Done is closed once Run has returned.
--- a/internal/cwnode/observe.go
+++ b/internal/cwnode/observe.go
@@ -21,7 +21,7 @@
 // targets.
 const pruneInterval = time.Minute
 
-func (n *Node) carrierOptions() cwentry.Options {
+func (n *Node) forwarderOptions() cwentry.Options {
 	return cwentry.Options{
 		VM: n.settings.VM, Calls: n.settings.Limits.Calls, Bodies: n.settings.Limits.Bodies, Policy: newPolicy(&n.settings),
 		Reports: n.measure.reports, Tracer: n.tracer, Metrics: n.metrics.Part("entry"), Requests: n.metrics.Requests(),
@@ -43,7 +43,7 @@
 }
 
 // running returns the number of requests in flight.
-func (n *Node) running() int64 { return n.carrier.Running() }
+func (n *Node) running() int64 { return n.forwarder.Running() }
 
 // count returns the number of entry VMs in a state.
 func (n *Node) count(s carobward.PeerState) int64 {
--- a/internal/cwnode/stop.go
+++ b/internal/cwnode/stop.go
@@ -63,7 +63,7 @@
 	n.data.CloseAfterReply()
 	carobward.Sleep(serve, cwlookup.KeepTime(n.settings.Keep.Std())+keepMargin)
 	n.await(serve, idleCloseTimeout, func() bool { return n.data.GetOpenConnectionsCount() == 0 })
-	n.log.Info("New connections are refused.", "running", n.carrier.Running())
+	n.log.Info("New connections are refused.", "running", n.forwarder.Running())
 
 	if err := n.data.ShutdownWithContext(serve); err != nil {
 		cause = stderrors.Join(cause, n.giveUp())
@@ -88,9 +88,9 @@
 // giveUp aborts the requests that are in flight when the stop timeout expires and
 // waits for their replies.
 func (n *Node) giveUp() error {
-	running := n.carrier.Running()
+	running := n.forwarder.Running()
 	n.log.Info("Requests in flight are given up at the bound.", "running", running)
-	n.carrier.Abort()
+	n.forwarder.Abort()
 	// The library counts the listener as an open connection, and it is closed by
 	// now. So the count is below zero once no connection is open.
 	n.await(context.Background(), abortTimeout, func() bool { return n.data.GetOpenConnectionsCount() < 0 })
--- a/internal/cwnode/tick.go
+++ b/internal/cwnode/tick.go
@@ -29,7 +29,7 @@
 		n.tickLink(now)
 		n.pruneMetrics(now)
 		n.owner.Tick(now)
-		n.widths.Tick(now, n.carrier.Counts)
+		n.widths.Tick(now, n.forwarder.Counts)
 
 		select {
 		case <-ctx.Done():
