--- a/internal/cwowner/history_test.go
+++ b/internal/cwowner/history_test.go
@@ -74,13 +74,13 @@
 			OneIn:       rapid.IntRange(2, 12).Draw(t, "one fault in"),
 		}
 
-		played, err := cwonce.Simulate(script)
+		operations, err := cwonce.Simulate(script)
 		if err != nil {
 			t.Fatal(err)
 		}
 
-		all := make([]porcupine.Operation, 0, len(played))
-		for _, o := range played {
+		all := make([]porcupine.Operation, 0, len(operations))
+		for _, o := range operations {
 			all = append(all, porcupine.Operation{ClientId: o.Client, Input: o, Call: int64(o.From), Return: int64(o.To)})
 		}
 
@@ -88,7 +88,7 @@
 			t.Fatalf("the history is not at-most-once: %+v", script)
 		}
 
-		for v, n := range cwonce.Tally(played).Verdicts {
+		for v, n := range cwonce.Tally(operations).Verdicts {
 			total[v] += n
 		}
 	})
--- a/internal/cwowner/owner_test.go
+++ b/internal/cwowner/owner_test.go
@@ -151,7 +151,7 @@
 			}
 
 			if got, _ := f.send(t, 1, body, next); got.Verdict != carobward.Ran {
-				t.Errorf("with the new ticket: %+v", got)
+				t.Errorf("with the new ticket: got %+v, want the verdict ran", got)
 			}
 		})
 	}
@@ -219,7 +219,7 @@
 		return nil, errTest
 	})
 	if f := failureOf(t, err); f.Verdict != carobward.Unknown || f.Status != 410 {
-		t.Errorf("got %v, status %d", f, f.Status)
+		t.Errorf("got %v, status %d, want the verdict unknown and status 410", f, f.Status)
 	}
 }
 
@@ -299,7 +299,7 @@
 	for n := range 40 {
 		ticket := f.owner(0).Prefix() + ".1"
 		if got, _ := f.send(t, 0, fmt.Sprint(n), ticket); got.Verdict != carobward.Ran {
-			t.Fatalf("%+v", got)
+			t.Fatalf("first request: got %+v, want the verdict ran", got)
 		}
 
 		tickets = append(tickets, ticket)
@@ -347,7 +347,7 @@
 	f.Replace(0)
 
 	if got := failureOf(t, <-failed); got.Verdict != carobward.Unknown || got.Attempt != carobward.Unknown {
-		t.Errorf("got %s, this request %s", got.Verdict, got.Attempt)
+		t.Errorf("got verdict %s, and %s for this attempt; want unknown for both", got.Verdict, got.Attempt)
 	}
 
 	close(release)
@@ -366,12 +366,12 @@
 
 	c := &carobward.Call{Method: "POST", URI: "/fees", Body: []byte("fee"), Deadline: time.Now().Add(time.Hour)}
 	if _, _, err := f.owner(1).Do(ctx, ticket, "", c, nil); carobward.VerdictOf(err) != carobward.Unknown {
-		t.Errorf("got %v", err)
+		t.Errorf("canceled request: got %v, want the verdict unknown", err)
 	}
 
-	pace := cwonce.FastOptions().Params
-	pace.Backoff = time.Hour
-	f.owner(1).SetParams(pace)
+	params := cwonce.FastOptions().Params
+	params.Backoff = time.Hour
+	f.owner(1).SetParams(params)
 	resume()
 
 	if got, _ := f.send(t, 1, "fee", ticket); got.Status == 503 {
--- a/internal/cwowner/pass.go
+++ b/internal/cwowner/pass.go
@@ -102,7 +102,7 @@
 
 	o.log.V(1).Info("A ticket owner did not reply.", "peer", to, "cause", err.Error())
 
-	// The owner is not to blame if the request itself was canceled.
+	// If the request itself was canceled, the owner may be responsive.
 	if callCtx.Err() != nil && ctx.Err() == nil {
 		o.mutex.Lock()
 		o.unresponsive[to] = o.clock.Now()
