--- a/internal/cwquarantine/fingerprint.go
+++ b/internal/cwquarantine/fingerprint.go
@@ -1,6 +1,6 @@
-// Package cwquarantine stops sending requests that crash the servers which handle them. All entry
-// VMs share the crashes that they see through the platform's store, so that each of them decides
-// alike about a request.
+// Package cwquarantine decides which requests are not sent because servers crash while they handle
+// them. All entry VMs share the crashes that they see through the platform's store, so that they
+// reach the same decision about a request.
 package cwquarantine
 
 import (
@@ -15,8 +15,8 @@
 	"carobward.example/carobward"
 )
 
-// digestSize is the length of a digest in bytes. A caller can't find by trial a body with the same
-// digest as another caller's: that takes 2^64 tries on average.
+// digestSize is the length of a digest in bytes. A caller can't find by brute force a body with the
+// same digest as another caller's: that takes 2^64 tries on average.
 const digestSize = 8
 
 // Digest is the start of a SHA-256 sum.
@@ -56,7 +56,7 @@
 	}
 }
 
-// digest returns the digest of a sequence of texts.
+// digest returns the digest of a sequence of strings.
 func digest(texts ...string) Digest {
 	h := sha256.New()
 	for _, t := range texts {
@@ -66,10 +66,10 @@
 	return truncate([sha256.Size]byte(h.Sum(nil)))
 }
 
-// writeText adds a text and a zero byte to a hash. No text contains a zero byte, so that different
-// sequences of texts can't give the same input.
+// writeText adds a string and a zero byte to a hash. No string contains a zero byte, so that
+// different sequences of strings can't give the same input.
 func writeText(h hash.Hash, text string) {
-	// Write of a hash never fails.
+	// Write of a hash.Hash never returns an error.
 	_, _ = h.Write(append([]byte(text), 0))
 }
 
@@ -83,7 +83,7 @@
 	return fp.Line.String() + separator + fp.Body.String() + separator + fp.Caller.String()
 }
 
-// errFingerprint is the error of a text that is no fingerprint.
+// errFingerprint is the error of a string that is not a fingerprint.
 const errFingerprint = errors.ConstError("quarantine: not three numbers of 16 hexadecimal digits with a - between")
 
 // ParseFingerprint parses a fingerprint.
--- a/internal/cwquarantine/fingerprint_test.go
+++ b/internal/cwquarantine/fingerprint_test.go
@@ -41,7 +41,7 @@
 		t.Run(name, func(t *testing.T) {
 			got := cwquarantine.FingerprintOf(c.call, c.ip)
 			if same := got == first; same != c.same {
-				t.Errorf("fingerprints %s and %s", got, first)
+				t.Errorf("got fingerprint %s, the first request has %s", got, first)
 			}
 
 			back, err := cwquarantine.ParseFingerprint(got.String())
@@ -52,7 +52,7 @@
 	}
 }
 
-// TestParseFingerprint checks that texts that are no fingerprint are refused.
+// TestParseFingerprint checks that strings that are not fingerprints are refused.
 func TestParseFingerprint(t *testing.T) {
 	part := strings.Repeat("0", 16)
 
--- a/internal/cwquarantine/keeper.go
+++ b/internal/cwquarantine/keeper.go
@@ -9,10 +9,10 @@
 	"carobward.example/carobward"
 )
 
-// Parameters of the store's calls, which are paid for.
+// Parameters of the calls to the store. Each call is paid for.
 const (
-	// batchDelay is the pause before a call in which further records collect: the requests beside
-	// the one that crashed a server fail at the same moment.
+	// batchDelay is the pause before a call, so that further records can join the same batch: all
+	// requests in flight on a crashed server fail at the same moment.
 	batchDelay = 20 * time.Millisecond
 	// maxBatch is how many keys one call of the store changes.
 	maxBatch = 32
@@ -22,13 +22,14 @@
 	// failure.
 	minBackoff = 150 * time.Millisecond
 	maxBackoff = 2400 * time.Millisecond
-	// pollInterval is the time between checks whether the store serves any entry VM.
+	// pollInterval is the time between checks whether the store is available, was restored from a
+	// backup, or has outdated records.
 	pollInterval = 100 * time.Millisecond
 	// availableTime is for how long after its last answer to any entry VM the store counts as
 	// available.
 	availableTime = 2 * time.Second
-	// claimInterval is the least time between calls that claim a trial. A quarantined request may
-	// come many times a second, and while the store refuses the claims each one would cause a call.
+	// claimInterval is the minimum time between calls that claim a trial. A quarantined request may
+	// come many times a second, and each time would cause a call while the store refuses the claim.
 	claimInterval = time.Second
 	// cleanupInterval is the time between calls that delete outdated records.
 	cleanupInterval = 10 * time.Second
@@ -58,11 +59,12 @@
 	mutex sync.Mutex
 	// pending holds the values to write by key; nil deletes a key.
 	pending map[carobward.Key][]byte
-	// attempted holds the pending keys that the store may have because a call with them began.
+	// attempted holds the pending keys that were part of a call: the store may have them, even if
+	// the call failed.
 	attempted map[carobward.Key]bool
 	// unconfirmed holds the changes that the store acknowledged and that have not arrived in the
 	// replica: a store that is restored from a backup may have lost them, and no other entry VM
-	// knows them. Era is the store's era in which they were written.
+	// knows them. The field era is the store's era in which they were written.
 	unconfirmed map[carobward.Key][]byte
 	era         carobward.StoreEra
 	dropped     int64
@@ -104,13 +106,13 @@
 	}
 }
 
-// removeOrphans deletes trials of this entry VM that were granted after an answer elsewhere had
-// removed the crashes and all trials known by then. Such a trial would otherwise count for the same
-// request when servers crash with it again.
+// removeOrphans deletes trials of this entry VM whose request has no crashes any more: another
+// entry VM got an answer and deleted the crashes and all trials that it knew of before this one was
+// granted. A trial that stays would count if servers crash with the same request again.
 func (k *Keeper) removeOrphans(list []Trial) {
 	for i := range list {
 		if t := &list[i]; t.VM == k.VM {
-			k.Log.Info("Deleting a trial that came after the answer.", "print", t.Fingerprint.String(), "number", t.Number)
+			k.Log.Info("Deleting a trial of a request that has been answered.", "print", t.Fingerprint.String(), "number", t.Number)
 			k.removeKeys([]carobward.Key{t.key()})
 		}
 	}
@@ -121,7 +123,7 @@
 }
 
 // RecordCrash records that a server crashed with a request of this entry VM in flight. It reports
-// whether other entry VMs have to know at once, because the request has crashed servers before.
+// whether the crash has to be shared at once, because the request has crashed servers before.
 func (k *Keeper) RecordCrash(c Crash) bool {
 	now := k.Clock.Now()
 	before := k.Table.Decide(c.Fingerprint, now).Quarantined
@@ -153,6 +155,6 @@
 		return
 	}
 
-	k.Log.Info("A request that had crashes was answered.", "print", fp.String(), "crashes", len(keys))
+	k.Log.Info("A request that was in flight when servers crashed was answered.", "print", fp.String(), "crashes", len(keys))
 	k.removeKeys(keys)
 }
--- a/internal/cwquarantine/keeper_test.go
+++ b/internal/cwquarantine/keeper_test.go
@@ -81,10 +81,10 @@
 func (fixedClock) Now() time.Time { return start }
 
 // newKeeper returns a keeper of an entry VM to which the store last answered the given time ago.
-func newKeeper(s *fakeFeed, word time.Duration) *Keeper {
+func newKeeper(s *fakeFeed, sinceAnswer time.Duration) *Keeper {
 	return New(Options{
 		VM: "vm-1", Table: NewTable(), Feed: s, Clock: fixedClock{}, Log: logr.Discard(),
-		LastAnswer: func() time.Time { return start.Add(-word) },
+		LastAnswer: func() time.Time { return start.Add(-sinceAnswer) },
 		Leads:      func() bool { return false },
 		Era:        func() carobward.StoreEra { return 0 },
 	})
@@ -157,7 +157,7 @@
 func TestAnsweredAfterSharing(t *testing.T) {
 	for name, c := range map[string]struct {
 		err error
-		// rounds is the number of attempts to hit the moment.
+		// rounds is how often the test is repeated to hit a short moment.
 		rounds int
 	}{
 		"while the reply is handled": {nil, 5000},
@@ -227,24 +227,24 @@
 	}
 }
 
-// TestNoCalls checks that there are no calls to a store that serves nobody, and few calls to one
-// that refuses this entry VM.
+// TestNoCalls checks that an unavailable store gets no calls, and that one that refuses the claims
+// of this entry VM gets few.
 func TestNoCalls(t *testing.T) {
-	const asks = 50
+	const claims = 50
 
 	for name, c := range map[string]struct {
-		word  time.Duration
-		err   error
-		calls int
+		sinceAnswer time.Duration
+		err         error
+		calls       int
 	}{
-		"serves nobody": {availableTime, nil, 0},
-		"refuses":       {0, carobward.ErrStoreRefused, 1},
-		"has it":        {0, carobward.ErrConflict, 1},
+		"the store serves nobody":    {availableTime, nil, 0},
+		"the store refuses the call": {0, carobward.ErrStoreRefused, 1},
+		"the store has the trial":    {0, carobward.ErrConflict, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newFakeFeed()
 			s.err = c.err
-			k := newKeeper(s, c.word)
+			k := newKeeper(s, c.sinceAnswer)
 
 			go func() {
 				for range c.calls {
@@ -252,19 +252,19 @@
 				}
 			}()
 
-			for range asks {
+			for range claims {
 				if k.ClaimTrial(Trial{Fingerprint: fingerprintOf("a"), Number: 1}) {
 					t.Error("a trial was granted")
 				}
 			}
 
 			if s.calls != c.calls {
-				t.Errorf("%d calls", s.calls)
+				t.Errorf("the store got %d calls", s.calls)
 			}
 
 			k.Share(crashSpec{"a", "1", 0}.crash())
 
-			if got := k.canWrite(); got != (c.word < availableTime) {
+			if got := k.canWrite(); got != (c.sinceAnswer < availableTime) {
 				t.Errorf("canWrite returned %v", got)
 			}
 		})
@@ -281,13 +281,13 @@
 	}
 
 	if k.Pending() != maxPending || k.Dropped() != maxPending {
-		t.Errorf("%d queued, %d dropped", k.Pending(), k.Dropped())
+		t.Errorf("%d changes are queued, %d were dropped", k.Pending(), k.Dropped())
 	}
 }
 
 // TestOrphanedTrial checks that an entry VM deletes its own trial if that was granted after an
-// answer elsewhere had removed everything, since no other entry VM knows of it. It must not delete
-// trials of other entry VMs, nor those of requests that have crashes.
+// answer on another entry VM had removed everything else, since that entry VM did not know of the
+// trial. It must not delete trials of other entry VMs, nor those of requests that have crashes.
 func TestOrphanedTrial(t *testing.T) {
 	for name, c := range map[string]struct {
 		vm         carobward.VMID
--- a/internal/cwquarantine/list.go
+++ b/internal/cwquarantine/list.go
@@ -54,14 +54,14 @@
 }
 
 // Counts returns the number of quarantined requests and of crashes.
-func (t *Table) Counts(now time.Time) (held, crashes int) {
+func (t *Table) Counts(now time.Time) (quarantined, crashes int) {
 	for _, e := range t.List(now) {
 		if e.Quarantined {
-			held++
+			quarantined++
 		}
 
 		crashes += len(e.Crashes)
 	}
 
-	return held, crashes
+	return quarantined, crashes
 }
--- a/internal/cwquarantine/record.go
+++ b/internal/cwquarantine/record.go
@@ -12,8 +12,8 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// Prefixes of the keys in the store. There is one key for each crash, named by the request and the
-// server so that entry VMs that saw the same crash write the same key, and one for each trial.
+// Prefixes of the keys in the store. There is one key for each crash, made from the request and the
+// server, so that entry VMs that saw the same crash write the same key, and one for each trial.
 const (
 	prefixCrash = "carobward/crash/"
 	prefixTrial = "carobward/trial/"
@@ -89,8 +89,8 @@
 	return c, nil
 }
 
-// Trial is one send of a quarantined request that shows whether servers survive it now. There are
-// few trials, and each has a number.
+// Trial is one send of a quarantined request, which shows whether servers survive it now.
+// Trials are numbered, up to maxTrials.
 type Trial struct {
 	// Fingerprint has no caller if the trial is for all callers together.
 	Fingerprint Fingerprint
--- a/internal/cwquarantine/rewrite_test.go
+++ b/internal/cwquarantine/rewrite_test.go
@@ -43,7 +43,7 @@
 
 			k.HandleChanges([]carobward.Item{{Key: c.key(), Value: raw}})
 		}, 2, map[carobward.Key]bool{}},
-		"the same era": {share, 1, map[carobward.Key]bool{}},
+		"a crash, no restore": {share, 1, map[carobward.Key]bool{}},
 		"an answer": {func(t *testing.T, k *Keeper, s *fakeFeed) {
 			t.Helper()
 			share(t, k, s)
--- a/internal/cwquarantine/suspect.go
+++ b/internal/cwquarantine/suspect.go
@@ -21,10 +21,10 @@
 	// second server itself. The caller may still send it again.
 	ResendThreshold = 2
 	// firstTrialDelay is how long after the last crash a quarantined request is sent once, by one
-	// entry VM of all: an innocent request is answered and then served again. trialInterval is how
-	// long after that it is sent once more. A crash of the server costs the requests beside it, so
+	// of the entry VMs: an innocent request is answered and then served again. trialInterval is how
+	// long after that it is sent once more. A crash fails the other requests on the server, so
 	// there are maxTrials in all. Each caller whose own crashes quarantine a request has its own
-	// trials: all servers of a service may have ended at once, while several callers had requests
+	// trials: all servers of a service may have crashed at once, while several callers had requests
 	// in flight on three of them.
 	firstTrialDelay = 3 * time.Second
 	trialInterval   = 30 * time.Second
@@ -42,18 +42,18 @@
 	pruneThreshold = 128
 )
 
-// Decision says whether a request may be sent.
+// Decision is the decision whether a request may be sent.
 type Decision struct {
 	// Quarantined reports whether the request is quarantined and not sent. The caller may send it
 	// again after Wait.
 	Quarantined bool
 	Wait        time.Duration
-	// Trial is the trial as which the request may be sent once all the same. Its number is 0 if
-	// there is none.
+	// Trial is the trial that may be claimed to send the quarantined request once. Its number is 0
+	// if there is none.
 	Trial Trial
 }
 
-// suspect is a request that was in flight when servers crashed, of any caller.
+// suspect is a request that was in flight when servers crashed, with the crashes of all callers.
 type suspect struct {
 	// callers holds the crashes by caller and by server.
 	callers map[Digest]map[Digest]Crash
--- a/internal/cwquarantine/table.go
+++ b/internal/cwquarantine/table.go
@@ -15,12 +15,11 @@
 type Table struct {
 	mutex    sync.RWMutex
 	suspects map[contentKey]*suspect
-	// lineCounts counts the suspects by the first part of their fingerprint.
+	// lineCounts counts the suspects by the digest of method, host, path and query.
 	lineCounts map[Digest]int
 	// crashCount is the number of crashes.
 	crashCount int
-	// hasCrashes reports whether there are any crashes, and so whether requests have to be looked
-	// up.
+	// hasCrashes reports whether there are any crashes. Without them no request is looked up.
 	hasCrashes atomic.Bool
 }
 
@@ -119,12 +118,12 @@
 // hasRoom reports whether one more crash can be recorded of a request that has this number of them;
 // the mutex must be held.
 func (t *Table) hasRoom(crashes int) bool {
-	most := maxCrashes
+	limit := maxCrashes
 	if crashes > 0 {
-		most += maxCrashes
+		limit += maxCrashes
 	}
 
-	return t.crashCount < most && crashes < maxCallerCrashes
+	return t.crashCount < limit && crashes < maxCallerCrashes
 }
 
 // Change describes what changed in a table by items of the store.
@@ -329,7 +328,7 @@
 
 // Outdated returns keys to delete from the store, up to a maximum number: those of crashes that are
 // too old and, if there are many crashes, of the oldest whose request crashed only one server.
-func (t *Table) Outdated(now time.Time, most int) []carobward.Key {
+func (t *Table) Outdated(now time.Time, limit int) []carobward.Key {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
 
@@ -343,7 +342,7 @@
 	for key, s := range t.suspects {
 		all := s.crashes()
 
-		// Once the last crash is removed, the table doesn't know the trials.
+		// The table forgets the trials together with the last crash, so they are deleted before it.
 		if n, _ := countCrashes(all, now); n == 0 {
 			keys = append(keys, s.allTrialKeys(key)...)
 		}
@@ -364,5 +363,5 @@
 		keys = append(keys, c.key())
 	}
 
-	return keys[:min(len(keys), most)]
+	return keys[:min(len(keys), limit)]
 }
--- a/internal/cwquarantine/table_test.go
+++ b/internal/cwquarantine/table_test.go
@@ -44,24 +44,24 @@
 		caller  string
 		want    Decision
 	}{
-		"none":                      {nil, nil, 0, "a", Decision{}},
-		"two servers":               {three[:2], nil, 0, "a", Decision{}},
-		"the same server thrice":    {[]crashSpec{three[0], three[0], three[0]}, nil, 0, "a", Decision{}},
-		"three servers":             {three, nil, 2 * second, "a", Decision{Quarantined: true, Wait: 2 * second}},
-		"crashes of another caller": {three, nil, 2 * second, "b", Decision{}},
-		"time for a trial":          {three, nil, 6 * second, "a", Decision{Quarantined: true, Trial: Trial{Fingerprint: fingerprintOf("a"), Number: 1}, Wait: trialInterval}},
-		"after a trial":             {three, []time.Duration{6 * second}, 16 * second, "a", Decision{Quarantined: true, Wait: 20 * second}},
-		"time for another trial":    {three, []time.Duration{6 * second}, 36 * second, "a", Decision{Quarantined: true, Trial: Trial{Fingerprint: fingerprintOf("a"), Number: 2}, Wait: trialInterval}},
-		"after another's trial":     {two, []time.Duration{6 * second}, 7 * second, "b", Decision{Quarantined: true, Trial: Trial{Fingerprint: fingerprintOf("b"), Number: 1}, Wait: trialInterval}},
-		"after the last trial":      {three, []time.Duration{6 * second, 36 * second}, 61 * second, "a", Decision{Quarantined: true, Wait: crashRetention - 60*second}},
-		"long after":                {three, []time.Duration{6 * second, 36 * second}, crashRetention + second, "a", Decision{}},
-		"one crash too long ago":    {three, nil, crashRetention, "a", Decision{}},
-		"four of several callers":   {shared[:4], nil, 0, "a", Decision{}},
-		"five of several callers":   {shared, nil, 2 * second, "a", Decision{Quarantined: true, Wait: 2 * second}},
-		"time for all callers":      {shared, nil, 6 * second, "d", Decision{Quarantined: true, Trial: Trial{Fingerprint: forAll, Number: 1}, Wait: trialInterval}},
-		"five, for another caller":  {shared, nil, 2 * second, "d", Decision{Quarantined: true, Wait: 2 * second}},
-		"one server, five callers":  {[]crashSpec{{"a", "1", 0}, {"b", "1", 0}, {"c", "1", 0}, {"d", "1", 0}, {"e", "1", 0}}, nil, 0, "a", Decision{}},
-		"a clock that is ahead":     {[]crashSpec{three[0], three[1], {"a", "3", 24 * time.Hour}}, nil, 2 * second, "a", Decision{Quarantined: true, Wait: 3 * second}},
+		"no crashes":                                  {nil, nil, 0, "a", Decision{}},
+		"two servers":                                 {three[:2], nil, 0, "a", Decision{}},
+		"the same server thrice":                      {[]crashSpec{three[0], three[0], three[0]}, nil, 0, "a", Decision{}},
+		"three servers":                               {three, nil, 2 * second, "a", Decision{Quarantined: true, Wait: 2 * second}},
+		"crashes of another caller":                   {three, nil, 2 * second, "b", Decision{}},
+		"time for a trial":                            {three, nil, 6 * second, "a", Decision{Quarantined: true, Trial: Trial{Fingerprint: fingerprintOf("a"), Number: 1}, Wait: trialInterval}},
+		"after a trial":                               {three, []time.Duration{6 * second}, 16 * second, "a", Decision{Quarantined: true, Wait: 20 * second}},
+		"time for another trial":                      {three, []time.Duration{6 * second}, 36 * second, "a", Decision{Quarantined: true, Trial: Trial{Fingerprint: fingerprintOf("a"), Number: 2}, Wait: trialInterval}},
+		"after another's trial":                       {two, []time.Duration{6 * second}, 7 * second, "b", Decision{Quarantined: true, Trial: Trial{Fingerprint: fingerprintOf("b"), Number: 1}, Wait: trialInterval}},
+		"after the last trial":                        {three, []time.Duration{6 * second, 36 * second}, 61 * second, "a", Decision{Quarantined: true, Wait: crashRetention - 60*second}},
+		"all crashes too long ago":                    {three, []time.Duration{6 * second, 36 * second}, crashRetention + second, "a", Decision{}},
+		"one crash too long ago":                      {three, nil, crashRetention, "a", Decision{}},
+		"four of several callers":                     {shared[:4], nil, 0, "a", Decision{}},
+		"five of several callers":                     {shared, nil, 2 * second, "a", Decision{Quarantined: true, Wait: 2 * second}},
+		"time for a trial for all callers":            {shared, nil, 6 * second, "d", Decision{Quarantined: true, Trial: Trial{Fingerprint: forAll, Number: 1}, Wait: trialInterval}},
+		"five of several callers, for another caller": {shared, nil, 2 * second, "d", Decision{Quarantined: true, Wait: 2 * second}},
+		"one server, five callers":                    {[]crashSpec{{"a", "1", 0}, {"b", "1", 0}, {"c", "1", 0}, {"d", "1", 0}, {"e", "1", 0}}, nil, 0, "a", Decision{}},
+		"a crash time in the future":                  {[]crashSpec{three[0], three[1], {"a", "3", 24 * time.Hour}}, nil, 2 * second, "a", Decision{Quarantined: true, Wait: 3 * second}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			table := NewTable()
@@ -88,9 +88,9 @@
 	crashes := []crashSpec{{"a", "1", 0}, {"a", "2", 0}, {"a", "3", 0}, {"b", "4", 0}, {"b", "5", 0}, {"c", "1", 0}}
 
 	for name, c := range map[string]struct {
-		answered string
-		held     map[string]bool
-		keys     int
+		answered    string
+		quarantined map[string]bool
+		keys        int
 	}{
 		"to the quarantined caller": {"a", map[string]bool{"a": false, "b": false, "c": false, "d": false}, 6},
 		"to another caller":         {"b", map[string]bool{"a": true, "b": false, "c": false, "d": false}, 3},
@@ -111,19 +111,19 @@
 			}
 
 			got := map[string]bool{}
-			for caller := range c.held {
+			for caller := range c.quarantined {
 				got[caller] = table.Decide(fingerprintOf(caller), start).Quarantined
 			}
 
-			if diff := cmp.Diff(c.held, got); diff != "" {
+			if diff := cmp.Diff(c.quarantined, got); diff != "" {
 				t.Error(diff)
 			}
 		})
 	}
 }
 
-// TestPut checks that a table that follows the store decides like the one whose crashes are there,
-// also if trials come before crashes, and after removals.
+// TestPut checks that a table that gets the crashes and a trial from the store decides as if it had
+// recorded them itself, also if trials come before crashes, and that removals release the request.
 func TestPut(t *testing.T) {
 	crashes := []crashSpec{{"a", "1", 0}, {"a", "2", 0}, {"a", "3", 0}}
 	trial := Trial{Fingerprint: fingerprintOf("a"), Number: 1, At: start.Add(time.Second), VM: "vm-2"}
@@ -197,17 +197,17 @@
 		t.Error("a request that crashes servers is not quarantined")
 	}
 
-	held, crashes := table.Counts(start)
-	if held != 1 || crashes > maxCrashes+maxCallerCrashes {
-		t.Errorf("%d quarantined, %d crashes", held, crashes)
+	quarantined, crashes := table.Counts(start)
+	if quarantined != 1 || crashes > maxCrashes+maxCallerCrashes {
+		t.Errorf("%d quarantined, %d crashes", quarantined, crashes)
 	}
 
-	gone := table.Outdated(start, 10*maxCrashes)
-	if got := crashes - len(gone); got != pruneThreshold {
+	outdated := table.Outdated(start, 10*maxCrashes)
+	if got := crashes - len(outdated); got != pruneThreshold {
 		t.Errorf("%d crashes stay after pruning", got)
 	}
 
-	for _, key := range gone {
+	for _, key := range outdated {
 		table.Put([]carobward.Item{{Key: key, Deleted: true}}, start)
 	}
 
@@ -220,7 +220,8 @@
 	}
 }
 
-// FuzzPut applies arbitrary records that another writer may have stored under the table's keys.
+// FuzzPut applies any record that another writer may have stored under the table's keys. It must not
+// quarantine a request, and nothing may stay after its removal.
 func FuzzPut(f *testing.F) {
 	c := crashSpec{"a", "1", 0}.crash()
 
@@ -245,7 +246,7 @@
 		items[0].Deleted = true
 		table.Put(items, start)
 
-		if held, crashes := table.Counts(start); held+crashes > 0 {
+		if quarantined, crashes := table.Counts(start); quarantined+crashes > 0 {
 			t.Errorf("%d crashes stay", crashes)
 		}
 	})
--- a/internal/cwquarantine/trial.go
+++ b/internal/cwquarantine/trial.go
@@ -9,8 +9,8 @@
 	"carobward.example/carobward"
 )
 
-// ClaimTrial claims a trial in the store, and reports whether this entry VM got it. Of all entry
-// VMs, only one gets a trial.
+// ClaimTrial claims a trial in the store, and reports whether this entry VM got it. Only one of the
+// entry VMs gets a trial.
 func (k *Keeper) ClaimTrial(t Trial) bool {
 	if !k.mayClaim(k.Clock.Now()) {
 		return false
@@ -20,8 +20,8 @@
 
 	raw, err := t.encode()
 	if err == nil {
-		// The call has a timeout of its own. The context of the request may end, which would end
-		// other calls, too.
+		// The request's context is not used: its end would abort other calls, too. The call has a
+		// timeout of its own.
 		err = k.Feed.Write(context.Background(), carobward.Batch{
 			Absent: []carobward.Key{t.key()}, Writes: []carobward.Item{{Key: t.key(), Value: raw}},
 		})
@@ -33,8 +33,8 @@
 		k.mutex.Unlock()
 	}
 
-	// If the reply was lost, the claim may have succeeded. Then neither other entry VMs nor this
-	// one make the trial.
+	// If the reply was lost, the claim may have succeeded. Then no entry VM makes the trial,
+	// including this one.
 	if !errors.Is(err, carobward.ErrStoreRefused) {
 		k.Table.AddTrial(t)
 	}
--- a/internal/cwquarantine/writer.go
+++ b/internal/cwquarantine/writer.go
@@ -7,9 +7,9 @@
 	"carobward.example/carobward"
 )
 
-// removeKeys deletes keys from the store. A crash that was not yet part of any call is dropped
-// instead. After a call whose reply was lost or is just being handled, the store may have the
-// crash.
+// removeKeys deletes keys from the store. A crash that was not yet part of any call is only dropped
+// from the queue. After a call, the store may have the crash even if the reply was lost or has not
+// been handled yet.
 func (k *Keeper) removeKeys(keys []carobward.Key) {
 	deletes := map[carobward.Key][]byte{}
 
@@ -66,7 +66,8 @@
 }
 
 // canWrite reports whether there are changes to write and the store is available. Calls to an
-// unavailable store are paid for, too, and another entry VM checks for all whether it is back.
+// unavailable store are paid for, too, and the entry VMs that follow the store notice when it
+// answers again.
 func (k *Keeper) canWrite() bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -178,7 +179,7 @@
 	}
 }
 
-// cleanUp deletes outdated records, on one entry VM for all.
+// cleanUp deletes outdated records if this entry VM is the one that does so for the whole fleet.
 func (k *Keeper) cleanUp(now time.Time) {
 	if now.Sub(k.lastCleanup) < cleanupInterval || !k.Leads() {
 		return
