--- a/internal/cwfollow/bench_test.go
+++ b/internal/cwfollow/bench_test.go
@@ -8,8 +8,8 @@
 )
 
 // BenchmarkPlace shows the cost of the place in the query order, which each entry VM computes each
-// time it checks whether to query the store. With 530 entry VMs known one by one, instead of other
-// failure domains as summaries, it took 131 us and 56 KB.
+// time it checks whether to query the store. The entry VMs of other failure domains are known only
+// as summaries, since 530 entry VMs known one by one take 131 us and 56 KB.
 func BenchmarkPlace(b *testing.B) {
 	var peers []cwmesh.Peer
 	for i := range 530 {
--- a/internal/cwfollow/follower.go
+++ b/internal/cwfollow/follower.go
@@ -1,6 +1,6 @@
-// Package cwfollow keeps an entry VM's replica of the platform's store up to date. A few entry VMs
-// watch the store and tell the others. Each of the others queries the store itself once the newest
-// answer that it knows of is too old.
+// Package cwfollow keeps an entry VM's replica of the platform's store up to date. The entry VMs have
+// an order: the first ones watch the store and pass its answers on to the others. Each of the others
+// queries the store itself once the newest answer that reached it is too old.
 package cwfollow
 
 import (
@@ -20,12 +20,12 @@
 	// watchTimeout is how long a watch waits. A watch may miss changes, and only the next call
 	// shows them.
 	watchTimeout = 600 * time.Millisecond
-	// overdueDelay is how long after the expected time an answer of the store is overdue, which is
-	// reported to the peers. The store answers in some milliseconds. The entry VMs that come next
-	// in the order then know that they need not all query at once.
+	// overdueDelay is how long after its expected time an answer of the store is overdue. Normally
+	// the store answers within some milliseconds. An overdue answer is reported to the peers, so
+	// that the entry VMs that come next in the order don't all query at once.
 	overdueDelay = 200 * time.Millisecond
-	// batchDelay is the pause after changes in which further ones collect, since each call is paid
-	// for.
+	// batchDelay is the pause after changes, so that the next call returns several further ones:
+	// each call is paid for.
 	batchDelay = 100 * time.Millisecond
 	// pollInterval is the time between checks whether to query the store.
 	pollInterval = 50 * time.Millisecond
@@ -33,7 +33,7 @@
 	// failure. Calls to an unavailable store are paid for, too.
 	minBackoff = 150 * time.Millisecond
 	maxBackoff = 1200 * time.Millisecond
-	// fleetWriteInterval is the least time between writes of the list of entry VMs, and from the
+	// fleetWriteInterval is the minimum time between writes of the list of entry VMs, and from the
 	// start to the first write: by then the entry VMs know each other.
 	fleetWriteInterval = 3 * time.Second
 	// minOutage is how long calls have to fail before the store may have lost the entries of live
@@ -64,8 +64,8 @@
 	// needsList requests a list of all keys in place of a watch.
 	needsList bool
 	// watcher reports whether this entry VM is one that watches the store. One that queries because
-	// the newest answer is too old wants an answer at once: while it waits, the next in the order
-	// would query, too.
+	// the newest answer is too old doesn't wait for changes: while it waited, the next ones in the
+	// order would query, too.
 	watcher bool
 	// leads reports whether this entry VM is the first in the order.
 	leads atomic.Bool
@@ -87,7 +87,7 @@
 	// VMs.
 	started      time.Time
 	fleetWritten time.Time
-	// lastRestore is when it last rewrote keys of entry VMs that the store had lost.
+	// lastRestore is when this entry VM last rewrote keys of entry VMs that the store had lost.
 	lastRestore time.Time
 }
 
@@ -116,9 +116,9 @@
 	}
 }
 
-// fleet returns the present state of the fleet.
+// fleet returns the current state of the fleet.
 func (f *Follower) fleet(now time.Time) *fleet {
-	return &fleet{self: f.Table.Self(), away: f.backoff > 0, peers: f.Table.Live(now), domains: f.Table.Domains(now)}
+	return &fleet{self: f.Table.Self(), storeDown: f.backoff > 0, peers: f.Table.Live(now), domains: f.Table.Domains(now)}
 }
 
 // isDue reports whether this entry VM queries the store now.
@@ -147,7 +147,7 @@
 
 // step makes one call and handles its outcome.
 func (f *Follower) step(ctx context.Context) {
-	asked := f.Clock.Now()
+	began := f.Clock.Now()
 
 	c, err := f.query(ctx)
 	if ctx.Err() != nil {
@@ -160,7 +160,7 @@
 		return
 	}
 
-	f.handleAnswer(ctx, c, asked)
+	f.handleAnswer(ctx, c, began)
 }
 
 // watchWait returns how long a watch waits for changes.
@@ -176,7 +176,7 @@
 func (f *Follower) query(ctx context.Context) (carobward.Changes, error) {
 	wait := f.watchWait()
 
-	late := time.AfterFunc(wait+overdueDelay, func() { f.setAway(true) })
+	late := time.AfterFunc(wait+overdueDelay, func() { f.setStoreDown(true) })
 	defer late.Stop()
 
 	after := f.Mirror.State().Index
@@ -187,15 +187,15 @@
 	return f.Feed.Watch(ctx, after, wait)
 }
 
-// handleAnswer applies an answer of the store to a call that began at the time asked.
-func (f *Follower) handleAnswer(ctx context.Context, c carobward.Changes, asked time.Time) {
+// handleAnswer applies an answer of the store to a call that began at the given time.
+func (f *Follower) handleAnswer(ctx context.Context, c carobward.Changes, began time.Time) {
 	now := f.Clock.Now()
 	f.lastAnswer = now
 	f.handleRecovery(now)
 
 	before := f.Mirror.State()
 
-	changed, err := f.Mesh.TakeAnswer(c, asked)
+	changed, err := f.Mesh.TakeAnswer(c, began)
 	if err != nil {
 		f.handleFailure(err)
 
--- a/internal/cwfollow/order.go
+++ b/internal/cwfollow/order.go
@@ -10,8 +10,8 @@
 
 // Parameters of the order in which entry VMs query the store.
 const (
-	// watchers is the number of entry VMs that watch the store. The others notice the loss of one
-	// by staleAge, which leaves time enough. A second one would double the calls and the
+	// watchers is the number of entry VMs that watch the store. If a watcher is lost, the others
+	// notice it after staleAge, which is soon enough. A second one would double the calls and the
 	// heartbeats, which are paid for.
 	watchers = 1
 	// staleAge is the age of the store's newest answer to any entry VM at which the others start to
@@ -30,8 +30,8 @@
 	maxLateDelay  = 600 * time.Millisecond
 	// outageThreshold is the number of entry VMs not served by the store at which it probably
 	// serves nobody. It wouldn't answer the rest of a large fleet either: these wait until the
-	// newest answer is stale and then query outageTurnDelay apart, since 472 would query at once
-	// otherwise. In a small fleet this delay is negligible.
+	// newest answer is stale and then query outageTurnDelay apart on average. Otherwise 472 entry
+	// VMs would query at once. In a small fleet this delay is negligible.
 	outageThreshold = 5
 	outageTurnDelay = 30 * time.Millisecond
 	// servedPeriod is for how long after an answer an entry VM goes on to query the store though
@@ -44,11 +44,11 @@
 )
 
 // backoffPause returns the pause after a failed call of an entry VM that the store doesn't serve.
-// The argument back is the entry VM's own pause, away the number of other live entry VMs that the
+// The argument back is the entry VM's own pause, unserved the number of other live entry VMs that the
 // store doesn't serve, and draw a random number from 0 to 1. All entry VMs lose the store at the
 // same moment: with pauses of one length, none would notice its return before all pauses are over.
-func backoffPause(back time.Duration, away int, draw float64) time.Duration {
-	return max(back, randomPause(outageCallInterval, away+1, draw))
+func backoffPause(back time.Duration, unserved int, draw float64) time.Duration {
+	return max(back, randomPause(outageCallInterval, unserved+1, draw))
 }
 
 // randomPause returns a pause such that the calls of count entry VMs are apart by the given time on
@@ -62,8 +62,8 @@
 // fleet is the state of the fleet that determines the query order.
 type fleet struct {
 	self cwmesh.Node
-	// away reports whether this entry VM is not served by the store.
-	away bool
+	// storeDown reports whether the store doesn't serve this entry VM.
+	storeDown bool
 	// peers are the other entry VMs of its failure domain, domains the other failure domains.
 	peers   []cwmesh.Peer
 	domains []cwmesh.Summary
@@ -71,19 +71,19 @@
 
 // countUnserved returns the number of other entry VMs that the store doesn't serve.
 func (f *fleet) countUnserved() int {
-	away := 0
+	unserved := 0
 
 	for i := range f.peers {
 		if f.peers[i].StoreDown && f.peers[i].State != cwmesh.Leaving {
-			away++
+			unserved++
 		}
 	}
 
 	for i := range f.domains {
-		away += f.domains[i].StoreDown
+		unserved += f.domains[i].StoreDown
 	}
 
-	return away
+	return unserved
 }
 
 // noPlace stands for an entry VM that the store doesn't serve. It is not in the query order and
@@ -94,7 +94,7 @@
 // failure domain comes before the second of any. It returns noPlace if the store doesn't serve this
 // entry VM.
 func (f *fleet) place() int {
-	if f.away {
+	if f.storeDown {
 		return noPlace
 	}
 
--- a/internal/cwfollow/order_test.go
+++ b/internal/cwfollow/order_test.go
@@ -88,7 +88,7 @@
 
 			f := fleet{self: ahead.Node, peers: []cwmesh.Peer{one}}
 			if (f.place() > 0) != c.behind {
-				t.Errorf("place %d", f.place())
+				t.Errorf("got place %d", f.place())
 			}
 		})
 	}
@@ -112,7 +112,7 @@
 			t.Errorf("%s has place %d though the store serves no other domain", last, f.place())
 		}
 
-		f.away = true
+		f.storeDown = true
 
 		if f.place() != noPlace {
 			t.Errorf("%s has place %d though the store doesn't serve it", last, f.place())
@@ -120,18 +120,20 @@
 	}
 }
 
+// TestShouldQuery checks when an entry VM queries the store, given its place in the order and the
+// age of the newest answer.
 func TestShouldQuery(t *testing.T) {
 	for name, c := range map[string]struct {
 		place int
 		age   time.Duration
 		want  bool
 	}{
-		"first watches":                {0, 0, true},
+		"first, a watcher":             {0, 0, true},
 		"second relies on the first":   {1, 900 * time.Millisecond, false},
 		"second, first is silent":      {1, 1050 * time.Millisecond, true},
 		"third relies on both":         {2, 1050 * time.Millisecond, false},
 		"third, both are silent":       {2, 1200 * time.Millisecond, true},
-		"seventh waits for them":       {6, 1200 * time.Millisecond, false},
+		"seventh relies on them":       {6, 1200 * time.Millisecond, false},
 		"seventh, later":               {6, 1500 * time.Millisecond, true},
 		"last of a small fleet":        {18, 1700 * time.Millisecond, true},
 		"middle of a large one waits":  {100, 1700 * time.Millisecond, false},
@@ -141,7 +143,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := shouldQuery(c.place, c.age); got != c.want {
-				t.Errorf("got %v", got)
+				t.Errorf("shouldQuery returned %v", got)
 			}
 		})
 	}
@@ -155,20 +157,20 @@
 	const (
 		vms    = 472
 		silent = 1550 * time.Millisecond
-		spread = 150 * time.Millisecond // The time of an answer and of its way to all.
+		spread = 150 * time.Millisecond // The time until an answer has reached all entry VMs.
 		step   = time.Millisecond
 	)
 
-	asked := make([]bool, vms)
+	queried := make([]bool, vms)
 	first, calls := time.Duration(0), 0
 
 	for age := time.Duration(0); first == 0 || age < first+spread; age += step {
 		for place := watchers; place < vms; place++ {
-			if asked[place] || !shouldQuery(place, age) {
+			if queried[place] || !shouldQuery(place, age) {
 				continue
 			}
 
-			asked[place] = true
+			queried[place] = true
 			calls++
 
 			if age > silent && first == 0 {
@@ -186,10 +188,10 @@
 // and a longer one the more others lost it.
 func TestBackoffPause(t *testing.T) {
 	for name, c := range map[string]struct {
-		back time.Duration
-		away int
-		draw float64
-		want time.Duration
+		back     time.Duration
+		unserved int
+		draw     float64
+		want     time.Duration
 	}{
 		"only one":              {minBackoff, 0, 0.5, minBackoff},
 		"only one, for long":    {maxBackoff, 0, 1, maxBackoff},
@@ -200,7 +202,7 @@
 		"longest random pause":  {maxBackoff, 144, 1, 29 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if diff := cmp.Diff(c.want, backoffPause(c.back, c.away, c.draw)); diff != "" {
+			if diff := cmp.Diff(c.want, backoffPause(c.back, c.unserved, c.draw)); diff != "" {
 				t.Error(diff)
 			}
 		})
@@ -254,12 +256,12 @@
 
 // TestCountUnserved checks that entry VMs that are leaving don't count as not served.
 func TestCountUnserved(t *testing.T) {
-	away, leaving, served := peer("1", "a"), peer("2", "a"), peer("3", "a")
-	away.StoreDown, leaving.StoreDown, leaving.State = true, true, cwmesh.Leaving
+	unserved, leaving, served := peer("1", "a"), peer("2", "a"), peer("3", "a")
+	unserved.StoreDown, leaving.StoreDown, leaving.State = true, true, cwmesh.Leaving
 
-	f := fleet{peers: []cwmesh.Peer{away, leaving, served}, domains: []cwmesh.Summary{{Domain: "b", Alive: 5, StoreDown: 4}}}
+	f := fleet{peers: []cwmesh.Peer{unserved, leaving, served}, domains: []cwmesh.Summary{{Domain: "b", Alive: 5, StoreDown: 4}}}
 	if n := f.countUnserved(); n != 5 {
-		t.Errorf("got %d", n)
+		t.Errorf("%d entry VMs count as not served", n)
 	}
 }
 
@@ -283,7 +285,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := peerWait(self, c.seed, c.list, 0.5); got != c.want {
-				t.Errorf("got %s", got)
+				t.Errorf("peerWait returned %s", got)
 			}
 		})
 	}
--- a/internal/cwfollow/outage.go
+++ b/internal/cwfollow/outage.go
@@ -10,8 +10,8 @@
 )
 
 // isDeferred reports whether this entry VM leaves it to others to query a store that serves nobody,
-// given the age of the newest answer. An entry VM that the store itself refused goes by its own
-// pause instead, and one that the store answers continues.
+// given the age of the newest answer. An entry VM whose own calls fail waits for its own pause
+// instead, and one that the store answered within servedPeriod goes on to query.
 func (f *Follower) isDeferred(known *fleet, now time.Time, age time.Duration) bool {
 	if f.backoff > 0 || now.Sub(f.lastAnswer) < servedPeriod || !known.isOutage() {
 		f.deferUntil = time.Time{}
@@ -30,9 +30,9 @@
 	return now.Before(f.deferUntil)
 }
 
-// setAway tells the peers whether the store serves this entry VM.
-func (f *Follower) setAway(away bool) {
-	if f.Mesh.SetStoreDown(away) {
+// setStoreDown tells the peers whether this entry VM gets no answers from the store.
+func (f *Follower) setStoreDown(down bool) {
+	if f.Mesh.SetStoreDown(down) {
 		f.Mesh.HeartbeatDomain()
 	}
 }
@@ -53,26 +53,26 @@
 
 	f.backoff = min(maxBackoff, max(minBackoff, 2*f.backoff))
 	f.lastFailure, f.jitter = f.Clock.Now(), rand.Float64()
-	f.setAway(true)
+	f.setStoreDown(true)
 }
 
 // handleRecovery records that the store answers. After an outage its list may lack live servers,
-// which have to write their entries again, so that removals are held back for a while. If the store
+// which have to write their entries again, so removals are held back for a while. If the store
 // served others meanwhile, there was no outage.
 func (f *Follower) handleRecovery(now time.Time) {
-	f.setAway(false)
+	f.setStoreDown(false)
 
 	if f.backoff == 0 {
 		return
 	}
 
-	away := now.Sub(f.failingSince)
+	outage := now.Sub(f.failingSince)
 	stale := now.Sub(f.Mesh.LastStoreAnswer()) > minOutage
 	f.backoff = 0
 
-	if away > minOutage && stale && f.Mirror.State().Index > 0 {
+	if outage > minOutage && stale && f.Mirror.State().Index > 0 {
 		f.Mirror.Hold(now)
 	}
 
-	f.Log.Info("The store is back.", "away", away.String(), "hold", f.Mirror.HoldRemaining(now) > 0)
+	f.Log.Info("The store is back.", "away", outage.String(), "hold", f.Mirror.HoldRemaining(now) > 0)
 }
--- a/internal/cwfollow/outage_test.go
+++ b/internal/cwfollow/outage_test.go
@@ -13,7 +13,7 @@
 	Follower
 
 	callStarted time.Time // When the call in flight began.
-	away        bool
+	storeDown   bool
 	pause       time.Duration
 }
 
@@ -38,11 +38,11 @@
 			rnd := rand.New(rand.NewPCG(1, 1))
 			all := make([]outageVM, vms)
 			lost := time.Now()
-			calls, away := 0, 0
+			calls, unserved := 0, 0
 
 			for age := time.Duration(0); age < length; age += step {
 				now := lost.Add(age)
-				known := &fleet{domains: []cwmesh.Summary{{Alive: vms, StoreDown: away}}}
+				known := &fleet{domains: []cwmesh.Summary{{Alive: vms, StoreDown: unserved}}}
 				place := 0
 
 				for i := range all {
@@ -50,19 +50,19 @@
 
 					if !v.callStarted.IsZero() {
 						elapsed := now.Sub(v.callStarted)
-						if !v.away && elapsed >= min(overdueDelay, c.answer) {
-							v.away = true
-							away++
+						if !v.storeDown && elapsed >= min(overdueDelay, c.answer) {
+							v.storeDown = true
+							unserved++
 						}
 
 						if elapsed >= c.answer {
 							v.callStarted, v.lastFailure, v.backoff = time.Time{}, now, minBackoff
-							v.pause = backoffPause(v.backoff, away, rnd.Float64())
+							v.pause = backoffPause(v.backoff, unserved, rnd.Float64())
 						}
 					}
 
 					own := noPlace
-					if !v.away {
+					if !v.storeDown {
 						own = place
 						place++
 					}
--- a/internal/cwfollow/restore.go
+++ b/internal/cwfollow/restore.go
@@ -9,17 +9,17 @@
 	"carobward.example/carobward/internal/cwmesh"
 )
 
-// Parameters of writing again what the store lost.
+// Parameters of rewriting keys that the store lost.
 const (
-	// restoreInterval is the least time between such writes, in which the changes of the last one
-	// arrive.
+	// restoreInterval is the minimum time between such writes. The changes of the last one arrive
+	// in the replica meanwhile.
 	restoreInterval = time.Second
 	// maxRestoreBatch is how many keys one call of the store changes.
 	maxRestoreBatch = 32
 )
 
-// restoreLost writes keys that entry VMs own as they were before the store was restored from a
-// backup. The first entry VM in the order does so for all.
+// restoreLost sets the keys that entry VMs own back to their values from before the store was
+// restored from a backup. The first entry VM in the order does so for all.
 func (f *Follower) restoreLost(ctx context.Context, now time.Time) {
 	b := lostBatch(f.Mirror.Kept(now))
 	keys := len(b.Writes) + len(b.Deletes)
@@ -59,7 +59,7 @@
 }
 
 // writeFleet writes the list of entry VMs to the store if the stored list lacks a live one. A new
-// entry VM whose seeds are all gone finds the others by this list.
+// entry VM finds the others by this list if none of its seeds is left.
 func (f *Follower) writeFleet(ctx context.Context, now time.Time) {
 	if f.fleet(now).place() != 0 || now.Sub(f.fleetWritten) < fleetWriteInterval || now.Sub(f.started) < fleetWriteInterval {
 		return
