--- a/internal/cwmirror/era.go
+++ b/internal/cwmirror/era.go
@@ -100,8 +100,8 @@
 	return ok && current.Index == it.Index && bytes.Equal(current.Value, it.Value)
 }
 
-// keepLost keeps items that were effective before the era began and that the store has lost or
-// brought back. It returns the items that take effect.
+// keepLost keeps items that were effective before the era began and that the store has lost, or
+// has again although they were removed. It returns the items that take effect.
 func (m *Mirror) keepLost(old map[carobward.Key]record, now time.Time) []carobward.Item {
 	var fresh []carobward.Item
 
@@ -110,7 +110,7 @@
 	}
 
 	for _, was := range old {
-		if it, comes := m.reconcile(was, now); comes {
+		if it, ok := m.reconcile(was, now); ok {
 			fresh = append(fresh, it)
 		}
 	}
--- a/internal/cwmirror/era_test.go
+++ b/internal/cwmirror/era_test.go
@@ -41,8 +41,8 @@
 // TestRestore restores the store from a backup and checks that items it acknowledged before stay
 // effective until they are written again or their time is over.
 func TestRestore(t *testing.T) {
-	before := inEra(1, whole(6, ranked("op/config", 4, 6), ranked("a", 1, 1), ranked("b", 2, 5)))
-	removed := inEra(1, changes(7, gone("b", 7)))
+	before := inEra(1, fullList(6, ranked("op/config", 4, 6), ranked("a", 1, 1), ranked("b", 2, 5)))
+	removed := inEra(1, changes(7, removal("b", 7)))
 	removed.After = 6
 
 	for name, c := range map[string]struct {
@@ -51,55 +51,55 @@
 		want, later []string
 	}{
 		"an older configuration": {
-			[]carobward.Changes{before, inEra(2, whole(5, ranked("op/config", 3, 3), ranked("a", 1, 1), ranked("b", 2, 5)))},
+			[]carobward.Changes{before, inEra(2, fullList(5, ranked("op/config", 3, 3), ranked("a", 1, 1), ranked("b", 2, 5)))},
 			[]string{"a 1", "b 2", "op/config 4"}, []string{"a 1", "b 2", "op/config 4"},
 		},
 		"a newer configuration at a reused index": {
-			[]carobward.Changes{before, inEra(2, whole(5, ranked("op/config", 5, 4), ranked("a", 1, 1), ranked("b", 2, 5)))},
+			[]carobward.Changes{before, inEra(2, fullList(5, ranked("op/config", 5, 4), ranked("a", 1, 1), ranked("b", 2, 5)))},
 			[]string{"a 1", "b 2", "op/config 5"}, []string{"a 1", "b 2", "op/config 5"},
 		},
 		"the lost configuration, then a newer one": {
 			[]carobward.Changes{
-				before, inEra(2, whole(5, ranked("op/config", 3, 3), ranked("a", 1, 1), ranked("b", 2, 5))),
+				before, inEra(2, fullList(5, ranked("op/config", 3, 3), ranked("a", 1, 1), ranked("b", 2, 5))),
 				inEra(2, changes(6, ranked("op/config", 4, 6))), inEra(2, changes(7, ranked("op/config", 6, 7))),
 			},
 			[]string{"a 1", "b 2", "op/config 6"}, []string{"a 1", "b 2", "op/config 6"},
 		},
 		"no configuration": {
-			[]carobward.Changes{before, inEra(2, whole(1, ranked("a", 1, 1)))},
+			[]carobward.Changes{before, inEra(2, fullList(1, ranked("a", 1, 1)))},
 			[]string{"a 1", "b 2", "op/config 4"}, []string{"a 1", "op/config 4"},
 		},
 		"an older entry": {
-			[]carobward.Changes{before, inEra(2, whole(4, ranked("op/config", 4, 3), ranked("a", 1, 1), ranked("b", 1, 2)))},
+			[]carobward.Changes{before, inEra(2, fullList(4, ranked("op/config", 4, 3), ranked("a", 1, 1), ranked("b", 1, 2)))},
 			[]string{"a 1", "b 2", "op/config 4"}, []string{"a 1", "b 2", "op/config 4"},
 		},
 		"an entry that is written again": {
 			[]carobward.Changes{
-				before, inEra(2, whole(4, ranked("op/config", 4, 3), ranked("a", 1, 1))), inEra(2, changes(5, ranked("b", 3, 5))),
+				before, inEra(2, fullList(4, ranked("op/config", 4, 3), ranked("a", 1, 1))), inEra(2, changes(5, ranked("b", 3, 5))),
 			},
 			[]string{"a 1", "b 3", "op/config 4"}, []string{"a 1", "b 3", "op/config 4"},
 		},
 		"a removed entry": {
-			[]carobward.Changes{before, removed, inEra(2, whole(6, ranked("op/config", 4, 6), ranked("a", 1, 1), ranked("b", 2, 5)))},
+			[]carobward.Changes{before, removed, inEra(2, fullList(6, ranked("op/config", 4, 6), ranked("a", 1, 1), ranked("b", 2, 5)))},
 			[]string{"a 1", "op/config 4"}, []string{"a 1", "b 2", "op/config 4"},
 		},
 		"a removed entry, older": {
-			[]carobward.Changes{before, removed, inEra(2, whole(6, ranked("op/config", 4, 6), ranked("a", 1, 1), ranked("b", 1, 5)))},
+			[]carobward.Changes{before, removed, inEra(2, fullList(6, ranked("op/config", 4, 6), ranked("a", 1, 1), ranked("b", 1, 5)))},
 			[]string{"a 1", "op/config 4"}, []string{"a 1", "op/config 4"},
 		},
 		"a removed entry that is written again": {
-			[]carobward.Changes{before, removed, inEra(2, whole(7, ranked("op/config", 4, 6), ranked("a", 1, 1), ranked("b", 3, 7)))},
+			[]carobward.Changes{before, removed, inEra(2, fullList(7, ranked("op/config", 4, 6), ranked("a", 1, 1), ranked("b", 3, 7)))},
 			[]string{"a 1", "b 3", "op/config 4"}, []string{"a 1", "b 3", "op/config 4"},
 		},
 		"a removed entry that exists again in the era after the next": {
 			[]carobward.Changes{
-				before, removed, inEra(2, whole(7, ranked("op/config", 4, 6), ranked("a", 1, 1))),
-				inEra(3, whole(6, ranked("op/config", 4, 6), ranked("a", 1, 1), ranked("b", 2, 5))),
+				before, removed, inEra(2, fullList(7, ranked("op/config", 4, 6), ranked("a", 1, 1))),
+				inEra(3, fullList(6, ranked("op/config", 4, 6), ranked("a", 1, 1), ranked("b", 2, 5))),
 			},
 			[]string{"a 1", "op/config 4"}, []string{"a 1", "b 2", "op/config 4"},
 		},
 		"an answer of the previous era": {
-			[]carobward.Changes{inEra(2, whole(4, ranked("a", 2, 4))), before},
+			[]carobward.Changes{inEra(2, fullList(4, ranked("a", 2, 4))), before},
 			[]string{"a 2"}, []string{"a 2"},
 		},
 		"changes after an index of the previous era": {
@@ -107,7 +107,7 @@
 			[]string{"a 1", "b 2", "op/config 4"}, []string{"a 1", "b 2", "op/config 4"},
 		},
 		"two restores in a row": {
-			[]carobward.Changes{before, inEra(2, whole(1, ranked("a", 1, 1))), inEra(3, whole(2, ranked("a", 1, 1), ranked("c", 1, 2)))},
+			[]carobward.Changes{before, inEra(2, fullList(1, ranked("a", 1, 1))), inEra(3, fullList(2, ranked("a", 1, 1), ranked("c", 1, 2)))},
 			[]string{"a 1", "b 2", "c 1", "op/config 4"}, []string{"a 1", "c 1", "op/config 4"},
 		},
 		"changes without an era": {
@@ -154,13 +154,13 @@
 // TestEraEntry brings a replica into an era by the changed keys alone if it is at the state from
 // which the other replica entered it, and by all keys otherwise.
 func TestEraEntry(t *testing.T) {
-	list := inEra(1, whole(3, ranked("a", 1, 1), ranked("b", 1, 2), ranked("c", 1, 3)))
+	list := inEra(1, fullList(3, ranked("a", 1, 1), ranked("b", 1, 2), ranked("c", 1, 3)))
 	next := inEra(1, changes(4, ranked("c", 2, 4)))
 	next.After = 3
 
 	for name, c := range map[string]struct {
 		before []carobward.Changes
-		whole  bool
+		full   bool
 	}{
 		"the same state": {[]carobward.Changes{list, next}, false},
 		"an older state": {[]carobward.Changes{list}, true},
@@ -175,14 +175,14 @@
 				to.Apply(c.before[i], start)
 			}
 
-			from.Apply(inEra(2, whole(2, ranked("a", 1, 1), ranked("b", 1, 2))), start)
+			from.Apply(inEra(2, fullList(2, ranked("a", 1, 1), ranked("b", 1, 2))), start)
 
 			more := inEra(2, changes(3, ranked("d", 1, 3)))
 			more.After = 2
 			from.Apply(more, start)
 
 			got := answerTo(to.State(), from)
-			if got.Full != c.whole {
+			if got.Full != c.full {
 				t.Errorf("all keys sent: %v", got.Full)
 			}
 
@@ -210,7 +210,7 @@
 // TestLateEraEntry delivers changes from one era into another to a replica that has moved on since
 // it asked. They must not be applied, whatever its index is.
 func TestLateEraEntry(t *testing.T) {
-	list := inEra(1, whole(3, ranked("a", 1, 1), ranked("b", 1, 2), ranked("c", 1, 3)))
+	list := inEra(1, fullList(3, ranked("a", 1, 1), ranked("b", 1, 2), ranked("c", 1, 3)))
 	next := inEra(1, changes(4, ranked("c", 2, 4)))
 	next.After = 3
 	beyond := inEra(1, changes(7, ranked("c", 3, 7)))
@@ -219,13 +219,13 @@
 	for name, between := range map[string]carobward.Changes{
 		"further in its era":     next,
 		"items beyond its index": beyond,
-		"in the new era":         inEra(2, whole(2, ranked("a", 1, 1), ranked("e", 1, 2))),
+		"in the new era":         inEra(2, fullList(2, ranked("a", 1, 1), ranked("e", 1, 2))),
 	} {
 		t.Run(name, func(t *testing.T) {
 			from, to := newMirror(), newMirror()
 			from.Apply(list, start)
 			to.Apply(list, start)
-			from.Apply(inEra(2, whole(5, ranked("a", 1, 1), ranked("d", 1, 5))), start)
+			from.Apply(inEra(2, fullList(5, ranked("a", 1, 1), ranked("d", 1, 5))), start)
 
 			late := from.Since(to.State())
 			to.Apply(between, start)
@@ -243,7 +243,7 @@
 // TestNoOriginBeyondIndex checks that a replica that had items beyond its index doesn't bring
 // another one into an era by the changed keys alone: the other one may lack those items.
 func TestNoOriginBeyondIndex(t *testing.T) {
-	list := inEra(1, whole(3, ranked("a", 1, 1), ranked("b", 1, 2), ranked("c", 1, 3)))
+	list := inEra(1, fullList(3, ranked("a", 1, 1), ranked("b", 1, 2), ranked("c", 1, 3)))
 	beyond := inEra(1, changes(7, ranked("c", 3, 7)))
 	beyond.After = 6
 
@@ -252,7 +252,7 @@
 
 	at := from.State()
 	from.Apply(beyond, start)
-	from.Apply(inEra(2, whole(5, ranked("a", 1, 1), ranked("d", 1, 5))), start)
+	from.Apply(inEra(2, fullList(5, ranked("a", 1, 1), ranked("d", 1, 5))), start)
 
 	if !from.Since(at).Full {
 		t.Error("not all keys are sent")
@@ -264,7 +264,7 @@
 // whose time ends a little later, nor the next era may bring it back.
 func TestReleasedStaysGone(t *testing.T) {
 	m := newMirror()
-	m.Apply(inEra(2, whole(7, ranked("a", 1, 1))), start)
+	m.Apply(inEra(2, fullList(7, ranked("a", 1, 1))), start)
 
 	keeps := inEra(2, changes(7))
 	keeps.After = 7
@@ -279,10 +279,10 @@
 	now := start.Add(time.Second)
 	m.Sweep(now, func([]carobward.Item) {})
 
-	for _, c := range []carobward.Changes{keeps, inEra(3, whole(6, ranked("a", 1, 1), ranked("b", 2, 5)))} {
+	for _, c := range []carobward.Changes{keeps, inEra(3, fullList(6, ranked("a", 1, 1), ranked("b", 2, 5)))} {
 		for _, it := range m.Apply(c, now) {
 			if it.Key == "b" && !it.Deleted {
-				t.Errorf("the entry is back in era %d", c.Era)
+				t.Errorf("the released entry took effect again in era %d", c.Era)
 			}
 		}
 	}
@@ -292,9 +292,9 @@
 // has lost from a peer.
 func TestKeptSpreads(t *testing.T) {
 	old, newcomer := newMirror(), newMirror()
-	old.Apply(inEra(1, whole(6, ranked("op/config", 4, 6))), start)
+	old.Apply(inEra(1, fullList(6, ranked("op/config", 4, 6))), start)
 
-	list := inEra(2, whole(5, ranked("op/config", 3, 3)))
+	list := inEra(2, fullList(5, ranked("op/config", 3, 3)))
 	old.Apply(list, start)
 	newcomer.Apply(list, start)
 
@@ -362,19 +362,19 @@
 // go back to an older configuration. In the end all must have the keys of the store and the newest
 // configuration that any running replica has had.
 func TestEraModel(t *testing.T) {
-	const copies = 4
+	const replicas = 4
 
 	rapid.Check(t, func(t *rapid.T) {
 		s := &eraStore{modelStore: modelStore{items: map[string]carobward.Item{}}, era: 1}
 		s.save()
 
-		all := make([]*Mirror, copies)
+		all := make([]*Mirror, replicas)
 		for i := range all {
 			all[i] = newMirror()
 		}
 
-		seen := make([]carobward.Version, copies)
-		pick := func(name string) *Mirror { return all[rapid.IntRange(0, copies-1).Draw(t, name)] }
+		seen := make([]carobward.Version, replicas)
+		pick := func(name string) *Mirror { return all[rapid.IntRange(0, replicas-1).Draw(t, name)] }
 
 		var late []lateAnswer
 
@@ -394,7 +394,7 @@
 			case 7:
 				fetch(pick("fetches"), pick("from"))
 			case 8:
-				i := rapid.IntRange(0, copies-1).Draw(t, "starts")
+				i := rapid.IntRange(0, replicas-1).Draw(t, "starts")
 				all[i], seen[i] = newMirror(), 0
 			case 9:
 				m := pick("asks")
@@ -468,7 +468,7 @@
 		}
 
 		if v := m.State().Version; v < seen {
-			t.Errorf("replica %d has configuration %d, not %d", i, v, seen)
+			t.Errorf("replica %d has configuration %d, although %d was effective before", i, v, seen)
 		}
 	}
 }
--- a/internal/cwmirror/kept.go
+++ b/internal/cwmirror/kept.go
@@ -195,8 +195,8 @@
 	case theirs.Deleted:
 		return !ours.Deleted && !theirs.Rank.Before(rank)
 	case ours.Deleted:
-		// An item that was removed here as well, or whose removal is not held back, must not come
-		// back.
+		// An item that was removed here as well, or whose removal is not held back, must not take
+		// effect again.
 		_, known := m.items[theirs.Key]
 
 		return !known || rank.Before(theirs.Rank)
--- a/internal/cwmirror/mirror.go
+++ b/internal/cwmirror/mirror.go
@@ -71,8 +71,8 @@
 type Mirror struct {
 	Options
 
-	// delivery is held from a change until it is passed on, so that changes are passed on in the
-	// order in which they were made.
+	// delivery is held while changes are applied and passed on, so that they are passed on in the
+	// order in which they were applied.
 	delivery sync.Mutex
 
 	mutex      sync.Mutex
@@ -193,7 +193,7 @@
 
 	if c.Full {
 		// Keys that were removed while the list was read page by page count as removed at its
-		// index, and replicas at that index don't learn of it.
+		// index, and replicas at that index don't get the removals.
 		m.addGap(carobward.Gap{From: min(m.state.Index, max(c.Index, 1)-1), To: max(c.Index, c.Gap.To)})
 	} else {
 		m.addGap(c.Gap)
@@ -249,8 +249,8 @@
 	return m.Rank(r.Key, r.Value)
 }
 
-// removeUnlisted removes the keys that the sender doesn't have though the changes don't say so. A
-// list of all keys lacks them. Other changes name each key that changed after this replica's index,
+// removeUnlisted removes the keys that the sender doesn't have but that the changes don't name as
+// removed. A list of all keys lacks them. Other changes name each key that changed after this replica's index,
 // so that a newer item that they don't name was removed.
 func (m *Mirror) removeUnlisted(c *carobward.Changes, now time.Time) []carobward.Item {
 	after := carobward.StoreIndex(0)
@@ -263,12 +263,12 @@
 
 	has := make(map[carobward.Key]bool, len(c.Items))
 	for i := range c.Items {
-		// A removal that is older than the replica's item stands for a later one unknown to the
-		// sender: at the sender's index the key doesn't exist.
+		// A key that the sender lists as removed doesn't exist at its index. If that removal is
+		// older than this replica's item, the sender doesn't know of a later one.
 		has[c.Items[i].Key] = !c.Items[i].Deleted
 	}
 
-	var gone []carobward.Item
+	var removed []carobward.Item
 
 	for key, it := range m.items {
 		if it.Deleted || has[key] || it.Index <= after || it.Index > c.Index {
@@ -277,10 +277,10 @@
 
 		one := carobward.Item{Key: key, Index: c.Index, Deleted: true}
 		m.set(one, now)
-		gone = append(gone, one)
+		removed = append(removed, one)
 	}
 
-	return gone
+	return removed
 }
 
 // addGap records a span of the history that is not known.
--- a/internal/cwmirror/mirror_test.go
+++ b/internal/cwmirror/mirror_test.go
@@ -17,7 +17,7 @@
 	return carobward.Item{Key: carobward.Key(key), Value: []byte(key), Index: carobward.StoreIndex(index)}
 }
 
-func gone(key string, index int) carobward.Item {
+func removal(key string, index int) carobward.Item {
 	return carobward.Item{Key: carobward.Key(key), Index: carobward.StoreIndex(index), Deleted: true}
 }
 
@@ -25,7 +25,7 @@
 	return carobward.Changes{Items: items, Index: carobward.StoreIndex(index)}
 }
 
-func whole(index int, items ...carobward.Item) carobward.Changes {
+func fullList(index int, items ...carobward.Item) carobward.Changes {
 	c := changes(index, items...)
 	c.Full = true
 
@@ -93,6 +93,7 @@
 	return keys
 }
 
+// TestApply checks the keys and the state of a replica after lists and changes of one era.
 func TestApply(t *testing.T) {
 	for name, c := range map[string]struct {
 		changes []carobward.Changes
@@ -101,18 +102,18 @@
 		state   State
 	}{
 		"a list and an event": {
-			[]carobward.Changes{whole(3, item("a", 1), item("b", 3)), changes(4, item("c", 4))},
+			[]carobward.Changes{fullList(3, item("a", 1), item("b", 3)), changes(4, item("c", 4))},
 			false, []string{"a", "b", "c"}, State{Index: 4, Top: 4},
 		},
-		"a removal":              {[]carobward.Changes{whole(3, item("a", 1)), changes(4, gone("a", 4))}, false, nil, State{Index: 4, Top: 4}},
-		"a removal is held back": {[]carobward.Changes{changes(2, item("a", 1)), changes(4, gone("a", 4), item("b", 3))}, true, []string{"a", "b"}, State{Index: 4, Top: 4, Kept: 1}},
-		"a list without a key":   {[]carobward.Changes{whole(3, item("a", 1)), whole(5, item("b", 4))}, false, []string{"b"}, State{Index: 5, Top: 5}},
-		"an older list":          {[]carobward.Changes{whole(5, item("b", 4)), whole(3, item("a", 1))}, false, []string{"b"}, State{Index: 5, Top: 5}},
+		"a removal":              {[]carobward.Changes{fullList(3, item("a", 1)), changes(4, removal("a", 4))}, false, nil, State{Index: 4, Top: 4}},
+		"a removal is held back": {[]carobward.Changes{changes(2, item("a", 1)), changes(4, removal("a", 4), item("b", 3))}, true, []string{"a", "b"}, State{Index: 4, Top: 4, Kept: 1}},
+		"a list without a key":   {[]carobward.Changes{fullList(3, item("a", 1)), fullList(5, item("b", 4))}, false, []string{"b"}, State{Index: 5, Top: 5}},
+		"an older list":          {[]carobward.Changes{fullList(5, item("b", 4)), fullList(3, item("a", 1))}, false, []string{"b"}, State{Index: 5, Top: 5}},
 		"an older list with newer items": {
-			[]carobward.Changes{whole(5, item("b", 4)), changes(3, item("c", 7))},
+			[]carobward.Changes{fullList(5, item("b", 4)), changes(3, item("c", 7))},
 			false, []string{"b", "c"}, State{Index: 5, Top: 7},
 		},
-		"a key comes back": {[]carobward.Changes{changes(2, gone("a", 2)), changes(3, item("a", 3))}, false, []string{"a"}, State{Index: 3, Top: 3}},
+		"a removed key is written again": {[]carobward.Changes{changes(2, removal("a", 2)), changes(3, item("a", 3))}, false, []string{"a"}, State{Index: 3, Top: 3}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := newMirror()
@@ -140,7 +141,7 @@
 	for name, churn := range map[string]int{"tombstones kept": 10, "tombstones dropped": 2 * maxTombstones} {
 		t.Run(name, func(t *testing.T) {
 			from, to := newMirror(), newMirror()
-			from.Apply(whole(1, item("stays", 1), item("goes", 1)), start)
+			from.Apply(fullList(1, item("stays", 1), item("goes", 1)), start)
 			to.Apply(from.Since(State{}), start)
 
 			index := 1
@@ -150,17 +151,17 @@
 
 			for range churn {
 				step(item("churn", index+1))
-				step(gone("churn", index+2))
+				step(removal("churn", index+2))
 				index += 2
 			}
 
 			for i := range churn {
 				step(item(string(rune('a'+i)), index+1))
-				step(gone(string(rune('a'+i)), index+2))
+				step(removal(string(rune('a'+i)), index+2))
 				index += 2
 			}
 
-			step(gone("goes", index+1))
+			step(removal("goes", index+1))
 
 			if !to.State().Behind(from.State()) {
 				t.Fatal("the replica is not behind")
@@ -189,7 +190,7 @@
 		group sync.WaitGroup
 	)
 
-	began, taken := make(chan struct{}), make(chan struct{})
+	began, applied := make(chan struct{}), make(chan struct{})
 
 	group.Go(func() {
 		older := carobward.Changes{Index: 1, Items: []carobward.Item{{Key: "servers/i", Index: 1}}}
@@ -197,7 +198,7 @@
 			close(began)
 
 			select {
-			case <-taken:
+			case <-applied:
 			case <-time.After(100 * time.Millisecond):
 			}
 
@@ -209,7 +210,7 @@
 
 		newer := carobward.Changes{Index: 2, Items: []carobward.Item{{Key: "servers/i", Index: 2}}}
 		m.ApplyAndNotify(newer, start, func(items []carobward.Item) { last = items[0].Index })
-		close(taken)
+		close(applied)
 	})
 	group.Wait()
 
--- a/internal/cwmirror/model_test.go
+++ b/internal/cwmirror/model_test.go
@@ -24,7 +24,7 @@
 
 	it := item(key, s.index)
 	if remove {
-		it = gone(key, s.index)
+		it = removal(key, s.index)
 	}
 
 	s.items[key] = it
@@ -33,7 +33,7 @@
 // list returns all keys. The index may be older than the items, since a list read in pages is no
 // snapshot.
 func (s *modelStore) list(index int) carobward.Changes {
-	c := whole(index)
+	c := fullList(index)
 	c.Gap.To = carobward.StoreIndex(s.index)
 
 	for _, it := range s.items {
@@ -75,17 +75,17 @@
 // order. In the end the store updates one of them and the others update each other: all must have
 // exactly the keys of the store.
 func TestModel(t *testing.T) {
-	const copies = 4
+	const replicas = 4
 
 	rapid.Check(t, func(t *rapid.T) {
 		s := &modelStore{items: map[string]carobward.Item{}}
-		all := make([]*Mirror, copies)
+		all := make([]*Mirror, replicas)
 
 		for i := range all {
 			all[i] = newMirror()
 		}
 
-		pick := func(name string) *Mirror { return all[rapid.IntRange(0, copies-1).Draw(t, name)] }
+		pick := func(name string) *Mirror { return all[rapid.IntRange(0, replicas-1).Draw(t, name)] }
 
 		steps := rapid.IntRange(1, 40).Draw(t, "steps")
 		for range steps {
@@ -105,13 +105,13 @@
 			case 5, 6:
 				fetch(pick("fetches"), pick("from"))
 			case 7:
-				all[rapid.IntRange(0, copies-1).Draw(t, "starts")] = newMirror()
+				all[rapid.IntRange(0, replicas-1).Draw(t, "starts")] = newMirror()
 			}
 		}
 
 		all[0].Apply(s.watch(all[0].State().Index), start)
 
-		for i := 1; i < copies; i++ {
+		for i := 1; i < replicas; i++ {
 			fetch(all[i], all[i-1])
 		}
 
@@ -151,8 +151,8 @@
 // was removed, and then updates a replica that still has the key.
 func TestNewReplica(t *testing.T) {
 	old, newcomer := newMirror(), newMirror()
-	old.Apply(whole(3, item("a", 1), item("b", 3)), start)
-	newcomer.Apply(whole(5, item("a", 1), item("c", 5)), start)
+	old.Apply(fullList(3, item("a", 1), item("b", 3)), start)
+	newcomer.Apply(fullList(5, item("a", 1), item("c", 5)), start)
 
 	fetch(old, newcomer)
 
