--- a/internal/cwlink/link_test.go
+++ b/internal/cwlink/link_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// TestLargeBody sends and receives bodies that are larger than one write.
+// TestLargeBody checks that bodies larger than one write are sent and received unchanged.
 func TestLargeBody(t *testing.T) {
 	s := newStub(t, func(c net.Conn, req *fasthttp.Request, _ int) bool {
 		resp := fasthttp.Response{}
@@ -244,7 +244,7 @@
 
 	got, err := l.Exchange(context.Background(), carobward.Address(ln.Addr().String()), one)
 	if err != nil || !got.Shed {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("got reply %+v, error %v", got, err)
 	}
 
 	l.Close()
@@ -355,7 +355,7 @@
 			// The server reads the rest only after Exchange has returned.
 			got, err := l.Exchange(context.Background(), to, one)
 			if err != nil || got.Shed != c.shed {
-				t.Errorf("%+v, %v", got, err)
+				t.Errorf("got reply %+v, error %v", got, err)
 			}
 
 			if n, open := connCounts(l, to); n != 0 || open != 0 {
--- a/internal/cwlink/pool_test.go
+++ b/internal/cwlink/pool_test.go
@@ -43,7 +43,7 @@
 	}
 
 	if n, open := connCounts(l, s.Address()); n != 0 || open != 0 {
-		t.Errorf("%d idle and %d open connections", n, open)
+		t.Errorf("%d idle and %d open connections after the cancellation, want none", n, open)
 	}
 }
 
@@ -64,7 +64,7 @@
 
 				reply, err := l.Exchange(ctx, s.Address(), newCall("one"))
 				if err == nil && string(reply.Body) != "body" {
-					t.Errorf("body %q", reply.Body)
+					t.Errorf("got the body %q", reply.Body)
 				}
 
 				cancel()
@@ -83,7 +83,7 @@
 	group.Wait()
 
 	if n, open := connCounts(l, s.Address()); n != open || open > 8 {
-		t.Errorf("%d idle and %d open connections", n, open)
+		t.Errorf("%d idle and %d open connections, want all idle and at most 8", n, open)
 	}
 }
 
@@ -217,7 +217,7 @@
 	}
 
 	if p.open != 0 || len(p.idle) != 0 || len(l.pools) != 0 {
-		t.Errorf("%d open, %d idle, %d pools", p.open, len(p.idle), len(l.pools))
+		t.Errorf("%d open connections, %d of them idle, %d pools; want none", p.open, len(p.idle), len(l.pools))
 	}
 }
 
--- a/internal/cwlink/report.go
+++ b/internal/cwlink/report.go
@@ -61,8 +61,8 @@
 	return r
 }
 
-// Upper bounds of the values in a report. The run, which identifies a server
-// process, may be a Unix time in seconds and has a larger one.
+// Upper bounds of the values in a report. The run identifies a server process and
+// may be a Unix time in seconds, so its bound is higher.
 const (
 	maxCount = 1 << 20
 	maxRun   = 1 << 40
--- a/internal/cwlink/scripts_test.go
+++ b/internal/cwlink/scripts_test.go
@@ -51,7 +51,7 @@
 	ours, naive := scores[0], scores[1]
 	if ours.Calls != seeds*calls || naive.Calls != ours.Calls || len(ours.Faults) != 0 ||
 		naive.Faults[cwtrial.FaultBody] == 0 || naive.Faults[cwtrial.FaultTwice] == 0 {
-		t.Errorf("%v", scores)
+		t.Errorf("want no faults of the Link and both kinds of faults of the naive client: %v", scores)
 	}
 
 	t.Log(scores)
--- a/internal/cwlink/stub_test.go
+++ b/internal/cwlink/stub_test.go
@@ -10,7 +10,7 @@
 	"carobward.example/carobward/internal/cwtest"
 )
 
-// newStub returns a test server that answers as the script says.
+// newStub returns a test server whose replies are written by a script.
 func newStub(t testing.TB, s cwstand.Script) *cwstand.Scripted {
 	t.Helper()
 
