--- a/internal/cwpeer/peer_test.go
+++ b/internal/cwpeer/peer_test.go
@@ -88,6 +88,7 @@
 	return out.Members[0].Id, nil
 }
 
+// TestCall checks the reply or the verdict of a call, depending on the keys of both sides.
 func TestCall(t *testing.T) {
 	const local = "127.0.0.1:0"
 
@@ -157,8 +158,8 @@
 }
 
 // TestCallAfterRestart calls a peer that has restarted on the same address since the last
-// call. A call that fails because the old connection was closed may have arrived; a
-// later one must succeed.
+// call. A call that fails because the old connection was closed may have arrived, so it is
+// not repeated. A later call must succeed.
 func TestCallAfterRestart(t *testing.T) {
 	c := cwpeer.NewClients(cwpeer.Key("k"))
 	defer c.Close()
@@ -250,6 +251,7 @@
 	}
 }
 
+// TestDatagram checks which sealed datagrams Open accepts.
 func TestDatagram(t *testing.T) {
 	loopback := &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 7}
 	remote := &net.UDPAddr{IP: net.IPv4(10, 0, 0, 1), Port: 7}
@@ -274,12 +276,13 @@
 		t.Run(name, func(t *testing.T) {
 			got, err := cwpeer.Key(tt.key).Open(tt.raw, tt.from)
 			if !errors.Is(err, tt.is) || (err == nil && string(got) != "news") {
-				t.Errorf("got %q, %v", got, err)
+				t.Errorf("Open returned %q, error %v", got, err)
 			}
 		})
 	}
 }
 
+// FuzzOpen checks that Open accepts no datagram other than those that Seal produces.
 func FuzzOpen(f *testing.F) {
 	k := cwpeer.Key("k")
 	from := &net.UDPAddr{IP: net.IPv4(10, 0, 0, 1), Port: 7}
