--- a/internal/cwframe/check.go
+++ b/internal/cwframe/check.go
@@ -1,7 +1,7 @@
 // Package cwframe validates the header block of an HTTP/1.1 message more strictly
-// than the HTTP library does. It rejects messages whose framing is ambiguous, where
-// two parsers could disagree on which bytes belong to the message (request
-// smuggling). It also copies header fields out of the library's buffers.
+// than the HTTP library does. It rejects messages whose framing is ambiguous: two
+// parsers could disagree on which bytes belong to the message, which allows request
+// smuggling. It also copies header fields out of the library's buffers.
 package cwframe
 
 import (
--- a/internal/cwframe/copy_test.go
+++ b/internal/cwframe/copy_test.go
@@ -30,6 +30,6 @@
 	}
 
 	if len(other) != 3 || len(Copy(h.All(), func([]byte) bool { return false })) != 0 {
-		t.Errorf("copy of all fields: %v", other)
+		t.Errorf("want all three fields with KeepAll and none without, got %v with KeepAll", other)
 	}
 }
