--- a/internal/cwjson/decode_test.go
+++ b/internal/cwjson/decode_test.go
@@ -44,21 +44,21 @@
 				`f:3:11: "count": want a whole number, got "b"` + "\n" +
 				`f:4:24: "parts[1].key": want text in quotes, got 1`,
 		},
-		"a key in different case": {text: `{"Name": "a"}`, err: `f:1:2: "Name": unknown key, did you mean "name"?`},
-		"a key unlike any":        {text: `{"weight": 1}`, err: `f:1:2: "weight": unknown key, want one of count, name, part, parts, share, wait`},
-		"a key twice":             {text: `{"count": 1, "count": 2}`, err: `f:1:14: "count": want each key once, this is its second time`},
-		"a key twice, escaped":    {text: `{"count": 1, "coun\u0074": 2}`, err: `f:1:14: "count": want each key once, this is its second time`},
-		"null":                    {text: `{"part": null}`, err: `f:1:10: "part": want a value, got null; leave the key out for its default`},
-		"a fraction":              {text: `{"count": 1.5}`, err: `f:1:11: "count": want a whole number, got 1.5`},
-		"too large a number":      {text: `{"share": 1e999}`, err: `f:1:11: "share": want a number, got 1e999`},
-		"a list for text":         {text: `{"name": []}`, err: `f:1:10: "name": want text in quotes, got a list in [ ]`},
-		"text for a list":         {text: `{"parts": "a"}`, err: `f:1:11: "parts": want a list in [ ], got "a"`},
-		"a number for keys":       {text: `{"part": 7}`, err: `f:1:10: "part": want keys in { }, got 7`},
-		"a bad duration":          {text: `{"wait": 5}`, err: `f:1:10: "wait": want a duration in quotes such as "250ms", got 5`},
-		"trailing data":           {text: `{} {}`, err: `f: line 1, column 4: invalid character '{' after top-level value`},
-		"empty":                   {text: ``, err: `f: line 2, column 1: parsing value: unexpected EOF`},
-		"not UTF-8":               {text: "{\"name\": \"\xff\"}", err: `f: want UTF-8`},
-		"nested too deeply":       {text: strings.Repeat("[", 99), err: `f: want at most 64 brackets open at once, got 99`},
+		"a key in different case":   {text: `{"Name": "a"}`, err: `f:1:2: "Name": unknown key, did you mean "name"?`},
+		"a key unlike any":          {text: `{"weight": 1}`, err: `f:1:2: "weight": unknown key, want one of count, name, part, parts, share, wait`},
+		"a key twice":               {text: `{"count": 1, "count": 2}`, err: `f:1:14: "count": want each key once, this is its second time`},
+		"a key twice, escaped":      {text: `{"count": 1, "coun\u0074": 2}`, err: `f:1:14: "count": want each key once, this is its second time`},
+		"null":                      {text: `{"part": null}`, err: `f:1:10: "part": want a value, got null; leave the key out for its default`},
+		"a fraction":                {text: `{"count": 1.5}`, err: `f:1:11: "count": want a whole number, got 1.5`},
+		"too large a number":        {text: `{"share": 1e999}`, err: `f:1:11: "share": want a number, got 1e999`},
+		"a list in place of text":   {text: `{"name": []}`, err: `f:1:10: "name": want text in quotes, got a list in [ ]`},
+		"text in place of a list":   {text: `{"parts": "a"}`, err: `f:1:11: "parts": want a list in [ ], got "a"`},
+		"a number in place of keys": {text: `{"part": 7}`, err: `f:1:10: "part": want keys in { }, got 7`},
+		"a bad duration":            {text: `{"wait": 5}`, err: `f:1:10: "wait": want a duration in quotes such as "250ms", got 5`},
+		"trailing data":             {text: `{} {}`, err: `f: line 1, column 4: invalid character '{' after top-level value`},
+		"empty":                     {text: ``, err: `f: line 2, column 1: parsing value: unexpected EOF`},
+		"not UTF-8":                 {text: "{\"name\": \"\xff\"}", err: `f: want UTF-8`},
+		"nested too deeply":         {text: strings.Repeat("[", 99), err: `f: want at most 64 brackets open at once, got 99`},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -107,7 +107,7 @@
 
 		if json.Valid(raw) {
 			if err := json.Unmarshal(raw, &want); err != nil {
-				t.Fatalf("accepted, but encoding/json says %v", err)
+				t.Fatalf("accepted, but encoding/json returns the error %v", err)
 			}
 
 			if diff := cmp.Diff(want, got); diff != "" {
--- a/internal/cwjson/problem.go
+++ b/internal/cwjson/problem.go
@@ -14,7 +14,7 @@
 	Place string
 	// Key is the path of the key, such as "listen.callers".
 	Key string
-	// Text says what is expected and what was found.
+	// Text states what is expected and what was found.
 	Text string
 }
 
