--- a/internal/cwstand/platform.go
+++ b/internal/cwstand/platform.go
@@ -1,6 +1,6 @@
 // Package cwstand provides stand-ins for the systems around carobward: the
 // platform (key-value service and VM list), the users' metadata store, backend
-// servers, and proxies that disturb connections. Tests, the demo and experiments
+// servers, and proxies that inject faults into connections. Tests, the demo and experiments
 // use them.
 package cwstand
 
--- a/internal/cwstand/server_count.go
+++ b/internal/cwstand/server_count.go
@@ -15,8 +15,8 @@
 	"carobward.example/carobward/internal/cwsocket"
 )
 
-// Counts are the counters of a stand-in server. The cost of measuring is counted
-// here rather than at the entry VMs, so that no call is missed.
+// Counts are the counters of a stand-in server. The cost of health checks and load
+// reports is counted here rather than at the entry VMs, so that no call is missed.
 type Counts struct {
 	// Began and Ran count the calls that got a slot and those that completed.
 	Began, Ran int64
@@ -24,7 +24,7 @@
 	// on another one that shares its ledger.
 	Repeats int64
 	// Shed, Failed and Cancelled count the calls that were refused, that failed
-	// fast, and whose sender disconnected before they completed.
+	// at once, and whose sender disconnected before they completed.
 	Shed, Failed, Cancelled int64
 	// Opened counts the connections accepted, Refused those over the limit.
 	Opened, Refused int64
--- a/internal/cwstand/upstream.go
+++ b/internal/cwstand/upstream.go
@@ -299,7 +299,7 @@
 	return u.answerRun(c, mode, header("Request-Id"), load)
 }
 
-// crash has the effect of a crash of the server's process.
+// crash simulates a crash of the server's process.
 func (u *Upstream) crash() {
 	u.mutex.Lock()
 	onCrash := u.onCrash
