--- a/internal/cwtest/process.go
+++ b/internal/cwtest/process.go
@@ -19,7 +19,7 @@
 )
 
 // The timeout and the polling interval of Wait. The timeout is long because a
-// loaded machine may be slow; a condition that comes true ends the wait early.
+// loaded machine may be slow. Wait returns as soon as the condition is true.
 const (
 	MaxWait      = 30 * time.Second
 	pollInterval = 10 * time.Millisecond
