--- a/internal/cwsite/site.go
+++ b/internal/cwsite/site.go
@@ -32,23 +32,23 @@
 }
 
 // Process returns the entry VM's current process.
-func (g *EntryVM) Process() *cwtest.Process {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+func (v *EntryVM) Process() *cwtest.Process {
+	v.mutex.Lock()
+	defer v.mutex.Unlock()
 
-	return g.process
+	return v.process
 }
 
 // IsReady reports whether the readiness endpoint answers with status 200.
-func (g *EntryVM) IsReady() bool {
-	status, _, err := fasthttp.Get(nil, "http://"+string(g.Ready)+platform.PathReady)
+func (v *EntryVM) IsReady() bool {
+	status, _, err := fasthttp.Get(nil, "http://"+string(v.Ready)+platform.PathReady)
 
 	return err == nil && status == fasthttp.StatusOK
 }
 
 // Site is a set of entry VMs with a stand-in for the platform's metadata store.
 type Site struct {
-	// Store is the stand-in, StoreProxy the proxy by which entry VMs reach it.
+	// Store is the stand-in, StoreProxy the proxy through which entry VMs reach it.
 	Store      *cwstand.MetadataStore
 	StoreProxy *cwstand.Proxy
 	VMs        []*EntryVM
@@ -93,25 +93,26 @@
 	return 0
 }
 
-// New builds the program and starts a store. The entry VMs get the addresses 127.NET.0.1
+// New builds cmd/cwgateway and starts a store. The argument grace is the setting
+// terms.bounds.grace of all entry VMs. The entry VMs get the addresses 127.NET.0.1
 // and up in a loopback network reserved for the site.
 func New(t testing.TB, grace string) *Site {
 	t.Helper()
 
-	g := &Site{Store: cwstand.NewMetadataStore(), program: cwtest.Build(t, "cmd/cwgateway"), network: reserveNetwork(t), grace: grace}
-	address := cwtest.Serve(t, g.Store.Serve, g.Store.Stop)
-	g.StoreProxy = cwstand.NewProxy(cwtest.Listen(t), address)
-	t.Cleanup(g.StoreProxy.Close)
+	s := &Site{Store: cwstand.NewMetadataStore(), program: cwtest.Build(t, "cmd/cwgateway"), network: reserveNetwork(t), grace: grace}
+	address := cwtest.Serve(t, s.Store.Serve, s.Store.Stop)
+	s.StoreProxy = cwstand.NewProxy(cwtest.Listen(t), address)
+	t.Cleanup(s.StoreProxy.Close)
 
-	return g
+	return s
 }
 
 // Start starts another entry VM.
-func (g *Site) Start(t testing.TB) *EntryVM {
+func (s *Site) Start(t testing.TB) *EntryVM {
 	t.Helper()
 
-	n := len(g.VMs) + 1
-	ip := fmt.Sprintf("127.%d.0.%d", g.network, n)
+	n := len(s.VMs) + 1
+	ip := fmt.Sprintf("127.%d.0.%d", s.network, n)
 	at := func(port int) carobward.Address { return carobward.Address(net.JoinHostPort(ip, fmt.Sprint(port))) }
 	v := &EntryVM{ID: fmt.Sprintf("vm-%d", n), Callers: at(portCallers), Ready: at(portReady), Lookup: at(portLookup)}
 
@@ -139,7 +140,7 @@
 probes_per_s = 60
 warmup_overshoot = 1.5
 warmup_slack = 8
-`, v.ID, n%3, g.network, portPeers, g.network, portPeers, v.Callers, v.Ready, at(portPeers), v.Lookup, g.StoreProxy.Address(), g.grace)
+`, v.ID, n%3, s.network, portPeers, s.network, portPeers, v.Callers, v.Ready, at(portPeers), v.Lookup, s.StoreProxy.Address(), s.grace)
 
 	v.Settings = filepath.Join(t.TempDir(), v.ID+".toml")
 
@@ -148,18 +149,18 @@
 		t.Fatal(err)
 	}
 
-	g.VMs = append(g.VMs, v)
-	g.Restart(t, v)
+	s.VMs = append(s.VMs, v)
+	s.Restart(t, v)
 
 	return v
 }
 
 // Restart starts the process of an entry VM that has none or whose last one has exited.
-func (g *Site) Restart(t testing.TB, v *EntryVM) {
+func (s *Site) Restart(t testing.TB, v *EntryVM) {
 	t.Helper()
 
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 
-	v.process = cwtest.StartWithEnv(t, []string{"CAROBWARD_BOOT=" + v.Settings}, g.program)
+	v.process = cwtest.StartWithEnv(t, []string{"CAROBWARD_BOOT=" + v.Settings}, s.program)
 }
