--- a/test/config/config_test.go
+++ b/test/config/config_test.go
@@ -1,4 +1,4 @@
-// Package config tests how the operators' configuration withstands failures. Entry
+// Package config tests that the operators' configuration survives failures. Entry
 // VMs, platform and servers run as separate processes.
 package config
 
@@ -137,8 +137,8 @@
 }
 
 // TestFrozenAndKilled applies a change through an entry VM that is killed right after,
-// while others are frozen. The remaining entry VMs must get the change, and the frozen
-// ones as soon as they run again.
+// while others are frozen by SIGSTOP. The remaining entry VMs must get the change, and
+// the frozen ones as soon as they run again.
 func TestFrozenAndKilled(t *testing.T) {
 	t.Parallel()
 
--- a/test/gateway/process_test.go
+++ b/test/gateway/process_test.go
@@ -1,4 +1,5 @@
-// Package gateway tests the program cwgateway as separate processes.
+// Package gateway tests the program cwgateway, with each entry VM in a process of its
+// own.
 package gateway
 
 import (
@@ -38,7 +39,7 @@
 	return g, u
 }
 
-// send sends a request and returns the status of the reply, or 0 without one.
+// send sends a request and returns the status of the reply, or 0 if there is no reply.
 func send(v *cwsite.EntryVM, id string) int {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 
@@ -125,7 +126,7 @@
 			})
 
 			if status := send(v, "one"); status != http.StatusOK {
-				t.Errorf("status %d", status)
+				t.Errorf("status %d after the reload", status)
 			}
 		})
 	}
@@ -169,6 +170,6 @@
 	cwtest.Wait(t, "the restarted entry VM is ready", v.IsReady)
 
 	if status := send(v, "again"); status != http.StatusOK || len(u.Runs()) != 1 {
-		t.Errorf("status %d, %d runs", status, len(u.Runs()))
+		t.Errorf("status %d after the restart, the server ran %d requests", status, len(u.Runs()))
 	}
 }
--- a/test/leave/budget_test.go
+++ b/test/leave/budget_test.go
@@ -28,15 +28,16 @@
 	return s
 }
 
-// measuringCost returns the calls and bytes of measuring between two samples.
-func measuringCost(a, b sample) (calls, bytes int64) {
+// measurementCost returns the calls of health checks, and the bytes of health checks and load
+// reports, between two samples.
+func measurementCost(a, b sample) (calls, bytes int64) {
 	c, d := a.counts, b.counts
 
 	return d.Probes - c.Probes, d.ProbeBytes + d.ReportBytes - c.ProbeBytes - c.ReportBytes
 }
 
 // TestMeasuringBudget checks that health checks and load reports stay within the configured
-// budget in each second, as counted by the servers, under load, while one entry VM is
+// measurement budget in each second, as counted by the servers, under load, while one entry VM is
 // frozen and resumed and another one joins.
 func TestMeasuringBudget(t *testing.T) {
 	t.Parallel()
@@ -66,8 +67,8 @@
 	samples := []sample{readSample(t, servers)}
 	worstCalls, worstBytes := int64(0), int64(0)
 
-	// waitMeasured waits until measuring has used that many more bytes, and updates the
-	// worst second.
+	// waitMeasured waits until health checks and load reports have used that many more bytes,
+	// and updates the worst second.
 	waitMeasured := func(what string, more int64) {
 		first := samples[len(samples)-1]
 
@@ -76,23 +77,23 @@
 			samples = append(samples, now)
 
 			for i := len(samples) - 1; i >= 0 && now.to.Sub(samples[i].from) < time.Second; i-- {
-				c, b := measuringCost(samples[i], now)
+				c, b := measurementCost(samples[i], now)
 				worstCalls, worstBytes = max(worstCalls, c), max(worstBytes, b)
 			}
 
-			_, b := measuringCost(first, now)
+			_, b := measurementCost(first, now)
 
 			return b >= more
 		})
 	}
 
-	waitMeasured("measuring", phase)
+	waitMeasured("health checks and load reports", phase)
 	f.VMs["vm-2"].Process.Signal(t, syscall.SIGSTOP)
-	waitMeasured("measuring with a frozen entry VM", phase)
+	waitMeasured("health checks and load reports with a frozen entry VM", phase)
 	f.VMs["vm-2"].Process.Signal(t, syscall.SIGCONT)
 	f.StartVM(t, "vm-4", "Azilal")
 	f.PublishList(t)
-	waitMeasured("measuring with another entry VM", phase)
+	waitMeasured("health checks and load reports with another entry VM", phase)
 
 	// Requests in flight at the frozen entry VM may fail.
 	_ = stopLoad()
--- a/test/leave/drain_test.go
+++ b/test/leave/drain_test.go
@@ -1,4 +1,4 @@
-// Package leave tests the draining of servers and the measuring budget with separate
+// Package leave tests the draining of servers and the measurement budget with separate
 // processes.
 package leave
 
@@ -100,8 +100,8 @@
 	return last.Sub(start)
 }
 
-// waitLeaving waits until an entry VM lists a server as leaving, with that source, or
-// does not list it so if want is false.
+// waitLeaving waits until an entry VM lists a server as leaving because of the given
+// source, an operator or the server itself, or until it doesn't if want is false.
 func (f fleet) waitLeaving(t *testing.T, vm, server, source string, want bool) {
 	t.Helper()
 
@@ -132,9 +132,9 @@
 }
 
 // startLoad sends lookups through each entry VM until the returned function is called, which
-// describes a failed request, or returns "" if there is none. A reply that says that the
-// request did not run is no failure: a draining server sheds the requests that were on
-// their way to it, and the entry VM may have no retry left for them.
+// returns the description of a failed request, or "" if there is none. A reply with the
+// verdict not-run is no failure: a draining server sheds the requests that were on their
+// way to it, and the entry VM may have no retry left for them.
 func (f fleet) startLoad() func() string {
 	var (
 		group   sync.WaitGroup
@@ -268,7 +268,7 @@
 	})
 }
 
-// TestServerStops makes two servers announce that they leave, and stops them under load.
+// TestServerStops makes two servers announce that they are leaving, and stops them under load.
 // No request may fail, and all entry VMs must know while the servers are still in the VM
 // list.
 func TestServerStops(t *testing.T) {
--- a/test/once/fleet_test.go
+++ b/test/once/fleet_test.go
@@ -121,7 +121,7 @@
 	f.StartVMAt(t, vmName(i), *old)
 }
 
-// reply has the parts of a reply that matter to the caller.
+// reply has the parts of a reply that the tests check.
 type reply struct {
 	verdict, ticket, body string
 	status                int
--- a/test/once/owner_test.go
+++ b/test/once/owner_test.go
@@ -56,10 +56,10 @@
 	checkUnknown("another entry VM", 1)
 	release()
 	checkUnknown("another entry VM, after the work", 2)
-	checkUnknown("again", 1)
+	checkUnknown("the first of them again", 1)
 
 	if n := f.server.ran("fee"); n != 1 {
-		t.Errorf("%d runs", n)
+		t.Errorf("the fee ran %d times", n)
 	}
 }
 
@@ -72,7 +72,7 @@
 
 	ticket := f.prefix(t) + ".1"
 	if got := f.send(0, "fee", ticket); got.verdict != "ran" {
-		t.Fatalf("%+v", got)
+		t.Fatalf("first attempt: %+v", got)
 	}
 
 	f.replace(t, 0)
@@ -85,12 +85,12 @@
 	}
 
 	if n := f.server.ran("fee"); n != 1 {
-		t.Errorf("%d runs", n)
+		t.Errorf("the fee ran %d times", n)
 	}
 }
 
-// TestOwnerFrozen freezes the ticket's owner during the work and resumes it. Retries must be
-// answered as unknown while the owner is frozen, and with the outcome afterwards.
+// TestOwnerFrozen freezes the ticket's owner by SIGSTOP during the work and resumes it. Retries
+// must be answered as unknown while the owner is frozen, and with the outcome afterwards.
 func TestOwnerFrozen(t *testing.T) {
 	t.Parallel()
 
@@ -128,7 +128,7 @@
 	}
 
 	if n := f.server.ran("fee"); n != 1 {
-		t.Errorf("%d runs", n)
+		t.Errorf("the fee ran %d times", n)
 	}
 }
 
@@ -180,7 +180,7 @@
 		}
 
 		if n := f.server.ran(body); n != 1 {
-			t.Errorf("%s: %d runs", body, n)
+			t.Errorf("%s: ran %d times", body, n)
 		}
 	}
 
@@ -221,7 +221,7 @@
 		verdicts[v.String()]++
 
 		if ran := f.server.ran(body); ran > 1 || (v == carobward.Ran && ran != 1) || (v == carobward.NotRun && ran != 0) {
-			t.Errorf("%s: %d runs, verdict %s", body, ran, v)
+			t.Errorf("%s: ran %d times, verdict %s", body, ran, v)
 		}
 	}
 
--- a/test/path/member_test.go
+++ b/test/path/member_test.go
@@ -10,7 +10,7 @@
 	"carobward.example/carobward/internal/cwtest"
 )
 
-// waitState waits until each of the given entry VMs shows a VM in a state.
+// waitState waits until the status of each of the given entry VMs shows a VM in a state.
 func waitState(t *testing.T, f *cwtest.Fleet, by []string, vm, state string) {
 	t.Helper()
 
@@ -25,7 +25,7 @@
 	}
 }
 
-// TestMembers freezes an entry VM until its peers take it for dead and resumes it, kills it
+// TestMembers freezes an entry VM until its peers consider it dead and resumes it, kills it
 // and starts it again on the same addresses, and starts one with another key, which the
 // others must refuse.
 func TestMembers(t *testing.T) {
@@ -84,7 +84,7 @@
 	old.Process.Signal(t, syscall.SIGCONT)
 
 	if err := old.Process.Wait(t); err == nil || err.Error() != "exit status 1" {
-		t.Errorf("exit: %v", err)
+		t.Errorf("the old process exited with %v", err)
 	}
 
 	if !strings.Contains(old.Process.Output(), "A later run of this VM has taken its place.") {
--- a/test/path/observe_test.go
+++ b/test/path/observe_test.go
@@ -52,8 +52,8 @@
 	Parent      struct{ SpanID string }
 }
 
-// spans returns the spans of a trace in a process's output, each as parent/name, such as
-// "request/attempt". It adds their names to names, by span ID.
+// spans returns the spans of a trace in a process's output, each as the name of its parent
+// and its own, such as "request/attempt". It adds their names to names, by span ID.
 func spans(output, trace string, names map[string]string) []string {
 	var all []span
 
@@ -102,7 +102,7 @@
 	f.WaitRevision(t, 1, 2)
 
 	if status, body := send(t, "GET", "http://"+one.Operators+"/ready", lookupTrace, ""); status != fasthttp.StatusOK {
-		t.Errorf("ready: %d %s", status, body)
+		t.Errorf("readiness: status %d, %s", status, body)
 	}
 
 	_, body := send(t, "GET", "http://"+one.Lookup+"/addresses?caller=a", lookupTrace, "")
@@ -116,7 +116,7 @@
 	send(t, "GET", "http://"+one.Callers+"/sheets/../fees", lookupTrace, "")
 
 	if status, body := send(t, "POST", "http://"+two.Callers+"/fees", feeTrace, answer.Ticket+".1"); status != fasthttp.StatusOK {
-		t.Fatalf("fee: %d %s", status, body)
+		t.Fatalf("fee: status %d, %s", status, body)
 	}
 
 	checkMetrics(t, one)
--- a/test/path/path_test.go
+++ b/test/path/path_test.go
@@ -29,7 +29,8 @@
 	return f
 }
 
-// TestWholePath sends a lookup and a fee and changes the targets, with separate processes.
+// TestWholePath checks the replies to a lookup and a fee, and that a change of the targets
+// takes effect on all entry VMs. In the end one entry VM must stop gracefully.
 func TestWholePath(t *testing.T) {
 	f := newFleet(t)
 	first := f.VMs["vm-1"]
--- a/test/path/stop_test.go
+++ b/test/path/stop_test.go
@@ -25,7 +25,8 @@
 }
 
 // newStopFleet starts three entry VMs of one failure domain with additional settings, and
-// adds the address of the server that charges fees.
+// two servers for lookups. The argument billing is the address of the server that charges
+// fees.
 func newStopFleet(t *testing.T, more, billing string) *cwtest.Fleet {
 	t.Helper()
 
@@ -122,7 +123,7 @@
 	}
 
 	if err := old.Process.Wait(t); (err != nil) != immediate {
-		t.Errorf("exit: %v", err)
+		t.Errorf("the process exited with %v", err)
 	}
 
 	f.StartVMAt(t, "vm-1", *old, more)
@@ -189,10 +190,10 @@
 	}
 
 	if err := n.Process.Wait(t); err == nil || err.Error() != "exit status 1" {
-		t.Errorf("exit: %v", err)
+		t.Errorf("the process exited with %v", err)
 	}
 
 	if !strings.Contains(n.Process.Output(), "Requests in flight are given up at the bound.") {
-		t.Error("the time limit is not logged")
+		t.Error("the log does not show that the request in flight was given up")
 	}
 }
--- a/test/soak/history_test.go
+++ b/test/soak/history_test.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// check checks each result against the runs at the servers and the guarantees given to
-// callers.
+// check compares each result with the runs at the servers: they must fit the guarantees
+// given to callers.
 func (h *history) check(t *testing.T, w *world) {
 	t.Helper()
 
--- a/test/soak/limit_test.go
+++ b/test/soak/limit_test.go
@@ -13,7 +13,7 @@
 
 // checkLimit makes a server announce a rate limit under the load of all callers. Once limitFirst
 // has passed, the server may get at most 1.5 times the limit and 5 requests more in any
-// limitWindow, which is what the users allow. Then the limit is lifted, and the server must
+// limitWindow, as the users require. Then the limit is lifted, and the server must
 // get more requests again.
 func (w *world) checkLimit(t *testing.T) {
 	t.Helper()
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -27,7 +27,7 @@
 	steps = flag.Int("steps", 24, "how many faults and changes a seed has")
 )
 
-// regressions are seeds to run always, since they have failed before, with the cause.
+// regressions are seeds that failed before and are always run, with the cause of the failure.
 var regressions = map[uint64]string{}
 
 const (
@@ -72,7 +72,7 @@
 	evacuated map[carobward.Domain]bool
 	// versions has the version of the configuration last seen at each process.
 	versions map[*cwtest.Process]int
-	// crashes counts the server processes that crashed while they ran a request.
+	// crashes is the number of server processes that crashed while they ran a request.
 	crashes atomic.Int64
 }
 
@@ -114,7 +114,7 @@
 	w.history.check(t, w)
 }
 
-// invalidEntries are invalid entries, as a faulty writer might leave them.
+// invalidEntries are invalid values of keys in the store, as a faulty writer might leave them.
 var invalidEntries = []string{"", "{}", "\x00", `{"address":"127.0.0.1:9","info":{"service":"records","zone":"a","slots":"4"}}`}
 
 // configure writes the next configuration. A route that only this configuration has makes it
@@ -196,7 +196,8 @@
 	<-time.After(time.Duration(50+w.random.IntN(300)) * time.Millisecond)
 }
 
-// replace sends SIGHUP and then a signal that ends a process, and starts the next process.
+// replace sends SIGHUP and then a signal that ends the process of an entry VM, and starts the
+// next one.
 func (w *world) replace(t *testing.T, v *cwsite.EntryVM, s syscall.Signal) {
 	t.Helper()
 
@@ -211,7 +212,7 @@
 	w.Restart(t, v)
 }
 
-// pause freezes a process for a random time.
+// pause freezes the process of an entry VM for a random time.
 func (w *world) pause(t *testing.T, v *cwsite.EntryVM) {
 	t.Helper()
 
@@ -256,7 +257,7 @@
 
 	for _, v := range w.VMs {
 		if text := v.Process().Output(); strings.Contains(text, "panic:") || strings.Contains(text, "DATA RACE") {
-			t.Errorf("%s: %s", v.ID, text)
+			t.Errorf("%s panicked or has a data race: %s", v.ID, text)
 		}
 	}
 }
@@ -264,7 +265,7 @@
 // checkPoison sends the request that crashes servers through each entry VM until all of them
 // refuse it, and checks that no more than three later sends crash a server. The rule is that
 // after the third crash at most three sends reach servers, apart from those sent before all
-// entry VMs know of the crashes. All faults have been removed by then.
+// entry VMs know of the crashes. All other faults must have been removed before.
 func (w *world) checkPoison(t *testing.T) {
 	t.Helper()
 
@@ -286,8 +287,8 @@
 	}
 
 	if n := w.crashes.Load() - before; n > maxCrashes {
-		t.Errorf("%d servers had crashed when the request was refused, and it crashed %d more", before, n)
+		t.Errorf("%d servers had crashed when all entry VMs refused the request, and it crashed %d more", before, n)
 	}
 
-	t.Logf("%d servers crashed, %d of them after the request was refused", w.crashes.Load(), w.crashes.Load()-before)
+	t.Logf("%d servers crashed, %d of them after all entry VMs had refused the request", w.crashes.Load(), w.crashes.Load()-before)
 }
