--- a/internal/cwfollow/order_test.go
+++ b/internal/cwfollow/order_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// fleetOf returns what an entry VM knows of a fleet.
+// fleetOf returns the state of a fleet as an entry VM of it sees it.
 func fleetOf(self cwmesh.Node, all []cwmesh.Peer) *fleet {
 	f := &fleet{self: self}
 	sizes := map[carobward.Domain]int{}
@@ -150,8 +150,8 @@
 }
 
 // TestStaleHerd guards against a stampede after the store was silent for 1.55 s. Entry VMs that
-// queried it before the silence ends get no answer; the first answer after that reaches all. Few
-// may have queried by then: each one lists a thousand keys, which fills a small entry VM's link for
+// query it before the silence ends get no answer, and the first answer after that reaches all entry
+// VMs. Few may have queried the store by then: each one lists a thousand keys, which fills a small entry VM's link for
 // a tenth of a second.
 func TestStaleHerd(t *testing.T) {
 	const (
--- a/internal/cwfollow/outage.go
+++ b/internal/cwfollow/outage.go
@@ -30,7 +30,7 @@
 	return now.Before(f.deferUntil)
 }
 
-// setStoreDown tells the peers whether this entry VM gets no answers from the store.
+// setStoreDown reports to the peers whether this entry VM gets no answers from the store.
 func (f *Follower) setStoreDown(down bool) {
 	if f.Mesh.SetStoreDown(down) {
 		f.Mesh.HeartbeatDomain()
