--- a/internal/cwmirror/era_test.go
+++ b/internal/cwmirror/era_test.go
@@ -261,7 +261,7 @@
 
 // TestReleasedStaysGone guards against entries that reappear: a peer keeps an entry that the store
 // lacks because it may have expired in an outage. Once its time is over here, neither the peer,
-// whose time ends a little later, nor the next era may bring it back.
+// whose time ends a little later, nor the next era may make it effective again.
 func TestReleasedStaysGone(t *testing.T) {
 	m := newMirror()
 	m.Apply(inEra(2, fullList(7, ranked("a", 1, 1))), start)
