--- a/internal/cwlink/stream_test.go
+++ b/internal/cwlink/stream_test.go
@@ -20,8 +20,8 @@
 // ones, and replies with buffered bodies.
 func TestStream(t *testing.T) {
 	const (
-		least = 1000
-		large = 100_000
+		minStream = 1000
+		large     = 100_000
 	)
 
 	for name, c := range map[string]struct {
@@ -34,8 +34,8 @@
 		"large body":                    {200, large, large, "", 0, streamResult{true, large, nil, 1}},
 		"connection is closed after it": {200, large, large, "Connection: close\r\n", 0, streamResult{true, large, nil, 0}},
 		"truncated body":                {200, large, large / 2, "", 0, streamResult{true, large / 2, ErrTruncatedBody, 0}},
-		"reader stops early":            {200, large, large, "", least, streamResult{true, least, nil, 0}},
-		"small body":                    {200, least - 1, least - 1, "", 0, streamResult{false, least - 1, nil, 1}},
+		"reader stops early":            {200, large, large, "", minStream, streamResult{true, minStream, nil, 0}},
+		"small body":                    {200, minStream - 1, minStream - 1, "", 0, streamResult{false, minStream - 1, nil, 1}},
 		"large error reply":             {500, large, large, "", 0, streamResult{false, large, nil, 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -49,7 +49,7 @@
 			l := newLink(t)
 
 			one := newCall("one")
-			one.MaxReply, one.Stream = carobward.Megabyte, least
+			one.MaxReply, one.Stream = carobward.Megabyte, minStream
 
 			reply, err := exchange(l, s, one)
 			if err != nil {
