--- a/internal/cwfollow/order_test.go
+++ b/internal/cwfollow/order_test.go
@@ -151,8 +151,8 @@
 
 // TestStaleHerd guards against a stampede after the store was silent for 1.55 s. Entry VMs that
 // query it before the silence ends get no answer, and the first answer after that reaches all entry
-// VMs. Few may have queried the store by then: each one lists a thousand keys, which fills a small entry VM's link for
-// a tenth of a second.
+// VMs. Few may have queried the store by then: each one lists a thousand keys, which fills a small
+// entry VM's link for a tenth of a second.
 func TestStaleHerd(t *testing.T) {
 	const (
 		vms    = 472
