--- a/cmd/carobward/bench_worst.go
+++ b/cmd/carobward/bench_worst.go
@@ -83,7 +83,8 @@
 		share(r.Failed, r.Calls), share(r.Retried, r.Calls), r.P99.Milliseconds())
 }
 
-// ways returns the ways that the flags select, or all if they select none.
+// ways returns the ways to assign requests to servers that the flags select, or all if
+// they select none.
 func (c *benchWorstCommand) ways() ([]cwbench.Way, error) {
 	var selected []cwbench.Way
 
--- a/internal/cwattempt/waits.go
+++ b/internal/cwattempt/waits.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// The parameters of what is learned about a route's callers.
+// The parameters of the estimate for a route's callers.
 const (
 	// maxSamples is how many callers are remembered: those of some seconds at one entry
 	// VM, enough for quantiles and few enough to follow a change.
@@ -21,12 +21,13 @@
 	// attempts.
 	highQuantile = 0.95
 	midQuantile  = 0.5
-	// widenFactor extrapolates from the distance of the middle below the highest wait to
-	// that of the shortest wait, as if the waits of first attempts were spread evenly.
+	// widenFactor extrapolates the distance between the two quantiles to that between
+	// highQuantile and the shortest wait, as if the waits of first attempts were distributed
+	// uniformly.
 	widenFactor = highQuantile / (highQuantile - midQuantile)
 	// initialSpread is the spread of the waits of first attempts, as a fraction of the
-	// highest, until enough samples are there. maxSpread limits what is learned: after the
-	// loss of all entry VMs most callers are retrying.
+	// highest, until there are minSamples. maxSpread bounds the estimate: after the loss of
+	// all entry VMs most callers are retrying, so that the samples are too low.
 	initialSpread = 0.2
 	maxSpread     = 0.33
 	// transitFraction is the fraction of a wait that a request may have spent on the way
@@ -73,8 +74,8 @@
 // Age returns how long ago the first attempt of a caller was that still waits for left, or
 // zero if this is probably the first.
 //
-// If callers wait for 0.85 to 1 of two seconds, under one in ten first attempts on a route
-// is mistaken for a retry. With a fixed bound at 0.95 of the longest wait, it would be two
+// If callers' waits are between 0.85 and 1 times two seconds, under one in ten first attempts
+// on a route is mistaken for a retry. With a fixed bound at 0.95 of the longest wait, it would be two
 // in three.
 func (w *Waits) Age(left time.Duration) time.Duration {
 	if left >= w.shortest {
--- a/internal/cwbackend/announcement.go
+++ b/internal/cwbackend/announcement.go
@@ -166,7 +166,8 @@
 }
 
 // Announcements returns what servers announced that other entry VMs may lack: what they
-// announced to this entry VM recently, or for a newcomer everything that holds.
+// announced to this entry VM recently, or everything that holds if the recipient is a
+// new entry VM.
 func (t *Table) Announcements(now time.Time, newcomer bool) carobward.Announcements {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
--- a/internal/cwbackend/limit.go
+++ b/internal/cwbackend/limit.go
@@ -9,10 +9,11 @@
 )
 
 // An overloaded server announces how many requests a second it takes from all entry VMs
-// together. This limit is divided, see sharers: each entry VM with a share sends its part in a
-// window that is long enough for limitOwners shares. The mean rate in each window is then
-// below the limit, and few requests come at its start. Entry VMs without a share, and all of
-// other failure domains, send nothing while the limit is known to hold.
+// together. This limit is divided among some entry VMs of the server's failure domain, see
+// sharers: each of them may send a fixed number of requests in a window of time. The window is
+// long enough that the limit allows limitOwners requests in it. The mean rate in each window is
+// then below the limit, and few requests come at its start. All other entry VMs send nothing
+// while the limit is known to hold, except for the checks of limitRecheck.
 
 // The parameters of limits.
 const (
@@ -20,14 +21,14 @@
 	// exist, so that the server stays in use when some of them have no callers or are lost.
 	limitOwners = 4
 	// limitRecheck is how long after the last announcement of a limit an entry VM without a
-	// share sends the server a request to check it: the limit may have been lifted without any
-	// entry VM being told. Entry VMs of three failure domains together send 0.1 a second for
-	// that. For limits below one a second the time is longer in proportion, down to a limit of
-	// minRecheckRate.
+	// share sends the server a request to check it: the limit may have been lifted without an
+	// announcement. In a fleet of three failure domains these checks add up to 0.1 requests a
+	// second. For limits below one a second the time is longer in proportion, down to a limit
+	// of minRecheckRate.
 	limitRecheck   = 30 * time.Second
 	minRecheckRate = 0.25
-	// limitRecheckStep is the delay between the checks of successive entry VMs by hash, so
-	// that the result of one reaches the others before their turn.
+	// limitRecheckStep is the delay between the checks of entry VMs that follow each other in
+	// the ranking by hash, so that the result of one reaches the others before their turn.
 	limitRecheckStep = 2 * time.Second
 	// minLimitRate and maxLimitRate are the range of rates that are divided. Less than about
 	// one request in a quarter of an hour counts as zero; a server that takes more than the
@@ -112,16 +113,16 @@
 		// only count where no limit is known yet.
 		return false
 	case from == ByHealthCheck && !w.Limit.Present:
-		// If its answers to health checks have not stated the limit, one without a limit does
-		// not lift it.
+		// An answer to a health check that states no limit lifts the limit only if earlier
+		// answers to health checks stated it.
 		return l.inHealth
 	default:
 		return true
 	}
 }
 
-// bound returns how many requests all entry VMs together send to a server with a limit in
-// which window.
+// bound returns the number of requests that all entry VMs together may send to a server with
+// this limit, and the window of time for that number.
 func (l *limit) bound() (int, time.Duration) {
 	rate := dividedShare * float64(l.Rate)
 	if total := rate * minWindow.Seconds(); total >= limitOwners {
@@ -170,7 +171,7 @@
 }
 
 // limits returns the limits that other entry VMs may lack: those that servers announced to
-// this entry VM recently, or for a newcomer all that hold.
+// this entry VM recently, or all that hold if the recipient is a new entry VM.
 func limits(announcing map[carobward.Instance]*Server, now time.Time, newcomer bool) []carobward.LimitAnnouncement {
 	var list []carobward.LimitAnnouncement
 
--- a/internal/cwbackend/table.go
+++ b/internal/cwbackend/table.go
@@ -267,7 +267,7 @@
 	server *Server
 }
 
-// group has the servers of a service. It is updated as entries come and go: rebuilding it at
+// group has the servers of a service. It is updated as entries are added and removed: rebuilding it at
 // each change would cost time in proportion to the number of servers times the number of
 // changes.
 type group struct {
@@ -425,8 +425,9 @@
 	return subsetFar
 }
 
-// holders returns how many entry VMs of the failure domain, the first by hash, have a server
-// in their subset, given the number of near servers of the service.
+// holders returns how many entry VMs of the failure domain have a server in their subset, given
+// the number of near servers of the service. For each server, they are the ones that rank first
+// by hash.
 func (t *Table) holders(servers int) int {
 	if t.alone || servers <= subsetNear {
 		return math.MaxInt
--- a/internal/cwconfig/head.go
+++ b/internal/cwconfig/head.go
@@ -10,8 +10,8 @@
 
 // The keys in the store.
 const (
-	// HeadKey holds the Head. A change is accepted by the compare-and-swap
-	// of this key.
+	// HeadKey holds the Head. A change is accepted once a compare-and-swap
+	// of this key has succeeded.
 	HeadKey carobward.Key = "head"
 	// SnapshotKey holds a full Config, of a revision from which the head's
 	// changes continue.
@@ -26,7 +26,7 @@
 	maxValueBytes = 1_000_000
 	// maxHeadChanges and maxHeadBytes limit the changes in a head, because
 	// each watcher reads the whole head after every change. A single change
-	// larger than that is stored on its own.
+	// larger than that is the only one in its head.
 	maxHeadChanges = 24
 	maxHeadBytes   = 8_000
 	// keptHeadChanges is how many changes are kept when a head exceeds the
--- a/internal/cwdrain/exchange.go
+++ b/internal/cwdrain/exchange.go
@@ -9,8 +9,8 @@
 	"carobward.example/carobward/internal/cwwire"
 )
 
-// setFleetSize sets how many peers a new mark is sent to, from the number of
-// peers.
+// setFleetSize sets how many peers this entry VM sends a new mark to. That number
+// grows with the logarithm of the number of peers.
 func (t *Table) setFleetSize(peers int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/cwdrain/health.go
+++ b/internal/cwdrain/health.go
@@ -33,9 +33,10 @@
 	return "unknown"
 }
 
-// minHealthy is how many healthy answers in a row end a mark from health checks.
-// They also end a mark announced by the server if a connection was refused in
-// between, since another run of the server then listens at the address.
+// minHealthy is how many healthy answers in a row reset a mark that health checks
+// have set (see Mark). They also reset a mark announced by the server if a
+// connection was refused in between, since another run of the server then listens
+// at the address.
 const minHealthy = 3
 
 // ApplyCheck processes the result of a health check that was sent at the given
--- a/internal/cwentry/admission.go
+++ b/internal/cwentry/admission.go
@@ -24,8 +24,8 @@
 	overShareRetry = 100 * time.Millisecond
 )
 
-// admission is a request that was admitted by the gate of its service, with the
-// servers chosen for it.
+// admission is a request that was admitted by the gate of its service, the queue
+// for a server with room, with the servers chosen for it.
 type admission struct {
 	forwarder *Forwarder
 	target    *carobward.Target
--- a/internal/cwentry/server.go
+++ b/internal/cwentry/server.go
@@ -35,7 +35,7 @@
 	Conns      int
 	ConnsPerIP int
 	// Read is the timeout for reading a whole request, Write for writing a
-	// whole reply.
+	// complete reply.
 	Read  time.Duration
 	Write time.Duration
 	// Idle is the maximum time for which a connection waits for its next
--- a/internal/cwfollow/follower.go
+++ b/internal/cwfollow/follower.go
@@ -25,16 +25,16 @@
 	// that the entry VMs that come next in the order don't all query at once.
 	overdueDelay = 200 * time.Millisecond
 	// batchDelay is the pause after changes, so that the next call returns several further ones:
-	// each call is paid for.
+	// the platform bills each call.
 	batchDelay = 100 * time.Millisecond
 	// pollInterval is the time between checks whether to query the store.
 	pollInterval = 50 * time.Millisecond
 	// minBackoff and maxBackoff bound the pause after a failed call, which doubles with each
-	// failure. Calls to an unavailable store are paid for, too.
+	// failure. Calls to an unavailable store are billed, too.
 	minBackoff = 150 * time.Millisecond
 	maxBackoff = 1200 * time.Millisecond
 	// fleetWriteInterval is the minimum time between writes of the list of entry VMs, and from the
-	// start to the first write: by then the entry VMs know each other.
+	// start to the first write: by then the entry VMs have discovered each other.
 	fleetWriteInterval = 3 * time.Second
 	// minOutage is how long calls have to fail before the store may have lost the entries of live
 	// servers.
--- a/internal/cwfollow/order.go
+++ b/internal/cwfollow/order.go
@@ -12,7 +12,7 @@
 const (
 	// watchers is the number of entry VMs that watch the store. If a watcher is lost, the others
 	// notice it after staleAge, which is soon enough. A second one would double the calls and the
-	// heartbeats, which are paid for.
+	// heartbeats, which are billed.
 	watchers = 1
 	// staleAge is the age of the store's newest answer to any entry VM at which the others start to
 	// query the store. Watchers get an answer every watchTimeout, and a change has to take effect
@@ -23,22 +23,22 @@
 	turnDelay = 80 * time.Millisecond
 	maxTurns  = 8
 	// lateTurnDelay is the same delay for the entry VMs after these, up to maxLateDelay in all. The
-	// store's first answer reaches all entry VMs within some 100 ms, so that some twenty query the
-	// store. Without the delay all entry VMs of a large fleet would. With maxLateDelay the last one
-	// queries after 2.2 s, and a change has to take effect there within three.
+	// store's first answer reaches all entry VMs within some 100 ms; until then some twenty of them
+	// query the store. Without the delay all entry VMs of a large fleet would. With maxLateDelay the
+	// last one queries after 2.2 s, and a change has to take effect there within three seconds.
 	lateTurnDelay = 5 * time.Millisecond
 	maxLateDelay  = 600 * time.Millisecond
-	// outageThreshold is the number of entry VMs not served by the store at which it probably
-	// serves nobody. It wouldn't answer the rest of a large fleet either: these wait until the
-	// newest answer is stale and then query outageTurnDelay apart on average. Otherwise 472 entry
-	// VMs would query at once. In a small fleet this delay is negligible.
+	// outageThreshold is the number of entry VMs not served by the store from which on it probably
+	// serves nobody, so that queries by the rest of the fleet would fail, too. The rest waits until
+	// the newest answer is stale and then queries outageTurnDelay apart on average. Otherwise, in a
+	// fleet of 472, all would query at once. In a small fleet this delay is negligible.
 	outageThreshold = 5
 	outageTurnDelay = 30 * time.Millisecond
-	// servedPeriod is for how long after an answer an entry VM goes on to query the store though
-	// others are refused.
+	// servedPeriod is how long after its last answer from the store an entry VM continues to query
+	// the store although others get no answer.
 	servedPeriod = 3 * time.Second
 	// outageCallInterval is the average time between the calls of all entry VMs together while the
-	// store serves none of them. Calls to an unavailable store are paid for, and the first entry VM
+	// store serves none of them. Calls to an unavailable store are billed, and the first entry VM
 	// that gets an answer tells the others.
 	outageCallInterval = 100 * time.Millisecond
 )
@@ -46,7 +46,8 @@
 // backoffPause returns the pause after a failed call of an entry VM that the store doesn't serve.
 // The argument back is the entry VM's own pause, unserved the number of other live entry VMs that the
 // store doesn't serve, and draw a random number from 0 to 1. All entry VMs lose the store at the
-// same moment: with pauses of one length, none would notice its return before all pauses are over.
+// same moment: with equal pauses, all would call again at the same time, and none would notice
+// earlier that the store is back.
 func backoffPause(back time.Duration, unserved int, draw float64) time.Duration {
 	return max(back, randomPause(outageCallInterval, unserved+1, draw))
 }
--- a/internal/cwmesh/fleet.go
+++ b/internal/cwmesh/fleet.go
@@ -49,7 +49,7 @@
 
 // AddListed adds the entry VMs that the store lists. They get a heartbeat, and count as
 // alive once they answer. Budgets are divided by their number from now on, before they
-// are heard from: otherwise each of many newcomers would spend as if it were alone.
+// send a heartbeat: otherwise each of many new entry VMs would spend as if it were alone.
 func (t *Table) AddListed(list []Summary, now time.Time) {
 	size, near := 0, 0
 
--- a/internal/cwprobe/assign.go
+++ b/internal/cwprobe/assign.go
@@ -12,8 +12,9 @@
 )
 
 // Assigned returns the servers that an entry VM probes, by rendezvous hashing:
-// each server is probed by the entry VM with the highest hash of the two. So no
-// two entry VMs probe the same server, and when an entry VM joins or leaves,
+// each server is probed by the entry VM whose id, hashed together with the
+// server's address, gives the highest value. So no two entry VMs with the same
+// list of entry VMs probe the same server, and when an entry VM joins or leaves,
 // only the servers that it probes are reassigned.
 func Assigned(self carobward.VMID, vms []carobward.VMID, servers []*cwserver.Server) []*cwserver.Server {
 	hashes := make([]uint64, len(vms))
--- a/internal/cwprobe/probe.go
+++ b/internal/cwprobe/probe.go
@@ -26,8 +26,8 @@
 }
 
 // probeOnce sends one request to the health endpoint of a server, over a
-// connection of its own. Request and reply together stay within the reserved
-// bytes.
+// connection of its own. Request and reply together take at most
+// cwbudget.MaxProbeBytes, which the measurement budget reserves for a probe.
 func probeOnce(ctx context.Context, to carobward.Address, path string) result {
 	var d net.Dialer
 
--- a/internal/cwquarantine/keeper.go
+++ b/internal/cwquarantine/keeper.go
@@ -9,7 +9,7 @@
 	"carobward.example/carobward"
 )
 
-// Parameters of the calls to the store. Each call is paid for.
+// Parameters of the calls to the store. The platform bills each call.
 const (
 	// batchDelay is the pause before a call, so that further records can join the same batch: all
 	// requests in flight on a crashed server fail at the same moment.
--- a/internal/cwquarantine/writer.go
+++ b/internal/cwquarantine/writer.go
@@ -66,7 +66,7 @@
 }
 
 // canWrite reports whether there are changes to write and the store is available. Calls to an
-// unavailable store are paid for, too, and the entry VMs that follow the store notice when it
+// unavailable store are billed, too, and the entry VMs that follow the store notice when it
 // answers again.
 func (k *Keeper) canWrite() bool {
 	k.mutex.Lock()
--- a/internal/cwretry/target.go
+++ b/internal/cwretry/target.go
@@ -8,19 +8,20 @@
 
 // The constants of hedges and retries. docs/design/route.md has the measurements.
 const (
-	// Share is how many extra calls a request may cost on average.
+	// Share is how many extra calls (retries and hedges) a request may cost on average.
 	Share = 0.05
 	// maxSaved is how many extra calls can be saved up.
 	maxSaved = 10
 	// hedgeQuantile is the quantile of a target's latencies after which a call is hedged
 	// in any case.
 	hedgeQuantile = 0.97
-	// earlyFactor is the age from which on a call may be hedged early, in usual latencies.
-	// That needs earlyCalls calls of this entry VM overdue on the same server.
+	// earlyFactor is the age from which a call may be hedged earlier than that, as a
+	// multiple of the server's usual latency. The condition is that at least earlyCalls
+	// calls of this entry VM to the same server have exceeded that age.
 	earlyFactor = 1.5
 	earlyCalls  = 2
-	// recheckFactor is the interval between two decisions about a hedge, in usual
-	// latencies.
+	// recheckFactor is the interval between two decisions about a hedge, as a multiple of
+	// the server's usual latency.
 	recheckFactor = 0.3
 	// minHedgeDelay is the minimum time before a hedge; below it the timers cost more than
 	// the hedges gain.
--- a/internal/cwsettings/settings.go
+++ b/internal/cwsettings/settings.go
@@ -105,7 +105,7 @@
 	ConnsPerIP int `json:"connsPerIP"`
 	// Read is the timeout for reading a whole request.
 	Read carobward.Duration `json:"read"`
-	// Write is the timeout for writing a whole reply.
+	// Write is the timeout for writing a complete reply.
 	Write carobward.Duration `json:"write"`
 	// Idle is how long a connection may wait for its next request.
 	Idle carobward.Duration `json:"idle"`
--- a/internal/lab/cwbench/backend.go
+++ b/internal/lab/cwbench/backend.go
@@ -12,7 +12,7 @@
 type outcome uint8
 
 const (
-	// answered: the whole reply arrived.
+	// answered: the complete reply arrived.
 	answered outcome = iota
 	// shed: the server refused the call before starting it.
 	shed
--- a/internal/lab/cwbench/plot.go
+++ b/internal/lab/cwbench/plot.go
@@ -31,7 +31,7 @@
 	return draw(p, file, scenario, results, tail)
 }
 
-// PlotSeries draws the whole replies a second over the time of the run.
+// PlotSeries draws the complete replies a second over the time of the run.
 func PlotSeries(file, scenario string, results []*Result) error {
 	p := plot.New()
 	p.Title.Text = scenario
--- a/internal/lab/cwbench/replay_server.go
+++ b/internal/lab/cwbench/replay_server.go
@@ -60,6 +60,7 @@
 	return out
 }
 
+// silent reports whether the server currently drops requests and sends no replies.
 func (s *replayServer) silent() bool {
 	p, at := s.run.pattern, s.run.timeline.now
 
@@ -86,6 +87,8 @@
 	}
 }
 
+// begin runs a request in a free slot. It takes longer if the server is slow or, by
+// KneeFactor, if most slots are in use.
 func (s *replayServer) begin(q *replaySend) {
 	p := s.run.pattern
 	s.busy++
--- a/internal/lab/cwbench/result.go
+++ b/internal/lab/cwbench/result.go
@@ -39,7 +39,7 @@
 // Latency is a distribution of latencies in microseconds.
 type Latency struct {
 	P50, P90, P99, P999, Max int64
-	// Calls counts the requests of the class, Answered those that got a whole reply.
+	// Calls counts the requests of the class, Answered those that got a complete reply.
 	Calls, Answered int
 
 	histogram *hdrhistogram.Histogram
@@ -50,7 +50,7 @@
 
 // Step has the counts of one step of a run.
 type Step struct {
-	// Arrived counts requests by their intended start, Answered whole replies by the
+	// Arrived counts requests by their intended start, Answered complete replies by the
 	// time they reached the caller, and Lost the requests that ended without one.
 	Arrived, Answered, Lost int
 	// Worst is the largest latency of a reply, in microseconds.
--- a/internal/lab/cwbench/suite.go
+++ b/internal/lab/cwbench/suite.go
@@ -173,8 +173,8 @@
 	}
 }
 
-// overload returns a scenario with 120 % of the capacity for five seconds, a tenth
-// of it run-once calls.
+// overload returns a scenario with 120 % of the capacity for five seconds. A tenth of
+// the calls are run-once calls.
 func overload() Scenario {
 	s := troubled("overload", 5*time.Second)
 	s.Surges = []Surge{{Interval: s.Trouble, Load: overLoad}}
--- a/internal/lab/cwbench/trouble.go
+++ b/internal/lab/cwbench/trouble.go
@@ -4,9 +4,10 @@
 	"time"
 )
 
-// Trouble has the figures for the interval Scenario.Trouble.
+// Trouble has the goodput during the interval Scenario.Trouble, in which servers are
+// overloaded or stopped, and the time to recover from it.
 type Trouble struct {
-	// Answered counts the whole replies in the interval, Room the calls that the
+	// Answered counts the complete replies in the interval, Room the calls that the
 	// servers could have run in it.
 	Answered, Room int
 	// Recovery is the time from the end of the interval until no request is lost and
--- a/internal/lab/cwload/load.go
+++ b/internal/lab/cwload/load.go
@@ -50,7 +50,7 @@
 	ByVM map[carobward.VMID]int
 	// Charged counts the answered requests that charged.
 	Charged int64
-	// Failed counts the requests without a whole reply of status 200. Causes
+	// Failed counts the requests without a complete reply of status 200. Causes
 	// has the causes of the first ones.
 	Failed int
 	Causes []string
@@ -121,7 +121,7 @@
 	return fmt.Sprint("launch ", l.sent)
 }
 
-// fail counts a request without a whole reply.
+// fail counts a request without a complete reply.
 func (l *Load) fail(cause string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -133,7 +133,7 @@
 	}
 }
 
-// answered counts a request with a whole reply.
+// answered counts a request with a complete reply.
 func (l *Load) answered(by carobward.VMID, charge bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/test/config/config_test.go
+++ b/test/config/config_test.go
@@ -137,8 +137,8 @@
 }
 
 // TestFrozenAndKilled applies a change through an entry VM that is killed right after,
-// while others are frozen by SIGSTOP. The remaining entry VMs must get the change, and
-// the frozen ones as soon as they run again.
+// while others are paused by SIGSTOP. The remaining entry VMs must get the change, and
+// the paused ones as soon as they run again.
 func TestFrozenAndKilled(t *testing.T) {
 	t.Parallel()
 
--- a/test/leave/budget_test.go
+++ b/test/leave/budget_test.go
@@ -38,7 +38,7 @@
 
 // TestMeasuringBudget checks that health checks and load reports stay within the configured
 // measurement budget in each second, as counted by the servers, under load, while one entry VM is
-// frozen and resumed and another one joins.
+// paused and resumed and another one joins.
 func TestMeasuringBudget(t *testing.T) {
 	t.Parallel()
 
@@ -95,7 +95,7 @@
 	f.PublishList(t)
 	waitMeasured("health checks and load reports with another entry VM", phase)
 
-	// Requests in flight at the frozen entry VM may fail.
+	// Requests in flight at the paused entry VM may fail.
 	_ = stopLoad()
 
 	t.Logf("worst second at the servers: %d calls and %d bytes, budget %d and %d", worstCalls, worstBytes, calls, bytes)
--- a/test/once/fleet_test.go
+++ b/test/once/fleet_test.go
@@ -1,5 +1,5 @@
 // Package once tests at-most-once execution while entry VMs, which run as separate
-// processes, are killed, frozen and stopped during the work.
+// processes, are killed, paused and stopped during the work.
 package once
 
 import (
--- a/test/once/owner_test.go
+++ b/test/once/owner_test.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestOwnerFrozen freezes the ticket's owner by SIGSTOP during the work and resumes it. Retries
-// must be answered as unknown while the owner is frozen, and with the outcome afterwards.
+// TestOwnerFrozen pauses the ticket's owner by SIGSTOP during the work and resumes it. Retries
+// must be answered as unknown while the owner is paused, and with the outcome afterwards.
 func TestOwnerFrozen(t *testing.T) {
 	t.Parallel()
 
--- a/test/path/member_test.go
+++ b/test/path/member_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// TestMembers freezes an entry VM until its peers consider it dead and resumes it, kills it
+// TestMembers pauses an entry VM until its peers consider it dead and resumes it, kills it
 // and starts it again on the same addresses, and starts one with another key, which the
 // others must refuse.
 func TestMembers(t *testing.T) {
@@ -65,7 +65,7 @@
 	}
 }
 
-// TestReplaced starts a new process of an entry VM while the old one is frozen. The old
+// TestReplaced starts a new process of an entry VM while the old one is paused. The old
 // process must stop when it resumes, and the new one must stay.
 func TestReplaced(t *testing.T) {
 	t.Parallel()
--- a/test/soak/restore_test.go
+++ b/test/soak/restore_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// client reads metrics. The timeout is short, since frozen and starting processes do not
+// client reads metrics. The timeout is short, since paused and starting processes do not
 // answer.
 var client = &http.Client{Timeout: 200 * time.Millisecond}
 
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -212,7 +212,7 @@
 	w.Restart(t, v)
 }
 
-// pause freezes the process of an entry VM for a random time.
+// pause stops the process of an entry VM for a random time.
 func (w *world) pause(t *testing.T, v *cwsite.EntryVM) {
 	t.Helper()
 
